--- /dev/null
+++ b/internal/agent/golden_test.go
@@ -0,0 +1,24 @@
+package agent
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"rillflow/internal/goldentest"
+	"rillflow/internal/wire"
+)
+
+// Workers are asked as they are today: methods, paths and bodies.
+func TestGoldenRequests(t *testing.T) {
+	rec := goldentest.NewRecorder(t)
+	var dialer net.Dialer
+	d := NewDirect(time.Minute, 1, dialer.DialContext)
+	if _, _, err := d.Do(t.Context(), rec.Addr(), goldentest.Filled[wire.Orders]()); err != nil {
+		t.Error(err)
+	}
+	if _, err := d.Status(t.Context(), rec.Addr()); err != nil {
+		t.Error(err)
+	}
+	goldentest.Check(t, "requests.txt", rec.Requests())
+}
--- /dev/null
+++ b/internal/snapshot/golden_test.go
@@ -0,0 +1,35 @@
+package snapshot
+
+import (
+	"reflect"
+	"testing"
+	"time"
+
+	"rillflow/internal/copies"
+	"rillflow/internal/goldentest"
+)
+
+// A snapshot as written today stays readable. Its bytes are the compressor's affair.
+func TestGoldenFile(t *testing.T) {
+	want := goldentest.Filled[Snapshot]()
+	want.At = time.UnixMilli(1_764_600_000_123)
+	want.Entries = []copies.Entry{{Key: "c/req-1/0", Data: []byte("{}")}, {Key: "j/req-1"}}
+	sum := Sum{}
+	data := goldentest.Read(t, "file", func() []byte {
+		s := want
+		data, err := s.Encode()
+		if err != nil {
+			t.Fatal(err)
+		}
+		return data
+	})
+	got, err := Decode(data)
+	if err != nil {
+		t.Fatal(err)
+	}
+	copy(sum[:], data[len(data)-len(sum):])
+	want.Sum = sum
+	if !reflect.DeepEqual(*got, want) {
+		t.Errorf("reads as\n%+v\nand must as\n%+v", *got, want)
+	}
+}
