--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -63,15 +63,18 @@
 
 // RebuiltView tells of data that the state service lost, and what became of it.
 type RebuiltView struct {
-	Jobs, Ends, Claims int      // that it did not hold
-	Writes, Written    int      // changes to store them again
-	DurableS           float64  `json:"durable_s"` // from the start of the term until all that is alive was stored
-	PlacingS           float64  `json:"placing_s"` // until tasks were placed again
-	Unheard            []string `json:"unheard,omitempty"`
-	Missing            []string `json:"missing_peers,omitempty"`
-	Damaged            []string `json:"damaged_keys,omitempty"`
-	Orphans            []string `json:"claims_without_job,omitempty"`
-	Machines           []string `json:"known_only_from_machines,omitempty"`
+	Jobs     int      `json:"Jobs"` // that it did not hold
+	Ends     int      `json:"Ends"`
+	Claims   int      `json:"Claims"`
+	Writes   int      `json:"Writes"` // changes to store them again
+	Written  int      `json:"Written"`
+	DurableS float64  `json:"durable_s"` // from the start of the term until all that is alive was stored
+	PlacingS float64  `json:"placing_s"` // until tasks were placed again
+	Unheard  []string `json:"unheard,omitempty"`
+	Missing  []string `json:"missing_peers,omitempty"`
+	Damaged  []string `json:"damaged_keys,omitempty"`
+	Orphans  []string `json:"claims_without_job,omitempty"`
+	Machines []string `json:"known_only_from_machines,omitempty"`
 }
 
 // WaitingView is a job that waits for others.
--- a/internal/copies/copies.go
+++ b/internal/copies/copies.go
@@ -28,11 +28,11 @@
 
 // Head says which history a copy is of, and how far it has come.
 type Head struct {
-	History string
-	Epoch   uint64 // of the leader that it comes from
-	Seq     uint64 // changes of that leader's copy that are in it
-	Gen     uint64 // generation that the leader had followed the jobs to
-	Keys    int
+	History string `json:"History"`
+	Epoch   uint64 `json:"Epoch"` // of the leader that it comes from
+	Seq     uint64 `json:"Seq"`   // changes of that leader's copy that are in it
+	Gen     uint64 `json:"Gen"`   // generation that the leader had followed the jobs to
+	Keys    int    `json:"Keys"`
 }
 
 // change is one in the log of changes, by which other copies are kept up.
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -97,12 +97,12 @@
 	// Version is the peer's program version, or "" if it is too old to tell or
 	// has not been asked yet. It is settled anew with each connection, for a
 	// process may come back as another version.
-	Version string
-	Live    bool      // answered lately
-	Since   time.Time // live without a break since
+	Version string    `json:"Version"`
+	Live    bool      `json:"Live"`  // answered lately
+	Since   time.Time `json:"Since"` // live without a break since
 	// Hearing is how the peer hears workers, if it is new enough to tell.
-	Hearing      Hearing
-	HearingKnown bool
+	Hearing      Hearing `json:"Hearing"`
+	HearingKnown bool    `json:"HearingKnown"`
 }
 
 // Peers tells how all peers stand.
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -11,11 +11,11 @@
 
 // Ping tells a peer how this node stands.
 type Ping struct {
-	Node     string
-	Epoch    uint64        // highest known
-	Leader   string        // who leads under it
-	Parts    []string      // the part map under it
-	StateAge time.Duration // since the state service last answered here
+	Node     string        `json:"Node"`
+	Epoch    uint64        `json:"Epoch"`    // highest known
+	Leader   string        `json:"Leader"`   // who leads under it
+	Parts    []string      `json:"Parts"`    // the part map under it
+	StateAge time.Duration `json:"StateAge"` // since the state service last answered here
 }
 
 func (p *Ping) encode() []byte {
@@ -36,8 +36,8 @@
 
 // Hearing tells a peer how well this node hears workers.
 type Hearing struct {
-	Age  time.Duration // since a worker last made itself heard here
-	Deaf bool          // workers do not reach this node, though they reach others
+	Age  time.Duration `json:"Age"`  // since a worker last made itself heard here
+	Deaf bool          `json:"Deaf"` // workers do not reach this node, though they reach others
 }
 
 func (h *Hearing) encode() []byte {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -21,8 +21,8 @@
 
 // Arm is a job type on a machine type.
 type Arm struct {
-	Type    string
-	Machine string
+	Type    string `json:"Type"`
+	Machine string `json:"Machine"`
 }
 
 type cell struct {
@@ -115,10 +115,10 @@
 
 // Row is one arm as an operator sees it.
 type Row struct {
-	Arm      Arm
-	N        float64
-	Estimate float64
-	Bonus    float64
+	Arm      Arm     `json:"Arm"`
+	N        float64 `json:"N"`
+	Estimate float64 `json:"Estimate"`
+	Bonus    float64 `json:"Bonus"`
 }
 
 // Rows lists the table.
