--- /dev/null
+++ b/internal/control/bench_test.go
@@ -0,0 +1,61 @@
+package control
+
+import (
+	"context"
+	"fmt"
+	"testing"
+	"time"
+
+	"rillflow/internal/agent"
+	"rillflow/internal/lead"
+	"rillflow/internal/ledger"
+	"rillflow/internal/placement"
+	"rillflow/internal/wire"
+)
+
+// chooser picks by the rule, as the owner of a part does.
+type chooser struct {
+	parts
+	table *placement.Table
+}
+
+func (c chooser) Pick(_ context.Context, _ string, o placement.Offer) ([]placement.Picked, error) {
+	return c.table.Choose(o, placement.Tuning{Aged: 2 * time.Minute, NearTie: 0.1}, now), nil
+}
+
+// BenchmarkSchedulingPass is one pass of a leader over free hosts of 8 cores and twice
+// as many tasks as fit, of four types in jobs of 40.
+func BenchmarkSchedulingPass(b *testing.B) {
+	for _, hosts := range []int{50, 500} {
+		b.Run(fmt.Sprint(hosts), func(b *testing.B) {
+			b.ReportAllocs()
+			for b.Loop() {
+				b.StopTimer()
+				r := term(b)
+				table := placement.NewTable(placement.Params{Horizon: 512, Bonus: 0.05, RunBound: 8, Tick: 12 * time.Second}, now)
+				r.term, r.parts = &held{lead.Map{Epoch: 1, Leader: "n", Parts: []string{"n"}}}, chooser{table: table}
+				r.flushes, r.took = make(chan struct{}, 1), newLatencies()
+				r.set.Facts.Teams[0].CPUs, r.set.Facts.Teams[0].CPUsMax = 1e6, 1e6
+				r.led = ledger.New("w", r.set.Facts.Teams)
+				for i := range hosts {
+					h := agent.NewHost(fmt.Sprintf("i-%06d", i))
+					h.Flavor, h.Zone, h.Tenure, h.Heard, h.Epoch = "m", "ab"[i%2:i%2+1], 1, now, 1
+					r.enter(h)
+				}
+				for i := range hosts * 8 * 2 / 40 {
+					r.add(fmt.Sprintf("req-%06d", i), wire.Job{
+						Class: fmt.Sprint("class-", i%4), Shape: wire.Batch, Rank: wire.Ranks()[i%3], Members: 40, Cores: 1, RAM: 1,
+						Bundle: fmt.Sprint("image-", i%4), SizeGB: 1, ExpectS: 60,
+					})
+				}
+				b.StartTimer()
+				r.pass(b.Context())
+				b.StopTimer()
+				if n := len(r.led.ClaimedHosts()); n < hosts {
+					b.Fatalf("%d of %d hosts have tasks", n, hosts)
+				}
+				b.StartTimer()
+			}
+		})
+	}
+}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,7 +22,7 @@
 
 // term makes a reign with hosts of 8 cores in zones a and b, that no network
 // is needed for.
-func term(t *testing.T) *reign {
+func term(t testing.TB) *reign {
 	t.Helper()
 	op, err := settings.ParseOperator(nil)
 	if err != nil {
