--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -170,8 +170,8 @@
 			return "", 0, err
 		}
 		for _, it := range items {
-			if n := ledger.BlockOf(it.Data); n > last {
-				key, last = it.Path, n
+			if n := ledger.BlockOf(it.Value); n > last {
+				key, last = it.Key, n
 			}
 		}
 	}
--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -117,24 +117,24 @@
 // Leave is what tells of a withdrawal in the transaction that makes it; nil where no
 // record is kept. The slip has the acceptance too: a job that never had a claim is in
 // no other entry yet.
-func (d *Door) Leave(rec ledger.Record, c identity.Caller, dec rights.Decision) ([]wire.Change, error) {
+func (d *Door) Leave(rec ledger.Record, c identity.Caller, dec rights.Decision) ([]wire.Operation, error) {
 	if !d.told {
 		return nil, nil
 	}
-	place := audit.SlipPrefix + rec.Job.Ref
+	place := audit.SlipPrefix + rec.Job.ID
 	return d.slip(place, []audit.Entry{
 		audit.Accepting(d.ring, rec),
-		{At: d.now(), Act: audit.Withdrawn, Who: c.Name, Via: d.node, On: rec.Job.Ref, Why: dec.Rule},
+		{At: d.now(), Act: audit.Withdrawn, Who: c.Name, Via: d.node, On: rec.Job.ID, Why: dec.Rule},
 	})
 }
 
-func (d *Door) slip(place string, entries []audit.Entry) ([]wire.Change, error) {
+func (d *Door) slip(place string, entries []audit.Entry) ([]wire.Operation, error) {
 	s := audit.Slip{Entries: entries}
 	put, err := s.Change(d.ring, place)
 	if err != nil {
 		return nil, fmt.Errorf("access: %w", err)
 	}
-	return []wire.Change{put}, nil
+	return []wire.Operation{put}, nil
 }
 
 // maxRefused bounds the refusals that wait to be written; the rest are counted.
@@ -176,7 +176,7 @@
 // slipped is a slip of refusals that is being written.
 type slipped struct {
 	place  string
-	apply  []wire.Change
+	apply  []wire.Operation
 	n      int // refusals in it
 	missed int // counted in it
 }
@@ -191,7 +191,7 @@
 		}
 		d.out = out
 	}
-	_, _, err := d.st.Commit(ctx, wire.Commit{Guards: []wire.Guard{{Path: d.out.place}}, Apply: d.out.apply})
+	_, _, err := d.st.Commit(ctx, wire.Txn{Compares: []wire.Compare{{Key: d.out.place}}, Operations: d.out.apply})
 	if errors.Is(err, state.ErrTooLarge) {
 		d.out = nil // made again, for the limits in force
 	}
--- a/internal/agent/direct.go
+++ b/internal/agent/direct.go
@@ -38,7 +38,7 @@
 
 // Do sends commands. The worker's report is returned also when it refused
 // them (409). An error other than ErrNotSent leaves their fate unknown.
-func (d *Direct) Do(ctx context.Context, addr string, o wire.Orders) (rep *wire.Report, refused bool, err error) {
+func (d *Direct) Do(ctx context.Context, addr string, o wire.CommandBatch) (rep *wire.Heartbeat, refused bool, err error) {
 	body, err := json.Marshal(o)
 	if err != nil {
 		return nil, false, fmt.Errorf("%w: %v", ErrNotSent, err)
@@ -47,12 +47,12 @@
 }
 
 // Status asks a worker for its report.
-func (d *Direct) Status(ctx context.Context, addr string) (*wire.Report, error) {
+func (d *Direct) Status(ctx context.Context, addr string) (*wire.Heartbeat, error) {
 	rep, _, err := d.send(ctx, http.MethodGet, "http://"+addr+"/status", nil)
 	return rep, err
 }
 
-func (d *Direct) send(ctx context.Context, method, url string, body io.Reader) (*wire.Report, bool, error) {
+func (d *Direct) send(ctx context.Context, method, url string, body io.Reader) (*wire.Heartbeat, bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, body)
@@ -75,7 +75,7 @@
 	if res.StatusCode != http.StatusOK && res.StatusCode != http.StatusConflict {
 		return nil, false, fmt.Errorf("agent: status %d", res.StatusCode)
 	}
-	var r wire.Report
+	var r wire.Heartbeat
 	if err := json.Unmarshal(data, &r); err != nil {
 		return nil, false, fmt.Errorf("agent: %w", err)
 	}
--- a/internal/agent/direct_test.go
+++ b/internal/agent/direct_test.go
@@ -56,7 +56,7 @@
 		for range tc.workers {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(`{"host":"h"}`)) }))
 			defer srv.Close()
-			if _, _, err := d.Do(context.Background(), strings.TrimPrefix(srv.URL, "http://"), wire.Orders{}); err != nil {
+			if _, _, err := d.Do(context.Background(), strings.TrimPrefix(srv.URL, "http://"), wire.CommandBatch{}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -14,7 +14,7 @@
 	rec := goldentest.NewRecorder(t)
 	var dialer net.Dialer
 	d := NewDirect(time.Minute, 1, dialer.DialContext)
-	if _, _, err := d.Do(t.Context(), rec.Addr(), goldentest.Filled[wire.Orders]()); err != nil {
+	if _, _, err := d.Do(t.Context(), rec.Addr(), goldentest.Filled[wire.CommandBatch]()); err != nil {
 		t.Error(err)
 	}
 	if _, err := d.Status(t.Context(), rec.Addr()); err != nil {
--- a/internal/agent/host.go
+++ b/internal/agent/host.go
@@ -95,8 +95,8 @@
 }
 
 // Newer tells whether a report is newer than what is known.
-func (h *Host) Newer(r *wire.Report) bool {
-	return r.Tenure > h.Tenure || r.Tenure == h.Tenure && r.Tick > h.Tick
+func (h *Host) Newer(r *wire.Heartbeat) bool {
+	return r.Incarnation > h.Tenure || r.Incarnation == h.Tenure && r.Sequence > h.Tick
 }
 
 // HasImage tells whether the host has an image, as far as its tasks showed.
@@ -134,18 +134,18 @@
 // Orders are the commands that bring a host from what it reported to what the
 // claims say. A reap is given only in answer to a beat: a worker has one beat
 // in flight, so no launch given in an earlier answer can come after it.
-func (h *Host) Orders(claims map[ledger.Task]*ledger.Held, epoch uint64, answer bool) []wire.Order {
-	var launches, stops, reaps []wire.Order
+func (h *Host) Orders(claims map[ledger.Task]*ledger.Held, epoch uint64, answer bool) []wire.Command {
+	var launches, stops, reaps []wire.Command
 	for t, c := range claims {
 		m, there := h.Members[t]
 		there = there && m.Try == c.Try
 		switch {
 		case c.Over || c.Tenure != h.Tenure:
 		case c.Job.Withdrawn || c.Stopping:
-			if m.Phase != wire.Ended {
-				o := wire.Order{Verb: wire.Stop, Member: t.String(), Try: c.Try}
-				if !c.Job.Withdrawn && m.Phase != wire.Flushing {
-					o.Wind = c.Job.Spec.FlushS // it goes on elsewhere: let it save
+			if m.Phase != wire.TaskExited {
+				o := wire.Command{Action: wire.ActionStop, Task: t.String(), Attempt: c.Try}
+				if !c.Job.Withdrawn && m.Phase != wire.TaskSaving {
+					o.GraceSeconds = c.Job.Spec.CheckpointSaveSeconds // it goes on elsewhere: let it save
 				} else if !c.Job.Withdrawn {
 					continue
 				}
@@ -153,17 +153,17 @@
 			}
 		case !there && c.Committed && !c.Unsure:
 			c.Sent, c.SentEpoch = true, epoch
-			launches = append(launches, wire.Order{Verb: wire.Launch, Member: t.String(), Try: c.Try})
+			launches = append(launches, wire.Command{Action: wire.ActionStart, Task: t.String(), Attempt: c.Try})
 		}
 	}
 	for t, m := range h.Members {
 		if c := claims[t]; c != nil && c.Try == m.Try || m.Kept {
 			continue
 		}
-		if m.Phase != wire.Ended {
-			stops = append(stops, wire.Order{Verb: wire.Stop, Member: t.String(), Try: m.Try})
+		if m.Phase != wire.TaskExited {
+			stops = append(stops, wire.Command{Action: wire.ActionStop, Task: t.String(), Attempt: m.Try})
 		} else if answer && !h.InFlight && h.Taint < max(h.Epoch, 1) {
-			reaps = append(reaps, wire.Order{Verb: wire.Reap, Member: t.String(), Try: m.Try})
+			reaps = append(reaps, wire.Command{Action: wire.ActionForget, Task: t.String(), Attempt: m.Try})
 		}
 	}
 	return slices.Concat(stops, reaps, launches)
--- a/internal/agent/host_test.go
+++ b/internal/agent/host_test.go
@@ -63,8 +63,8 @@
 			}
 			var got []string
 			for _, o := range h.Orders(claims, 7, tc.answer) {
-				got = append(got, fmt.Sprintf("%s %s %d", o.Verb, o.Member, o.Try))
-				if c := tc.claims; o.Verb == wire.Launch && (!c[0].Sent || c[0].SentEpoch != 7) {
+				got = append(got, fmt.Sprintf("%s %s %d", o.Action, o.Task, o.Attempt))
+				if c := tc.claims; o.Action == wire.ActionStart && (!c[0].Sent || c[0].SentEpoch != 7) {
 					t.Error("a launch left without being noted")
 				}
 			}
@@ -82,7 +82,7 @@
 		tenure, tick uint64
 		want         bool
 	}{{2, 11, true}, {2, 10, false}, {2, 9, false}, {3, 1, true}, {1, 99, false}} {
-		if got := h.Newer(&wire.Report{Tenure: tc.tenure, Tick: tc.tick}); got != tc.want {
+		if got := h.Newer(&wire.Heartbeat{Incarnation: tc.tenure, Sequence: tc.tick}); got != tc.want {
 			t.Errorf("%d.%d newer than 2.10: %v", tc.tenure, tc.tick, got)
 		}
 	}
--- a/internal/audit/archive.go
+++ b/internal/audit/archive.go
@@ -14,9 +14,9 @@
 
 // Store is what reading and trimming a record asks of the state service.
 type Store interface {
-	Get(ctx context.Context, key string) (wire.Item, error)
-	List(ctx context.Context, under string) ([]wire.Item, uint64, error)
-	Commit(ctx context.Context, t wire.Commit) (gen uint64, failed []string, err error)
+	Get(ctx context.Context, key string) (wire.KeyValue, error)
+	List(ctx context.Context, under string) ([]wire.KeyValue, uint64, error)
+	Commit(ctx context.Context, t wire.Txn) (gen uint64, failed []string, err error)
 }
 
 // Archive is the record as the state service has it.
@@ -25,8 +25,8 @@
 	Blocks [][]byte
 	// Found are values that hold no block at all.
 	Found []error
-	mark  wire.Item
-	keys  []wire.Item
+	mark  wire.KeyValue
+	keys  []wire.KeyValue
 }
 
 // Read reads the record, oldest block first. The mark of what was trimmed must be
@@ -35,7 +35,7 @@
 	var a Archive
 	it, err := st.Get(ctx, TrimKey)
 	if err == nil {
-		if a.Before, err = openMark(ring, it.Data); err != nil {
+		if a.Before, err = openMark(ring, it.Value); err != nil {
 			a.Found = append(a.Found, fmt.Errorf("the mark of what was trimmed: %w", err))
 		}
 		a.mark = it
@@ -47,17 +47,17 @@
 	}
 	slices.Reverse(a.keys)
 	for _, it := range a.keys {
-		seq, ok := BlockSeq(it.Path)
-		raw, err := Raw(it.Data)
+		seq, ok := BlockSeq(it.Key)
+		raw, err := Raw(it.Value)
 		if !ok {
 			err = errors.New("it is no block's")
 		}
 		if err != nil {
-			a.Found = append(a.Found, fmt.Errorf("key %s: %w", it.Path, err))
+			a.Found = append(a.Found, fmt.Errorf("key %s: %w", it.Key, err))
 			continue
 		}
 		if b, err := Open(raw); err == nil && b.Seq != seq {
-			a.Found = append(a.Found, fmt.Errorf("key %s holds block %d: %w", it.Path, b.Seq, ErrOrder))
+			a.Found = append(a.Found, fmt.Errorf("key %s holds block %d: %w", it.Key, b.Seq, ErrOrder))
 		}
 		a.Blocks = append(a.Blocks, raw)
 	}
@@ -83,14 +83,14 @@
 // transaction. They must have been exported and the export read back. The newest
 // block always stays: a leader goes on from it.
 func (a *Archive) Trim(ctx context.Context, st Store, ring *keyring.Ring, upTo uint64, ops int) (removed int, err error) {
-	mark := a.mark.Stamp
+	mark := a.mark.ModRevision
 	for len(a.keys) > 1 {
 		n := 0
-		txn := wire.Commit{Guards: []wire.Guard{{Path: TrimKey, Stamp: mark}}}
+		txn := wire.Txn{Compares: []wire.Compare{{Key: TrimKey, ModRevision: mark}}}
 		var head Head
 		for n < min(len(a.keys)-1, ops-1) {
 			it := a.keys[n]
-			raw, err := Raw(it.Data)
+			raw, err := Raw(it.Value)
 			if err != nil {
 				return removed, err
 			}
@@ -102,8 +102,8 @@
 				break
 			}
 			head = b.Head()
-			txn.Guards = append(txn.Guards, wire.Guard{Path: it.Path, Stamp: it.Stamp})
-			txn.Apply = append(txn.Apply, wire.Change{Remove: it.Path})
+			txn.Compares = append(txn.Compares, wire.Compare{Key: it.Key, ModRevision: it.ModRevision})
+			txn.Operations = append(txn.Operations, wire.Operation{Delete: it.Key})
 			n++
 		}
 		if n == 0 {
@@ -114,7 +114,7 @@
 		if err != nil {
 			return removed, err
 		}
-		txn.Apply = append(txn.Apply, put)
+		txn.Operations = append(txn.Operations, put)
 		gen, failed, err := st.Commit(ctx, txn)
 		if err != nil {
 			return removed, err
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -204,7 +204,7 @@
 // who may: the entry says so.
 func Accepting(ring *keyring.Ring, rec ledger.Record) Entry {
 	j := &rec.Job
-	e := Entry{At: time.UnixMilli(rec.AtMS), Act: Accepted, On: j.Ref, Owner: j.Owner, Rank: j.Rank, Tasks: []Task{{Index: j.Members}}}
+	e := Entry{At: time.UnixMilli(rec.AtMS), Act: Accepted, On: j.ID, Owner: j.Team, Rank: j.Priority, Tasks: []Task{{Index: j.TaskCount}}}
 	if o := rec.Origin; o != nil {
 		e.Who, e.Via, e.Why = o.Who, o.Via, o.Rule
 	}
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -55,12 +55,12 @@
 	if got, err := Open(b.Raw); err != nil || !reflect.DeepEqual(got.Entries, b.Entries) || got.Head() != b.Head() {
 		t.Errorf("the block reads back as %+v, %v", got, err)
 	}
-	if got, err := ReadSlip(ring, slip.Put, slip.Data); err != nil || !reflect.DeepEqual(got.Entries, b.Entries) {
+	if got, err := ReadSlip(ring, slip.Put, slip.Value); err != nil || !reflect.DeepEqual(got.Entries, b.Entries) {
 		t.Errorf("the slip reads back as %+v, %v", got, err)
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s\t%s\n", BlockKey(b.Seq), Value(b.Raw))
-	fmt.Fprintf(&out, "%s\t%s\n%s\n%s\n", slip.Put, slip.Data, TrimKey, b.Head())
+	fmt.Fprintf(&out, "%s\t%s\n%s\n%s\n", slip.Put, slip.Value, TrimKey, b.Head())
 	for a := Act(1); int(a) <= len(acts); a++ {
 		fmt.Fprintf(&out, "%d %s\n", a, a)
 	}
--- a/internal/audit/note.go
+++ b/internal/audit/note.go
@@ -34,9 +34,9 @@
 }
 
 // Change is what puts a slip into the state service.
-func (s *Slip) Change(ring *keyring.Ring, place string) (wire.Change, error) {
+func (s *Slip) Change(ring *keyring.Ring, place string) (wire.Operation, error) {
 	raw, err := s.Encode(ring, place)
-	return wire.Change{Put: place, Data: Value(raw)}, err
+	return wire.Operation{Put: place, Value: Value(raw)}, err
 }
 
 // ReadSlip reads a slip from the value under its key, and checks its seal.
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -44,8 +44,8 @@
 				}
 				for i := range hosts * 8 * 2 / 40 {
 					r.add(fmt.Sprintf("req-%06d", i), wire.Job{
-						Class: fmt.Sprint("class-", i%4), Shape: wire.Batch, Rank: wire.Ranks()[i%3], Members: 40, Cores: 1, RAM: 1,
-						Bundle: fmt.Sprint("image-", i%4), SizeGB: 1, ExpectS: 60,
+						Class: fmt.Sprint("class-", i%4), Kind: wire.KindArray, Priority: wire.Priorities()[i%3], TaskCount: 40, CPUs: 1, MemoryGB: 1,
+						Image: fmt.Sprint("image-", i%4), ImageGB: 1, ExpectedSeconds: 60,
 					})
 				}
 				b.StartTimer()
--- a/internal/control/chain.go
+++ b/internal/control/chain.go
@@ -65,13 +65,13 @@
 				return
 			}
 			var e ledger.Ending
-			if err := json.Unmarshal(it.Data, &e); err != nil {
+			if err := json.Unmarshal(it.Value, &e); err != nil {
 				r.log.Error("ending", "job", ref, "err", err)
 				return
 			}
 			r.mu.Lock()
 			defer r.mu.Unlock()
-			r.readied(r.led.Settle(ref, e.Phase == wire.Done, time.UnixMilli(e.AtMS)))
+			r.readied(r.led.Settle(ref, e.Phase == wire.PhaseDone, time.UnixMilli(e.AtMS)))
 		})
 	}
 	wg.Wait()
@@ -111,7 +111,7 @@
 	if err != nil || len(js) == 0 {
 		return false, err
 	}
-	txn := wire.Commit{Guards: append(r.term.Guards(), w.Guards...), Apply: w.Apply}
+	txn := wire.Txn{Compares: append(r.term.Guards(), w.Guards...), Operations: w.Apply}
 	for try := 0; ; try++ {
 		_, failed, err := r.st.Commit(ctx, txn)
 		if err == nil && len(failed) > 0 && len(w.blocks) > 0 {
@@ -153,8 +153,8 @@
 		if err != nil {
 			return nil, nil, fmt.Errorf("control: %s: %w", j.Ref, err)
 		}
-		w.Guards = append(w.Guards, wire.Guard{Path: ledger.LiveKey(j.Ref), Stamp: j.Stamp()})
-		w.Apply = append(w.Apply, wire.Change{Remove: ledger.LiveKey(j.Ref)}, wire.Change{Put: ledger.EndedKey(j.Ref), Data: data})
+		w.Guards = append(w.Guards, wire.Compare{Key: ledger.LiveKey(j.Ref), ModRevision: j.Stamp()})
+		w.Apply = append(w.Apply, wire.Operation{Delete: ledger.LiveKey(j.Ref)}, wire.Operation{Put: ledger.EndedKey(j.Ref), Value: data})
 	}
 	if len(js) == 0 {
 		return nil, nil, nil
@@ -194,10 +194,10 @@
 	if j.Lift != nil {
 		return j.Lift
 	}
-	l := &ledger.Lift{Rank: rankOf(j.Spec.Rank), Due: make([]time.Time, len(r.set.Facts.Objectives))}
+	l := &ledger.Lift{Rank: rankOf(j.Spec.Priority), Due: make([]time.Time, len(r.set.Facts.Objectives))}
 	for k, o := range r.set.Facts.Objectives {
-		if o.Kind == "deadline" && o.Class == j.Spec.Class && j.Spec.DueS > 0 {
-			l.Due[k] = j.From.Add(time.Duration(j.Spec.DueS * max(o.Times, 1) * float64(time.Second)))
+		if o.Kind == "deadline" && o.Class == j.Spec.Class && j.Spec.DeadlineSeconds > 0 {
+			l.Due[k] = j.From.Add(time.Duration(j.Spec.DeadlineSeconds * max(o.Times, 1) * float64(time.Second)))
 		}
 	}
 	for _, n := range r.led.Needers(j) {
@@ -227,7 +227,7 @@
 // step is how long a job is expected to take once it is ready: until its
 // longest task is done, and the finish of one step known to the next.
 func (r *reign) step(j *ledger.Job) time.Duration {
-	return time.Duration(longest*j.Spec.ExpectS*float64(time.Second)) + r.set.Report()/2
+	return time.Duration(longest*j.Spec.ExpectedSeconds*float64(time.Second)) + r.set.Report()/2
 }
 
 // longest is how long the last of a job's tasks takes, as a ratio to the mean.
--- a/internal/control/chain_test.go
+++ b/internal/control/chain_test.go
@@ -24,22 +24,22 @@
 		left   time.Duration
 		leaves bool
 	}{
-		{"done before the machine goes", wire.Job{ExpectS: 30}, 20 * time.Second, nil, 15 * time.Second, false},
-		{"not done by then", wire.Job{ExpectS: 30}, 10 * time.Second, nil, 15 * time.Second, true},
-		{"fetching still", wire.Job{ExpectS: 30}, 0, nil, 15 * time.Second, true},
-		{"others show that it takes longer", wire.Job{ExpectS: 30}, 20 * time.Second, []float64{80, 80, 80, 80}, 15 * time.Second, true},
-		{"others show that it is about to be done", wire.Job{ExpectS: 60}, 20 * time.Second, []float64{20, 22, 24, 20, 22}, 15 * time.Second, false},
-		{"overdue", wire.Job{ExpectS: 30}, time.Minute, nil, time.Second, false},
-		{"a replica is looked after elsewhere", wire.Job{Shape: wire.Standing}, time.Minute, nil, 15 * time.Second, false},
-		{"a gang stops whole or not at all", wire.Job{Shape: wire.Ensemble, ExpectS: 30}, time.Second, nil, 15 * time.Second, false},
-		{"no notice", wire.Job{ExpectS: 300}, time.Second, nil, 0, false},
+		{"done before the machine goes", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, nil, 15 * time.Second, false},
+		{"not done by then", wire.Job{ExpectedSeconds: 30}, 10 * time.Second, nil, 15 * time.Second, true},
+		{"fetching still", wire.Job{ExpectedSeconds: 30}, 0, nil, 15 * time.Second, true},
+		{"others show that it takes longer", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, []float64{80, 80, 80, 80}, 15 * time.Second, true},
+		{"others show that it is about to be done", wire.Job{ExpectedSeconds: 60}, 20 * time.Second, []float64{20, 22, 24, 20, 22}, 15 * time.Second, false},
+		{"overdue", wire.Job{ExpectedSeconds: 30}, time.Minute, nil, time.Second, false},
+		{"a replica is looked after elsewhere", wire.Job{Kind: wire.KindService}, time.Minute, nil, 15 * time.Second, false},
+		{"a gang stops whole or not at all", wire.Job{Kind: wire.KindGang, ExpectedSeconds: 30}, time.Second, nil, 15 * time.Second, false},
+		{"no notice", wire.Job{ExpectedSeconds: 300}, time.Second, nil, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
-			if tc.job.Shape == "" {
-				tc.job.Shape = wire.Batch
+			if tc.job.Kind == "" {
+				tc.job.Kind = wire.KindArray
 			}
-			tc.job.Members, tc.job.Cores, tc.job.Loaners = 2, 1, true
+			tc.job.TaskCount, tc.job.CPUs, tc.job.AllowSpot = 2, 1, true
 			c := r.run(t, r.add("req-1", tc.job), "h0", tc.ran)
 			if tc.ran == 0 {
 				c.Running = time.Time{}
@@ -83,15 +83,15 @@
 		}
 	}
 	add := func(ref string, expect float64, needs ...string) {
-		r.add(ref, wire.Job{Shape: wire.Batch, Rank: "idle", Members: 1, Cores: 1, ExpectS: expect, Needs: needs})
+		r.add(ref, wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1, ExpectedSeconds: expect, DependsOn: needs})
 	}
 	add("req-1", 10)
 	add("req-2", 20, "req-1")
 	add("req-3", 40, "req-1")
 	add("req-4", 8, "req-2", "req-3")
 	check("before the last one", 0, 0, 0, 0)
-	last := wire.Job{Class: "d", Shape: wire.Batch, Rank: "urgent", Members: 1, Cores: 1, ExpectS: 4, DueS: 200}
-	last.Needs = []string{"req-4"}
+	last := wire.Job{Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, ExpectedSeconds: 4, DeadlineSeconds: 200}
+	last.DependsOn = []string{"req-4"}
 	r.add("req-5", last)
 	// 1.5 deadlines; a step takes 1.5 times its expectation and half a report.
 	d5 := 300.0
@@ -100,7 +100,7 @@
 	d1 := d2 - 1.5*40 - 1.5 // the longer branch decides
 	check("with the last one", d1, d2, d2, d4)
 	sooner := last
-	sooner.DueS, sooner.Needs = 40, []string{"req-2"}
+	sooner.DeadlineSeconds, sooner.DependsOn = 40, []string{"req-2"}
 	r.add("req-6", sooner)
 	check("with one that is due sooner", 60-1.5*4-1.5-1.5*20-1.5, 60-1.5*4-1.5, d2, d4)
 	r.led.Withdraw("req-6")
@@ -113,9 +113,9 @@
 // it takes nothing from those within theirs.
 func TestLiftTakesNoGuarantee(t *testing.T) {
 	r := term(t)
-	chain := r.add("req-1", wire.Job{Owner: "u", Shape: wire.Batch, Rank: "idle", Members: 9, Cores: 2, ExpectS: 9})
-	other := r.add("req-2", wire.Job{Owner: "t", Shape: wire.Batch, Rank: "idle", Members: 9, Cores: 2, ExpectS: 9})
-	r.add("req-3", wire.Job{Owner: "u", Shape: wire.Batch, Rank: "urgent", Members: 1, Cores: 1, Needs: []string{"req-1"}})
+	chain := r.add("req-1", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
+	other := r.add("req-2", wire.Job{Team: "t", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
+	r.add("req-3", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"}})
 	if r.tier(chain) >= r.tier(other) {
 		t.Error("the chain does not go first within its guarantee")
 	}
@@ -130,8 +130,8 @@
 func TestWaitingJobIsNoQueue(t *testing.T) {
 	r := term(t)
 	r.set.Operator.Fleet.Thrift = "always"
-	r.add("req-1", wire.Job{Class: "x", Shape: wire.Batch, Rank: "idle", Members: 1, Cores: 1})
-	r.add("req-2", wire.Job{Class: "x", Shape: wire.Batch, Rank: "idle", Members: 50, Cores: 1, Loaners: true, Needs: []string{"req-1"}})
+	r.add("req-1", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
+	r.add("req-2", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 50, CPUs: 1, AllowSpot: true, DependsOn: []string{"req-1"}})
 	if qs := r.queues(now); len(qs) != 1 || qs[0].count != 1 {
 		t.Errorf("%d queues, %+v", len(qs), qs)
 	}
@@ -151,7 +151,7 @@
 // Times other than a deadline count from when the job could start.
 func TestTimesFromReady(t *testing.T) {
 	r := term(t)
-	j := r.add("req-2", wire.Job{Class: "f", Shape: wire.Batch, Members: 1, Cores: 1, ExpectS: 1, Needs: []string{"req-1"}})
+	j := r.add("req-2", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 1, DependsOn: []string{"req-1"}})
 	at := now.Add(5 * time.Minute)
 	r.led.Settle("req-1", true, at)
 	if w := r.wanted(0, j); !w.Equal(at.Add(time.Minute)) {
@@ -186,10 +186,10 @@
 				r.set.Facts.Objectives = append(r.set.Facts.Objectives, settings.Objective{Kind: "price"})
 			}
 			r.set.Operator.Fleet.Thrift = "auto"
-			j := r.add("req-1", wire.Job{Shape: wire.Batch, Rank: "idle", Members: tc.tasks, Cores: 1, Loaners: true})
-			last := wire.Job{Class: "d", Shape: wire.Batch, Rank: "urgent", Members: 1, Cores: 1, Needs: []string{"req-1"}}
+			j := r.add("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: tc.tasks, CPUs: 1, AllowSpot: true})
+			last := wire.Job{Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"}}
 			if tc.due {
-				last.DueS = 100
+				last.DeadlineSeconds = 100
 			}
 			r.add("req-2", last)
 			look := newSurvey(r.rooms(now))
@@ -254,13 +254,13 @@
 			if rapid.Bool().Draw(rt, "guest") {
 				who = &guest
 			}
-			spec := wire.Job{Owner: rapid.SampledFrom([]string{"t", "u"}).Draw(rt, "owner"), Shape: wire.Batch, Members: 1, Cores: 1, Rank: named(rapid.IntRange(0, 3).Draw(rt, "rank"))}
-			dec := rules.Decide(who, rights.Request{Do: rights.Submit, Owner: spec.Owner, Rank: spec.Rank})
+			spec := wire.Job{Team: rapid.SampledFrom([]string{"t", "u"}).Draw(rt, "owner"), Kind: wire.KindArray, TaskCount: 1, CPUs: 1, Priority: named(rapid.IntRange(0, 3).Draw(rt, "rank"))}
+			dec := rules.Decide(who, rights.Request{Do: rights.Submit, Owner: spec.Team, Rank: spec.Priority})
 			k := known{guest: who == &guest}
 			for n := range jobs {
 				if rapid.Bool().Draw(rt, "need") {
-					dec.Allowed = dec.Allowed && rules.Decide(who, rights.Request{Do: rights.Need, Owner: jobs[n].j.Spec.Owner}).Allowed
-					spec.Needs = append(spec.Needs, jobs[n].j.Ref)
+					dec.Allowed = dec.Allowed && rules.Decide(who, rights.Request{Do: rights.Need, Owner: jobs[n].j.Spec.Team}).Allowed
+					spec.DependsOn = append(spec.DependsOn, jobs[n].j.Ref)
 					k.needs = append(k.needs, n)
 				}
 			}
@@ -274,7 +274,7 @@
 		// best is the highest rank that curators ask for of what needs a job, or it.
 		best := make([]int, len(jobs))
 		for i := len(jobs) - 1; i >= 0; i-- {
-			best[i] = rankOf(jobs[i].j.Spec.Rank)
+			best[i] = rankOf(jobs[i].j.Spec.Priority)
 			for n := i + 1; n < len(jobs); n++ {
 				if slices.Contains(jobs[n].needs, i) && !jobs[n].guest {
 					best[i] = min(best[i], best[n])
@@ -286,7 +286,7 @@
 			if k.guest && got < rankOf("standard") {
 				rt.Fatalf("%s, a guest's, goes by %s", k.j.Ref, named(got))
 			}
-			if k.j.Spec.Owner == "t" && got < best[i] {
+			if k.j.Spec.Team == "t" && got < best[i] {
 				rt.Fatalf("%s goes by %s for a guest's sake, not %s", k.j.Ref, named(got), named(best[i]))
 			}
 		}
@@ -297,9 +297,9 @@
 func TestLiftIsCapped(t *testing.T) {
 	for _, tc := range []struct{ cap, want string }{{"", "production"}, {"production", "production"}, {"standard", "standard"}, {"idle", "idle"}} {
 		r := term(t)
-		j := r.add("req-1", wire.Job{Shape: wire.Batch, Rank: "idle", Members: 1, Cores: 1})
-		deep := r.add("req-0", wire.Job{Shape: wire.Batch, Rank: "idle", Members: 1, Cores: 1})
-		r.add("req-2", wire.Job{Shape: wire.Batch, Rank: "production", Members: 1, Cores: 1, Needs: []string{"req-1", "req-0"}})
+		j := r.add("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
+		deep := r.add("req-0", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
+		r.add("req-2", wire.Job{Kind: wire.KindArray, Priority: "production", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1", "req-0"}})
 		j.Origin = &ledger.Origin{Cap: tc.cap}
 		if got := named(r.rank(j)); got != tc.want {
 			t.Errorf("cap %q: goes by %s, want %s", tc.cap, got, tc.want)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -71,7 +71,7 @@
 type Term interface {
 	Epoch() uint64
 	Map() lead.Map
-	Guards() []wire.Guard
+	Guards() []wire.Compare
 	// Over tells whether failed guards say that the leadership is over.
 	Over(failed []string) error
 	History() history.View
@@ -128,7 +128,7 @@
 	gone     map[string]time.Time // released, with when
 	rents    *fleet.Planner
 	ahead    map[string]bool // teams whose work is rented ahead for
-	listed   map[string]wire.ListedHost
+	listed   map[string]wire.Instance
 	began    time.Time
 	heard    time.Time // last beat of any host
 	took     *latencies
@@ -149,7 +149,7 @@
 		led:    ledger.New(fmt.Sprintf("%s.%d", c.set.Node, term.First), c.set.Facts.Teams),
 		hosts:  make(map[string]*agent.Host),
 		gone:   make(map[string]time.Time),
-		listed: make(map[string]wire.ListedHost),
+		listed: make(map[string]wire.Instance),
 		began:  c.now(),
 		took:   newLatencies(),
 		rents:  fleet.NewPlanner(c.set, term.First), ahead: make(map[string]bool),
@@ -225,15 +225,15 @@
 			continue
 		}
 		try = 0
-		gen = max(gen, log.Generation)
-		var told []wire.Change
+		gen = max(gen, log.Revision)
+		var told []wire.Operation
 		var over []string
 		r.mu.Lock()
-		for _, ch := range log.Log {
+		for _, ch := range log.Events {
 			if ch.Put != "" {
 				ref := ch.Put[len(ledger.LivePrefix):]
 				known := r.led.Job(ref) != nil
-				if err := r.addJob(ch.Put, ch.Data, ch.Stamp); err != nil {
+				if err := r.addJob(ch.Put, ch.Value, ch.ModRevision); err != nil {
 					r.mu.Unlock()
 					return r.doubt(err)
 				}
@@ -246,7 +246,7 @@
 			}
 			// A job about to be done goes from the live keys by this
 			// leader's own write; were it withdrawn, that write fails.
-			ref := ch.Remove[len(ledger.LivePrefix):]
+			ref := ch.Delete[len(ledger.LivePrefix):]
 			if r.untold(ref) {
 				over = append(over, ref)
 			}
@@ -267,7 +267,7 @@
 			}
 			told = append(told, ended(ref, data)...)
 		}
-		r.copies.Apply(log.Generation, told...)
+		r.copies.Apply(log.Revision, told...)
 		kick(r.plans)
 		kick(r.chains)
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -35,7 +35,7 @@
 			{Kind: "wait", Class: "s", WithinS: 12}},
 	}}
 	cat := fleet.NewCatalogue(nil, time.Minute, nil)
-	cat.Set([]wire.MachineType{{Label: "m", Cores: 8, RAM: 64, PullRate: 1, LocalGB: 20}})
+	cat.Set([]wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
 	r := &reign{
 		Control: &Control{set: set, types: cat, copies: copies.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return now }},
 		led:     ledger.New("w", set.Facts.Teams), hosts: map[string]*agent.Host{}, gone: map[string]time.Time{}, quiet: newQuiet(set), ahead: map[string]bool{}, deficits: map[string]*deficit{},
@@ -53,8 +53,8 @@
 }
 
 func (r *reign) add(ref string, j wire.Job) *ledger.Job {
-	if j.Owner == "" {
-		j.Owner = "t"
+	if j.Team == "" {
+		j.Team = "t"
 	}
 	return r.led.Add(ref, ledger.Record{Job: j, AtMS: now.UnixMilli(), Chunk: 8}, 1)
 }
@@ -70,8 +70,8 @@
 }
 
 func TestVictim(t *testing.T) {
-	array := wire.Job{Shape: wire.Batch, Rank: "standard", Members: 8, Cores: 8, ExpectS: 50}
-	replica := wire.Job{Shape: wire.Standing, Rank: "production", Members: 2, Cores: 2}
+	array := wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 8, CPUs: 8, ExpectedSeconds: 50}
+	replica := wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 2}
 	for _, tc := range []struct {
 		name  string
 		tweak func(t *testing.T, r *reign, array, replica *wire.Job)
@@ -80,11 +80,13 @@
 	}{
 		{"the least work lost", nil, []time.Duration{20 * time.Second, 10 * time.Second, 30 * time.Second}, "h1"},
 		{"not one about to finish", nil, []time.Duration{20 * time.Second, 49 * time.Second}, "h0"},
-		{"not of the same rank", func(_ *testing.T, _ *reign, a, _ *wire.Job) { a.Rank = "production" }, []time.Duration{time.Second}, ""},
-		{"not for a team past its guarantee against one within its own", func(_ *testing.T, _ *reign, _, p *wire.Job) { p.Owner, p.Cores = "u", 5 }, []time.Duration{time.Second}, ""},
-		{"not where the job may not be", func(_ *testing.T, _ *reign, _, p *wire.Job) { p.Locale = "b" }, []time.Duration{time.Second, 20 * time.Second}, "h1"},
-		{"a checkpoint saves the work", func(_ *testing.T, _ *reign, a, _ *wire.Job) { a.SnapshotS, a.FlushS = 5, 1 }, []time.Duration{30 * time.Second}, "h0"},
-		{"not on a spot machine", func(_ *testing.T, r *reign, a, _ *wire.Job) { a.Loaners = true; r.hosts["h0"].Loaners = true }, []time.Duration{time.Second, 9 * time.Second}, "h1"},
+		{"not of the same rank", func(_ *testing.T, _ *reign, a, _ *wire.Job) { a.Priority = "production" }, []time.Duration{time.Second}, ""},
+		{"not for a team past its guarantee against one within its own", func(_ *testing.T, _ *reign, _, p *wire.Job) { p.Team, p.CPUs = "u", 5 }, []time.Duration{time.Second}, ""},
+		{"not where the job may not be", func(_ *testing.T, _ *reign, _, p *wire.Job) { p.Zone = "b" }, []time.Duration{time.Second, 20 * time.Second}, "h1"},
+		{"a checkpoint saves the work", func(_ *testing.T, _ *reign, a, _ *wire.Job) {
+			a.CheckpointIntervalSeconds, a.CheckpointSaveSeconds = 5, 1
+		}, []time.Duration{30 * time.Second}, "h0"},
+		{"not on a spot machine", func(_ *testing.T, r *reign, a, _ *wire.Job) { a.AllowSpot = true; r.hosts["h0"].Loaners = true }, []time.Duration{time.Second, 9 * time.Second}, "h1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
@@ -122,7 +124,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
-			jobs := []*ledger.Job{r.add("req-1", wire.Job{Members: 9}), r.add("req-2", wire.Job{Members: 9})}
+			jobs := []*ledger.Job{r.add("req-1", wire.Job{TaskCount: 9}), r.add("req-2", wire.Job{TaskCount: 9})}
 			for _, f := range tc.failures {
 				r.failed(r.led.Job(f[0]), r.hosts[f[1]], now)
 			}
@@ -151,16 +153,16 @@
 		after time.Duration
 		stage int
 	}{
-		{"in time for both", wire.Job{Class: "f", ExpectS: 20}, 30 * time.Second, 0},
-		{"too late for the first", wire.Job{Class: "f", ExpectS: 20}, 50 * time.Second, 1},
-		{"too late for both", wire.Job{Class: "f", ExpectS: 20}, 110 * time.Second, 2},
-		{"a deadline and a half", wire.Job{Class: "d", ExpectS: 20, DueS: 60}, 69 * time.Second, 0},
-		{"past it", wire.Job{Class: "d", ExpectS: 20, DueS: 60}, 71 * time.Second, 1},
-		{"no aim", wire.Job{Class: "x", ExpectS: 20}, time.Hour, 0},
+		{"in time for both", wire.Job{Class: "f", ExpectedSeconds: 20}, 30 * time.Second, 0},
+		{"too late for the first", wire.Job{Class: "f", ExpectedSeconds: 20}, 50 * time.Second, 1},
+		{"too late for both", wire.Job{Class: "f", ExpectedSeconds: 20}, 110 * time.Second, 2},
+		{"a deadline and a half", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 60}, 69 * time.Second, 0},
+		{"past it", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 60}, 71 * time.Second, 1},
+		{"no aim", wire.Job{Class: "x", ExpectedSeconds: 20}, time.Hour, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
-			tc.job.Members, tc.job.Cores = 2, 3
+			tc.job.TaskCount, tc.job.CPUs = 2, 3
 			u := r.urgency(r.add("req-1", tc.job), now.Add(tc.after))
 			if u.stage != tc.stage || u.work != 2*3*20 {
 				t.Errorf("got %+v, want stage %d", u, tc.stage)
@@ -188,10 +190,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
-			job := wire.Job{Class: "f", Shape: wire.Batch, ExpectS: 10, Members: 20, Cores: 1}
+			job := wire.Job{Class: "f", Kind: wire.KindArray, ExpectedSeconds: 10, TaskCount: 20, CPUs: 1}
 			a := r.add("req-1", job)
 			if tc.small {
-				job.Members = 2
+				job.TaskCount = 2
 			}
 			b := r.add("req-2", job)
 			a.ReadyAt, b.ReadyAt = now.Add(-tc.first), now.Add(-tc.second)
@@ -224,10 +226,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
-			job := wire.Job{Class: "s", Shape: wire.Standing, Rank: "production", Members: 2, Cores: 2}
+			job := wire.Job{Class: "s", Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 2}
 			a := r.add("req-1", job)
 			if tc.other {
-				job.Owner = "u"
+				job.Team = "u"
 				r.run(t, r.add("req-3", job), "h0", time.Minute)
 				r.run(t, r.led.Job("req-3"), "h1", time.Minute)
 			}
@@ -256,17 +258,17 @@
 		zones         []string
 		only, exposed map[string]float64
 	}{
-		{"nothing placed: either may take half", wire.Job{Members: 4, Scatter: true}, nil, []string{"a", "b"}, map[string]float64{"a": 4, "b": 4}, nil},
-		{"one zone has all it may", wire.Job{Members: 4, Scatter: true}, []string{"h0", "h2"}, []string{"a", "b"}, map[string]float64{"b": 4}, nil},
-		{"all placed, both full", wire.Job{Members: 4, Scatter: true}, []string{"h0", "h2", "h1", "h3"}, []string{"a", "b"}, nil, nil},
-		{"of an odd number one may move", wire.Job{Members: 3, Scatter: true}, []string{"h0", "h2", "h1"}, []string{"a", "b"}, nil, map[string]float64{"a": 2}},
-		{"a third zone takes what one loses", wire.Job{Members: 4, Scatter: true}, []string{"h0", "h2", "h1", "h3"}, []string{"a", "b", "c"}, nil, map[string]float64{"a": 4, "b": 4}},
-		{"not spread: anywhere", wire.Job{Members: 2}, []string{"h0", "h1"}, []string{"a", "b"}, nil, map[string]float64{"a": 2, "b": 2}},
-		{"its only zone", wire.Job{Members: 2, Locale: "a"}, []string{"h0"}, []string{"a", "b"}, map[string]float64{"a": 2}, nil},
+		{"nothing placed: either may take half", wire.Job{TaskCount: 4, SpreadZones: true}, nil, []string{"a", "b"}, map[string]float64{"a": 4, "b": 4}, nil},
+		{"one zone has all it may", wire.Job{TaskCount: 4, SpreadZones: true}, []string{"h0", "h2"}, []string{"a", "b"}, map[string]float64{"b": 4}, nil},
+		{"all placed, both full", wire.Job{TaskCount: 4, SpreadZones: true}, []string{"h0", "h2", "h1", "h3"}, []string{"a", "b"}, nil, nil},
+		{"of an odd number one may move", wire.Job{TaskCount: 3, SpreadZones: true}, []string{"h0", "h2", "h1"}, []string{"a", "b"}, nil, map[string]float64{"a": 2}},
+		{"a third zone takes what one loses", wire.Job{TaskCount: 4, SpreadZones: true}, []string{"h0", "h2", "h1", "h3"}, []string{"a", "b", "c"}, nil, map[string]float64{"a": 4, "b": 4}},
+		{"not spread: anywhere", wire.Job{TaskCount: 2}, []string{"h0", "h1"}, []string{"a", "b"}, nil, map[string]float64{"a": 2, "b": 2}},
+		{"its only zone", wire.Job{TaskCount: 2, Zone: "a"}, []string{"h0"}, []string{"a", "b"}, map[string]float64{"a": 2}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
-			tc.job.Class, tc.job.Shape, tc.job.Cores = "s", wire.Standing, 2
+			tc.job.Class, tc.job.Kind, tc.job.CPUs = "s", wire.KindService, 2
 			j := r.add("req-1", tc.job)
 			for _, h := range tc.on {
 				r.run(t, j, h, time.Minute)
@@ -287,7 +289,7 @@
 func TestClocksApart(t *testing.T) {
 	for _, off := range []time.Duration{-time.Second, time.Second} {
 		r := term(t)
-		j := r.led.Add("req-1", ledger.Record{Job: wire.Job{Class: "d", Owner: "t", Members: 1, Cores: 1, ExpectS: 10, DueS: 20}, AtMS: now.Add(off).UnixMilli(), Chunk: 8}, 1)
+		j := r.led.Add("req-1", ledger.Record{Job: wire.Job{Class: "d", Team: "t", TaskCount: 1, CPUs: 1, ExpectedSeconds: 10, DeadlineSeconds: 20}, AtMS: now.Add(off).UnixMilli(), Chunk: 8}, 1)
 		if got := r.lift(j).Due[2]; !got.Equal(now.Add(off + 30*time.Second)) {
 			t.Errorf("clock off by %v, there before: due %v", off, got.Sub(now))
 		}
@@ -307,12 +309,12 @@
 		after time.Duration
 		want  float64
 	}{
-		{"no time stated: all at once", wire.Job{Class: "x", ExpectS: 20}, 0, 1},
-		{"time for two rounds and a half, half of it counted on", wire.Job{Class: "d", ExpectS: 20, DueS: 80}, 0, 1. / 3},
-		{"less as it runs out", wire.Job{Class: "d", ExpectS: 20, DueS: 80}, time.Minute, 2. / 3},
-		{"none to spare", wire.Job{Class: "d", ExpectS: 20, DueS: 80}, 90 * time.Second, 1},
-		{"too late: the next time counts", wire.Job{Class: "f", ExpectS: 20}, 50 * time.Second, 40. / 70},
-		{"all missed", wire.Job{Class: "f", ExpectS: 20}, time.Hour, 1},
+		{"no time stated: all at once", wire.Job{Class: "x", ExpectedSeconds: 20}, 0, 1},
+		{"time for two rounds and a half, half of it counted on", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 80}, 0, 1. / 3},
+		{"less as it runs out", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 80}, time.Minute, 2. / 3},
+		{"none to spare", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 80}, 90 * time.Second, 1},
+		{"too late: the next time counts", wire.Job{Class: "f", ExpectedSeconds: 20}, 50 * time.Second, 40. / 70},
+		{"all missed", wire.Job{Class: "f", ExpectedSeconds: 20}, time.Hour, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
@@ -326,13 +328,13 @@
 // Rooms add up for a large task that small ones would starve.
 func TestHold(t *testing.T) {
 	r := term(t)
-	small := r.add("req-1", wire.Job{Shape: wire.Batch, Rank: "standard", Members: 99, Cores: 2})
+	small := r.add("req-1", wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 99, CPUs: 2})
 	for i := range 4 {
 		for range 3 + i%2 {
 			r.run(t, small, fmt.Sprint("h", i), time.Second)
 		}
 	}
-	large := r.add("req-2", wire.Job{Shape: wire.Batch, Rank: "standard", Members: 1, Cores: 8})
+	large := r.add("req-2", wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 1, CPUs: 8})
 	queues, rooms := r.queues(now), r.rooms(now)
 	r.hold(queues, rooms, now)
 	for _, m := range rooms {
@@ -377,7 +379,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
-			j := r.add("req-1", wire.Job{Shape: wire.Standing, Members: 1, Cores: 1})
+			j := r.add("req-1", wire.Job{Kind: wire.KindService, TaskCount: 1, CPUs: 1})
 			r.run(t, j, "h0", time.Minute)
 			h := r.hosts["h0"]
 			h.Sole, h.Epoch, h.Heard, h.Answered, h.Shown = tc.sole, tc.epoch, now.Add(-tc.silent), now.Add(-tc.silent), now.Add(-tc.shown)
@@ -397,7 +399,7 @@
 	r.now = func() time.Time { return at }
 	r.set.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
 	r.st = state.New(state.Options{RPS: 1000, Limits: state.Limits{WriteRPS: 1000, Value: 16 << 10}})
-	old := r.add("req-1", wire.Job{Shape: wire.Batch, Members: 9, Cores: 1})
+	old := r.add("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
 	claim := func(j *ledger.Job) *ledger.Held {
 		c, err := r.led.Claim(j, "h0", 1, "a")
 		if err != nil {
@@ -418,7 +420,7 @@
 	r.led.Finish(c)
 	first := 0
 	for i := range 20 {
-		j := r.add(fmt.Sprint("req-1", i), wire.Job{Shape: wire.Batch, Members: 1, Cores: 0.1})
+		j := r.add(fmt.Sprint("req-1", i), wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 0.1})
 		claim(j)
 		at = at.Add(r.set.Report() / 8)
 		if refs := commit(); refs[0] == "req-1" {
@@ -450,16 +452,16 @@
 			at := now.Add(40 * time.Second) // of 60, with 1.5 times 20 to run and half a lease to spare
 			var jobs []*ledger.Job
 			for i, n := range tc.tasks {
-				jobs = append(jobs, r.add(fmt.Sprint("req-", i), wire.Job{Class: "f", Shape: wire.Batch, Rank: "standard", Members: n, Cores: 10, ExpectS: tc.expect}))
+				jobs = append(jobs, r.add(fmt.Sprint("req-", i), wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: n, CPUs: 10, ExpectedSeconds: tc.expect}))
 			}
-			early := r.add("req-9", wire.Job{Class: "f", Shape: wire.Batch, Rank: "standard", Members: 1, Cores: 1, ExpectS: 20})
+			early := r.add("req-9", wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: 1, CPUs: 1, ExpectedSeconds: 20})
 			early.At, early.ReadyAt = at, at
 			jobs = append(jobs, early)
 			r.order(jobs, at)
 			for i, j := range jobs {
 				first := tc.tasks[len(tc.tasks)-1-min(i, len(tc.tasks)-1)]
-				if i < tc.last && j.Spec.Members != first || i == tc.last && j != early {
-					t.Errorf("place %d has %s with %d tasks", i, j.Ref, j.Spec.Members)
+				if i < tc.last && j.Spec.TaskCount != first || i == tc.last && j != early {
+					t.Errorf("place %d has %s with %d tasks", i, j.Ref, j.Spec.TaskCount)
 				}
 			}
 		})
--- a/internal/control/counts_test.go
+++ b/internal/control/counts_test.go
@@ -50,12 +50,12 @@
 				h.Heard, h.Epoch = now, 6
 			}
 			r.enter(h)
-			r.listed = map[string]wire.ListedHost{"h9": {Ref: "h9", Phase: wire.Running}}
+			r.listed = map[string]wire.Instance{"h9": {Name: "h9", Phase: wire.PhaseRunning}}
 			r.Control.cur.Store(r)
 			if _, known, err := r.Counts("req-9"); known || !errors.Is(err, tc.err) {
 				t.Errorf("known %v, %v; want %v", known, err, tc.err)
 			}
-			if _, known, err := r.Counts(r.add("req-1", wire.Job{Class: "f", Members: 1}).Ref); !known || err != nil {
+			if _, known, err := r.Counts(r.add("req-1", wire.Job{Class: "f", TaskCount: 1}).Ref); !known || err != nil {
 				t.Errorf("a job in the ledger: known %v, %v", known, err)
 			}
 			r.traces = map[string]*trace{"req-2": {}}
--- a/internal/control/evacuate.go
+++ b/internal/control/evacuate.go
@@ -18,7 +18,7 @@
 		}
 		left := h.WarnAt.Sub(now).Seconds()
 		for _, c := range r.led.OnHost(h.Name) {
-			if c.Over || c.Stopping || !c.Committed || c.Job.Withdrawn || c.Job.Gang() || c.Job.Spec.Shape == wire.Standing ||
+			if c.Over || c.Stopping || !c.Committed || c.Job.Withdrawn || c.Job.Gang() || c.Job.Spec.Kind == wire.KindService ||
 				r.remaining(c, now) <= left {
 				continue
 			}
@@ -45,5 +45,5 @@
 // expected is how long a task of a job runs, in seconds: as its owner expects,
 // corrected by those that are done.
 func expected(j *ledger.Job) float64 {
-	return (doubt*j.Spec.ExpectS + j.Ran.Sum) / float64(doubt+j.Ran.N)
+	return (doubt*j.Spec.ExpectedSeconds + j.Ran.Sum) / float64(doubt+j.Ran.N)
 }
--- a/internal/control/flush.go
+++ b/internal/control/flush.go
@@ -182,7 +182,7 @@
 		r.committed(b, 0)
 		return nil
 	}
-	txn := wire.Commit{Guards: append(r.term.Guards(), b.Guards...), Apply: b.Apply}
+	txn := wire.Txn{Compares: append(r.term.Guards(), b.Guards...), Operations: b.Apply}
 	unsure := false
 	for try := 0; ; try++ {
 		gen, failed, err := r.st.Commit(ctx, txn)
@@ -260,7 +260,7 @@
 		return b.mine(ctx, r.st)
 	}
 	for _, ch := range b.Apply {
-		key := ch.Put + ch.Remove
+		key := ch.Put + ch.Delete
 		if strings.HasPrefix(key, ledger.LivePrefix) {
 			continue
 		}
@@ -269,7 +269,7 @@
 			return 0, false, err
 		}
 		switch {
-		case ch.Remove != "":
+		case ch.Delete != "":
 			if err == nil {
 				return 0, false, nil
 			}
@@ -278,13 +278,13 @@
 			return 0, false, nil
 		case strings.HasPrefix(key, ledger.EndedPrefix):
 			var e ledger.Ending
-			if json.Unmarshal(it.Data, &e) != nil || e.Phase != wire.Done {
+			if json.Unmarshal(it.Value, &e) != nil || e.Phase != wire.PhaseDone {
 				return 0, false, nil
 			}
-		case ledger.WriterOf(it.Data) != b.Writer:
+		case ledger.WriterOf(it.Value) != b.Writer:
 			return 0, false, nil
 		}
-		return it.Stamp, true, nil
+		return it.ModRevision, true, nil
 	}
 	return 0, true, nil
 }
@@ -309,7 +309,7 @@
 		}
 	}
 	for _, j := range res.Ended {
-		r.log.Info("done", "job", j.Ref, "class", j.Spec.Class, "tasks", j.Spec.Members, "took_s", r.now().Sub(j.From).Seconds(), "ready_s", r.now().Sub(j.ReadyAt).Seconds())
+		r.log.Info("done", "job", j.Ref, "class", j.Spec.Class, "tasks", j.Spec.TaskCount, "took_s", r.now().Sub(j.From).Seconds(), "ready_s", r.now().Sub(j.ReadyAt).Seconds())
 	}
 	r.readied(res.Ready)
 	if len(res.Over) > 0 {
--- a/internal/control/gang.go
+++ b/internal/control/gang.go
@@ -47,12 +47,12 @@
 				continue
 			}
 			free := *m
-			for len(got) < need && free.fits(j) && (!j.Spec.Scatter || perZone[m.h.Zone] < (j.Spec.Members+1)/2) {
+			for len(got) < need && free.fits(j) && (!j.Spec.SpreadZones || perZone[m.h.Zone] < (j.Spec.TaskCount+1)/2) {
 				got = append(got, m)
 				perZone[m.h.Zone]++
-				free.cores -= j.Spec.Cores
-				free.accel -= j.Spec.Accel
-				free.ram -= j.Spec.RAM
+				free.cores -= j.Spec.CPUs
+				free.accel -= j.Spec.GPUs
+				free.ram -= j.Spec.MemoryGB
 			}
 		}
 		if len(got) == need {
@@ -64,7 +64,7 @@
 
 // zonesOf are the zones to try one after the other, or "" for all at once.
 func zonesOf(j *ledger.Job, rooms []*room) []string {
-	if !j.Spec.SamePlace {
+	if !j.Spec.SingleZone {
 		return []string{""}
 	}
 	var zs []string
@@ -139,12 +139,12 @@
 }
 
 // slots is how many tasks of a job the machine holds when empty.
-func (m *room) slots(j *ledger.Job) int { return slots(&j.Spec, m.t.Cores, m.t.Accel, m.t.RAM) }
+func (m *room) slots(j *ledger.Job) int { return slots(&j.Spec, m.t.CPUs, m.t.GPUs, m.t.MemoryGB) }
 
 // slots is how many tasks of a job fit an amount.
 func slots(s *wire.Job, cores, accel, ram float64) int {
-	n := s.Members
-	for _, q := range [][2]float64{{cores, s.Cores}, {accel, s.Accel}, {ram, s.RAM}} {
+	n := s.TaskCount
+	for _, q := range [][2]float64{{cores, s.CPUs}, {accel, s.GPUs}, {ram, s.MemoryGB}} {
 		if q[1] > 0 {
 			n = min(n, int((q[0]+slack)/q[1]))
 		}
@@ -154,8 +154,8 @@
 
 // fetch is how long the machine would fetch the job's image, in seconds.
 func (m *room) fetch(j *ledger.Job) float64 {
-	if m.t.PullRate <= 0 || m.h.HasImage(j.Spec.Bundle) {
+	if m.t.ImagePullGBPerSecond <= 0 || m.h.HasImage(j.Spec.Image) {
 		return 0
 	}
-	return j.Spec.SizeGB / m.t.PullRate
+	return j.Spec.ImageGB / m.t.ImagePullGBPerSecond
 }
--- a/internal/control/hold.go
+++ b/internal/control/hold.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		l, listed := r.listed[h.Name]
-		up := listed && l.Phase == wire.Running || len(r.led.OnHost(h.Name)) > 0
+		up := listed && l.Phase == wire.PhaseRunning || len(r.led.OnHost(h.Name)) > 0
 		if up && (h.Heard.IsZero() && h.Told.IsZero() || h.Epoch < r.first) {
 			out = append(out, h.Name)
 		}
@@ -107,20 +107,20 @@
 
 // settle takes in a report where claims are of a history that was lost: what the
 // machine shows is there, whatever is remembered of it.
-func (r *reign) settle(h *agent.Host, t ledger.Task, m wire.Member) {
+func (r *reign) settle(h *agent.Host, t ledger.Task, m wire.TaskStatus) {
 	j := r.led.Job(t.Ref)
 	if j == nil {
 		return
 	}
 	c := r.led.OnHost(h.Name)[t]
-	if c != nil && c.Try == m.Try {
+	if c != nil && c.Try == m.Attempt {
 		c.Unsure = false
 		return
 	}
-	if r.back == nil || !r.back.all || m.Phase == wire.Ended && m.Cause != wire.CauseDone {
+	if r.back == nil || !r.back.all || m.Phase == wire.TaskExited && m.ExitReason != wire.ExitDone {
 		return
 	}
-	if c := r.led.Adopt(j, t.Index, ledger.Claim{Host: h.Name, Tenure: h.Tenure, Try: m.Try, Zone: h.Zone}, r.first-1); c != nil {
-		r.log.Info("known from its machine", "task", t, "try", m.Try, "host", h.Name, "phase", m.Phase)
+	if c := r.led.Adopt(j, t.Index, ledger.Claim{Host: h.Name, Tenure: h.Tenure, Try: m.Attempt, Zone: h.Zone}, r.first-1); c != nil {
+		r.log.Info("known from its machine", "task", t, "try", m.Attempt, "host", h.Name, "phase", m.Phase)
 	}
 }
--- a/internal/control/hold_test.go
+++ b/internal/control/hold_test.go
@@ -45,15 +45,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := &reign{
 				Control: &Control{set: set, log: slog.New(slog.NewTextHandler(io.Discard, nil))}, first: first, began: began, back: tc.back,
-				led: ledger.New("w", nil), hosts: map[string]*agent.Host{}, gone: map[string]time.Time{}, listed: map[string]wire.ListedHost{"i-1": {Ref: "i-1", Phase: wire.Running}},
+				led: ledger.New("w", nil), hosts: map[string]*agent.Host{}, gone: map[string]time.Time{}, listed: map[string]wire.Instance{"i-1": {Name: "i-1", Phase: wire.PhaseRunning}},
 			}
 			r.enter(tc.host)
 			if got := r.holding(began.Add(tc.at)); got != tc.holding {
 				t.Errorf("holding: %v", got)
 			}
-			old := r.led.Add("r", ledger.Record{Job: wire.Job{Ref: "r", Members: 1}, AtMS: began.Add(time.Second).UnixMilli()}, 1)
+			old := r.led.Add("r", ledger.Record{Job: wire.Job{ID: "r", TaskCount: 1}, AtMS: began.Add(time.Second).UnixMilli()}, 1)
 			// Accepted by a node whose clock is behind: what counts is that it was seen to come.
-			late := r.led.Add("s", ledger.Record{Job: wire.Job{Ref: "s", Members: 1}, AtMS: began.Add(-time.Second).UnixMilli()}, 1)
+			late := r.led.Add("s", ledger.Record{Job: wire.Job{ID: "s", TaskCount: 1}, AtMS: began.Add(-time.Second).UnixMilli()}, 1)
 			late.Arrive(began.Add(time.Second))
 			if r.withheld(old) != tc.withheld || r.withheld(late) {
 				t.Errorf("withheld: %v, %v", r.withheld(old), r.withheld(late))
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -20,19 +20,19 @@
 // Beat takes in a worker's report and answers with its orders.
 //
 // What the host's tasks taught is returned too, if another node owns it.
-func (c *Control) Beat(ctx context.Context, rep *wire.Report) (wire.Orders, []agent.Finish, error) {
+func (c *Control) Beat(ctx context.Context, rep *wire.Heartbeat) (wire.CommandBatch, []agent.Finish, error) {
 	r := c.cur.Load()
 	if r == nil {
-		return wire.Orders{}, nil, ErrNotLeading
+		return wire.CommandBatch{}, nil, ErrNotLeading
 	}
 	t := time.NewTimer(c.set.Report() / 2)
 	defer t.Stop()
 	select {
 	case <-r.ready:
 	case <-t.C:
-		return wire.Orders{}, nil, ErrNotLeading
+		return wire.CommandBatch{}, nil, ErrNotLeading
 	case <-ctx.Done():
-		return wire.Orders{}, nil, ctx.Err()
+		return wire.CommandBatch{}, nil, ctx.Err()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,11 +40,11 @@
 	if rep.Epoch > epoch || r.ctx.Err() != nil {
 		// The worker knows a later leader. A 200 would be dropped and hold
 		// the worker here while its lease runs out.
-		return wire.Orders{}, nil, ErrNotLeading
+		return wire.CommandBatch{}, nil, ErrNotLeading
 	}
 	h := r.report(rep)
 	if h == nil {
-		return wire.Orders{}, nil, ErrNotLeading
+		return wire.CommandBatch{}, nil, ErrNotLeading
 	}
 	now := r.now()
 	if h.Heard.IsZero() && !h.Asked.IsZero() {
@@ -53,11 +53,11 @@
 	// Whatever is answered may renew the lease. But a report that comes after newer ones,
 	// a late copy perhaps, tells nothing of how the machine is by now.
 	h.Answered = now
-	out := wire.Orders{Epoch: epoch, Orders: []wire.Order{}}
-	if h.Tenure == rep.Tenure && h.Tick == rep.Tick {
+	out := wire.CommandBatch{Epoch: epoch, Commands: []wire.Command{}}
+	if h.Tenure == rep.Incarnation && h.Tick == rep.Sequence {
 		h.Heard, r.heard = now, now
 		if !r.doubted() {
-			out.Orders = append(out.Orders, h.Orders(r.led.OnHost(h.Name), epoch, true)...)
+			out.Commands = append(out.Commands, h.Orders(r.led.OnHost(h.Name), epoch, true)...)
 			r.fence(h)
 		}
 	}
@@ -104,20 +104,20 @@
 
 // report takes in what a worker says, if it is news. It returns nil for a
 // machine that was returned to the cloud: a late message from the past.
-func (r *reign) report(rep *wire.Report) *agent.Host {
-	if at := r.gone[rep.Host]; !at.IsZero() || rep.Host == "" {
+func (r *reign) report(rep *wire.Heartbeat) *agent.Host {
+	if at := r.gone[rep.Worker]; !at.IsZero() || rep.Worker == "" {
 		return nil
 	}
-	h := r.host(rep.Host)
+	h := r.host(rep.Worker)
 	if !h.Newer(rep) {
 		return h
 	}
 	now := r.now()
 	news := h.Stray || !r.usable(h, now) // it may be of use from now on
 	used := r.led.Used(h.Name)
-	h.Address, h.Flavor, h.Loaners = rep.Address, rep.Flavor, rep.Loaners
-	r.zoned(h, rep.Locale)
-	h.Tick, h.Told = rep.Tick, now
+	h.Address, h.Flavor, h.Loaners = rep.Address, rep.InstanceType, rep.Spot
+	r.zoned(h, rep.Zone)
+	h.Tick, h.Told = rep.Sequence, now
 	if rep.Epoch > h.Epoch {
 		h.Epoch, h.Shown = rep.Epoch, now
 	}
@@ -125,15 +125,15 @@
 		h.Taint = 0
 	}
 	h.WarnAt = time.Time{}
-	if rep.Warning != nil {
-		h.WarnAt = now.Add(time.Duration(*rep.Warning * float64(time.Second)))
+	if rep.SpotNoticeSeconds != nil {
+		h.WarnAt = now.Add(time.Duration(*rep.SpotNoticeSeconds * float64(time.Second)))
 	}
-	if rep.Tenure > h.Tenure {
-		h.Tenure = rep.Tenure
+	if rep.Incarnation > h.Tenure {
+		h.Tenure = rep.Incarnation
 		h.Members = make(map[ledger.Task]agent.Member)
 		h.Taint = 0 // commands carry the tenure: none of the old ones is executed now
 		for _, c := range r.led.OnHost(h.Name) {
-			if c.Tenure < rep.Tenure {
+			if c.Tenure < rep.Incarnation {
 				r.abandon(c, h)
 				r.lost(c, "new tenure")
 			}
@@ -162,18 +162,18 @@
 }
 
 // members compares a report's tasks with the claims.
-func (r *reign) members(h *agent.Host, rep *wire.Report, now time.Time) {
+func (r *reign) members(h *agent.Host, rep *wire.Heartbeat, now time.Time) {
 	claims := r.led.OnHost(h.Name)
-	seen := make(map[ledger.Task]agent.Member, len(rep.Members))
-	for _, m := range rep.Members {
-		t, ok := ledger.ParseTask(m.Member)
+	seen := make(map[ledger.Task]agent.Member, len(rep.Tasks))
+	for _, m := range rep.Tasks {
+		t, ok := ledger.ParseTask(m.Task)
 		if !ok {
 			continue
 		}
 		r.settle(h, t, m)
 		claims = r.led.OnHost(h.Name)
-		mem := agent.Member{Try: m.Try, Phase: m.Phase, Cause: m.Cause, Since: now, Kept: r.stray(t)}
-		if old, ok := h.Members[t]; ok && old.Try == m.Try && old.Phase == m.Phase {
+		mem := agent.Member{Try: m.Attempt, Phase: m.Phase, Cause: m.ExitReason, Since: now, Kept: r.stray(t)}
+		if old, ok := h.Members[t]; ok && old.Try == m.Attempt && old.Phase == m.Phase {
 			mem.Since = old.Since
 		}
 		c := claims[t]
@@ -181,22 +181,22 @@
 			continue // of two tries on the machine the claimed one counts
 		}
 		seen[t] = mem
-		if c == nil || c.Try != m.Try || c.Over {
+		if c == nil || c.Try != m.Attempt || c.Over {
 			continue
 		}
 		switch m.Phase {
-		case wire.Running:
+		case wire.PhaseRunning:
 			if c.Running.IsZero() {
 				c.Running = now
 				r.started(c, h, now)
 			}
-		case wire.Ended:
-			r.ended(c, h, m.Cause, now)
+		case wire.TaskExited:
+			r.ended(c, h, m.ExitReason, now)
 		}
 	}
 	h.Members, h.Stray = seen, false
 	for t, m := range seen {
-		if c := claims[t]; (c == nil || c.Try != m.Try) && m.Phase != wire.Ended {
+		if c := claims[t]; (c == nil || c.Try != m.Try) && m.Phase != wire.TaskExited {
 			h.Stray = true
 		}
 	}
@@ -214,9 +214,9 @@
 func (r *reign) started(c *ledger.Held, h *agent.Host, now time.Time) {
 	cache := 0.0
 	if t := r.types.Types()[h.Flavor]; t != nil {
-		cache = t.LocalGB
+		cache = t.DiskGB
 	}
-	h.Used(c.Job.Spec.Bundle, c.Job.Spec.SizeGB, cache)
+	h.Used(c.Job.Spec.Image, c.Job.Spec.ImageGB, cache)
 	r.took.observe(c, now)
 	r.log.Debug("started", "task", c.Task(), "host", h.Name, "wait_s", now.Sub(c.Job.WaitingSince).Seconds())
 }
@@ -225,11 +225,11 @@
 // its image the fetch goes too.
 func (r *reign) abandon(c *ledger.Held, h *agent.Host) {
 	for _, o := range r.led.OnHost(h.Name) {
-		if o != c && o.Job.Spec.Bundle == c.Job.Spec.Bundle {
+		if o != c && o.Job.Spec.Image == c.Job.Spec.Image {
 			return
 		}
 	}
-	h.Abandons(c.Job.Spec.Bundle)
+	h.Abandons(c.Job.Spec.Image)
 }
 
 // ended deals with a claimed task that its worker reports as ended.
@@ -243,7 +243,7 @@
 		r.lost(c, "ended, withdrawn")
 		return
 	}
-	if j.Gang() && cause != wire.CauseDone {
+	if j.Gang() && cause != wire.ExitDone {
 		// The others cannot go on without it: they start again together.
 		for _, o := range r.led.HeldBy(j) {
 			if o != c && !o.Over {
@@ -256,8 +256,8 @@
 		}
 	}
 	switch cause {
-	case wire.CauseDone:
-		if j.Spec.Shape == wire.Standing {
+	case wire.ExitDone:
+		if j.Spec.Kind == wire.KindService {
 			r.lost(c, "ended")
 			return
 		}
@@ -276,13 +276,13 @@
 			}
 		}
 		r.led.Finish(c)
-	case wire.CauseError:
+	case wire.ExitFailed:
 		r.lost(c, "failed")
 		r.failed(j, h, now)
-	case wire.CauseNoRoom:
+	case wire.ExitNoCapacity:
 		r.lost(c, "refused: no room")
 		h.Sulking = now.Add(r.set.Report())
-	case wire.CauseInUse, wire.CauseUnknown:
+	case wire.ExitDuplicate, wire.ExitUnknownTask:
 		r.lost(c, "refused: "+cause)
 		j.Fails++
 		j.RetryAt = now.Add(r.pause(j.Fails))
@@ -386,7 +386,7 @@
 		}
 		epoch := r.term.Epoch()
 		known := h.Tenure > 0 && h.Address != ""
-		var orders []wire.Order
+		var orders []wire.Command
 		if known && !r.doubted() {
 			orders = h.Orders(r.led.OnHost(h.Name), epoch, false)
 		}
@@ -396,7 +396,7 @@
 		if !known || len(orders) == 0 {
 			continue
 		}
-		rep, refused, err := r.direct.Do(ctx, addr, wire.Orders{Epoch: epoch, Tenure: tenure, Orders: orders})
+		rep, refused, err := r.direct.Do(ctx, addr, wire.CommandBatch{Epoch: epoch, Incarnation: tenure, Commands: orders})
 		r.mu.Lock()
 		h.InFlight = false
 		if err != nil && !errors.Is(err, agent.ErrNotSent) {
@@ -434,13 +434,13 @@
 		case "class":
 			s = append(s, j.Spec.Class...)
 		case "owner":
-			s = append(s, j.Spec.Owner...)
+			s = append(s, j.Spec.Team...)
 		case "bundle":
-			s = append(s, j.Spec.Bundle...)
+			s = append(s, j.Spec.Image...)
 		case "rank":
-			s = append(s, j.Spec.Rank...)
+			s = append(s, j.Spec.Priority...)
 		case "shape":
-			s = append(s, j.Spec.Shape...)
+			s = append(s, j.Spec.Kind...)
 		}
 		s = append(s, '|')
 	}
--- a/internal/control/late_test.go
+++ b/internal/control/late_test.go
@@ -35,14 +35,14 @@
 			r.took = newLatencies()
 			h := r.hosts["h0"]
 			h.Tick, h.Epoch = 10, 7
-			j := r.add("req-1", wire.Job{Class: "f", Members: 1, Cores: 2})
+			j := r.add("req-1", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			c := r.run(t, j, "h0", time.Second)
 			c.Sent, c.SentEpoch = true, 6
 			r.led.Withdraw("req-1")
 			if tc.tweak != nil {
 				tc.tweak(h, c)
 			}
-			r.report(&wire.Report{Host: "h0", Flavor: "m", Locale: h.Zone, Tenure: 1, Tick: tc.tick, Epoch: 7})
+			r.report(&wire.Heartbeat{Worker: "h0", InstanceType: "m", Zone: h.Zone, Incarnation: 1, Sequence: tc.tick, Epoch: 7})
 			if freed := len(r.led.OnHost("h0")) == 0; freed != tc.freed {
 				t.Errorf("freed: %v", freed)
 			}
@@ -72,7 +72,7 @@
 			h.Tenure, h.Tick, h.Epoch = 2, 10, 7
 			before := now.Add(-20 * time.Second)
 			h.Heard, h.Answered, h.Told, r.heard = before, before, before, before
-			if _, _, err := r.Beat(t.Context(), &wire.Report{Host: "h0", Flavor: "m", Locale: h.Zone, Tenure: tc.tenure, Tick: tc.tick, Epoch: 7}); err != nil {
+			if _, _, err := r.Beat(t.Context(), &wire.Heartbeat{Worker: "h0", InstanceType: "m", Zone: h.Zone, Incarnation: tc.tenure, Sequence: tc.tick, Epoch: 7}); err != nil {
 				t.Fatal(err)
 			}
 			if got := h.Heard.Equal(now) && r.heard.Equal(now) && h.Told.Equal(now); got != tc.heard || got != r.alive(h, now) {
@@ -104,8 +104,8 @@
 			r := term(t)
 			r.took, r.term = newLatencies(), &held{lead.Map{Epoch: 7, Parts: []string{"n"}}}
 			r.set.Facts.Workers.CancelS = 50
-			j := r.add("req-1", wire.Job{Class: "f", Members: 1, Cores: 2})
-			r.add("req-2", wire.Job{Class: "f", Members: 1, Cores: 2})
+			j := r.add("req-1", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
+			r.add("req-2", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			r.run(t, j, "h0", time.Minute)
 			r.run(t, r.led.Job("req-2"), "h1", time.Minute)
 			r.notices = withdrawn.New(withdrawn.Options{Within: time.Minute, Max: 8, Refused: func() bool { return false }, Now: r.now})
@@ -115,7 +115,7 @@
 				t.Fatal("not withdrawn by the notice")
 			}
 			if tc.over {
-				r.report(&wire.Report{Host: "h0", Flavor: "m", Locale: "a", Tenure: 1, Tick: 1, Members: []wire.Member{{Member: "req-1/0", Try: 1, Phase: wire.Ended, Cause: wire.CauseHalted}}})
+				r.report(&wire.Heartbeat{Worker: "h0", InstanceType: "m", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 1, Phase: wire.TaskExited, ExitReason: wire.ExitStopped}}})
 			}
 			at := now.Add(tc.since)
 			if !tc.silent {
@@ -152,12 +152,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r, n := term(t), 0
 			r.took, r.parts, r.term = newLatencies(), learner{n: &n}, &held{lead.Map{Epoch: 7, Parts: []string{"n"}}}
-			j := r.add("req-1", wire.Job{Class: "f", Shape: wire.Batch, Members: 2, Cores: 2})
+			j := r.add("req-1", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 2, CPUs: 2})
 			c := r.run(t, j, "h0", time.Minute)
 			if !tc.ran {
 				c.Running = time.Time{}
 			}
-			r.report(&wire.Report{Host: "h0", Flavor: "m", Locale: "a", Tenure: 1, Tick: 1, Members: []wire.Member{{Member: "req-1/0", Try: c.Try, Phase: wire.Ended, Cause: wire.CauseDone}}})
+			r.report(&wire.Heartbeat{Worker: "h0", InstanceType: "m", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: c.Try, Phase: wire.TaskExited, ExitReason: wire.ExitDone}}})
 			if n != tc.learn || j.Ran.N != tc.learn || j.Done() != 1 {
 				t.Errorf("learned %d, %d; %d done", n, j.Ran.N, j.Done())
 			}
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -18,7 +18,7 @@
 )
 
 // list reads all keys under a prefix, however long that takes.
-func (r *reign) list(ctx context.Context, under string) (items []wire.Item, gen uint64, err error) {
+func (r *reign) list(ctx context.Context, under string) (items []wire.KeyValue, gen uint64, err error) {
 	err = r.insist(ctx, func() (bool, error) {
 		items, gen, err = r.st.List(ctx, under)
 		return err == nil, err
@@ -77,13 +77,13 @@
 // done or withdrawn, and the tasks of a withdrawn one may still run and count. A job that
 // has neither record nor end was lost: no claim is made before its job is stored, and
 // none at all while a new leader reads.
-func (r *reign) orphans(ctx context.Context, jobs, chunks []wire.Item, ends map[string][]byte) (map[string][]byte, error) {
+func (r *reign) orphans(ctx context.Context, jobs, chunks []wire.KeyValue, ends map[string][]byte) (map[string][]byte, error) {
 	live, over := make(map[string]bool, len(jobs)), make(map[string][]byte)
 	for _, it := range jobs {
-		live[it.Path[len(ledger.LivePrefix):]] = true
+		live[it.Key[len(ledger.LivePrefix):]] = true
 	}
 	for _, it := range chunks {
-		ref, ok := ledger.ChunkRef(it.Path)
+		ref, ok := ledger.ChunkRef(it.Key)
 		if _, seen := over[ref]; !ok || live[ref] || seen {
 			continue
 		}
@@ -101,25 +101,25 @@
 	return over, nil
 }
 
-func items(vs []rebuild.Value) []wire.Item {
-	out := make([]wire.Item, len(vs))
+func items(vs []rebuild.Value) []wire.KeyValue {
+	out := make([]wire.KeyValue, len(vs))
 	for i, v := range vs {
-		out[i] = wire.Item{Path: v.Key, Data: v.Data, Stamp: v.Stamp}
+		out[i] = wire.KeyValue{Key: v.Key, Value: v.Data, ModRevision: v.Stamp}
 	}
 	return out
 }
 
 // fill makes the ledger and this node's copy of what was read or put together.
-func (r *reign) fill(view history.View, gen uint64, jobs, chunks []wire.Item, ends, over map[string][]byte) error {
+func (r *reign) fill(view history.View, gen uint64, jobs, chunks []wire.KeyValue, ends, over map[string][]byte) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, it := range jobs {
-		if err := r.addJob(it.Path, it.Data, it.Stamp); err != nil {
+		if err := r.addJob(it.Key, it.Value, it.ModRevision); err != nil {
 			return r.doubt(err)
 		}
 	}
 	for _, it := range chunks {
-		ref, _ := ledger.ChunkRef(it.Path)
+		ref, _ := ledger.ChunkRef(it.Key)
 		if data := over[ref]; data != nil && r.led.Job(ref) == nil {
 			if err := r.led.AddEnded(ref, data); err != nil {
 				return r.doubt(err)
@@ -127,11 +127,11 @@
 		}
 	}
 	for _, it := range chunks {
-		if ref, _ := ledger.ChunkRef(it.Path); r.led.Job(ref) == nil {
-			r.log.Error("claims without a job", "key", it.Path)
+		if ref, _ := ledger.ChunkRef(it.Key); r.led.Job(ref) == nil {
+			r.log.Error("claims without a job", "key", it.Key)
 			continue
 		}
-		if err := r.led.Load(it.Path, it.Data, it.Stamp, r.first-1); err != nil {
+		if err := r.led.Load(it.Key, it.Value, it.ModRevision, r.first-1); err != nil {
 			return r.doubt(err)
 		}
 	}
@@ -151,7 +151,7 @@
 }
 
 // tree is what the copies are to hold: what was read, with the ends that are known.
-func (r *reign) tree(view history.View, jobs, chunks []wire.Item, ends, over map[string][]byte) *copies.Tree {
+func (r *reign) tree(view history.View, jobs, chunks []wire.KeyValue, ends, over map[string][]byte) *copies.Tree {
 	txn := iradix.New[[]byte]().Txn()
 	if had, head := r.copies.Tree(); head.History == view.ID && ends == nil {
 		had.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(k, v []byte) bool { txn.Insert(k, v); return false })
@@ -163,9 +163,9 @@
 			}
 		}
 	}
-	for _, its := range [][]wire.Item{jobs, chunks} {
+	for _, its := range [][]wire.KeyValue{jobs, chunks} {
 		for _, it := range its {
-			txn.Insert([]byte(it.Path), it.Data)
+			txn.Insert([]byte(it.Key), it.Value)
 		}
 	}
 	return txn.Commit()
@@ -173,13 +173,13 @@
 
 // ending reads how a job ended, however long that takes.
 func (r *reign) ending(ctx context.Context, ref string) ([]byte, error) {
-	var it wire.Item
+	var it wire.KeyValue
 	err := r.insist(ctx, func() (bool, error) {
 		var err error
 		it, err = r.st.Get(ctx, ledger.EndedKey(ref))
 		return err == nil || errors.Is(err, state.ErrNotFound), err
 	})
-	return it.Data, err
+	return it.Value, err
 }
 
 // maxLooks bounds the ends that one comparison looks up.
@@ -188,7 +188,7 @@
 // compare holds what was read against what this node remembers of the same history. A
 // key that nobody can have removed and that is not there is proof of a loss. It costs a
 // few reads where the copy is behind, and gives the ends that it lacks.
-func (r *reign) compare(ctx context.Context, jobs, chunks []wire.Item) (map[string][]byte, error) {
+func (r *reign) compare(ctx context.Context, jobs, chunks []wire.KeyValue) (map[string][]byte, error) {
 	ended := make(map[string][]byte)
 	tree, head := r.copies.Tree()
 	if head.History == "" || head.History != r.term.History().ID {
@@ -196,10 +196,10 @@
 	}
 	live, have := make(map[string]bool, len(jobs)), make(map[string]bool, len(chunks))
 	for _, it := range jobs {
-		live[it.Path[len(ledger.LivePrefix):]] = true
+		live[it.Key[len(ledger.LivePrefix):]] = true
 	}
 	for _, it := range chunks {
-		have[it.Path] = true
+		have[it.Key] = true
 	}
 	var gone []string
 	var lost string
@@ -233,7 +233,7 @@
 }
 
 // assemble puts the history together from the state service and all that is remembered.
-func (r *reign) assemble(ctx context.Context, phase history.Phase, jobs, chunks []wire.Item) (rebuild.Result, error) {
+func (r *reign) assemble(ctx context.Context, phase history.Phase, jobs, chunks []wire.KeyValue) (rebuild.Result, error) {
 	ended, _, err := r.list(ctx, ledger.EndedPrefix)
 	if err != nil {
 		return rebuild.Result{}, err
@@ -258,9 +258,9 @@
 		sources = append(sources, s)
 	}
 	store := rebuild.Source{Store: true}
-	for _, its := range [][]wire.Item{jobs, chunks, ended} {
+	for _, its := range [][]wire.KeyValue{jobs, chunks, ended} {
 		for _, it := range its {
-			store.Values = append(store.Values, rebuild.Value{Key: it.Path, Data: it.Data, Stamp: it.Stamp})
+			store.Values = append(store.Values, rebuild.Value{Key: it.Key, Data: it.Value, Stamp: it.ModRevision})
 		}
 	}
 	sum, err := rebuild.Merge(append(sources, store), fmt.Sprintf("%s.%d.r", r.set.Node, r.first), r.base(), r.st.Value())
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -46,7 +46,7 @@
 // room is what is free on a host.
 type room struct {
 	h                 *agent.Host
-	t                 *wire.MachineType
+	t                 *wire.InstanceType
 	cores, accel, ram float64
 	held              *ledger.Job // kept for this one until it fits
 }
@@ -162,7 +162,7 @@
 	// Most rooms of a full fleet have no room for even the least task.
 	least := jobs[0].Spec
 	for _, j := range jobs {
-		least.Cores, least.Accel, least.RAM = min(least.Cores, j.Spec.Cores), min(least.Accel, j.Spec.Accel), min(least.RAM, j.Spec.RAM)
+		least.CPUs, least.GPUs, least.MemoryGB = min(least.CPUs, j.Spec.CPUs), min(least.GPUs, j.Spec.GPUs), min(least.MemoryGB, j.Spec.MemoryGB)
 	}
 	parts := r.term.Map()
 	for _, m := range rooms {
@@ -176,7 +176,7 @@
 		}
 		pr := placement.Room{
 			Host: m.h.Name, Flavor: m.h.Flavor, Zone: m.h.Zone, Loaners: m.h.Loaners,
-			Cores: m.cores, Accel: m.accel, RAM: m.ram, Total: m.t.Cores, Pull: m.t.PullRate,
+			Cores: m.cores, Accel: m.accel, RAM: m.ram, Total: m.t.CPUs, Pull: m.t.ImagePullGBPerSecond,
 		}
 		for _, im := range m.h.Images {
 			if im.Coming {
@@ -253,12 +253,12 @@
 	s := &j.Spec
 	w := placement.Waiting{
 		Ref: j.Ref, Tasks: j.WaitingTasks(), Tier: r.tier(j), Age: now.Sub(j.WaitingSince),
-		Cores: s.Cores, Accel: s.Accel, RAM: s.RAM, Bundle: s.Bundle, SizeGB: s.SizeGB,
-		Standing: s.Shape == wire.Standing, Loaners: s.Loaners, Flavors: s.Flavors,
+		Cores: s.CPUs, Accel: s.GPUs, RAM: s.MemoryGB, Bundle: s.Image, SizeGB: s.ImageGB,
+		Standing: s.Kind == wire.KindService, Loaners: s.AllowSpot, Flavors: s.InstanceTypes,
 		Avoid: slices.Sorted(maps.Keys(j.FailedOn)),
 	}
 	w.Within = r.within(j)
-	if s.Loaners && r.bound(j) {
+	if s.AllowSpot && r.bound(j) {
 		// As many as half the firm room holds go there; what is left is
 		// offered anew, until that is too few to be worth a pass.
 		if n := look.firm(j) / 2; n > w.Tasks/8 {
@@ -268,7 +268,7 @@
 		}
 	}
 	if w.Standing {
-		for _, m := range look.warm[s.Bundle] {
+		for _, m := range look.warm[s.Image] {
 			if !slices.Contains(w.Warm, m.h.Zone) && m.fits(j) {
 				w.Warm = append(w.Warm, m.h.Zone)
 			}
@@ -278,7 +278,7 @@
 		w.Tasks = 0 // the leader starts gangs itself, whole
 	}
 	w.Tasks = min(w.Tasks, r.led.Headroom(j))
-	if s.Locale != "" || s.Scatter || s.SamePlace {
+	if s.Zone != "" || s.SpreadZones || s.SingleZone {
 		w.Zones = make(map[string]int)
 		for _, z := range look.zones {
 			w.Zones[z] = r.led.ZoneRoom(j, z)
@@ -294,7 +294,7 @@
 		return false
 	}
 	m.h.Idle = time.Time{}
-	m.h.Fetches(j.Spec.Bundle, j.Spec.SizeGB)
+	m.h.Fetches(j.Spec.Image, j.Spec.ImageGB)
 	r.log.Debug("claim", "task", c.Task(), "try", c.Try, "host", c.Host)
 	m.take(j)
 	r.placed(j)
@@ -303,15 +303,15 @@
 
 // take and give account for one task of a job.
 func (m *room) take(j *ledger.Job) {
-	m.cores -= j.Spec.Cores
-	m.accel -= j.Spec.Accel
-	m.ram -= j.Spec.RAM
+	m.cores -= j.Spec.CPUs
+	m.accel -= j.Spec.GPUs
+	m.ram -= j.Spec.MemoryGB
 }
 
 func (m *room) give(j *ledger.Job) {
-	m.cores += j.Spec.Cores
-	m.accel += j.Spec.Accel
-	m.ram += j.Spec.RAM
+	m.cores += j.Spec.CPUs
+	m.accel += j.Spec.GPUs
+	m.ram += j.Spec.MemoryGB
 }
 
 // queues groups waiting jobs by type, each in the order its tasks go.
@@ -375,16 +375,16 @@
 	room := make(map[string]float64) // cores by team
 	for _, e := range last {
 		s := &e.j.Spec
-		if _, ok := room[s.Owner]; !ok {
-			limit, used := r.led.Team(s.Owner).CPUsMax, r.led.Usage(s.Owner).CPUs
-			room[s.Owner] = limit - used + used*min(1, margin/max(s.ExpectS, 1))
+		if _, ok := room[s.Team]; !ok {
+			limit, used := r.led.Team(s.Team).CPUsMax, r.led.Usage(s.Team).CPUs
+			room[s.Team] = limit - used + used*min(1, margin/max(s.ExpectedSeconds, 1))
 		}
-		if room[s.Owner] <= 0 {
+		if room[s.Team] <= 0 {
 			e.u.last = false
 			e.u.stage++
 			continue
 		}
-		room[s.Owner] -= float64(e.j.WaitingTasks()) * max(s.Cores, 1)
+		room[s.Team] -= float64(e.j.WaitingTasks()) * max(s.CPUs, 1)
 	}
 }
 
@@ -440,9 +440,9 @@
 // if it has lost one already: large arrays would otherwise wait for as long as small
 // ones keep coming.
 func (r *reign) urgency(j *ledger.Job, now time.Time) urgency {
-	u := urgency{work: float64(j.Unfinished()) * max(j.Spec.Cores, 1) * max(j.Spec.ExpectS, 1)}
-	run := settings.Seconds(j.Spec.ExpectS)
-	margin, standing := r.set.Lease()/2, j.Spec.Shape == wire.Standing
+	u := urgency{work: float64(j.Unfinished()) * max(j.Spec.CPUs, 1) * max(j.Spec.ExpectedSeconds, 1)}
+	run := settings.Seconds(j.Spec.ExpectedSeconds)
+	margin, standing := r.set.Lease()/2, j.Spec.Kind == wire.KindService
 	for k, o := range r.set.Facts.Objectives {
 		by := r.wanted(k, j)
 		start := by.Add(-time.Duration(longest * float64(run))) // at the latest
@@ -484,7 +484,7 @@
 	least := 0.0
 	for k := range r.set.Facts.Objectives {
 		by := r.wanted(k, j)
-		if left := by.Sub(now).Seconds(); !by.IsZero() && left >= j.Spec.ExpectS && (least == 0 || left < least) {
+		if left := by.Sub(now).Seconds(); !by.IsZero() && left >= j.Spec.ExpectedSeconds && (least == 0 || left < least) {
 			least = left
 		}
 	}
@@ -529,7 +529,7 @@
 		return nil
 	}
 	u := r.led.Used(h.Name)
-	return &room{h: h, t: t, cores: t.Cores - u.Cores, accel: t.Accel - u.Accel, ram: t.RAM - u.RAM}
+	return &room{h: h, t: t, cores: t.CPUs - u.Cores, accel: t.GPUs - u.Accel, ram: t.MemoryGB - u.RAM}
 }
 
 const slack = 1e-6
@@ -541,18 +541,18 @@
 
 // couldFit tells whether a task of a job would fit the machine were it empty.
 func (m *room) couldFit(j *ledger.Job) bool {
-	return within(&j.Spec, m.t.Cores, m.t.Accel, m.t.RAM) && m.allowed(j)
+	return within(&j.Spec, m.t.CPUs, m.t.GPUs, m.t.MemoryGB) && m.allowed(j)
 }
 
 func within(s *wire.Job, cores, accel, ram float64) bool {
-	return s.Cores <= cores+slack && s.Accel <= accel+slack && s.RAM <= ram+slack
+	return s.CPUs <= cores+slack && s.GPUs <= accel+slack && s.MemoryGB <= ram+slack
 }
 
 // allowed tells whether a job may be on the room's machine at all.
 func (m *room) allowed(j *ledger.Job) bool {
 	s := &j.Spec
-	return (s.Loaners || !m.h.Loaners) && (s.Locale == "" || s.Locale == m.h.Zone) &&
-		(len(s.Flavors) == 0 || slices.Contains(s.Flavors, m.h.Flavor)) && !j.FailedOn[m.h.Name]
+	return (s.AllowSpot || !m.h.Loaners) && (s.Zone == "" || s.Zone == m.h.Zone) &&
+		(len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, m.h.Flavor)) && !j.FailedOn[m.h.Name]
 }
 
 // tier orders jobs: what is within a guarantee before what is borrowed, and in
@@ -565,7 +565,7 @@
 }
 
 // named is a rank by its place.
-func named(rank int) string { return wire.Ranks()[rank] }
+func named(rank int) string { return wire.Priorities()[rank] }
 
 // rankOf orders ranks.
 func rankOf(rank string) int {
--- a/internal/control/preempt.go
+++ b/internal/control/preempt.go
@@ -56,18 +56,18 @@
 			s := &c.Job.Spec
 			if c.Over || c.Stopping || !c.Committed || c.Job.Withdrawn || c.Job.Gang() ||
 				r.rank(c.Job) <= r.rank(j) || r.tier(c.Job) <= tier ||
-				!within(&j.Spec, m.cores+s.Cores, m.accel+s.Accel, m.ram+s.RAM) {
+				!within(&j.Spec, m.cores+s.CPUs, m.accel+s.GPUs, m.ram+s.MemoryGB) {
 				continue
 			}
 			ran := 0.0
 			if !c.Running.IsZero() {
 				ran = now.Sub(c.Running).Seconds()
 			}
-			if s.ExpectS > 0 && ran > s.ExpectS-r.set.Facts.Workers.ReportS && ran < s.ExpectS+r.set.Facts.Workers.ReportS {
+			if s.ExpectedSeconds > 0 && ran > s.ExpectedSeconds-r.set.Facts.Workers.ReportS && ran < s.ExpectedSeconds+r.set.Facts.Workers.ReportS {
 				continue // about to finish
 			}
-			if s.SnapshotS > 0 {
-				ran = min(ran, s.FlushS)
+			if s.CheckpointIntervalSeconds > 0 {
+				ran = min(ran, s.CheckpointSaveSeconds)
 			}
 			cost := ran + 4*m.fetch(j)
 			if best == nil || cost < least {
--- a/internal/control/quiet.go
+++ b/internal/control/quiet.go
@@ -40,7 +40,7 @@
 func (r *reign) listen(now time.Time) {
 	hosts := make([]silence.Host, 0, len(r.sorted))
 	for _, h := range r.sorted {
-		if _, leaving := r.gone[h.Name]; leaving || r.listed[h.Name].Phase == wire.HostFailed || h.Heard.IsZero() && h.Running.IsZero() {
+		if _, leaving := r.gone[h.Name]; leaving || r.listed[h.Name].Phase == wire.InstanceFailed || h.Heard.IsZero() && h.Running.IsZero() {
 			continue
 		}
 		hosts = append(hosts, r.voice(h, now))
--- a/internal/control/quiet_test.go
+++ b/internal/control/quiet_test.go
@@ -58,8 +58,8 @@
 					h.Heard = now.Add(-tc.since)
 				}
 			}
-			r.run(t, r.add("req-2", wire.Job{Shape: wire.Standing, Rank: "production", Members: 1, Cores: 1}), "h1", time.Minute)
-			r.run(t, r.add("req-3", wire.Job{Shape: wire.Standing, Rank: "production", Members: 1, Cores: 1}), "h2", time.Minute)
+			r.run(t, r.add("req-2", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h1", time.Minute)
+			r.run(t, r.add("req-3", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h2", time.Minute)
 			if tc.tweak != nil {
 				tc.tweak(r)
 			}
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -109,12 +109,12 @@
 
 // resume goes on after the newest block that is stored. One that was tampered with
 // is not mended: the chain goes on behind it, and its fault shows when it is checked.
-func (r *record) resume(it wire.Item) error {
-	seq, ok := audit.BlockSeq(it.Path)
+func (r *record) resume(it wire.KeyValue) error {
+	seq, ok := audit.BlockSeq(it.Key)
 	if !ok {
-		return fmt.Errorf("control: audit key %q", it.Path)
+		return fmt.Errorf("control: audit key %q", it.Key)
 	}
-	raw, err := audit.Raw(it.Data)
+	raw, err := audit.Raw(it.Value)
 	if err == nil {
 		var b *audit.Block
 		if b, err = audit.Open(raw); err == nil {
@@ -224,8 +224,8 @@
 		}
 		entries = append(entries, s.entries...)
 		w.slips = append(w.slips, key)
-		w.Guards = append(w.Guards, wire.Guard{Path: key, Stamp: s.stamp})
-		w.Apply = append(w.Apply, wire.Change{Remove: key})
+		w.Guards = append(w.Guards, wire.Compare{Key: key, ModRevision: s.stamp})
+		w.Apply = append(w.Apply, wire.Operation{Delete: key})
 	}
 	return r.seal(w, entries, epoch, now, ops, value)
 }
@@ -262,8 +262,8 @@
 		head = b.Head()
 		w.blocks = append(w.blocks, b)
 		key := audit.BlockKey(b.Seq)
-		w.Guards = append(w.Guards, wire.Guard{Path: key})
-		w.Apply = append(w.Apply, wire.Change{Put: key, Data: audit.Value(b.Raw)})
+		w.Guards = append(w.Guards, wire.Compare{Key: key})
+		w.Apply = append(w.Apply, wire.Operation{Put: key, Value: audit.Value(b.Raw)})
 	}
 	return nil
 }
@@ -317,7 +317,7 @@
 	if errors.Is(err, state.ErrNotFound) {
 		return 0, false, nil
 	}
-	return it.Stamp, err == nil && w.blocks[0].Same(it.Data), err
+	return it.ModRevision, err == nil && w.blocks[0].Same(it.Value), err
 }
 
 // gone tells whether a guard that failed was on a slip, which then is no more. Run it
@@ -348,19 +348,19 @@
 	}
 	return r.st.Follow(ctx, state.Follower{
 		Under: audit.SlipPrefix, Wait: r.set.Lease() / 2, Base: r.set.Report() / 32, Limit: r.set.Report() / 4,
-		Whole: func(items []wire.Item, _ time.Time) {
+		Whole: func(items []wire.KeyValue, _ time.Time) {
 			r.mu.Lock()
 			for _, it := range items {
-				r.rec.take(it.Path, it.Data, it.Stamp)
+				r.rec.take(it.Key, it.Value, it.ModRevision)
 			}
 			r.mu.Unlock()
 			kick(r.flushes)
 		},
-		News: func(log []wire.Change, _ time.Time) {
+		News: func(log []wire.Operation, _ time.Time) {
 			r.mu.Lock()
 			for _, ch := range log {
 				if ch.Put != "" {
-					r.rec.take(ch.Put, ch.Data, ch.Stamp)
+					r.rec.take(ch.Put, ch.Value, ch.ModRevision)
 				}
 			}
 			r.mu.Unlock()
--- a/internal/control/restore.go
+++ b/internal/control/restore.go
@@ -122,14 +122,14 @@
 
 // put commits one transaction of a rebuild until its fate is known.
 func (r *reign) put(ctx context.Context, ws []rebuild.Write) (uint64, error) {
-	txn := wire.Commit{Guards: r.term.Guards()}
+	txn := wire.Txn{Compares: r.term.Guards()}
 	for _, w := range ws {
-		txn.Guards = append(txn.Guards, wire.Guard{Path: w.Key, Stamp: w.Stamp})
-		ch := wire.Change{Put: w.Key, Data: w.Data}
+		txn.Compares = append(txn.Compares, wire.Compare{Key: w.Key, ModRevision: w.Stamp})
+		ch := wire.Operation{Put: w.Key, Value: w.Data}
 		if w.Data == nil {
-			ch = wire.Change{Remove: w.Key}
+			ch = wire.Operation{Delete: w.Key}
 		}
-		txn.Apply = append(txn.Apply, ch)
+		txn.Operations = append(txn.Operations, ch)
 	}
 	for try := 0; ; try++ {
 		gen, failed, err := r.st.Commit(ctx, txn)
@@ -166,10 +166,10 @@
 	switch {
 	case errors.Is(err, state.ErrNotFound) && v.Data == nil:
 		return 0, nil
-	case errors.Is(err, state.ErrNotFound), err == nil && !alike(it.Data, v.Data):
+	case errors.Is(err, state.ErrNotFound), err == nil && !alike(it.Value, v.Data):
 		return 0, errOther
 	}
-	return it.Stamp, err
+	return it.ModRevision, err
 }
 
 // alike compares values as the service may have set them anew.
@@ -238,6 +238,6 @@
 const feeds = 12
 
 // ended is the change by which a job ended.
-func ended(ref string, data []byte) []wire.Change {
-	return []wire.Change{{Put: ledger.EndedKey(ref), Data: data}, {Remove: ledger.LiveKey(ref)}}
+func ended(ref string, data []byte) []wire.Operation {
+	return []wire.Operation{{Put: ledger.EndedKey(ref), Value: data}, {Delete: ledger.LiveKey(ref)}}
 }
--- a/internal/control/rules_test.go
+++ b/internal/control/rules_test.go
@@ -30,10 +30,10 @@
 // held stands in for a leadership that nobody contests.
 type held struct{ m lead.Map }
 
-func (t *held) Epoch() uint64         { return t.m.Epoch }
-func (t *held) Map() lead.Map         { return t.m }
-func (t *held) Guards() []wire.Guard  { return []wire.Guard{{}} }
-func (t *held) History() history.View { return history.View{Phase: history.Whole} }
+func (t *held) Epoch() uint64          { return t.m.Epoch }
+func (t *held) Map() lead.Map          { return t.m }
+func (t *held) Guards() []wire.Compare { return []wire.Compare{{}} }
+func (t *held) History() history.View  { return history.View{Phase: history.Whole} }
 func (t *held) Over(failed []string) error {
 	if lead.Deposed(failed) {
 		return lead.ErrDeposed
@@ -63,9 +63,9 @@
 	name, zone          string
 	epoch, tenure, tick uint64
 	sent                time.Time // of the last answered report
-	tasks               map[string]*wire.Member
-	late                []wire.Orders // commands held in the network
-	reports             []wire.Report // and reports
+	tasks               map[string]*wire.TaskStatus
+	late                []wire.CommandBatch // commands held in the network
+	reports             []wire.Heartbeat    // and reports
 	gone                bool
 }
 
@@ -101,14 +101,14 @@
 		State:   settings.State{TxnOps: 16, ValueKB: 16},
 	}}
 	for i, z := range []string{"a", "b", "a", "b"} {
-		m.workers = append(m.workers, &truth{name: fmt.Sprint("i-", i), zone: z, tenure: 1, sent: now, tasks: map[string]*wire.Member{}})
+		m.workers = append(m.workers, &truth{name: fmt.Sprint("i-", i), zone: z, tenure: 1, sent: now, tasks: map[string]*wire.TaskStatus{}})
 	}
 	for i, n := range []int{3, 2, 4} {
 		ref := fmt.Sprint("req-", i)
 		m.jobs = append(m.jobs, ref)
-		rec := ledger.Record{Job: wire.Job{Ref: ref, Owner: "t", Shape: wire.Batch, Rank: "standard", Members: n, Cores: 1, ExpectS: 5}, Chunk: 2}
+		rec := ledger.Record{Job: wire.Job{ID: ref, Team: "t", Kind: wire.KindArray, Priority: "standard", TaskCount: n, CPUs: 1, ExpectedSeconds: 5}, Chunk: 2}
 		if i == 1 {
-			rec.Job.Shape = wire.Standing
+			rec.Job.Kind = wire.KindService
 		}
 		data, err := ledger.Encode(rec)
 		if err != nil {
@@ -123,7 +123,7 @@
 // lead makes a reign of what is stored, as a new leader does.
 func (m *model) lead() {
 	cat := fleet.NewCatalogue(nil, time.Minute, nil)
-	cat.Set([]wire.MachineType{{Label: "m", Cores: 4, RAM: 64, PullRate: 1, LocalGB: 20}})
+	cat.Set([]wire.InstanceType{{Name: "m", CPUs: 4, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
 	ready := make(chan struct{})
 	close(ready)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -131,7 +131,7 @@
 	m.r = &reign{
 		Control: &Control{set: m.set, types: cat, parts: parts{}, copies: copies.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now }},
 		term:    m.term, first: m.term.m.Epoch, ready: ready, ctx: ctx, led: ledger.New("w", m.set.Facts.Teams), hosts: map[string]*agent.Host{}, gone: map[string]time.Time{},
-		listed: map[string]wire.ListedHost{}, quiet: newQuiet(m.set), ahead: map[string]bool{}, began: m.now, took: newLatencies(),
+		listed: map[string]wire.Instance{}, quiet: newQuiet(m.set), ahead: map[string]bool{}, began: m.now, took: newLatencies(),
 	}
 	m.r.Control.cur.Store(m.r)
 	keys := slices.Sorted(maps.Keys(m.store))
@@ -180,48 +180,48 @@
 func (m *model) worker() *truth { return rapid.SampledFrom(m.workers).Draw(m.t, "worker") }
 
 // report is what a worker says now; its lease may be over.
-func (w *truth) report() wire.Report {
+func (w *truth) report() wire.Heartbeat {
 	w.tick++
-	r := wire.Report{Host: w.name, Address: "x", Flavor: "m", Locale: w.zone, Tenure: w.tenure, Tick: w.tick, Epoch: w.epoch}
+	r := wire.Heartbeat{Worker: w.name, Address: "x", InstanceType: "m", Zone: w.zone, Incarnation: w.tenure, Sequence: w.tick, Epoch: w.epoch}
 	for _, t := range w.tasks {
-		r.Members = append(r.Members, *t)
+		r.Tasks = append(r.Tasks, *t)
 	}
-	slices.SortFunc(r.Members, func(a, b wire.Member) int { return int(a.Try) - int(b.Try) })
+	slices.SortFunc(r.Tasks, func(a, b wire.TaskStatus) int { return int(a.Attempt) - int(b.Attempt) })
 	return r
 }
 
 // execute carries orders out and checks what a start can break.
-func (m *model) execute(w *truth, os []wire.Order) {
+func (m *model) execute(w *truth, os []wire.Command) {
 	for _, o := range os {
-		t := w.tasks[o.Member]
-		switch o.Verb {
-		case wire.Launch:
-			if t != nil && (t.Try == o.Try || t.Phase != wire.Ended) {
+		t := w.tasks[o.Task]
+		switch o.Action {
+		case wire.ActionStart:
+			if t != nil && (t.Attempt == o.Attempt || t.Phase != wire.TaskExited) {
 				continue
 			}
 			m.starts(w, o)
-			w.tasks[o.Member] = &wire.Member{Member: o.Member, Try: o.Try, Phase: wire.Running}
-		case wire.Stop:
-			if t != nil && t.Try == o.Try && t.Phase != wire.Ended {
-				t.Phase, t.Cause = wire.Ended, wire.CauseHalted
+			w.tasks[o.Task] = &wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Phase: wire.PhaseRunning}
+		case wire.ActionStop:
+			if t != nil && t.Attempt == o.Attempt && t.Phase != wire.TaskExited {
+				t.Phase, t.ExitReason = wire.TaskExited, wire.ExitStopped
 			}
-		case wire.Reap:
-			if t != nil && t.Try == o.Try && t.Phase == wire.Ended {
-				delete(w.tasks, o.Member)
+		case wire.ActionForget:
+			if t != nil && t.Attempt == o.Attempt && t.Phase == wire.TaskExited {
+				delete(w.tasks, o.Task)
 			}
 		}
 	}
 }
 
-func (m *model) starts(w *truth, o wire.Order) {
+func (m *model) starts(w *truth, o wire.Command) {
 	used := 1.0
 	for _, v := range m.workers {
 		for name, t := range v.tasks {
-			if v.gone || t.Phase == wire.Ended {
+			if v.gone || t.Phase == wire.TaskExited {
 				continue
 			}
 			used++
-			if name == o.Member && v != w {
+			if name == o.Task && v != w {
 				m.t.Fatalf("ran_twice: %s starts on %s while on %s", name, w.name, v.name)
 			}
 		}
@@ -232,16 +232,16 @@
 }
 
 // answered is a 200 to a report that was sent at a time.
-func (m *model) answered(w *truth, r wire.Report, out wire.Orders) {
-	if w.gone || w.tenure != r.Tenure || out.Epoch < w.epoch {
+func (m *model) answered(w *truth, r wire.Heartbeat, out wire.CommandBatch) {
+	if w.gone || w.tenure != r.Incarnation || out.Epoch < w.epoch {
 		return
 	}
 	w.epoch, w.sent = out.Epoch, m.now
-	m.execute(w, out.Orders)
+	m.execute(w, out.Commands)
 }
 
 // leader has the leader answer a report, which may come from the past.
-func (m *model) leader(r wire.Report) (wire.Orders, error) {
+func (m *model) leader(r wire.Heartbeat) (wire.CommandBatch, error) {
 	out, _, err := m.r.Control.Beat(context.Background(), &r)
 	return out, err
 }
@@ -293,7 +293,7 @@
 func (m *model) beatOf(w *truth, way string) {
 	r := w.report()
 	lost := rapid.IntRange(0, 4).Draw(m.t, "answer lost") == 0
-	var out wire.Orders
+	var out wire.CommandBatch
 	err := errors.New("nobody")
 	switch way {
 	case "leader":
@@ -307,7 +307,7 @@
 	case "cut":
 		mine := m.known.Owner(w.name) == "m" || m.known.Near && w.zone == "b" && slices.Contains(m.known.Parts, "m")
 		if mine && r.Epoch <= m.known.Epoch {
-			out, err = wire.Orders{Epoch: m.known.Epoch}, nil
+			out, err = wire.CommandBatch{Epoch: m.known.Epoch}, nil
 		}
 	case "old":
 		if m.old != nil {
@@ -344,7 +344,7 @@
 	if len(os) == 0 {
 		return
 	}
-	o := wire.Orders{Epoch: epoch, Tenure: h.Tenure, Orders: os}
+	o := wire.CommandBatch{Epoch: epoch, Incarnation: h.Tenure, Commands: os}
 	if rapid.Bool().Draw(m.t, "held") {
 		w.late = append(w.late, o)
 		h.Taint = max(h.Taint, epoch)
@@ -354,12 +354,12 @@
 }
 
 // do is a direct command that arrives; the report after it may be lost.
-func (m *model) do(w *truth, o wire.Orders) {
-	if w.gone || o.Epoch < w.epoch || o.Tenure != w.tenure {
+func (m *model) do(w *truth, o wire.CommandBatch) {
+	if w.gone || o.Epoch < w.epoch || o.Incarnation != w.tenure {
 		return
 	}
 	w.epoch = o.Epoch
-	m.execute(w, o.Orders)
+	m.execute(w, o.Commands)
 	if r := w.report(); rapid.Bool().Draw(m.t, "seen") {
 		m.r.report(&r)
 	}
@@ -383,7 +383,7 @@
 	}
 	r := w.report()
 	m.r.report(&r)
-	m.do(w, wire.Orders{Epoch: m.term.Epoch(), Tenure: w.tenure})
+	m.do(w, wire.CommandBatch{Epoch: m.term.Epoch(), Incarnation: w.tenure})
 }
 
 // place claims a task for a host that may take it.
@@ -404,7 +404,7 @@
 		return
 	}
 	for _, g := range b.Guards { // the live key of a withdrawn job is gone
-		if _, ok := m.store[g.Path]; !ok && strings.HasPrefix(g.Path, ledger.LivePrefix) {
+		if _, ok := m.store[g.Key]; !ok && strings.HasPrefix(g.Key, ledger.LivePrefix) {
 			m.r.led.Failed(b)
 			return
 		}
@@ -416,9 +416,9 @@
 	m.gen++
 	for _, c := range b.Apply {
 		if c.Put != "" {
-			m.store[c.Put] = c.Data
+			m.store[c.Put] = c.Value
 		}
-		delete(m.store, c.Remove)
+		delete(m.store, c.Delete)
 	}
 	if rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0 {
 		// The leader dies without knowing that it was applied.
@@ -428,7 +428,7 @@
 		return
 	}
 	for _, j := range m.r.led.Committed(b, m.gen+10).Ended {
-		for i := range j.Spec.Members {
+		for i := range j.Spec.TaskCount {
 			if name := (ledger.Task{Ref: j.Ref, Index: i}).String(); !m.done[name] {
 				m.t.Fatalf("not_done: %s is over without %s", j.Ref, name)
 			}
@@ -457,7 +457,7 @@
 	m.now = m.now.Add(time.Duration(seconds) * time.Second)
 	for _, w := range m.workers {
 		if m.now.Sub(w.sent) > 30*time.Second+15*time.Millisecond {
-			w.tasks, w.sent = map[string]*wire.Member{}, m.now
+			w.tasks, w.sent = map[string]*wire.TaskStatus{}, m.now
 			w.tenure++
 		}
 	}
@@ -473,8 +473,8 @@
 			}
 		}
 	}) {
-		if t := w.tasks[name]; t.Phase == wire.Running && !w.gone {
-			t.Phase, t.Cause = wire.Ended, wire.CauseDone
+		if t := w.tasks[name]; t.Phase == wire.PhaseRunning && !w.gone {
+			t.Phase, t.ExitReason = wire.TaskExited, wire.ExitDone
 			m.done[name] = true
 			return
 		}
--- a/internal/control/scrub.go
+++ b/internal/control/scrub.go
@@ -46,26 +46,26 @@
 const scrubbed = 200
 
 // learn adds ends of earlier terms to the copy.
-func (r *reign) learn(page []wire.Item) {
-	var add []wire.Change
+func (r *reign) learn(page []wire.KeyValue) {
+	var add []wire.Operation
 	for _, it := range page {
-		if _, ok := r.copies.Get(it.Path); !ok {
-			add = append(add, wire.Change{Put: it.Path, Data: it.Data})
+		if _, ok := r.copies.Get(it.Key); !ok {
+			add = append(add, wire.Operation{Put: it.Key, Value: it.Value})
 		}
 	}
 	r.copies.Apply(0, add...)
 }
 
 // missing finds what was remembered before a page was read, still is, and is not in it.
-func (r *reign) missing(ctx context.Context, before *copies.Tree, under, after, next string, page []wire.Item) error {
+func (r *reign) missing(ctx context.Context, before *copies.Tree, under, after, next string, page []wire.KeyValue) error {
 	have := make(map[string]bool, len(page))
 	for _, it := range page {
-		have[it.Path] = true
+		have[it.Key] = true
 		if strings.HasPrefix(under, ledger.EndedPrefix) {
 			continue
 		}
-		if old, ok := r.copies.Get(it.Path); ok && string(old) != string(it.Data) && !json.Valid(it.Data) {
-			return r.doubt(fmt.Errorf("%s cannot be read", it.Path))
+		if old, ok := r.copies.Get(it.Key); ok && string(old) != string(it.Value) && !json.Valid(it.Value) {
+			return r.doubt(fmt.Errorf("%s cannot be read", it.Key))
 		}
 	}
 	var lost []string
--- a/internal/control/shun_test.go
+++ b/internal/control/shun_test.go
@@ -25,7 +25,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
 			for _, h := range r.sorted { // most fail, of jobs that fail nowhere else: none is returned
-				j := r.add("req-"+h.Name[1:], wire.Job{Class: "f", Shape: wire.Batch, Members: 4, Cores: 1})
+				j := r.add("req-"+h.Name[1:], wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 4, CPUs: 1})
 				for range tc.fails {
 					r.failed(j, h, now.Add(-tc.since))
 				}
--- a/internal/control/starve.go
+++ b/internal/control/starve.go
@@ -27,7 +27,7 @@
 // has a share of its own.
 func (r *reign) starved(j *ledger.Job, now time.Time) bool {
 	age := float64(now.Sub(j.WaitingSince)) / float64(r.waitAge())
-	return j.Spec.Shape != wire.Standing && j.Active() == 0 && j.Done() == 0 && age > starves && age < forlorn
+	return j.Spec.Kind != wire.KindService && j.Active() == 0 && j.Done() == 0 && age > starves && age < forlorn
 }
 
 // deficit is the work, in core-seconds, that starved arrays of a type were given less the
@@ -64,10 +64,10 @@
 // placed accounts for a claimed task.
 func (r *reign) placed(j *ledger.Job) {
 	d := r.deficits[j.Type]
-	if d == nil || j.Spec.Shape == wire.Standing {
+	if d == nil || j.Spec.Kind == wire.KindService {
 		return
 	}
-	work := max(j.Spec.Cores, 1) * max(j.Spec.ExpectS, 1)
+	work := max(j.Spec.CPUs, 1) * max(j.Spec.ExpectedSeconds, 1)
 	if !d.starved[j.Ref] {
 		work = -work
 	}
--- a/internal/control/starve_test.go
+++ b/internal/control/starve_test.go
@@ -31,8 +31,8 @@
 		{"of two the oldest", [3]time.Duration{10 * s, 170 * s, 190 * s}, "", nil, nil, []string{"req-3", "req-2", "req-1"}},
 		{"it was given more", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", []string{"req-3"}, nil, []string{"req-1", "req-2", "req-3"}},
 		{"and then the others", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", []string{"req-3", "req-1"}, nil, []string{"req-3", "req-1", "req-2"}},
-		{"a service", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", nil, func(js []*wire.Job) { js[2].Shape = wire.Standing }, []string{"req-1", "req-2", "req-3"}},
-		{"past its team's guarantee", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", nil, func(js []*wire.Job) { js[2].Owner = "u" }, []string{"req-1", "req-2", "req-3"}},
+		{"a service", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", nil, func(js []*wire.Job) { js[2].Kind = wire.KindService }, []string{"req-1", "req-2", "req-3"}},
+		{"past its team's guarantee", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", nil, func(js []*wire.Job) { js[2].Team = "u" }, []string{"req-1", "req-2", "req-3"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
@@ -40,7 +40,7 @@
 			r.led = ledger.New("n.1", []settings.Team{{Name: "t", CPUs: 100, CPUsMax: 100}, {Name: "u", CPUsMax: 100}})
 			var specs []*wire.Job
 			for i := range 3 {
-				specs = append(specs, &wire.Job{Owner: "t", Class: "f", Shape: wire.Batch, Rank: "standard", Members: i + 1, Cores: 1, ExpectS: 10})
+				specs = append(specs, &wire.Job{Team: "t", Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: i + 1, CPUs: 1, ExpectedSeconds: 10})
 			}
 			if tc.tweak != nil {
 				tc.tweak(specs)
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -38,7 +38,7 @@
 
 func (s *loaded) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
-	p := wire.Page{Generation: 9}
+	p := wire.RangeResponse{Revision: 9}
 	size := 0
 	i, _ := slices.BinarySearch(s.keys, max(q.Get("under"), q.Get("after")+"\x00"))
 	for ; i < len(s.keys) && strings.HasPrefix(s.keys[i], q.Get("under")); i++ {
@@ -46,7 +46,7 @@
 			p.More = true
 			break
 		}
-		p.Items = append(p.Items, wire.Item{Path: s.keys[i], Data: s.data[s.keys[i]], Stamp: 9})
+		p.Items = append(p.Items, wire.KeyValue{Key: s.keys[i], Value: s.data[s.keys[i]], ModRevision: 9})
 	}
 	b, err := json.Marshal(p)
 	if err != nil {
@@ -69,13 +69,13 @@
 			teams := []settings.Team{{Name: "t", CPUs: 1e9, CPUsMax: 1e9}}
 			led := ledger.New("w", teams)
 			for n := range (tasks + size - 1) / size {
-				rec := ledger.Record{Job: wire.Job{Ref: fmt.Sprintf("req-%06d", n), Owner: "t", Class: "tally-sweeps", Shape: wire.Batch, Rank: "standard", Members: size, Cores: 1, RAM: 1, Bundle: "b", ExpectS: 20}, AtMS: 1, Chunk: 64}
+				rec := ledger.Record{Job: wire.Job{ID: fmt.Sprintf("req-%06d", n), Team: "t", Class: "tally-sweeps", Kind: wire.KindArray, Priority: "standard", TaskCount: size, CPUs: 1, MemoryGB: 1, Image: "b", ExpectedSeconds: 20}, AtMS: 1, Chunk: 64}
 				data, err := ledger.Encode(rec)
 				if err != nil {
 					b.Fatal(err)
 				}
-				st.data[ledger.LiveKey(rec.Job.Ref)] = data
-				j := led.Add(rec.Job.Ref, rec, 9)
+				st.data[ledger.LiveKey(rec.Job.ID)] = data
+				j := led.Add(rec.Job.ID, rec, 9)
 				for i := range size {
 					if _, err := led.Claim(j, fmt.Sprintf("i-%06d", (n*size+i)/8), 1, "zone-a"); err != nil {
 						b.Fatal(err)
@@ -88,7 +88,7 @@
 					break
 				}
 				for _, c := range batch.Apply {
-					st.data[c.Put] = c.Data
+					st.data[c.Put] = c.Value
 				}
 				led.Committed(batch, 9)
 			}
--- a/internal/control/tend.go
+++ b/internal/control/tend.go
@@ -87,16 +87,16 @@
 func (r *reign) strangers(now time.Time) []*agent.Host {
 	var hs []*agent.Host
 	for _, l := range r.listed {
-		if _, gone := r.gone[l.Ref]; gone || l.Phase != wire.Running || l.Address == "" {
+		if _, gone := r.gone[l.Name]; gone || l.Phase != wire.PhaseRunning || l.Address == "" {
 			continue
 		}
-		h := r.host(l.Ref)
+		h := r.host(l.Name)
 		strange := h.Heard.IsZero() && now.Sub(r.began) > r.set.Report()/2 ||
 			!h.Heard.IsZero() && now.Sub(h.Heard) > 3*r.set.Report()/2
 		if strange && !h.Polling && len(hs) < 16 {
 			h.Polling = true
-			h.Address, h.Flavor, h.Loaners = l.Address, l.Flavor, l.Loaners
-			r.zoned(h, l.Locale)
+			h.Address, h.Flavor, h.Loaners = l.Address, l.InstanceType, l.Spot
+			r.zoned(h, l.Zone)
 			hs = append(hs, h)
 		}
 	}
@@ -120,7 +120,7 @@
 	r.report(rep)
 	r.mu.Unlock()
 	if rep.Epoch < r.term.Epoch() {
-		rep, _, err = r.direct.Do(ctx, addr, wire.Orders{Epoch: r.term.Epoch(), Tenure: rep.Tenure, Orders: []wire.Order{}})
+		rep, _, err = r.direct.Do(ctx, addr, wire.CommandBatch{Epoch: r.term.Epoch(), Incarnation: rep.Incarnation, Commands: []wire.Command{}})
 		if err == nil {
 			r.mu.Lock()
 			r.report(rep)
@@ -256,8 +256,8 @@
 		}
 		for _, c := range r.led.OnHost(h.Name) {
 			j := c.Job
-			if len(moved) >= few || moved[j.Ref] || c.Stopping || !r.settled(c, now) || j.Spec.Shape != wire.Standing ||
-				j.Active() < j.Spec.Members {
+			if len(moved) >= few || moved[j.Ref] || c.Stopping || !r.settled(c, now) || j.Spec.Kind != wire.KindService ||
+				j.Active() < j.Spec.TaskCount {
 				continue
 			}
 			m := r.elsewhere(c, rooms, plan.Freed)
@@ -276,7 +276,7 @@
 // replicas tells whether any replica is on a host.
 func (r *reign) replicas(h *agent.Host) bool {
 	for _, c := range r.led.OnHost(h.Name) {
-		if c.Job.Spec.Shape == wire.Standing {
+		if c.Job.Spec.Kind == wire.KindService {
 			return true
 		}
 	}
@@ -298,11 +298,11 @@
 	own := 0.0
 	if h := r.hosts[c.Host]; h != nil {
 		if t := r.types.Types()[h.Flavor]; t != nil {
-			own = t.Cores
+			own = t.CPUs
 		}
 	}
 	for _, m := range rooms {
-		if m.h.Name == c.Host || m.h.Draining || !m.fits(j) || !m.h.HasImage(j.Spec.Bundle) || smaller && m.t.Cores >= own {
+		if m.h.Name == c.Host || m.h.Draining || !m.fits(j) || !m.h.HasImage(j.Spec.Image) || smaller && m.t.CPUs >= own {
 			continue
 		}
 		free := r.led.ZoneRoom(j, m.h.Zone)
@@ -316,22 +316,22 @@
 	return nil
 }
 
-func (r *reign) rented(q wire.Rent, names []string, err error) {
+func (r *reign) rented(q wire.ScaleOutRequest, names []string, err error) {
 	now := r.now()
 	if err != nil && !errors.Is(err, fleet.ErrNoCapacity) {
-		r.log.Debug("rent", "ask", q.Ask, "err", err)
+		r.log.Debug("rent", "ask", q.RequestID, "err", err)
 	}
 	r.rents.Answered(q, len(names), now)
 	if len(names) > 0 {
-		r.log.Info("rented", "flavor", q.Flavor, "zone", q.Locale, "loaners", q.Loaners, "asked", q.HowMany, "got", len(names), "hosts", names)
+		r.log.Info("rented", "flavor", q.InstanceType, "zone", q.Zone, "loaners", q.Spot, "asked", q.Count, "got", len(names), "hosts", names)
 	}
 	for _, n := range names {
 		if _, ok := r.listed[n]; !ok {
-			r.listed[n] = wire.ListedHost{Ref: n, Flavor: q.Flavor, Locale: q.Locale, Loaners: q.Loaners, Phase: wire.HostStarting}
+			r.listed[n] = wire.Instance{Name: n, InstanceType: q.InstanceType, Zone: q.Zone, Spot: q.Spot, Phase: wire.InstanceStarting}
 		}
 		h := r.host(n)
-		h.Flavor, h.Loaners = q.Flavor, q.Loaners
-		r.zoned(h, q.Locale)
+		h.Flavor, h.Loaners = q.InstanceType, q.Spot
+		r.zoned(h, q.Zone)
 		h.Asked = now
 	}
 }
@@ -372,27 +372,27 @@
 
 // merge takes in the machine list. It lags, so what is missing from it is not
 // thereby gone.
-func (r *reign) merge(list []wire.ListedHost) {
+func (r *reign) merge(list []wire.Instance) {
 	now := r.now()
 	lag := time.Duration(r.set.Facts.Cloud.ListLagS * float64(time.Second))
 	present := make(map[string]bool, len(list))
 	for _, l := range list {
-		present[l.Ref] = true
-		if at, gone := r.gone[l.Ref]; gone && !at.IsZero() {
+		present[l.Name] = true
+		if at, gone := r.gone[l.Name]; gone && !at.IsZero() {
 			if now.Sub(at) < 3*lag+r.set.Report() {
 				continue // the list is behind
 			}
 		}
-		r.listed[l.Ref] = l
-		h := r.host(l.Ref)
+		r.listed[l.Name] = l
+		h := r.host(l.Name)
 		if h.Asked.IsZero() {
-			h.Asked = now.Add(-time.Duration(l.HeldS * float64(time.Second)))
+			h.Asked = now.Add(-time.Duration(l.AgeSeconds * float64(time.Second)))
 		}
 		if h.Heard.IsZero() {
-			h.Flavor, h.Loaners = l.Flavor, l.Loaners
-			r.zoned(h, l.Locale)
+			h.Flavor, h.Loaners = l.InstanceType, l.Spot
+			r.zoned(h, l.Zone)
 		}
-		if l.Phase == wire.Running && h.Running.IsZero() {
+		if l.Phase == wire.PhaseRunning && h.Running.IsZero() {
 			h.Running = now
 		}
 	}
@@ -419,7 +419,7 @@
 		switch {
 		case leaving && at.IsZero():
 			why = "again" // its release was not answered
-		case listed && l.Phase == wire.HostFailed:
+		case listed && l.Phase == wire.InstanceFailed:
 			why = "failed"
 		case r.outlives(h, now):
 			why = "withdrawn task"
@@ -432,13 +432,13 @@
 			!h.WarnAt.IsZero() && now.After(h.WarnAt) && r.quietFor(h, now) > 3*r.set.Report()/2,
 			h.Heard.IsZero() && !listed && len(claims) > 0 && now.Sub(r.began) > r.set.Lease():
 			why = "silent"
-		case h.Heard.IsZero() && h.Running.IsZero() && listed && l.Phase == wire.HostStarting && len(claims) == 0 &&
-			t != nil && !h.Asked.IsZero() && now.Sub(h.Asked) > 4*time.Duration(t.ReadyS*float64(time.Second)):
+		case h.Heard.IsZero() && h.Running.IsZero() && listed && l.Phase == wire.InstanceStarting && len(claims) == 0 &&
+			t != nil && !h.Asked.IsZero() && now.Sub(h.Asked) > 4*time.Duration(t.BootSeconds*float64(time.Second)):
 			why = "never up"
 		case r.badHost(h) && !r.mostBad():
 			why = "fails tasks"
 			for _, c := range claims {
-				if c.Job.Spec.Shape == wire.Standing && !c.Running.IsZero() && now.Sub(c.Running) > r.set.Lease() {
+				if c.Job.Spec.Kind == wire.KindService && !c.Running.IsZero() && now.Sub(c.Running) > r.set.Lease() {
 					why = "" // what runs there runs on; only new tasks fail
 				}
 			}
@@ -491,9 +491,9 @@
 			},
 		}
 		for _, c := range claims {
-			if c.Job.Spec.Shape == wire.Standing {
+			if c.Job.Spec.Kind == wire.KindService {
 				m.Replicas++
-				m.Taken += c.Job.Spec.Cores
+				m.Taken += c.Job.Spec.CPUs
 			}
 		}
 		if m.Up && len(h.Members) == 0 && len(claims) == 0 {
@@ -509,7 +509,7 @@
 func (r *reign) movable(h *agent.Host, rooms []*room, now time.Time) bool {
 	var undo []func()
 	for _, c := range r.led.OnHost(h.Name) {
-		if c.Job.Spec.Shape != wire.Standing {
+		if c.Job.Spec.Kind != wire.KindService {
 			continue
 		}
 		var m *room
@@ -540,14 +540,14 @@
 		for _, c := range r.led.OnHost(m.Name) {
 			// It cannot run elsewhere as yet. A replica that no controller
 			// keeps alive there will have to, so there is to be room for it.
-			if c.Job.Spec.Shape != wire.Standing || r.set.Covered(m.Zone) {
+			if c.Job.Spec.Kind != wire.KindService || r.set.Covered(m.Zone) {
 				cut[c.Job]++
 			}
 		}
 	}
 	for _, j := range r.led.Jobs() {
 		if !j.Withdrawn && !j.Finished && j.Ready() && r.set.Ample(j.Spec.Class) {
-			r.ahead[j.Spec.Owner] = true
+			r.ahead[j.Spec.Team] = true
 		}
 	}
 	passing, paced := make(map[string]float64), make(map[string]float64)
@@ -557,31 +557,31 @@
 			continue
 		}
 		s := &j.Spec
-		cores := s.Cores * float64(j.Unfinished()-cut[j])
+		cores := s.CPUs * float64(j.Unfinished()-cut[j])
 		switch {
-		case r.ahead[s.Owner]: // up to the team's limit, whatever is on hand
-		case s.Loaners:
-			passing[s.Owner] += cores
-			paced[s.Owner] += cores * r.pace(j, now)
-			n.Queue += s.Cores * float64(min(j.WaitingTasks(), r.led.Headroom(j)))
+		case r.ahead[s.Team]: // up to the team's limit, whatever is on hand
+		case s.AllowSpot:
+			passing[s.Team] += cores
+			paced[s.Team] += cores * r.pace(j, now)
+			n.Queue += s.CPUs * float64(min(j.WaitingTasks(), r.led.Headroom(j)))
 		default:
 			n.Steady += cores
 			n.SteadyJobs++
-			if s.Scatter {
-				n.Spread = max(n.Spread, s.Cores*float64(s.Members/2))
+			if s.SpreadZones {
+				n.Spread = max(n.Spread, s.CPUs*float64(s.TaskCount/2))
 			}
 			r.bounds(&n, j, zones)
 			n.Largest = max(n.Largest, cores)
 		}
-		key := fmt.Sprint(s.Cores, s.Accel, s.RAM, s.Flavors, s.Locale, s.Loaners)
+		key := fmt.Sprint(s.CPUs, s.GPUs, s.MemoryGB, s.InstanceTypes, s.Zone, s.AllowSpot)
 		k, ok := seen[key]
 		if !ok {
 			k = len(n.Tasks)
 			seen[key] = k
-			n.Tasks = append(n.Tasks, fleet.Shape{Cores: s.Cores, Accel: s.Accel, RAM: s.RAM, Flavors: s.Flavors, Zone: s.Locale, Loaners: s.Loaners})
+			n.Tasks = append(n.Tasks, fleet.Shape{Cores: s.CPUs, Accel: s.GPUs, RAM: s.MemoryGB, Flavors: s.InstanceTypes, Zone: s.Zone, Loaners: s.AllowSpot})
 		}
 		n.Tasks[k].Weight += cores
-		if !waits[k] && s.Loaners && min(j.WaitingTasks(), r.led.Headroom(j)) > 0 {
+		if !waits[k] && s.AllowSpot && min(j.WaitingTasks(), r.led.Headroom(j)) > 0 {
 			waits[k] = true
 			n.Waiting = append(n.Waiting, n.Tasks[k])
 		}
@@ -606,8 +606,8 @@
 	for _, z := range zones {
 		// What the others may take, less what waits.
 		others := all - max(0, r.led.ZoneRoom(j, z)) - j.WaitingTasks()
-		n.Only[z] += j.Spec.Cores * float64(max(0, -others))
-		n.Exposed[z] += j.Spec.Cores * float64(min(j.InZone(z), max(0, others)))
+		n.Only[z] += j.Spec.CPUs * float64(max(0, -others))
+		n.Exposed[z] += j.Spec.CPUs * float64(min(j.InZone(z), max(0, others)))
 	}
 }
 
@@ -616,8 +616,8 @@
 // round. Half of the time left is counted on: run times are estimates, and the
 // longest task of a job ends it.
 func (r *reign) pace(j *ledger.Job, now time.Time) float64 {
-	if left := r.left(j, now); left > 2*j.Spec.ExpectS {
-		return 2 * j.Spec.ExpectS / left
+	if left := r.left(j, now); left > 2*j.Spec.ExpectedSeconds {
+		return 2 * j.Spec.ExpectedSeconds / left
 	}
 	return 1
 }
--- a/internal/control/trace.go
+++ b/internal/control/trace.go
@@ -96,8 +96,8 @@
 			continue
 		}
 		used := r.led.Used(h.Name)
-		cores += max(0, t.Cores-used.Cores)
-		accel += max(0, t.Accel-used.Accel)
+		cores += max(0, t.CPUs-used.Cores)
+		accel += max(0, t.GPUs-used.Accel)
 	}
 	r.led.Reserve(cores, accel)
 }
@@ -105,7 +105,7 @@
 // keeps tells whether a host has a task of an unknown job.
 func (r *reign) keeps(h *agent.Host) bool {
 	for _, m := range h.Members {
-		if m.Kept && m.Phase != wire.Ended {
+		if m.Kept && m.Phase != wire.TaskExited {
 			return true
 		}
 	}
@@ -125,7 +125,7 @@
 		}
 		m.Kept = false
 		h.Members[t] = m
-		if m.Phase == wire.Ended && m.Cause != wire.CauseDone {
+		if m.Phase == wire.TaskExited && m.Cause != wire.ExitDone {
 			return
 		}
 		c := r.led.Adopt(j, t.Index, ledger.Claim{Host: h.Name, Tenure: h.Tenure, Try: m.Try, Zone: h.Zone}, r.first-1)
@@ -134,9 +134,9 @@
 		}
 		n++
 		switch m.Phase {
-		case wire.Running:
+		case wire.PhaseRunning:
 			c.Running = m.Since
-		case wire.Ended:
+		case wire.TaskExited:
 			r.ended(c, h, m.Cause, now)
 		}
 	})
@@ -151,7 +151,7 @@
 		return 0, false
 	}
 	r.spread(ref, func(_ *agent.Host, _ ledger.Task, m agent.Member) {
-		if m.Phase == wire.Running {
+		if m.Phase == wire.PhaseRunning {
 			running++
 		}
 	})
--- a/internal/copies/copies.go
+++ b/internal/copies/copies.go
@@ -220,19 +220,19 @@
 
 // Apply notes changes that the leader knows to be stored, and to which generation it
 // has followed the jobs; 0 if it tells nothing of that.
-func (c *Copy) Apply(gen uint64, changes ...wire.Change) {
+func (c *Copy) Apply(gen uint64, changes ...wire.Operation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.head.Gen = max(c.head.Gen, gen)
 	txn := c.tree.Txn()
 	for _, ch := range changes {
-		key := ch.Put + ch.Remove
+		key := ch.Put + ch.Delete
 		if !Held(key) {
 			continue
 		}
 		e := Entry{Key: key}
 		if ch.Put != "" {
-			e.Data = ch.Data
+			e.Data = ch.Value
 		}
 		if !c.set(txn, e) {
 			continue
@@ -288,7 +288,7 @@
 
 // Own notes what this node stored itself at a generation: should the state service lose
 // it before the leader tells of it, nobody else knows.
-func (c *Copy) Own(gen uint64, changes ...wire.Change) {
+func (c *Copy) Own(gen uint64, changes ...wire.Operation) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.own) >= maxMoves {
@@ -296,9 +296,9 @@
 	}
 	for _, ch := range changes {
 		if ch.Put != "" && Held(ch.Put) {
-			c.own[ch.Put] = own{ch.Data, gen}
+			c.own[ch.Put] = own{ch.Value, gen}
 		}
-		delete(c.own, ch.Remove)
+		delete(c.own, ch.Delete)
 	}
 }
 
--- a/internal/copies/copies_test.go
+++ b/internal/copies/copies_test.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/wire"
 )
 
-func put(k, v string) wire.Change { return wire.Change{Put: k, Data: []byte(v)} }
+func put(k, v string) wire.Operation { return wire.Operation{Put: k, Value: []byte(v)} }
 
 func show(t *Tree) string {
 	s := ""
@@ -91,7 +91,7 @@
 			case 0, 1:
 				leader.Apply(uint64(i), put("j/"+k, fmt.Sprint(i)))
 			case 2:
-				leader.Apply(uint64(i), wire.Change{Remove: "j/" + k}, put("d/"+k, fmt.Sprint(i)))
+				leader.Apply(uint64(i), wire.Operation{Delete: "j/" + k}, put("d/"+k, fmt.Sprint(i)))
 				ends["d/"+k] = true
 			case 3:
 				epoch++
@@ -129,7 +129,7 @@
 	var has Head
 	turn(leader, l, &has)
 	c.Own(5, put("j/a", "1"))
-	c.Own(6, put("d/b", "end"), wire.Change{Remove: "j/b"})
+	c.Own(6, put("d/b", "end"), wire.Operation{Delete: "j/b"})
 	if !c.Knows("a") || !c.Knows("b") || c.Knows("x") {
 		t.Error("what the node stored itself")
 	}
--- a/internal/copies/read.go
+++ b/internal/copies/read.go
@@ -26,7 +26,7 @@
 		Epoch uint64 `json:"n"`
 	}
 	if err == nil {
-		err = json.Unmarshal(it.Data, &m)
+		err = json.Unmarshal(it.Value, &m)
 	}
 	if err != nil && !errors.Is(err, state.ErrNotFound) {
 		return nil, Head{}, fmt.Errorf("epoch: %w", err)
@@ -43,8 +43,8 @@
 		}
 		from[i] = gen
 		for _, it := range items {
-			stamps[it.Path] = it.Stamp
-			txn.Insert([]byte(it.Path), it.Data)
+			stamps[it.Key] = it.ModRevision
+			txn.Insert([]byte(it.Key), it.Value)
 		}
 	}
 	// All up to the generation of the last list's answer, or later: a watch's answer
@@ -61,22 +61,22 @@
 			if err != nil {
 				return nil, Head{}, err
 			}
-			for _, c := range log.Log {
-				key := c.Put + c.Remove
-				if c.Stamp > last || c.Stamp <= stamps[key] {
+			for _, c := range log.Events {
+				key := c.Put + c.Delete
+				if c.ModRevision > last || c.ModRevision <= stamps[key] {
 					continue
 				}
-				stamps[key] = c.Stamp
+				stamps[key] = c.ModRevision
 				if c.Put != "" {
-					txn.Insert([]byte(key), c.Data)
+					txn.Insert([]byte(key), c.Value)
 				} else {
 					txn.Delete([]byte(key))
 				}
 			}
-			if log.Generation <= at {
+			if log.Revision <= at {
 				break // the prefix is quiet
 			}
-			at = log.Generation
+			at = log.Revision
 		}
 	}
 	h.Gen = last
--- a/internal/fleet/catalogue.go
+++ b/internal/fleet/catalogue.go
@@ -16,7 +16,7 @@
 	cloud *Cloud
 	every time.Duration
 	log   *slog.Logger
-	types atomic.Pointer[map[string]*wire.MachineType]
+	types atomic.Pointer[map[string]*wire.InstanceType]
 }
 
 // NewCatalogue makes a catalogue that is read again at the interval given.
@@ -25,7 +25,7 @@
 }
 
 // Types are the machine types by label, or nil while they are not known.
-func (c *Catalogue) Types() map[string]*wire.MachineType {
+func (c *Catalogue) Types() map[string]*wire.InstanceType {
 	if m := c.types.Load(); m != nil {
 		return *m
 	}
@@ -36,17 +36,17 @@
 func (c *Catalogue) Zones() []string {
 	var out []string
 	for _, t := range c.Types() {
-		out = append(out, t.Locales...)
+		out = append(out, t.Zones...)
 	}
 	slices.Sort(out)
 	return slices.Compact(out)
 }
 
 // Set takes in the machine types.
-func (c *Catalogue) Set(ts []wire.MachineType) {
-	m := make(map[string]*wire.MachineType, len(ts))
+func (c *Catalogue) Set(ts []wire.InstanceType) {
+	m := make(map[string]*wire.InstanceType, len(ts))
 	for i := range ts {
-		m[ts[i].Label] = &ts[i]
+		m[ts[i].Name] = &ts[i]
 	}
 	c.types.Store(&m)
 }
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -71,7 +71,7 @@
 		return fmt.Errorf("cloud: %w", err)
 	}
 	if res.StatusCode == http.StatusServiceUnavailable {
-		var e wire.Error
+		var e wire.ErrorResponse
 		if json.Unmarshal(data, &e) == nil && e.Error == "no capacity" {
 			return ErrNoCapacity
 		}
@@ -89,41 +89,41 @@
 }
 
 // Types reads the catalogue.
-func (c *Cloud) Types(ctx context.Context) ([]wire.MachineType, error) {
-	var t wire.MachineTypes
+func (c *Cloud) Types(ctx context.Context) ([]wire.InstanceType, error) {
+	var t wire.InstanceTypeList
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &t)
-	return t.Flavors, err
+	return t.Types, err
 }
 
 // Rent asks for machines.
-func (c *Cloud) Rent(ctx context.Context, r wire.Rent) ([]string, error) {
-	var h wire.HostNames
+func (c *Cloud) Rent(ctx context.Context, r wire.ScaleOutRequest) ([]string, error) {
+	var h wire.InstanceNames
 	err := c.do(ctx, http.MethodPost, "/hosts", r, &h)
-	return h.Hosts, err
+	return h.Names, err
 }
 
 // Release returns machines. A nil error proves that they are gone.
 func (c *Cloud) Release(ctx context.Context, names []string) error {
-	return c.do(ctx, http.MethodPost, "/hosts/release", wire.HostNames{Hosts: names}, nil)
+	return c.do(ctx, http.MethodPost, "/hosts/release", wire.InstanceNames{Names: names}, nil)
 }
 
 // List reads the machine list.
-func (c *Cloud) List(ctx context.Context) ([]wire.ListedHost, error) {
-	var all []wire.ListedHost
+func (c *Cloud) List(ctx context.Context) ([]wire.Instance, error) {
+	var all []wire.Instance
 	after := ""
 	for {
 		q := url.Values{"limit": {"500"}}
 		if after != "" {
 			q.Set("after", after)
 		}
-		var l wire.HostList
+		var l wire.InstancePage
 		if err := c.do(ctx, http.MethodGet, "/hosts?"+q.Encode(), nil, &l); err != nil {
 			return nil, err
 		}
-		all = append(all, l.Hosts...)
-		if !l.More || len(l.Hosts) == 0 {
+		all = append(all, l.Instances...)
+		if !l.More || len(l.Instances) == 0 {
 			return all, nil
 		}
-		after = l.Hosts[len(l.Hosts)-1].Ref
+		after = l.Instances[len(l.Instances)-1].Name
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -17,7 +17,7 @@
 	ctx := t.Context()
 	for _, ask := range []func() error{
 		func() error { _, err := c.Types(ctx); return err },
-		func() error { _, err := c.Rent(ctx, goldentest.Filled[wire.Rent]()); return err },
+		func() error { _, err := c.Rent(ctx, goldentest.Filled[wire.ScaleOutRequest]()); return err },
 		func() error { return c.Release(ctx, []string{"i-1", "i-2"}) },
 		func() error { _, err := c.List(ctx); return err },
 	} {
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -60,15 +60,15 @@
 }
 
 // Fits tells whether a task fits an empty machine of a type.
-func (s Shape) Fits(t *wire.MachineType) bool {
-	return s.Cores <= t.Cores && s.Accel <= t.Accel && s.RAM <= t.RAM &&
-		(len(s.Flavors) == 0 || slices.Contains(s.Flavors, t.Label))
+func (s Shape) Fits(t *wire.InstanceType) bool {
+	return s.Cores <= t.CPUs && s.Accel <= t.GPUs && s.RAM <= t.MemoryGB &&
+		(len(s.Flavors) == 0 || slices.Contains(s.Flavors, t.Name))
 }
 
 // holds is how many tasks an empty machine of a type holds.
-func (s Shape) holds(t *wire.MachineType) float64 {
+func (s Shape) holds(t *wire.InstanceType) float64 {
 	n := math.Inf(1)
-	for _, q := range [][2]float64{{t.Cores, s.Cores}, {t.Accel, s.Accel}, {t.RAM, s.RAM}} {
+	for _, q := range [][2]float64{{t.CPUs, s.Cores}, {t.GPUs, s.Accel}, {t.MemoryGB, s.RAM}} {
 		if q[1] > 0 {
 			n = min(n, math.Floor(q[0]/q[1]+1e-6))
 		}
@@ -78,7 +78,7 @@
 
 // usable is the share of a type's cores that the tasks on hand can use, each
 // shape alone and by its weight.
-func (n Need) usable(t *wire.MachineType, loaners bool) float64 {
+func (n Need) usable(t *wire.InstanceType, loaners bool) float64 {
 	sum, weight := 0.0, 0.0
 	for _, s := range n.Tasks {
 		if s.Loaners != loaners {
@@ -86,7 +86,7 @@
 		}
 		weight += s.Weight
 		if s.Fits(t) && s.Cores > 0 {
-			sum += s.Weight * s.holds(t) * s.Cores / t.Cores
+			sum += s.Weight * s.holds(t) * s.Cores / t.CPUs
 		}
 	}
 	if weight == 0 || sum == 0 {
@@ -129,9 +129,9 @@
 }
 
 // Answered notes how a request went.
-func (p *Planner) Answered(r wire.Rent, got int, now time.Time) {
-	o := offer{r.Flavor, r.Locale, r.Loaners}
-	if got >= r.HowMany {
+func (p *Planner) Answered(r wire.ScaleOutRequest, got int, now time.Time) {
+	o := offer{r.InstanceType, r.Zone, r.Spot}
+	if got >= r.Count {
 		delete(p.refused, o)
 		return
 	}
@@ -148,7 +148,7 @@
 
 // Plan is what to do about the fleet.
 type Plan struct {
-	Rents []wire.Rent
+	Rents []wire.ScaleOutRequest
 	Leave []string // machines to return
 	Drain []string // machines that take no new tasks from now on
 	Keep  bool     // machines draining are needed after all
@@ -157,7 +157,7 @@
 }
 
 // Plan decides what to rent and what to return.
-func (p *Planner) Plan(types map[string]*wire.MachineType, ms []Machine, need Need, now time.Time) Plan {
+func (p *Planner) Plan(types map[string]*wire.InstanceType, ms []Machine, need Need, now time.Time) Plan {
 	ms = slices.DeleteFunc(slices.Clone(ms), func(m Machine) bool { return m.CutOff })
 	if need.Ahead == 0 && p.set.Frugal() {
 		return p.frugal(types, ms, need, now)
@@ -174,32 +174,32 @@
 }
 
 // idle tells whether a machine has had nothing to do for long enough.
-func (p *Planner) idle(m Machine, t *wire.MachineType, now time.Time) bool {
+func (p *Planner) idle(m Machine, t *wire.InstanceType, now time.Time) bool {
 	return !m.Leaving && !m.Idle.IsZero() &&
-		now.Sub(m.Idle) >= time.Duration(p.set.Operator.Fleet.Idle*float64(settings.Seconds(t.ReadyS)))
+		now.Sub(m.Idle) >= time.Duration(p.set.Operator.Fleet.Idle*float64(settings.Seconds(t.BootSeconds)))
 }
 
 // offers lists what can be rented now and would serve some task, the cheapest
 // first by the cores that the tasks on hand can use.
-func (p *Planner) offers(types map[string]*wire.MachineType, loaners bool, need Need, now time.Time) []offer {
+func (p *Planner) offers(types map[string]*wire.InstanceType, loaners bool, need Need, now time.Time) []offer {
 	var os []offer
 	for _, t := range types {
-		if t.Cores <= 0 || !slices.ContainsFunc(need.Tasks, func(s Shape) bool { return s.Fits(t) && (s.Loaners || !loaners) }) {
+		if t.CPUs <= 0 || !slices.ContainsFunc(need.Tasks, func(s Shape) bool { return s.Fits(t) && (s.Loaners || !loaners) }) {
 			continue
 		}
-		for _, z := range t.Locales {
-			if o := (offer{t.Label, z, loaners}); !now.Before(p.refused[o].until) {
+		for _, z := range t.Zones {
+			if o := (offer{t.Name, z, loaners}); !now.Before(p.refused[o].until) {
 				os = append(os, o)
 			}
 		}
 	}
 	price := func(o offer) float64 {
 		t := types[o.flavor]
-		rate := t.Rate
+		rate := t.PricePerHour
 		if loaners {
-			rate = t.SpotPrice
+			rate = t.SpotPricePerHour
 		}
-		return rate / (t.Cores * need.usable(t, loaners))
+		return rate / (t.CPUs * need.usable(t, loaners))
 	}
 	slices.SortFunc(os, func(a, b offer) int {
 		return cmp.Or(cmp.Compare(price(a), price(b)), cmp.Compare(a.flavor, b.flavor), cmp.Compare(a.zone, b.zone))
@@ -209,21 +209,21 @@
 
 // ample rents ahead of need, up to what the teams may ever use whose work is
 // worth it, and for the rest of the work on hand.
-func (p *Planner) ample(types map[string]*wire.MachineType, ms []Machine, need Need, now time.Time) []wire.Rent {
+func (p *Planner) ample(types map[string]*wire.InstanceType, ms []Machine, need Need, now time.Time) []wire.ScaleOutRequest {
 	limit := need.Ahead + (need.Steady+need.Passing)*(1+p.set.Operator.Fleet.Spare)
 	for _, m := range ms {
 		if t := types[m.Flavor]; t != nil && !m.Leaving {
-			limit -= t.Cores
+			limit -= t.CPUs
 		}
 	}
-	var rents []wire.Rent
+	var rents []wire.ScaleOutRequest
 	for _, loaners := range []bool{false, true} {
 		for _, o := range p.offers(types, loaners, need, now) {
-			n := min(50, int(limit/types[o.flavor].Cores))
+			n := min(50, int(limit/types[o.flavor].CPUs))
 			if n <= 0 {
 				continue
 			}
-			rents = append(rents, wire.Rent{Ask: p.Ask(), Flavor: o.flavor, Locale: o.zone, Loaners: loaners, HowMany: n})
+			rents = append(rents, wire.ScaleOutRequest{RequestID: p.Ask(), InstanceType: o.flavor, Zone: o.zone, Spot: loaners, Count: n})
 		}
 	}
 	return rents
@@ -232,7 +232,7 @@
 // crowded are machines that a few replicas keep from tasks that wait: with those
 // moved to smaller machines, which such tasks do not fit, there is room for more of
 // them. Those that give up the least for it go first, a few at a time.
-func (p *Planner) crowded(types map[string]*wire.MachineType, ms []Machine, need Need) []string {
+func (p *Planner) crowded(types map[string]*wire.InstanceType, ms []Machine, need Need) []string {
 	type gain struct {
 		m     *Machine
 		price float64 // replicas' cores moved for each task more
@@ -252,7 +252,7 @@
 			if !s.Fits(t) || s.Cores <= 0 {
 				continue
 			}
-			if n := s.holds(t) - math.Floor((t.Cores-m.Taken)/s.Cores+1e-6); n >= 1 {
+			if n := s.holds(t) - math.Floor((t.CPUs-m.Taken)/s.Cores+1e-6); n >= 1 {
 				gains = append(gains, gain{m, m.Taken / n})
 				break
 			}
@@ -278,7 +278,7 @@
 // the work may, and returns what stands idle. Machines that are more than the
 // need are drained, the dearest core first, since a few replicas on each would
 // otherwise keep them all.
-func (p *Planner) frugal(types map[string]*wire.MachineType, ms []Machine, need Need, now time.Time) (plan Plan) {
+func (p *Planner) frugal(types map[string]*wire.InstanceType, ms []Machine, need Need, now time.Time) (plan Plan) {
 	p.smooth(need, now)
 	spare := 1 + p.set.Operator.Fleet.Spare
 	steady := need.Steady + max(need.Largest, p.spare(need.SteadyJobs)*need.Steady)
@@ -298,18 +298,18 @@
 		}
 		if m.Draining {
 			draining++
-			ebbing += t.Cores
+			ebbing += t.CPUs
 			if !m.Idle.IsZero() {
 				plan.Leave = append(plan.Leave, m.Name)
 			}
 			continue
 		}
 		if m.Loaners {
-			spot += t.Cores
+			spot += t.CPUs
 		} else {
-			firm += t.Cores
-			perZone[m.Zone] += t.Cores
-			free[m.Zone] += t.Cores - m.Taken
+			firm += t.CPUs
+			perZone[m.Zone] += t.CPUs
+			free[m.Zone] += t.CPUs - m.Taken
 		}
 	}
 
@@ -350,9 +350,9 @@
 	price := func(m Machine) float64 {
 		t := types[m.Flavor]
 		if m.Loaners {
-			return t.SpotPrice / t.Cores
+			return t.SpotPricePerHour / t.CPUs
 		}
-		return t.Rate / t.Cores
+		return t.PricePerHour / t.CPUs
 	}
 	over := slices.DeleteFunc(slices.Clone(ms), func(m Machine) bool {
 		t := types[m.Flavor]
@@ -365,16 +365,16 @@
 	for _, m := range over {
 		t := types[m.Flavor]
 		idle := p.idle(m, t, now)
-		if firm+spot-t.Cores < steady+ebb || !m.Loaners && (firm-t.Cores < steady || free.pinches(m.Zone, t.Cores, need.Spread)) ||
-			!m.Loaners && p.bares(need.Exposed, free, m, t.Cores) ||
-			!idle && (draining >= few || now.Sub(m.Asked) < 3*settings.Seconds(t.ReadyS) || m.Replicas > 0 && !m.Movable()) {
+		if firm+spot-t.CPUs < steady+ebb || !m.Loaners && (firm-t.CPUs < steady || free.pinches(m.Zone, t.CPUs, need.Spread)) ||
+			!m.Loaners && p.bares(need.Exposed, free, m, t.CPUs) ||
+			!idle && (draining >= few || now.Sub(m.Asked) < 3*settings.Seconds(t.BootSeconds) || m.Replicas > 0 && !m.Movable()) {
 			continue
 		}
 		if m.Loaners {
-			spot -= t.Cores
+			spot -= t.CPUs
 		} else {
-			firm -= t.Cores
-			free[m.Zone] -= t.Cores
+			firm -= t.CPUs
+			free[m.Zone] -= t.CPUs
 		}
 		if idle {
 			plan.Leave = append(plan.Leave, m.Name)
@@ -389,7 +389,7 @@
 // confined rents where work waits that no other zone may take. It returns how much of it
 // there is no room for as yet: machines elsewhere are of no use to it, and are not to be
 // kept or rented for it.
-func (p *Planner) confined(plan *Plan, types map[string]*wire.MachineType, need Need, free zones, now time.Time) (lacks float64) {
+func (p *Planner) confined(plan *Plan, types map[string]*wire.InstanceType, need Need, free zones, now time.Time) (lacks float64) {
 	for _, z := range slices.Sorted(maps.Keys(need.Only)) {
 		lack := need.Only[z] - free[z]
 		if lack <= 0 {
@@ -405,7 +405,7 @@
 
 // elsewhere rents firm machines outside a zone, where what drains is needed too. Those of
 // the zone itself are no help.
-func (plan *Plan) elsewhere(p *Planner, types map[string]*wire.MachineType, need Need, now time.Time, firm map[string]float64, zone string, lack float64) {
+func (plan *Plan) elsewhere(p *Planner, types map[string]*wire.InstanceType, need Need, now time.Time, firm map[string]float64, zone string, lack float64) {
 	os := slices.DeleteFunc(p.offers(types, false, need, now), func(o offer) bool { return o.zone == zone })
 	plan.Rents = p.fill(plan.Rents, os, types, lack, false)
 	for z := range firm {
@@ -479,8 +479,8 @@
 
 // overdue tells whether a machine takes so long to boot that it may never come
 // up: it is not counted on, and another takes its place.
-func (p *Planner) overdue(m Machine, t *wire.MachineType, now time.Time) bool {
-	return m.Booting && float64(now.Sub(m.Asked)) > slowBoot*float64(settings.Seconds(t.ReadyS))
+func (p *Planner) overdue(m Machine, t *wire.InstanceType, now time.Time) bool {
+	return m.Booting && float64(now.Sub(m.Asked)) > slowBoot*float64(settings.Seconds(t.BootSeconds))
 }
 
 // slowBoot is how long machines take to boot at most as a rule, as a ratio to
@@ -509,14 +509,14 @@
 }
 
 // fill asks for so many cores over the offers, in their order.
-func (p *Planner) fill(rents []wire.Rent, os []offer, types map[string]*wire.MachineType, cores float64, loaners bool) []wire.Rent {
+func (p *Planner) fill(rents []wire.ScaleOutRequest, os []offer, types map[string]*wire.InstanceType, cores float64, loaners bool) []wire.ScaleOutRequest {
 	for _, o := range os {
 		if cores <= 0 {
 			break
 		}
-		n := min(50, int(math.Ceil(cores/types[o.flavor].Cores)))
-		rents = append(rents, wire.Rent{Ask: p.Ask(), Flavor: o.flavor, Locale: o.zone, Loaners: loaners, HowMany: n})
-		cores -= float64(n) * types[o.flavor].Cores
+		n := min(50, int(math.Ceil(cores/types[o.flavor].CPUs)))
+		rents = append(rents, wire.ScaleOutRequest{RequestID: p.Ask(), InstanceType: o.flavor, Zone: o.zone, Spot: loaners, Count: n})
+		cores -= float64(n) * types[o.flavor].CPUs
 	}
 	return rents
 }
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -10,10 +10,10 @@
 
 var now = time.Unix(1000, 0)
 
-func types() map[string]*wire.MachineType {
-	return map[string]*wire.MachineType{
-		"s": {Label: "s", Cores: 4, RAM: 8, Rate: 0.2, SpotPrice: 0.1, ReadyS: 20, Locales: []string{"a", "b"}},
-		"l": {Label: "l", Cores: 16, RAM: 64, Rate: 1.6, SpotPrice: 0.8, ReadyS: 20, Locales: []string{"a"}},
+func types() map[string]*wire.InstanceType {
+	return map[string]*wire.InstanceType{
+		"s": {Name: "s", CPUs: 4, MemoryGB: 8, PricePerHour: 0.2, SpotPricePerHour: 0.1, BootSeconds: 20, Zones: []string{"a", "b"}},
+		"l": {Name: "l", CPUs: 16, MemoryGB: 64, PricePerHour: 1.6, SpotPricePerHour: 0.8, BootSeconds: 20, Zones: []string{"a"}},
 	}
 }
 
@@ -82,7 +82,7 @@
 			ask, n := "", 0
 			if len(plan.Rents) > 0 {
 				r := plan.Rents[0]
-				ask, n = r.Flavor+" "+r.Locale+map[bool]string{true: " spot", false: " firm"}[r.Loaners], r.HowMany
+				ask, n = r.InstanceType+" "+r.Zone+map[bool]string{true: " spot", false: " firm"}[r.Spot], r.Count
 			}
 			if ask != tc.ask || n != tc.n {
 				t.Errorf("asks %d of %q, want %d of %q", n, ask, tc.n, tc.ask)
@@ -98,7 +98,7 @@
 func TestAmpleStopsAtTheTeamsLimits(t *testing.T) {
 	p := planner(t, "never")
 	need := Need{Ahead: 24, Tasks: []Shape{{Cores: 1}}}
-	if rents := p.Plan(types(), []Machine{{Flavor: "l"}, {Flavor: "s"}}, need, now).Rents; len(rents) != 2 || rents[0].HowMany != 1 {
+	if rents := p.Plan(types(), []Machine{{Flavor: "l"}, {Flavor: "s"}}, need, now).Rents; len(rents) != 2 || rents[0].Count != 1 {
 		t.Errorf("asks %+v", rents)
 	}
 	if rents := p.Plan(types(), []Machine{{Flavor: "l"}, {Flavor: "s"}, {Flavor: "s"}}, need, now).Rents; len(rents) != 0 {
@@ -112,24 +112,24 @@
 	p := planner(t, "always")
 	need := Need{Passing: 4, Paced: 4, Tasks: []Shape{{Cores: 4, Loaners: true}}}
 	seen := map[string]bool{}
-	var last wire.Rent
+	var last wire.ScaleOutRequest
 	for i := range 3 {
 		rents := p.Plan(types(), nil, need, now).Rents
 		if len(rents) == 0 {
 			break
 		}
 		r := rents[0]
-		if seen[r.Ask] || r.Flavor+r.Locale == last.Flavor+last.Locale {
+		if seen[r.RequestID] || r.InstanceType+r.Zone == last.InstanceType+last.Zone {
 			t.Fatalf("try %d asks again for %+v", i, r)
 		}
-		seen[r.Ask], last = true, r
+		seen[r.RequestID], last = true, r
 		p.Answered(r, 0, now)
 	}
 	if len(seen) != 3 {
 		t.Errorf("%d requests, want one for each type and zone", len(seen))
 	}
-	p.Returned(Machine{Flavor: last.Flavor, Zone: last.Locale, Loaners: true})
-	if rents := p.Plan(types(), nil, need, now).Rents; len(rents) != 1 || rents[0].Flavor != last.Flavor {
+	p.Returned(Machine{Flavor: last.InstanceType, Zone: last.Zone, Loaners: true})
+	if rents := p.Plan(types(), nil, need, now).Rents; len(rents) != 1 || rents[0].InstanceType != last.InstanceType {
 		t.Errorf("after one was returned: %+v", rents)
 	}
 }
--- a/internal/history/golden_test.go
+++ b/internal/history/golden_test.go
@@ -30,7 +30,7 @@
 			t.Fatal(err)
 		}
 		out.WriteString(goldentest.JSON(t, step) + "\n")
-		got := parse([]wire.Item{{Path: put.Put, Data: put.Data, Stamp: 5}, {Path: step.Put, Data: step.Data, Stamp: 6}})
+		got := parse([]wire.KeyValue{{Key: put.Put, Value: put.Value, ModRevision: 5}, {Key: step.Put, Value: step.Value, ModRevision: 6}})
 		if want := (View{Marker: m, Phase: p}); !reflect.DeepEqual(got, want) {
 			t.Errorf("reads back as %+v", got)
 		}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -70,23 +70,23 @@
 
 // Guard is the condition that a write belongs to this history; the zero marker has
 // none.
-func (m Marker) Guard() (wire.Guard, bool) {
-	return wire.Guard{Path: markers + m.ID, Stamp: m.Stamp}, m.ID != ""
+func (m Marker) Guard() (wire.Compare, bool) {
+	return wire.Compare{Key: markers + m.ID, ModRevision: m.Stamp}, m.ID != ""
 }
 
 // Put is the change that begins this history.
-func (m Marker) Put() (wire.Change, error) {
+func (m Marker) Put() (wire.Operation, error) {
 	data, err := json.Marshal(markerValue{m.Born, m.Lost, m.Epoch})
-	return wire.Change{Put: markers + m.ID, Data: data}, err
+	return wire.Operation{Put: markers + m.ID, Value: data}, err
 }
 
 // Remove is the change that ends this history.
-func (m Marker) Remove() wire.Change { return wire.Change{Remove: markers + m.ID} }
+func (m Marker) Remove() wire.Operation { return wire.Operation{Delete: markers + m.ID} }
 
 // Step is the change that takes this history to a phase.
-func (m Marker) Step(p Phase) (wire.Change, error) {
+func (m Marker) Step(p Phase) (wire.Operation, error) {
 	data, err := json.Marshal(phaseValue{m.ID, p})
-	return wire.Change{Put: phaseKey, Data: data}, err
+	return wire.Operation{Put: phaseKey, Value: data}, err
 }
 
 // Failed tells whether guards that did not hold say that the history is another.
@@ -120,23 +120,23 @@
 	return parse(items), nil
 }
 
-func parse(items []wire.Item) View {
+func parse(items []wire.KeyValue) View {
 	var v View
 	var p phaseValue
 	for _, it := range items {
-		if it.Path == phaseKey {
-			if json.Unmarshal(it.Data, &p) != nil {
+		if it.Key == phaseKey {
+			if json.Unmarshal(it.Value, &p) != nil {
 				p = phaseValue{}
 			}
 			continue
 		}
-		id, ok := strings.CutPrefix(it.Path, markers)
+		id, ok := strings.CutPrefix(it.Key, markers)
 		if !ok {
 			continue
 		}
-		m := Marker{ID: id, Stamp: it.Stamp}
+		m := Marker{ID: id, Stamp: it.ModRevision}
 		var mv markerValue
-		if json.Unmarshal(it.Data, &mv) != nil {
+		if json.Unmarshal(it.Value, &mv) != nil {
 			mv = markerValue{Phase: Rebuild, Lost: true} // damaged: it says nothing for sure
 		}
 		m.Born, m.Lost, m.Epoch = mv.Phase, mv.Lost, mv.Epoch
@@ -165,7 +165,7 @@
 	read    bool      // the state service was asked at least once
 	latest  time.Time // what was read before is out of date
 	view    View
-	items   map[string]wire.Item
+	items   map[string]wire.KeyValue
 	doubted bool
 	about   string // id of the history that is doubted
 	why     string
@@ -176,7 +176,7 @@
 // NewKeeper makes a keeper. From its first doubt of a history on, onDoubt is called,
 // once for each.
 func NewKeeper(st *state.Client, onDoubt func(why string), log *slog.Logger) *Keeper {
-	k := &Keeper{st: st, log: log, items: make(map[string]wire.Item), onDoubt: onDoubt, kick: make(chan struct{}, 1)}
+	k := &Keeper{st: st, log: log, items: make(map[string]wire.KeyValue), onDoubt: onDoubt, kick: make(chan struct{}, 1)}
 	st.OnBack(func(seen, got uint64) {
 		// At once: the very answer may name the history that came after, which is not
 		// the one in doubt.
@@ -191,7 +191,7 @@
 	return k.st.Follow(ctx, state.Follower{
 		Under: prefix, Wait: wait, Base: wait / 64, Limit: wait / 8,
 		Whole: k.whole,
-		News: func(log []wire.Change, _ time.Time) {
+		News: func(log []wire.Operation, _ time.Time) {
 			if len(log) == 0 {
 				return
 			}
@@ -200,9 +200,9 @@
 			k.latest = time.Now()
 			for _, c := range log {
 				if c.Put != "" {
-					k.items[c.Put] = wire.Item{Path: c.Put, Data: c.Data, Stamp: c.Stamp}
+					k.items[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: c.ModRevision}
 				} else {
-					delete(k.items, c.Remove)
+					delete(k.items, c.Delete)
 				}
 			}
 			k.settle()
@@ -243,7 +243,7 @@
 // whole takes in all that is stored, as it was asked for at a time. An answer that was on
 // its way while this node learned something later is out of date: it may tell of a history
 // that has begun since as if it were gone.
-func (k *Keeper) whole(items []wire.Item, asked time.Time) {
+func (k *Keeper) whole(items []wire.KeyValue, asked time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if asked.Before(k.latest) {
@@ -253,7 +253,7 @@
 	k.latest = asked
 	clear(k.items)
 	for _, it := range items {
-		k.items[it.Path] = it
+		k.items[it.Key] = it
 	}
 	k.read = true
 	k.settle()
@@ -261,7 +261,7 @@
 
 // settle takes in what is stored. Run it with the lock held.
 func (k *Keeper) settle() {
-	items := make([]wire.Item, 0, len(k.items))
+	items := make([]wire.KeyValue, 0, len(k.items))
 	for _, it := range k.items {
 		items = append(items, it)
 	}
@@ -324,7 +324,7 @@
 // Fence is what a user's request is decided under: the guard that its writes carry,
 // and the history's phase. old tells that whoever leads is of a version that keeps no
 // history: what it stores is taken as it is.
-func (k *Keeper) Fence(old bool) ([]wire.Guard, Phase, error) {
+func (k *Keeper) Fence(old bool) ([]wire.Compare, Phase, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	g, ok := k.view.Guard()
@@ -336,7 +336,7 @@
 	case !ok:
 		return nil, "", ErrDoubt
 	}
-	return []wire.Guard{g}, k.view.Phase, nil
+	return []wire.Compare{g}, k.view.Phase, nil
 }
 
 // Heard takes in what a peer says of the history. A doubt of the very history that
@@ -368,7 +368,7 @@
 	}
 	k.latest = time.Now()
 	clear(k.items)
-	k.items[put.Put] = wire.Item{Path: put.Put, Data: put.Data, Stamp: m.Stamp}
+	k.items[put.Put] = wire.KeyValue{Key: put.Put, Value: put.Value, ModRevision: m.Stamp}
 	k.read = true
 	k.settle()
 }
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -16,10 +16,10 @@
 	"rillflow/internal/wire"
 )
 
-func items(kv ...string) []wire.Item {
-	var out []wire.Item
+func items(kv ...string) []wire.KeyValue {
+	var out []wire.KeyValue
 	for i := 0; i < len(kv); i += 2 {
-		out = append(out, wire.Item{Path: kv[i], Data: json.RawMessage(kv[i+1]), Stamp: uint64(i + 3)})
+		out = append(out, wire.KeyValue{Key: kv[i], Value: json.RawMessage(kv[i+1]), ModRevision: uint64(i + 3)})
 	}
 	return out
 }
@@ -33,7 +33,7 @@
 func TestParse(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		items []wire.Item
+		items []wire.KeyValue
 		id    string
 		phase Phase
 		lost  bool
@@ -139,28 +139,28 @@
 func (s *tiny) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var t wire.Commit
+	var t wire.Txn
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
 		http.Error(w, err.Error(), 400)
 		return
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		if s.keys[g.Path] != g.Stamp {
-			failed = append(failed, g.Path)
+	for _, g := range t.Compares {
+		if s.keys[g.Key] != g.ModRevision {
+			failed = append(failed, g.Key)
 		}
 	}
 	if len(failed) == 0 {
 		s.gen++
-		for _, c := range t.Apply {
+		for _, c := range t.Operations {
 			if c.Put != "" {
 				s.keys[c.Put] = s.gen
 			} else {
-				delete(s.keys, c.Remove)
+				delete(s.keys, c.Delete)
 			}
 		}
 	}
-	b, err := json.Marshal(wire.Committed{Generation: s.gen, Failed: failed})
+	b, err := json.Marshal(wire.TxnResponse{Revision: s.gen, FailedKeys: failed})
 	if err != nil {
 		http.Error(w, err.Error(), 500)
 		return
@@ -179,15 +179,15 @@
 	defer srv.Close()
 	var d net.Dialer
 	st := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RPS: 1e5, Limits: state.Limits{WriteRPS: 1e5, Value: 1 << 10}, Timeout: time.Minute, Dial: d.DialContext})
-	commit := func(gs []wire.Guard, cs ...wire.Change) (uint64, []string) {
-		gen, failed, err := st.Commit(t.Context(), wire.Commit{Guards: gs, Apply: cs})
+	commit := func(gs []wire.Compare, cs ...wire.Operation) (uint64, []string) {
+		gen, failed, err := st.Commit(t.Context(), wire.Txn{Compares: gs, Operations: cs})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return gen, failed
 	}
 	// begin is a leader's start, one claim, and the finish that it is about to write.
-	begin := func(id string) (guards []wire.Guard, late wire.Change) {
+	begin := func(id string) (guards []wire.Compare, late wire.Operation) {
 		s.mu.Lock()
 		s.gen, s.keys = 1, map[string]uint64{}
 		s.mu.Unlock()
@@ -196,26 +196,26 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.Stamp, _ = commit(nil, p, wire.Change{Put: "lead", Data: []byte("1")})
+		m.Stamp, _ = commit(nil, p, wire.Operation{Put: "lead", Value: []byte("1")})
 		g, _ := m.Guard()
-		guards = []wire.Guard{{Path: "lead", Stamp: m.Stamp}, g}
-		claim, failed := commit(guards, wire.Change{Put: "c/r/0", Data: []byte("1")})
+		guards = []wire.Compare{{Key: "lead", ModRevision: m.Stamp}, g}
+		claim, failed := commit(guards, wire.Operation{Put: "c/r/0", Value: []byte("1")})
 		if len(failed) > 0 {
 			t.Fatal(failed)
 		}
-		return append(guards, wire.Guard{Path: "c/r/0", Stamp: claim}), wire.Change{Put: "c/r/0", Data: []byte("2")}
+		return append(guards, wire.Compare{Key: "c/r/0", ModRevision: claim}), wire.Operation{Put: "c/r/0", Value: []byte("2")}
 	}
 	before, late := begin("A")
 	after, _ := begin("B")
 	for i, g := range before {
-		if g.Stamp != after[i].Stamp {
+		if g.ModRevision != after[i].ModRevision {
 			t.Fatalf("the stamps did not come again: %v, %v", before, after)
 		}
 	}
 	if _, failed := commit(before, late); !Failed(failed) {
 		t.Errorf("a write of the history that was lost was applied: %v", failed)
 	}
-	if _, failed := commit(slices.DeleteFunc(before, func(g wire.Guard) bool { return strings.HasPrefix(g.Path, markers) }), late); len(failed) > 0 {
+	if _, failed := commit(slices.DeleteFunc(before, func(g wire.Compare) bool { return strings.HasPrefix(g.Key, markers) }), late); len(failed) > 0 {
 		t.Errorf("the guards do not come again in this test: %v", failed)
 	}
 }
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -38,14 +38,14 @@
 }
 
 func (a *Admin) commit(ctx context.Context, cs []change, e audit.Entry) error {
-	var txn wire.Commit
+	var txn wire.Txn
 	for _, c := range cs {
 		data, err := json.Marshal(c.value)
 		if err != nil {
 			return err
 		}
-		txn.Guards = append(txn.Guards, wire.Guard{Path: c.key, Stamp: c.stamp})
-		txn.Apply = append(txn.Apply, wire.Change{Put: c.key, Data: data})
+		txn.Compares = append(txn.Compares, wire.Compare{Key: c.key, ModRevision: c.stamp})
+		txn.Operations = append(txn.Operations, wire.Operation{Put: c.key, Value: data})
 	}
 	if a.Audited {
 		e.At, e.Who = a.Now(), a.By
@@ -56,7 +56,7 @@
 		if err != nil {
 			return err
 		}
-		txn.Apply = append(txn.Apply, put)
+		txn.Operations = append(txn.Operations, put)
 	}
 	return a.settle(ctx, txn)
 }
@@ -67,7 +67,7 @@
 // settle commits a change and sees to it that its fate is known: a token that was
 // stored but never shown is of use to nobody. Sent again it fails its guards if it went
 // through, and what is stored then tells whose change it was.
-func (a *Admin) settle(ctx context.Context, txn wire.Commit) error {
+func (a *Admin) settle(ctx context.Context, txn wire.Txn) error {
 	unsure := false
 	for try := 0; ; try++ {
 		_, failed, err := a.Store.Commit(ctx, txn)
@@ -76,7 +76,7 @@
 			return nil
 		case err == nil && unsure:
 			var mine bool
-			if mine, err = a.stored(ctx, txn.Apply[0]); mine {
+			if mine, err = a.stored(ctx, txn.Operations[0]); mine {
 				return nil
 			}
 			if err == nil {
@@ -96,13 +96,13 @@
 }
 
 // stored tells whether a key holds what a change put there.
-func (a *Admin) stored(ctx context.Context, c wire.Change) (bool, error) {
+func (a *Admin) stored(ctx context.Context, c wire.Operation) (bool, error) {
 	it, err := a.Store.Get(ctx, c.Put)
 	if err != nil {
 		return false, err
 	}
 	var have, want any
-	err = errors.Join(json.Unmarshal(it.Data, &have), json.Unmarshal(c.Data, &want))
+	err = errors.Join(json.Unmarshal(it.Value, &have), json.Unmarshal(c.Value, &want))
 	return err == nil && reflect.DeepEqual(have, want), err
 }
 
@@ -114,7 +114,7 @@
 	if err != nil {
 		return 0, err
 	}
-	return it.Stamp, json.Unmarshal(it.Data, v)
+	return it.ModRevision, json.Unmarshal(it.Value, v)
 }
 
 // Issue makes or changes an identity and gives it a token that holds for a while. The
@@ -208,14 +208,14 @@
 	}
 	for _, it := range items {
 		var t Token
-		if err := json.Unmarshal(it.Data, &t); err != nil || t.Who != name {
+		if err := json.Unmarshal(it.Value, &t); err != nil || t.Who != name {
 			continue
 		}
-		id := it.Path[len(TokenPrefix):]
+		id := it.Key[len(TokenPrefix):]
 		if !f(id, &t) {
 			continue
 		}
-		if err := a.commit(ctx, []change{{it.Path, it.Stamp, t}}, audit.Entry{Act: audit.Revoked, On: name, Why: "token " + id + " " + why}); err != nil {
+		if err := a.commit(ctx, []change{{it.Key, it.ModRevision, t}}, audit.Entry{Act: audit.Revoked, On: name, Why: "token " + id + " " + why}); err != nil {
 			return err
 		}
 	}
@@ -243,16 +243,16 @@
 		return m[name]
 	}
 	for _, it := range items {
-		if name, ok := strings.CutPrefix(it.Path, WhoPrefix); ok {
-			err = json.Unmarshal(it.Data, &at(name).Record)
-		} else if id, ok := strings.CutPrefix(it.Path, TokenPrefix); ok {
+		if name, ok := strings.CutPrefix(it.Key, WhoPrefix); ok {
+			err = json.Unmarshal(it.Value, &at(name).Record)
+		} else if id, ok := strings.CutPrefix(it.Key, TokenPrefix); ok {
 			var t Token
-			if err = json.Unmarshal(it.Data, &t); err == nil {
+			if err = json.Unmarshal(it.Value, &t); err == nil {
 				at(t.Who).Tokens[id] = t
 			}
 		}
 		if err != nil {
-			return nil, fmt.Errorf("identity: %s: %w", it.Path, err)
+			return nil, fmt.Errorf("identity: %s: %w", it.Key, err)
 		}
 	}
 	var out []Known
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -100,7 +100,7 @@
 	rights.Identity
 	// Guards are the conditions under which the caller still is who it is: every
 	// change made for it carries them.
-	Guards []wire.Guard
+	Guards []wire.Compare
 }
 
 // stamped is a record with its revision.
@@ -155,7 +155,7 @@
 	}
 	return Caller{
 		Identity: rights.Identity{Name: t.v.Who, Kind: w.v.Kind, Teams: w.v.Teams, Roles: w.v.Roles},
-		Guards:   []wire.Guard{{Path: TokenPrefix + id, Stamp: t.stamp}, {Path: WhoPrefix + t.v.Who, Stamp: w.stamp}},
+		Guards:   []wire.Compare{{Key: TokenPrefix + id, ModRevision: t.stamp}, {Key: WhoPrefix + t.v.Who, ModRevision: w.stamp}},
 	}, nil
 }
 
@@ -175,28 +175,28 @@
 	return st.Follow(ctx, state.Follower{Under: Prefix, Wait: every, Base: every / 16, Limit: every, Whole: r.replace, News: r.apply})
 }
 
-func (r *Registry) replace(items []wire.Item, at time.Time) {
+func (r *Registry) replace(items []wire.KeyValue, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.who)
 	clear(r.tokens)
 	for _, it := range items {
-		r.put(it.Path, it.Data, it.Stamp)
+		r.put(it.Key, it.Value, it.ModRevision)
 	}
 	r.fresh = at
 }
 
-func (r *Registry) apply(log []wire.Change, at time.Time) {
+func (r *Registry) apply(log []wire.Operation, at time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range log {
 		switch {
 		case c.Put != "":
-			r.put(c.Put, c.Data, c.Stamp)
-		case strings.HasPrefix(c.Remove, WhoPrefix):
-			delete(r.who, c.Remove[len(WhoPrefix):])
-		case strings.HasPrefix(c.Remove, TokenPrefix):
-			delete(r.tokens, c.Remove[len(TokenPrefix):])
+			r.put(c.Put, c.Value, c.ModRevision)
+		case strings.HasPrefix(c.Delete, WhoPrefix):
+			delete(r.who, c.Delete[len(WhoPrefix):])
+		case strings.HasPrefix(c.Delete, TokenPrefix):
+			delete(r.tokens, c.Delete[len(TokenPrefix):])
 		}
 	}
 	r.fresh = at
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -16,12 +16,12 @@
 
 // shelf is a state service of a few keys. Answers to its next commits are lost.
 type shelf struct {
-	m    map[string]wire.Item
+	m    map[string]wire.KeyValue
 	rev  uint64
 	lose int
 }
 
-func (s *shelf) Get(_ context.Context, key string) (wire.Item, error) {
+func (s *shelf) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	it, ok := s.m[key]
 	if !ok {
 		return it, state.ErrNotFound
@@ -29,7 +29,7 @@
 	return it, nil
 }
 
-func (s *shelf) List(_ context.Context, under string) (out []wire.Item, gen uint64, err error) {
+func (s *shelf) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
 	for k, it := range s.m {
 		if strings.HasPrefix(k, under) {
 			out = append(out, it)
@@ -38,15 +38,15 @@
 	return out, s.rev, nil
 }
 
-func (s *shelf) Commit(_ context.Context, t wire.Commit) (uint64, []string, error) {
-	for _, g := range t.Guards {
-		if s.m[g.Path].Stamp != g.Stamp {
-			return 0, []string{g.Path}, nil
+func (s *shelf) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
+	for _, g := range t.Compares {
+		if s.m[g.Key].ModRevision != g.ModRevision {
+			return 0, []string{g.Key}, nil
 		}
 	}
 	s.rev++
-	for _, c := range t.Apply {
-		s.m[c.Put] = wire.Item{Path: c.Put, Data: c.Data, Stamp: s.rev}
+	for _, c := range t.Operations {
+		s.m[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: s.rev}
 	}
 	if s.lose > 0 {
 		s.lose--
@@ -57,7 +57,7 @@
 
 func TestTokens(t *testing.T) {
 	ring, now := keyring.Fresh(), time.Unix(1_764_600_000, 0)
-	st := &shelf{m: make(map[string]wire.Item)}
+	st := &shelf{m: make(map[string]wire.KeyValue)}
 	admin := &Admin{Store: st, Ring: ring, By: "test", Now: func() time.Time { return now }}
 	issue := func(name string, life time.Duration) string {
 		tok, err := admin.Issue(t.Context(), name, Record{Kind: "person", Teams: []string{"museum"}}, life)
@@ -134,7 +134,7 @@
 // no longer hold.
 func TestGuardsOutliveTheCopy(t *testing.T) {
 	ring, now := keyring.Fresh(), time.Unix(1_764_600_000, 0)
-	st := &shelf{m: make(map[string]wire.Item)}
+	st := &shelf{m: make(map[string]wire.KeyValue)}
 	admin := &Admin{Store: st, Ring: ring, Now: func() time.Time { return now }}
 	st.lose = 1 // the answer is lost: the token that is shown is the one that is stored
 	token, err := admin.Issue(t.Context(), "ana", Record{Kind: "service"}, time.Hour)
@@ -155,7 +155,7 @@
 	if _, err := r.Check(token); err != nil {
 		t.Fatalf("the copy knows already: %v", err)
 	}
-	_, failed, err := st.Commit(t.Context(), wire.Commit{Guards: c.Guards, Apply: []wire.Change{{Put: "j/x", Data: []byte("1")}}})
+	_, failed, err := st.Commit(t.Context(), wire.Txn{Compares: c.Guards, Operations: []wire.Operation{{Put: "j/x", Value: []byte("1")}}})
 	if err != nil || !Touched(failed) {
 		t.Errorf("done for a withdrawn token: %v, %v", failed, err)
 	}
--- a/internal/intake/check.go
+++ b/internal/intake/check.go
@@ -145,20 +145,20 @@
 		return *p
 	}
 	j = wire.Job{
-		Ref: str("ref", s.Ref), Class: str("jobclass", s.Class), Owner: str("owner", s.Owner),
-		Shape: str("shape", s.Shape), Rank: str("rank", s.Rank), Bundle: str("bundle", s.Bundle),
-		Cores: num("cores", s.Cores, false), Accel: num("accelerators", s.Accel, false),
-		RAM: num("ram_gb", s.RAM, false), SizeGB: num("size_gb", s.SizeGB, false),
-		SamePlace: flag("same_place", s.SamePlace), Scatter: flag("scatter", s.Scatter), Loaners: flag("loaners", s.Loaners),
-		ExpectS: num("expect_s", s.ExpectS, false), SnapshotS: num("snapshot_s", s.SnapshotS, false), FlushS: num("flush_s", s.FlushS, false),
-	}
-	if !ValidRef(j.Ref) {
+		ID: str("ref", s.Ref), Class: str("jobclass", s.Class), Team: str("owner", s.Owner),
+		Kind: str("shape", s.Shape), Priority: str("rank", s.Rank), Image: str("bundle", s.Bundle),
+		CPUs: num("cores", s.Cores, false), GPUs: num("accelerators", s.Accel, false),
+		MemoryGB: num("ram_gb", s.RAM, false), ImageGB: num("size_gb", s.SizeGB, false),
+		SingleZone: flag("same_place", s.SamePlace), SpreadZones: flag("scatter", s.Scatter), AllowSpot: flag("loaners", s.Loaners),
+		ExpectedSeconds: num("expect_s", s.ExpectS, false), CheckpointIntervalSeconds: num("snapshot_s", s.SnapshotS, false), CheckpointSaveSeconds: num("flush_s", s.FlushS, false),
+	}
+	if !ValidRef(j.ID) {
 		bad("ref", "wrong form")
 	}
-	if j.Shape != wire.Batch && j.Shape != wire.Standing && j.Shape != wire.Ensemble {
+	if j.Kind != wire.KindArray && j.Kind != wire.KindService && j.Kind != wire.KindGang {
 		bad("shape", "unknown")
 	}
-	if !slices.Contains(wire.Ranks(), j.Rank) {
+	if !slices.Contains(wire.Priorities(), j.Priority) {
 		bad("rank", "unknown")
 	}
 	switch {
@@ -167,19 +167,19 @@
 	case *s.Members < 1 || *s.Members > maxMembers:
 		bad("members", "invalid")
 	default:
-		j.Members = *s.Members
+		j.TaskCount = *s.Members
 	}
 	if s.Flavors != nil {
-		j.Flavors = *s.Flavors
-		if len(j.Flavors) == 0 || slices.Contains(j.Flavors, "") {
+		j.InstanceTypes = *s.Flavors
+		if len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, "") {
 			bad("flavors", "invalid")
 		}
 	}
 	if s.Locale != nil {
-		j.Locale = str("locale", s.Locale)
+		j.Zone = str("locale", s.Locale)
 	}
 	if s.DueS != nil {
-		j.DueS = num("due_s", s.DueS, false)
+		j.DeadlineSeconds = num("due_s", s.DueS, false)
 	}
 	for _, n := range s.Needs {
 		if !ValidRef(n) {
@@ -187,7 +187,7 @@
 			break
 		}
 	}
-	j.Needs = slices.Compact(slices.Sorted(slices.Values(s.Needs)))
+	j.DependsOn = slices.Compact(slices.Sorted(slices.Values(s.Needs)))
 	return j, errors.Join(errs...)
 }
 
@@ -195,30 +195,30 @@
 var ErrUndecided = errors.New("machine types are not known yet")
 
 // Runnable tells why a job can never run, if so.
-func Runnable(j *wire.Job, set *settings.Settings, types map[string]*wire.MachineType) error {
-	team, ok := set.Team(j.Owner)
+func Runnable(j *wire.Job, set *settings.Settings, types map[string]*wire.InstanceType) error {
+	team, ok := set.Team(j.Team)
 	if !ok {
-		return fmt.Errorf("unknown team %q", j.Owner)
+		return fmt.Errorf("unknown team %q", j.Team)
 	}
 	n := 1.0
-	if j.Shape != wire.Batch {
-		n = float64(j.Members)
+	if j.Kind != wire.KindArray {
+		n = float64(j.TaskCount)
 	}
 	const slack = 1e-6
-	if j.Cores*n > team.CPUsMax+slack || j.Accel*n > team.GPUsMax+slack {
-		return fmt.Errorf("more than the limit of team %q", j.Owner)
+	if j.CPUs*n > team.CPUsMax+slack || j.GPUs*n > team.GPUsMax+slack {
+		return fmt.Errorf("more than the limit of team %q", j.Team)
 	}
 	if types == nil {
 		return ErrUndecided
 	}
 	zones := make(map[string]bool)
 	for _, t := range types {
-		if len(j.Flavors) > 0 && !slices.Contains(j.Flavors, t.Label) ||
-			j.Cores > t.Cores+slack || j.Accel > t.Accel+slack || j.RAM > t.RAM+slack {
+		if len(j.InstanceTypes) > 0 && !slices.Contains(j.InstanceTypes, t.Name) ||
+			j.CPUs > t.CPUs+slack || j.GPUs > t.GPUs+slack || j.MemoryGB > t.MemoryGB+slack {
 			continue
 		}
-		for _, z := range t.Locales {
-			if j.Locale == "" || j.Locale == z {
+		for _, z := range t.Zones {
+			if j.Zone == "" || j.Zone == z {
 				zones[z] = true
 			}
 		}
@@ -226,7 +226,7 @@
 	if len(zones) == 0 {
 		return errors.New("a task fits no allowed machine type")
 	}
-	if j.Shape != wire.Batch && j.Members > 1 && j.Scatter && (j.SamePlace || len(zones) < 2) {
+	if j.Kind != wire.KindArray && j.TaskCount > 1 && j.SpreadZones && (j.SingleZone || len(zones) < 2) {
 		return errors.New("the tasks cannot be spread as asked")
 	}
 	return nil
--- a/internal/intake/check_test.go
+++ b/internal/intake/check_test.go
@@ -66,30 +66,30 @@
 
 func TestRunnable(t *testing.T) {
 	set := &settings.Settings{Facts: settings.Facts{Teams: []settings.Team{{Name: "vision", CPUsMax: 64, GPUsMax: 4}}}}
-	types := map[string]*wire.MachineType{
-		"g8": {Label: "g8", Cores: 32, Accel: 4, RAM: 64, Locales: []string{"a"}},
-		"c4": {Label: "c4", Cores: 4, RAM: 16, Locales: []string{"a", "b"}},
+	types := map[string]*wire.InstanceType{
+		"g8": {Name: "g8", CPUs: 32, GPUs: 4, MemoryGB: 64, Zones: []string{"a"}},
+		"c4": {Name: "c4", CPUs: 4, MemoryGB: 16, Zones: []string{"a", "b"}},
 	}
 	for _, tc := range []struct {
 		name  string
 		tweak func(*wire.Job)
-		types map[string]*wire.MachineType
+		types map[string]*wire.InstanceType
 		want  string
 	}{
 		{"fits", func(*wire.Job) {}, types, ""},
-		{"unknown team", func(j *wire.Job) { j.Owner = "x" }, types, "unknown team"},
-		{"array: one task counts", func(j *wire.Job) { j.Members = 1000 }, types, ""},
-		{"service: all tasks count", func(j *wire.Job) { j.Shape = wire.Standing; j.Members = 33 }, types, "limit"},
-		{"too large for any", func(j *wire.Job) { j.RAM = 65 }, types, "fits no allowed"},
-		{"not in that zone", func(j *wire.Job) { j.Cores = 8; j.Locale = "b" }, types, "fits no allowed"},
-		{"not of that type", func(j *wire.Job) { j.Cores = 8; j.Flavors = []string{"c4"} }, types, "fits no allowed"},
-		{"spread over one zone", func(j *wire.Job) { j.Shape = wire.Standing; j.Scatter = true; j.Locale = "a" }, types, "spread"},
-		{"spread and together", func(j *wire.Job) { j.Shape = wire.Standing; j.Scatter, j.SamePlace = true, true }, types, "spread"},
+		{"unknown team", func(j *wire.Job) { j.Team = "x" }, types, "unknown team"},
+		{"array: one task counts", func(j *wire.Job) { j.TaskCount = 1000 }, types, ""},
+		{"service: all tasks count", func(j *wire.Job) { j.Kind = wire.KindService; j.TaskCount = 33 }, types, "limit"},
+		{"too large for any", func(j *wire.Job) { j.MemoryGB = 65 }, types, "fits no allowed"},
+		{"not in that zone", func(j *wire.Job) { j.CPUs = 8; j.Zone = "b" }, types, "fits no allowed"},
+		{"not of that type", func(j *wire.Job) { j.CPUs = 8; j.InstanceTypes = []string{"c4"} }, types, "fits no allowed"},
+		{"spread over one zone", func(j *wire.Job) { j.Kind = wire.KindService; j.SpreadZones = true; j.Zone = "a" }, types, "spread"},
+		{"spread and together", func(j *wire.Job) { j.Kind = wire.KindService; j.SpreadZones, j.SingleZone = true, true }, types, "spread"},
 		{"types not known", func(*wire.Job) {}, nil, ErrUndecided.Error()},
-		{"unknown team while types are not known", func(j *wire.Job) { j.Owner = "x" }, nil, "unknown team"},
+		{"unknown team while types are not known", func(j *wire.Job) { j.Team = "x" }, nil, "unknown team"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			j := wire.Job{Owner: "vision", Shape: wire.Batch, Members: 2, Cores: 2, RAM: 8}
+			j := wire.Job{Team: "vision", Kind: wire.KindArray, TaskCount: 2, CPUs: 2, MemoryGB: 8}
 			tc.tweak(&j)
 			err := Runnable(&j, set, tc.types)
 			if (tc.want == "") != (err == nil) || err != nil && !strings.Contains(err.Error(), tc.want) {
@@ -105,12 +105,12 @@
 func TestMemoryIsBounded(t *testing.T) {
 	m := newMemory(3)
 	for _, r := range []string{"a", "b", "a", "c", "d"} {
-		m.put(r, known{Phase: wire.Phase{Ref: r}})
+		m.put(r, known{JobStatus: wire.JobStatus{ID: r}})
 	}
 	if _, ok := m.get("a"); ok || len(m.m) != 3 {
 		t.Errorf("%d kept", len(m.m))
 	}
-	if p, ok := m.get("d"); !ok || p.Ref != "d" {
+	if p, ok := m.get("d"); !ok || p.ID != "d" {
 		t.Error("the newest is gone")
 	}
 }
@@ -123,7 +123,7 @@
 		if err != nil {
 			return
 		}
-		if ref != j.Ref || !ValidRef(ref) || j.Members < 1 || j.Members > maxMembers || j.Cores < 0 {
+		if ref != j.ID || !ValidRef(ref) || j.TaskCount < 1 || j.TaskCount > maxMembers || j.CPUs < 0 {
 			t.Fatalf("accepted %+v", j)
 		}
 		if _, err := json.Marshal(j); err != nil {
@@ -156,7 +156,7 @@
 			if rec := submit(mux, "req-2", nil, tc.old, tc.new); rec.Code != want {
 				t.Errorf("not known: %d %s", rec.Code, rec.Body)
 			}
-			if rec := submit(mux, "req-1", nil, tc.old, tc.new); rec.Code != 200 || !strings.Contains(rec.Body.String(), wire.Queued) {
+			if rec := submit(mux, "req-1", nil, tc.old, tc.new); rec.Code != 200 || !strings.Contains(rec.Body.String(), wire.PhaseQueued) {
 				t.Errorf("known: %d %s", rec.Code, rec.Body)
 			}
 			if _, ok := k.m["j/req-2"]; ok {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -54,7 +54,7 @@
 
 // known is what is told of a job, with whose it is where identities are on.
 type known struct {
-	wire.Phase
+	wire.JobStatus
 	owner  string
 	herald bool // of a withdrawn job: a user may be told
 }
@@ -106,7 +106,7 @@
 // later tells the user to come back after some time.
 func later(w http.ResponseWriter, why string, after time.Duration) {
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
-	reply(w, http.StatusServiceUnavailable, wire.Error{Error: why})
+	reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: why})
 }
 
 // patience bounds what one request may wait for the state service: a user
@@ -136,7 +136,7 @@
 		u.refuse(ctx, w, who, ref, status, bad)
 		return
 	}
-	ask := rights.Request{Do: rights.Submit, Owner: job.Owner, Rank: job.Rank}
+	ask := rights.Request{Do: rights.Submit, Owner: job.Team, Rank: job.Priority}
 	dec := u.door.Judge(who, ask, ref, "")
 	if !dec.Allowed {
 		u.refuse(ctx, w, who, ref, http.StatusForbidden, errors.New(dec.Rule))
@@ -175,8 +175,8 @@
 		return
 	}
 	if fresh {
-		u.log.Info("accepted", "job", ref, "who", who.Name, "class", job.Class, "owner", job.Owner, "tasks", job.Members, "cores", job.Cores, "ram_gb", job.RAM, "expect_s", job.ExpectS, "due_s", job.DueS, "waits_on", job.Needs, "bundle", job.Bundle, "size_gb", job.SizeGB, "took_ms", u.now().Sub(began).Milliseconds())
-		reply(w, http.StatusCreated, wire.Phase{Ref: ref, Phase: wire.Queued})
+		u.log.Info("accepted", "job", ref, "who", who.Name, "class", job.Class, "owner", job.Team, "tasks", job.TaskCount, "cores", job.CPUs, "ram_gb", job.MemoryGB, "expect_s", job.ExpectedSeconds, "due_s", job.DeadlineSeconds, "waits_on", job.DependsOn, "bundle", job.Image, "size_gb", job.ImageGB, "took_ms", u.now().Sub(began).Milliseconds())
+		reply(w, http.StatusCreated, wire.JobStatus{ID: ref, Phase: wire.PhaseQueued})
 		return
 	}
 	if p, err = u.lookup(ctx, ref); err != nil {
@@ -197,7 +197,7 @@
 	switch {
 	case errors.Is(err, identity.ErrToken):
 		w.Header().Set("WWW-Authenticate", `Bearer realm="rillflow"`)
-		reply(w, http.StatusUnauthorized, wire.Error{Error: identity.ErrToken.Error()})
+		reply(w, http.StatusUnauthorized, wire.ErrorResponse{Error: identity.ErrToken.Error()})
 	case errors.Is(err, identity.ErrStale):
 		later(w, "identities cannot be checked", u.set.Report())
 	default:
@@ -208,8 +208,8 @@
 
 // tell answers with a job's state, if the caller may know it.
 func (u *Users) tell(ctx context.Context, w http.ResponseWriter, who identity.Caller, p known) {
-	if dec := u.door.Judge(who, rights.Request{Do: rights.Read, Owner: p.owner}, p.Ref, ""); !dec.Allowed {
-		reply(w, http.StatusForbidden, wire.Error{Error: dec.Rule})
+	if dec := u.door.Judge(who, rights.Request{Do: rights.Read, Owner: p.owner}, p.ID, ""); !dec.Allowed {
+		reply(w, http.StatusForbidden, wire.ErrorResponse{Error: dec.Rule})
 		return
 	}
 	u.say(ctx, w, p)
@@ -218,16 +218,16 @@
 // say answers with a job's state. That it is withdrawn is a promise about its tasks, so
 // it is said only once those know that must keep it; until then the user comes back.
 func (u *Users) say(ctx context.Context, w http.ResponseWriter, p known) {
-	if p.Phase.Phase == wire.Withdrawn && !p.herald {
-		if err := u.herald.Tell(ctx, p.Ref); err != nil {
-			u.log.Info("withdrawn, and not told yet", "job", p.Ref, "err", err)
+	if p.JobStatus.Phase == wire.PhaseCancelled && !p.herald {
+		if err := u.herald.Tell(ctx, p.ID); err != nil {
+			u.log.Info("withdrawn, and not told yet", "job", p.ID, "err", err)
 			busy(w, "withdrawn, to be known to all controllers")
 			return
 		}
 		p.herald = true
-		u.ended.put(p.Ref, p)
+		u.ended.put(p.ID, p)
 	}
-	reply(w, http.StatusOK, p.Phase)
+	reply(w, http.StatusOK, p.JobStatus)
 }
 
 // refuse answers a submission that cannot be taken. A job that is known is never
@@ -248,7 +248,7 @@
 		busy(w, bad.Error())
 		return
 	}
-	reply(w, status, wire.Error{Error: bad.Error()})
+	reply(w, status, wire.ErrorResponse{Error: bad.Error()})
 }
 
 // errLarge: what must be remembered of a job does not fit a value of the state
@@ -275,25 +275,25 @@
 	if u.down() {
 		return false, nil, state.ErrRefused
 	}
-	put := wire.Change{Put: ledger.LiveKey(job.Ref), Data: data}
+	put := wire.Operation{Put: ledger.LiveKey(job.ID), Value: data}
 	for try := 0; ; try++ {
 		var gen uint64
 		var failed []string
 		fence, err := u.fence()
-		if err == nil && u.unstored(job.Ref) {
+		if err == nil && u.unstored(job.ID) {
 			err = history.ErrDoubt
 		}
 		if err == nil {
-			gen, failed, err = u.st.Commit(ctx, wire.Commit{
-				Guards: slices.Concat([]wire.Guard{{Path: ledger.LiveKey(job.Ref)}, {Path: ledger.EndedKey(job.Ref)}}, fence, who.Guards),
-				Apply:  []wire.Change{put},
+			gen, failed, err = u.st.Commit(ctx, wire.Txn{
+				Compares:   slices.Concat([]wire.Compare{{Key: ledger.LiveKey(job.ID)}, {Key: ledger.EndedKey(job.ID)}}, fence, who.Guards),
+				Operations: []wire.Operation{put},
 			})
 		}
 		if err == nil && history.Failed(failed) {
 			u.past.Check()
 			err = history.ErrDoubt
 		}
-		if err == nil && identity.Touched(failed) && !slices.Contains(failed, ledger.LiveKey(job.Ref)) && !slices.Contains(failed, ledger.EndedKey(job.Ref)) {
+		if err == nil && identity.Touched(failed) && !slices.Contains(failed, ledger.LiveKey(job.ID)) && !slices.Contains(failed, ledger.EndedKey(job.ID)) {
 			// Withdrawn since the token was checked, or only changed: the next
 			// try is judged by what it is then.
 			return false, nil, identity.ErrToken
@@ -302,8 +302,8 @@
 			if len(failed) == 0 {
 				u.copies.Own(gen, put)
 			}
-			if len(failed) == 0 && job.Shape != wire.Standing {
-				u.batch.put(job.Ref, known{owner: job.Owner})
+			if len(failed) == 0 && job.Kind != wire.KindService {
+				u.batch.put(job.ID, known{owner: job.Team})
 			}
 			return len(failed) == 0, nil, nil
 		}
@@ -357,18 +357,18 @@
 		if _, err := u.fence(); err != nil {
 			return known{}, err
 		}
-		p := known{Phase: wire.Phase{Ref: ref, Phase: wire.Queued}}
+		p := known{JobStatus: wire.JobStatus{ID: ref, Phase: wire.PhaseQueued}}
 		if !u.door.Open() {
-			rec, err := ledger.DecodeRecord(it.Data)
+			rec, err := ledger.DecodeRecord(it.Value)
 			if err != nil {
 				return known{}, fmt.Errorf("intake: %s: %w", ref, err)
 			}
-			p.owner = rec.Job.Owner
+			p.owner = rec.Job.Team
 		}
 		if done, running, ok, _ := u.counts(ctx, ref); ok {
 			p.Done, p.Running = &done, &running
 			if running > 0 {
-				p.Phase.Phase = wire.Running
+				p.JobStatus.Phase = wire.PhaseRunning
 			}
 		}
 		return p, nil
@@ -381,7 +381,7 @@
 		return known{}, err
 	}
 	var e ledger.Ending
-	if err := json.Unmarshal(it.Data, &e); err != nil {
+	if err := json.Unmarshal(it.Value, &e); err != nil {
 		return known{}, fmt.Errorf("intake: %s: %w", ref, err)
 	}
 	return u.remember(ref, e), nil
@@ -389,8 +389,8 @@
 
 func (u *Users) remember(ref string, e ledger.Ending) known {
 	zero := 0
-	p := known{Phase: wire.Phase{Ref: ref, Phase: e.Phase, Running: &zero}, owner: e.Owner}
-	if e.Phase == wire.Done {
+	p := known{JobStatus: wire.JobStatus{ID: ref, Phase: e.Phase, Running: &zero}, owner: e.Owner}
+	if e.Phase == wire.PhaseDone {
 		p.Done = &e.Tasks
 	}
 	if had, ok := u.ended.get(ref); ok {
@@ -403,7 +403,7 @@
 func (u *Users) poll(w http.ResponseWriter, r *http.Request) {
 	ref := r.PathValue("ref")
 	if !ValidRef(ref) {
-		reply(w, http.StatusNotFound, wire.Error{Error: "no such job"})
+		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 		return
 	}
 	who, ok := u.who(w, r)
@@ -417,7 +417,7 @@
 	case err == nil:
 		u.tell(ctx, w, who, p)
 	case errors.Is(err, state.ErrNotFound):
-		reply(w, http.StatusNotFound, wire.Error{Error: "no such job"})
+		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 	default:
 		busy(w, "state service")
 	}
@@ -426,7 +426,7 @@
 func (u *Users) withdraw(w http.ResponseWriter, r *http.Request) {
 	ref := r.PathValue("ref")
 	if !ValidRef(ref) {
-		reply(w, http.StatusNotFound, wire.Error{Error: "no such job"})
+		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 		return
 	}
 	who, ok := u.who(w, r)
@@ -442,12 +442,12 @@
 			u.say(ctx, w, p)
 			return
 		case errors.Is(err, errDenied):
-			reply(w, http.StatusForbidden, wire.Error{Error: err.Error()})
+			reply(w, http.StatusForbidden, wire.ErrorResponse{Error: err.Error()})
 			return
 		case u.unauthorized(w, err):
 			return
 		case errors.Is(err, state.ErrNotFound):
-			reply(w, http.StatusNotFound, wire.Error{Error: "no such job"})
+			reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 			return
 		case !u.again(ctx, err, try):
 			busy(w, "state service")
@@ -491,12 +491,12 @@
 		_, err := u.may(who, rights.Withdraw, p.owner, ref)
 		return p, err
 	}
-	rec, err := ledger.DecodeRecord(it.Data)
+	rec, err := ledger.DecodeRecord(it.Value)
 	if err != nil {
 		u.past.Doubt(fmt.Sprintf("the record of job %s cannot be read", ref))
 		return known{}, fmt.Errorf("intake: %s: %w: %w", ref, history.ErrDoubt, err)
 	}
-	dec, err := u.may(who, rights.Withdraw, rec.Job.Owner, ref)
+	dec, err := u.may(who, rights.Withdraw, rec.Job.Team, ref)
 	if err != nil {
 		return known{}, err
 	}
@@ -509,10 +509,10 @@
 	if err != nil {
 		return known{}, err
 	}
-	changes := []wire.Change{{Remove: ledger.LiveKey(ref)}, {Put: ledger.EndedKey(ref), Data: data}}
-	gen, failed, err := u.st.Commit(ctx, wire.Commit{
-		Guards: slices.Concat([]wire.Guard{{Path: ledger.LiveKey(ref), Stamp: it.Stamp}}, fence, who.Guards),
-		Apply:  append(slices.Clone(changes), told...),
+	changes := []wire.Operation{{Delete: ledger.LiveKey(ref)}, {Put: ledger.EndedKey(ref), Value: data}}
+	gen, failed, err := u.st.Commit(ctx, wire.Txn{
+		Compares:   slices.Concat([]wire.Compare{{Key: ledger.LiveKey(ref), ModRevision: it.ModRevision}}, fence, who.Guards),
+		Operations: append(slices.Clone(changes), told...),
 	})
 	if err != nil {
 		return known{}, err
--- a/internal/intake/needs.go
+++ b/internal/intake/needs.go
@@ -27,20 +27,20 @@
 // out of what is kept, for they will stay so. bad tells why the job can never
 // run; err, that it cannot be decided now.
 func (u *Users) needs(ctx context.Context, who identity.Caller, job *wire.Job) (bad, err error) {
-	if len(job.Needs) == 0 {
+	if len(job.DependsOn) == 0 {
 		return nil, nil
 	}
-	if len(job.Needs) > maxNeeds {
+	if len(job.DependsOn) > maxNeeds {
 		return fmt.Errorf("waits_on: more than %d jobs", maxNeeds), nil
 	}
-	if slices.Contains(job.Needs, job.Ref) {
+	if slices.Contains(job.DependsOn, job.ID) {
 		return errors.New("waits_on: the job itself"), nil
 	}
-	open := make([]bool, len(job.Needs))
-	bads := make([]error, len(job.Needs))
+	open := make([]bool, len(job.DependsOn))
+	bads := make([]error, len(job.DependsOn))
 	g, gctx := errgroup.WithContext(ctx)
 	g.SetLimit(lookups)
-	for i, ref := range job.Needs {
+	for i, ref := range job.DependsOn {
 		g.Go(func() (err error) {
 			var owner string
 			if open[i], owner, bads[i], err = u.need(gctx, ref); err == nil && bads[i] == nil {
@@ -56,19 +56,19 @@
 	if bad := errors.Join(bads...); bad != nil {
 		return bad, nil
 	}
-	kept := job.Needs[:0:0]
-	for i, ref := range job.Needs {
+	kept := job.DependsOn[:0:0]
+	for i, ref := range job.DependsOn {
 		if open[i] {
 			kept = append(kept, ref)
 		}
 	}
-	job.Needs = kept
+	job.DependsOn = kept
 	return nil, nil
 }
 
 // lifts tells why a submission may not name a job that it waits for.
 func (u *Users) lifts(who identity.Caller, job *wire.Job, ref, owner string) error {
-	dec := u.door.Judge(who, rights.Request{Do: rights.Need, Owner: owner, Rank: job.Rank}, job.Ref, "waits_on "+ref+": ")
+	dec := u.door.Judge(who, rights.Request{Do: rights.Need, Owner: owner, Rank: job.Priority}, job.ID, "waits_on "+ref+": ")
 	if dec.Allowed {
 		return nil
 	}
@@ -78,10 +78,10 @@
 // need looks one job up, and tells whether it is still to be waited for. A
 // withdrawn one is: the leader sees to what becomes of those after it.
 func (u *Users) need(ctx context.Context, ref string) (open bool, owner string, bad, err error) {
-	if p, ok := u.ended.get(ref); ok && p.Phase.Phase == wire.Done {
+	if p, ok := u.ended.get(ref); ok && p.JobStatus.Phase == wire.PhaseDone {
 		return false, p.owner, nil, nil
 	}
-	if p, ok := u.recall(ref); ok && p.Phase.Phase == wire.Done {
+	if p, ok := u.recall(ref); ok && p.JobStatus.Phase == wire.PhaseDone {
 		return false, p.owner, nil, nil
 	}
 	if p, ok := u.batch.get(ref); ok {
@@ -103,14 +103,14 @@
 	before := u.glance(ref)
 	it, err := u.st.Get(ctx, ledger.LiveKey(ref))
 	if err == nil {
-		rec, err := ledger.DecodeRecord(it.Data)
-		if err == nil && rec.Job.Shape == wire.Standing {
+		rec, err := ledger.DecodeRecord(it.Value)
+		if err == nil && rec.Job.Kind == wire.KindService {
 			return false, "", service, nil
 		}
 		if err == nil {
-			u.batch.put(ref, known{owner: rec.Job.Owner})
+			u.batch.put(ref, known{owner: rec.Job.Team})
 		}
-		return true, rec.Job.Owner, nil, err
+		return true, rec.Job.Team, nil, err
 	}
 	if !errors.Is(err, state.ErrNotFound) {
 		return false, "", nil, err
@@ -127,12 +127,12 @@
 		return false, "", nil, err
 	}
 	var e ledger.Ending
-	if err := json.Unmarshal(it.Data, &e); err != nil {
+	if err := json.Unmarshal(it.Value, &e); err != nil {
 		return false, "", nil, fmt.Errorf("intake: %s: %w", ref, err)
 	}
 	u.remember(ref, e)
-	if e.Job.Shape == wire.Standing {
+	if e.Job.Kind == wire.KindService {
 		return false, "", service, nil
 	}
-	return e.Phase != wire.Done, e.Owner, nil, nil
+	return e.Phase != wire.PhaseDone, e.Owner, nil, nil
 }
--- a/internal/intake/needs_test.go
+++ b/internal/intake/needs_test.go
@@ -63,20 +63,20 @@
 		fmt.Fprint(w, `{"items":[],"generation":2}`)
 		return
 	}
-	var t wire.Commit
+	var t wire.Txn
 	json.NewDecoder(r.Body).Decode(&t)
-	for _, g := range t.Guards {
-		if _, there := k.m[g.Path]; there != (g.Stamp > 0) {
+	for _, g := range t.Compares {
+		if _, there := k.m[g.Key]; there != (g.ModRevision > 0) {
 			w.WriteHeader(409)
-			fmt.Fprintf(w, `{"failed":[%q]}`, g.Path)
+			fmt.Fprintf(w, `{"failed":[%q]}`, g.Key)
 			return
 		}
 	}
-	for _, c := range t.Apply {
+	for _, c := range t.Operations {
 		if c.Put != "" {
-			k.m[c.Put] = string(c.Data)
+			k.m[c.Put] = string(c.Value)
 		} else {
-			delete(k.m, c.Remove)
+			delete(k.m, c.Delete)
 		}
 	}
 	fmt.Fprint(w, `{"generation":2}`)
@@ -90,13 +90,13 @@
 	doubted          string
 }
 
-func (p *past) Fence() ([]wire.Guard, history.Phase, error) { return nil, p.phase, p.err }
-func (p *past) Doubt(why string)                            { p.doubted = why }
-func (p *past) Check()                                      {}
-func (p *past) Lost() bool                                  { return p.lost }
-func (p *past) Fresh() bool                                 { return p.fresh }
-func (p *past) Young() bool                                 { return false }
-func (p *past) Fed() bool                                   { return p.fed }
+func (p *past) Fence() ([]wire.Compare, history.Phase, error) { return nil, p.phase, p.err }
+func (p *past) Doubt(why string)                              { p.doubted = why }
+func (p *past) Check()                                        {}
+func (p *past) Lost() bool                                    { return p.lost }
+func (p *past) Fresh() bool                                   { return p.fresh }
+func (p *past) Young() bool                                   { return false }
+func (p *past) Fed() bool                                     { return p.fed }
 
 // herald stands in for those who must know of a withdrawal before a user does.
 type herald struct {
@@ -119,7 +119,7 @@
 	var d net.Dialer
 	st := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RPS: 1e4, Limits: state.Limits{WriteRPS: 1e4}, Timeout: 5 * time.Second, Dial: d.DialContext})
 	types := fleet.NewCatalogue(nil, time.Minute, nil)
-	types.Set([]wire.MachineType{{Label: "g8", Cores: 96, Accel: 8, RAM: 768, Locales: []string{"a"}}})
+	types.Set([]wire.InstanceType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}})
 	u := New(set, st, types, func(context.Context, string) (int, int, bool, error) { return 0, 0, false, nil }, func() bool { return false }, func() bool { return false }, access.New(set, st, nil, slog.New(slog.DiscardHandler)), &past{phase: history.Whole, fed: true}, copies.New(1<<20, nil), &herald{}, time.Now, slog.New(slog.DiscardHandler))
 	mux := http.NewServeMux()
 	u.Routes(mux)
@@ -222,8 +222,8 @@
 				return
 			}
 			r, err := ledger.DecodeRecord([]byte(k.m["j/req-10"]))
-			if err != nil || !reflect.DeepEqual(r.Job.Needs, tc.kept) {
-				t.Errorf("kept %v, %v", r.Job.Needs, err)
+			if err != nil || !reflect.DeepEqual(r.Job.DependsOn, tc.kept) {
+				t.Errorf("kept %v, %v", r.Job.DependsOn, err)
 			}
 			if len(k.m["j/req-10"]) > 2<<10 {
 				t.Errorf("a record of %d bytes", len(k.m["j/req-10"]))
--- a/internal/intake/past.go
+++ b/internal/intake/past.go
@@ -20,7 +20,7 @@
 type Past interface {
 	// Fence is the present history's guard and phase; an error while data may have
 	// been lost.
-	Fence() ([]wire.Guard, history.Phase, error)
+	Fence() ([]wire.Compare, history.Phase, error)
 	// Doubt notes that a key is gone that nobody removed.
 	Doubt(why string)
 	// Check has the history read anew: a guard on it did not hold.
@@ -109,7 +109,7 @@
 
 // fence is the guard that a write carries. Nothing is written while a history is put
 // together again.
-func (u *Users) fence() ([]wire.Guard, error) {
+func (u *Users) fence() ([]wire.Compare, error) {
 	gs, phase, err := u.past.Fence()
 	if err == nil && phase == history.Rebuild {
 		err = history.ErrDoubt
@@ -152,11 +152,11 @@
 	if !ok {
 		return known{}, state.ErrNotFound
 	}
-	return known{Phase: wire.Phase{Ref: ref, Phase: wire.Running, Running: &running}}, nil
+	return known{JobStatus: wire.JobStatus{ID: ref, Phase: wire.PhaseRunning, Running: &running}}, nil
 }
 
 // endLost withdraws a job of which there is nothing but tasks on machines.
-func (u *Users) endLost(ctx context.Context, who identity.Caller, ref string, fence []wire.Guard, before glance) (known, error) {
+func (u *Users) endLost(ctx context.Context, who identity.Caller, ref string, fence []wire.Compare, before glance) (known, error) {
 	if _, err := u.absent(ctx, ref, before); err != nil {
 		return known{}, err
 	}
@@ -168,10 +168,10 @@
 	if err != nil {
 		return known{}, err
 	}
-	put := wire.Change{Put: ledger.EndedKey(ref), Data: data}
-	gen, failed, err := u.st.Commit(ctx, wire.Commit{
-		Guards: slices.Concat([]wire.Guard{{Path: ledger.LiveKey(ref)}, {Path: ledger.EndedKey(ref)}}, fence, who.Guards),
-		Apply:  []wire.Change{put},
+	put := wire.Operation{Put: ledger.EndedKey(ref), Value: data}
+	gen, failed, err := u.st.Commit(ctx, wire.Txn{
+		Compares:   slices.Concat([]wire.Compare{{Key: ledger.LiveKey(ref)}, {Key: ledger.EndedKey(ref)}}, fence, who.Guards),
+		Operations: []wire.Operation{put},
 	})
 	if err != nil {
 		return known{}, err
--- a/internal/intake/past_test.go
+++ b/internal/intake/past_test.go
@@ -29,27 +29,27 @@
 	}{
 		{"doubt, nothing known", past{err: history.ErrDoubt}, nil, nil, "GET req-1", 503, "", false},
 		{"doubt, alive as stored: it may be older than what was told", past{err: history.ErrDoubt}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
-		{"doubt, an end in memory", past{err: history.ErrDoubt}, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.Done, false},
+		{"doubt, an end in memory", past{err: history.ErrDoubt}, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, false},
 		{"doubt, a new job", past{err: history.ErrDoubt}, nil, nil, "POST req-1", 503, "", false},
 		{"doubt, a withdrawal", past{err: history.ErrDoubt}, map[string]string{"j/req-1": live}, nil, "END req-1", 503, "", false},
-		{"doubt, a withdrawal of what is over", past{err: history.ErrDoubt}, nil, map[string]string{"d/req-1": done}, "END req-1", 200, wire.Done, false},
+		{"doubt, a withdrawal of what is over", past{err: history.ErrDoubt}, nil, map[string]string{"d/req-1": done}, "END req-1", 200, wire.PhaseDone, false},
 		{"rebuild, a new job", past{phase: history.Rebuild, fed: true}, nil, nil, "POST req-1", 503, "", false},
 		{"rebuild, alive", past{phase: history.Rebuild, fed: true}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
 		{"open, nothing known yet", past{phase: history.Open, fed: true}, nil, nil, "GET req-1", 503, "", false},
-		{"open, a new job", past{phase: history.Open, fed: true}, nil, nil, "POST req-1", 201, wire.Queued, false},
+		{"open, a new job", past{phase: history.Open, fed: true}, nil, nil, "POST req-1", 201, wire.PhaseQueued, false},
 		{"ends, nothing known: not all were heard", ends, nil, nil, "GET req-1", 503, "", false},
-		{"ends, a new job", ends, nil, nil, "POST req-1", 201, wire.Queued, false},
+		{"ends, a new job", ends, nil, nil, "POST req-1", 201, wire.PhaseQueued, false},
 		{"ends, no copy yet", past{phase: history.Ends}, nil, nil, "GET req-1", 503, "", false},
-		{"ends, an end to be stored", ends, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.Done, false},
-		{"ends, the same submitted again", ends, nil, map[string]string{"d/req-1": done}, "POST req-1", 200, wire.Done, false},
+		{"ends, an end to be stored", ends, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, false},
+		{"ends, the same submitted again", ends, nil, map[string]string{"d/req-1": done}, "POST req-1", 200, wire.PhaseDone, false},
 		{"whole, never there", whole, nil, nil, "GET req-1", 404, "", false},
 		{"whole, a node that has just begun", past{phase: history.Whole}, nil, nil, "GET req-1", 503, "", false},
 		{"whole, gone without an end", whole, nil, map[string]string{"j/req-1": live}, "GET req-1", 503, "", true},
 		{"whole, an end is gone", whole, nil, map[string]string{"d/req-1": done}, "GET req-1", 503, "", true},
-		{"whole, alive again", whole, map[string]string{"j/req-1": live}, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.Done, true},
-		{"whole, alive again and withdrawn", whole, map[string]string{"j/req-1": live}, map[string]string{"d/req-1": done}, "END req-1", 200, wire.Done, true},
-		{"lost, known from machines", lost, nil, nil, "GET req-7", 200, wire.Running, false},
-		{"lost, withdrawn from machines", lost, nil, nil, "END req-7", 200, wire.Withdrawn, false},
+		{"whole, alive again", whole, map[string]string{"j/req-1": live}, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, true},
+		{"whole, alive again and withdrawn", whole, map[string]string{"j/req-1": live}, map[string]string{"d/req-1": done}, "END req-1", 200, wire.PhaseDone, true},
+		{"lost, known from machines", lost, nil, nil, "GET req-7", 200, wire.PhaseRunning, false},
+		{"lost, withdrawn from machines", lost, nil, nil, "END req-7", 200, wire.PhaseCancelled, false},
 		{"lost, no trace", lost, nil, nil, "GET req-8", 404, "", false},
 		{"not lost, no trace is asked for", whole, nil, nil, "GET req-7", 404, "", false},
 	} {
@@ -62,7 +62,7 @@
 			u.past = &tc.past
 			u.counts = func(_ context.Context, ref string) (int, int, bool, error) { return 0, 3, ref == "req-7", nil }
 			for key, v := range tc.copied {
-				u.copies.Apply(1, wire.Change{Put: key, Data: []byte(v)})
+				u.copies.Apply(1, wire.Operation{Put: key, Value: []byte(v)})
 			}
 			verb, ref, _ := strings.Cut(tc.ask, " ")
 			rec := httptest.NewRecorder()
@@ -83,7 +83,7 @@
 			if rec.Code == 503 && rec.Header().Get("Retry-After") == "" {
 				t.Error("not told when to come back")
 			}
-			if tc.phase == wire.Withdrawn && k.m["d/"+ref] == "" {
+			if tc.phase == wire.PhaseCancelled && k.m["d/"+ref] == "" {
 				t.Error("the withdrawal is not stored")
 			}
 		})
@@ -98,16 +98,16 @@
 	for _, tc := range []struct {
 		name      string
 		stored    map[string]string
-		meanwhile wire.Change
+		meanwhile wire.Operation
 		ask       string
 		status    int
 		phase     string
 	}{
-		{"asked for, done meanwhile", map[string]string{"j/req-1": live}, wire.Change{Put: "d/req-1", Data: []byte(done)}, "GET", 200, wire.Done},
-		{"withdrawn, done meanwhile", map[string]string{"j/req-1": live}, wire.Change{Put: "d/req-1", Data: []byte(done)}, "POST", 200, wire.Done},
-		{"asked for, accepted meanwhile", nil, wire.Change{Put: "j/req-1", Data: []byte(live)}, "GET", 503, ""},
-		{"alive, by the answer that shows that the history went back", map[string]string{"j/req-1": live}, wire.Change{}, "GET", 503, ""},
-		{"withdrawn, accepted meanwhile", nil, wire.Change{Put: "j/req-1", Data: []byte(live)}, "POST", 503, ""},
+		{"asked for, done meanwhile", map[string]string{"j/req-1": live}, wire.Operation{Put: "d/req-1", Value: []byte(done)}, "GET", 200, wire.PhaseDone},
+		{"withdrawn, done meanwhile", map[string]string{"j/req-1": live}, wire.Operation{Put: "d/req-1", Value: []byte(done)}, "POST", 200, wire.PhaseDone},
+		{"asked for, accepted meanwhile", nil, wire.Operation{Put: "j/req-1", Value: []byte(live)}, "GET", 503, ""},
+		{"alive, by the answer that shows that the history went back", map[string]string{"j/req-1": live}, wire.Operation{}, "GET", 503, ""},
+		{"withdrawn, accepted meanwhile", nil, wire.Operation{Put: "j/req-1", Value: []byte(live)}, "POST", 503, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			k := &keys{m: map[string]string{}}
--- a/internal/intake/told_test.go
+++ b/internal/intake/told_test.go
@@ -47,7 +47,7 @@
 			t.Errorf("%s once it was told: %d, %v", how, code, h.told)
 		}
 	}
-	if p, ok := u.ended.get("req-1"); !ok || p.Phase.Phase != wire.Withdrawn {
+	if p, ok := u.ended.get("req-1"); !ok || p.JobStatus.Phase != wire.PhaseCancelled {
 		t.Errorf("%+v", p)
 	}
 }
@@ -68,10 +68,10 @@
 	}
 	rec := httptest.NewRecorder()
 	mux.ServeHTTP(rec, httptest.NewRequest("POST", "/v1/jobs/req-1/withdraw", nil))
-	if rec.Code != 200 || !strings.Contains(rec.Body.String(), wire.Done) {
+	if rec.Code != 200 || !strings.Contains(rec.Body.String(), wire.PhaseDone) {
 		t.Errorf("%d %s", rec.Code, rec.Body)
 	}
-	if end := k.m["d/req-1"]; !strings.Contains(end, wire.Done) {
+	if end := k.m["d/req-1"]; !strings.Contains(end, wire.PhaseDone) {
 		t.Errorf("stored: %s", end)
 	}
 }
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -140,8 +140,8 @@
 // Guards are the conditions that every write of the leader carries: that it leads, and
 // that the history is the one that it leads in. The second is needed where data was
 // lost, since a stamp of the leader's key may come again.
-func (t *Term) Guards() []wire.Guard {
-	gs := []wire.Guard{{Path: leaderKey, Stamp: t.stamp}}
+func (t *Term) Guards() []wire.Compare {
+	gs := []wire.Compare{{Key: leaderKey, ModRevision: t.stamp}}
 	if g, ok := t.hist.Guard(); ok {
 		gs = append(gs, g)
 	}
@@ -170,7 +170,7 @@
 	if err != nil {
 		return err
 	}
-	_, failed, err := t.st.Commit(ctx, wire.Commit{Guards: t.Guards(), Apply: []wire.Change{c}})
+	_, failed, err := t.st.Commit(ctx, wire.Txn{Compares: t.Guards(), Operations: []wire.Operation{c}})
 	if err != nil {
 		return err
 	}
@@ -203,9 +203,9 @@
 	if err != nil {
 		return err
 	}
-	gen, failed, err := t.st.Commit(ctx, wire.Commit{
-		Guards: append(t.Guards(), wire.Guard{Path: epochKey, Stamp: stamp}),
-		Apply:  []wire.Change{{Put: epochKey, Data: data}},
+	gen, failed, err := t.st.Commit(ctx, wire.Txn{
+		Compares:   append(t.Guards(), wire.Compare{Key: epochKey, ModRevision: stamp}),
+		Operations: []wire.Operation{{Put: epochKey, Value: data}},
 	})
 	if err != nil {
 		return err
@@ -219,10 +219,10 @@
 		if err != nil {
 			return err
 		}
-		if err := json.Unmarshal(it.Data, &next); err != nil {
+		if err := json.Unmarshal(it.Value, &next); err != nil {
 			return err
 		}
-		gen = it.Stamp
+		gen = it.ModRevision
 	}
 	t.mu.Lock()
 	t.now, t.epochStamp = next, gen
@@ -326,18 +326,18 @@
 	for try := 0; ctx.Err() == nil; {
 		var err error
 		if after == 0 {
-			var it wire.Item
+			var it wire.KeyValue
 			if it, err = e.st.Get(ctx, epochKey); err == nil {
-				_, err = e.learn(it.Data)
-				after = it.Stamp
+				_, err = e.learn(it.Value)
+				after = it.ModRevision
 			}
 		} else {
-			var log wire.ChangeLog
+			var log wire.WatchResponse
 			if log, err = e.st.Watch(ctx, epochKey, after, 4*e.life); err == nil {
-				after = max(after, log.Generation)
-				for _, c := range log.Log {
+				after = max(after, log.Revision)
+				for _, c := range log.Events {
 					if c.Put == epochKey {
-						_, bad := e.learn(c.Data)
+						_, bad := e.learn(c.Value)
 						err = errors.Join(err, bad)
 					}
 				}
@@ -376,7 +376,7 @@
 	case err != nil:
 		return Map{}, err
 	}
-	return e.learn(it.Data)
+	return e.learn(it.Value)
 }
 
 // Leader is the node that leads, as far as this one knows, or "".
@@ -449,7 +449,7 @@
 	it, err := e.st.Get(ctx, leaderKey)
 	if err == nil {
 		var v leaderValue
-		if err := json.Unmarshal(it.Data, &v); err != nil {
+		if err := json.Unmarshal(it.Value, &v); err != nil {
 			e.log.Error("the leader's key cannot be read", "err", err)
 			e.hist.Doubt("the leader's key cannot be read")
 		}
@@ -462,7 +462,7 @@
 		} else {
 			e.setLeader(v.Node)
 		}
-		return nil, it.Stamp, nil
+		return nil, it.ModRevision, nil
 	}
 	if !errors.Is(err, state.ErrNotFound) {
 		return nil, 0, err
@@ -501,18 +501,18 @@
 }
 
 // oust removes a leader key that nobody leads by.
-func (e *Elector) oust(ctx context.Context, it wire.Item) error {
-	e.log.Warn("removing a leader key that nobody leads by", "value", string(it.Data))
-	_, _, err := e.st.Commit(ctx, wire.Commit{
-		Guards: []wire.Guard{{Path: leaderKey, Stamp: it.Stamp}},
-		Apply:  []wire.Change{{Remove: leaderKey}},
+func (e *Elector) oust(ctx context.Context, it wire.KeyValue) error {
+	e.log.Warn("removing a leader key that nobody leads by", "value", string(it.Value))
+	_, _, err := e.st.Commit(ctx, wire.Txn{
+		Compares:   []wire.Compare{{Key: leaderKey, ModRevision: it.ModRevision}},
+		Operations: []wire.Operation{{Delete: leaderKey}},
 	})
 	return errors.Join(err, errors.New("lead: the key of an earlier leader"))
 }
 
 // chronicle reads the history and tells what a new leader makes of it: the one it is to
 // lead in, and the changes that begin it where it is another.
-func (e *Elector) chronicle(ctx context.Context, stored Map, epoch uint64) (history.View, []wire.Guard, []wire.Change, error) {
+func (e *Elector) chronicle(ctx context.Context, stored Map, epoch uint64) (history.View, []wire.Compare, []wire.Operation, error) {
 	v, err := history.Read(ctx, e.st)
 	if err != nil {
 		return v, nil, nil, err
@@ -524,7 +524,7 @@
 	}
 	g, has := v.Guard()
 	if has && !doubted && stored.Epoch >= e.floor() {
-		return v, []wire.Guard{g}, nil, nil
+		return v, []wire.Compare{g}, nil, nil
 	}
 	next := history.View{Marker: history.Marker{ID: rand.Text(), Born: history.Rebuild, Lost: true, Epoch: epoch}}
 	switch {
@@ -538,8 +538,8 @@
 	}
 	next.Phase = next.Born
 	put, err := next.Put()
-	changes := []wire.Change{put}
-	var guards []wire.Guard
+	changes := []wire.Operation{put}
+	var guards []wire.Compare
 	if has {
 		guards, changes = append(guards, g), append(changes, v.Remove())
 	}
@@ -551,8 +551,8 @@
 	var stamp uint64
 	it, err := e.st.Get(ctx, epochKey)
 	if err == nil {
-		stamp = it.Stamp
-		if err := json.Unmarshal(it.Data, &ev); err != nil {
+		stamp = it.ModRevision
+		if err := json.Unmarshal(it.Value, &ev); err != nil {
 			e.log.Error("the epoch's key cannot be read", "err", err)
 			e.hist.Doubt("the epoch's key cannot be read")
 		}
@@ -561,7 +561,7 @@
 		return nil, 0, err
 	}
 	epoch := max(ev.Epoch, e.floor()) + 1
-	if it.Stamp == 0 {
+	if it.ModRevision == 0 {
 		// Nothing is stored: all may have been lost, and what workers have seen is yet
 		// to be heard. Epochs never rise by one a second for long, so the time of day
 		// lies above any that was given out.
@@ -582,9 +582,9 @@
 	if err := errors.Join(err1, err2); err != nil {
 		return nil, 0, err
 	}
-	gen, failed, err := e.st.Commit(ctx, wire.Commit{
-		Guards: append(guards, wire.Guard{Path: leaderKey}, wire.Guard{Path: epochKey, Stamp: stamp}),
-		Apply:  append(changes, wire.Change{Put: leaderKey, Data: lv, Ticket: ticket}, wire.Change{Put: epochKey, Data: nv}),
+	gen, failed, err := e.st.Commit(ctx, wire.Txn{
+		Compares:   append(guards, wire.Compare{Key: leaderKey}, wire.Compare{Key: epochKey, ModRevision: stamp}),
+		Operations: append(changes, wire.Operation{Put: leaderKey, Value: lv, LeaseID: ticket}, wire.Operation{Put: epochKey, Value: nv}),
 	})
 	if err == nil && len(failed) == 0 {
 		if len(changes) > 0 {
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -64,7 +64,7 @@
 // history wrote all there is, only its key.
 func TestGuards(t *testing.T) {
 	term := &Term{stamp: 3, hist: history.View{Marker: history.Marker{ID: "A", Stamp: 7}}}
-	want := []wire.Guard{{Path: leaderKey, Stamp: 3}, {Path: "history/id/A", Stamp: 7}}
+	want := []wire.Compare{{Key: leaderKey, ModRevision: 3}, {Key: "history/id/A", ModRevision: 7}}
 	if got := term.Guards(); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -10,8 +10,8 @@
 
 // Batch is one transaction's worth of changes.
 type Batch struct {
-	Guards []wire.Guard
-	Apply  []wire.Change
+	Guards []wire.Compare
+	Apply  []wire.Operation
 	Writer string // the mark every chunk in it carries
 	parts  []part
 }
@@ -95,8 +95,8 @@
 		case j.Withdrawn, j.Finished:
 			p.remove = true
 			if c.stamp != 0 {
-				b.Guards = append(b.Guards, wire.Guard{Path: key, Stamp: c.stamp})
-				b.Apply = append(b.Apply, wire.Change{Remove: key})
+				b.Guards = append(b.Guards, wire.Compare{Key: key, ModRevision: c.stamp})
+				b.Apply = append(b.Apply, wire.Operation{Delete: key})
 			}
 		default:
 			if c.fresh > 0 {
@@ -111,8 +111,8 @@
 				continue
 			}
 			size -= len(data)
-			b.Guards = append(b.Guards, wire.Guard{Path: key, Stamp: c.stamp})
-			b.Apply = append(b.Apply, wire.Change{Put: key, Data: data})
+			b.Guards = append(b.Guards, wire.Compare{Key: key, ModRevision: c.stamp})
+			b.Apply = append(b.Apply, wire.Operation{Put: key, Value: data})
 		}
 		for i := d.n * j.size; i < min((d.n+1)*j.size, j.cursor); i++ {
 			if h := j.claims[i]; h != nil && h.Over {
@@ -124,15 +124,15 @@
 		if (len(p.claims) > 0 || j.Finished) && !guarded[j.Ref] {
 			// A withdrawal changes this key: no claim slips in after it.
 			guarded[j.Ref] = true
-			b.Guards = append(b.Guards, wire.Guard{Path: LiveKey(j.Ref), Stamp: j.stamp})
+			b.Guards = append(b.Guards, wire.Compare{Key: LiveKey(j.Ref), ModRevision: j.stamp})
 			if j.Finished {
 				p.ends = true
 				p.at = now
-				end, err := Encode(Ending{Phase: wire.Done, Tasks: j.Spec.Members, Chunk: j.size, AtMS: now.UnixMilli(), Owner: j.owner(), Block: lim.Block})
+				end, err := Encode(Ending{Phase: wire.PhaseDone, Tasks: j.Spec.TaskCount, Chunk: j.size, AtMS: now.UnixMilli(), Owner: j.owner(), Block: lim.Block})
 				if err != nil {
 					continue
 				}
-				b.Apply = append(b.Apply, wire.Change{Remove: LiveKey(j.Ref)}, wire.Change{Put: EndedKey(j.Ref), Data: end})
+				b.Apply = append(b.Apply, wire.Operation{Delete: LiveKey(j.Ref)}, wire.Operation{Put: EndedKey(j.Ref), Value: end})
 			}
 		}
 		c.dirty = false
@@ -174,7 +174,7 @@
 	if j.Origin == nil {
 		return ""
 	}
-	return j.Spec.Owner
+	return j.Spec.Team
 }
 
 // Decision is what a batch makes durable of a job.
