--- a/internal/ledger/compat_test.go
+++ b/internal/ledger/compat_test.go
@@ -24,8 +24,8 @@
 }
 
 var goldenJob = wire.Job{
-	Ref: "req-000412", Class: "train", Owner: "b", Shape: "batch", Rank: "urgent", Members: 70, Cores: 8, Accel: 1, RAM: 64,
-	Bundle: "img-07", SizeGB: 6.2, Flavors: []string{"g8"}, Locale: "a", SamePlace: true, Loaners: true, ExpectS: 240, SnapshotS: 30, FlushS: 4, DueS: 900,
+	ID: "req-000412", Class: "train", Team: "b", Kind: "batch", Priority: "urgent", TaskCount: 70, CPUs: 8, GPUs: 1, MemoryGB: 64,
+	Image: "img-07", ImageGB: 6.2, InstanceTypes: []string{"g8"}, Zone: "a", SingleZone: true, AllowSpot: true, ExpectedSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900,
 }
 
 func TestReadsProduction(t *testing.T) {
@@ -59,8 +59,8 @@
 		t.Errorf("a chunk is written as %s, %v", out, err)
 	}
 	for name, want := range map[string]Ending{
-		"done.json":      {Phase: wire.Done, Tasks: 70},
-		"withdrawn.json": {Phase: wire.Withdrawn, Tasks: 70, Job: goldenJob, Chunk: 64},
+		"done.json":      {Phase: wire.PhaseDone, Tasks: 70},
+		"withdrawn.json": {Phase: wire.PhaseCancelled, Tasks: 70, Job: goldenJob, Chunk: 64},
 	} {
 		var e Ending
 		if err := json.Unmarshal(golden(t, name), &e); err != nil || !reflect.DeepEqual(e, want) {
@@ -96,7 +96,7 @@
 func TestProductionReads(t *testing.T) {
 	job := oldJob{"b", "batch", 70, 8, 1, 64}
 	rec := Record{Job: goldenJob, AtMS: 5, Chunk: 40}
-	rec.Job.Needs = []string{"req-1", "req-2"}
+	rec.Job.DependsOn = []string{"req-1", "req-2"}
 	out, err := Encode(rec)
 	if err != nil {
 		t.Fatal(err)
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	var e oldEnding
-	if err := json.Unmarshal(out, &e); err != nil || e != (oldEnding{wire.Withdrawn, 70, job, 40}) {
+	if err := json.Unmarshal(out, &e); err != nil || e != (oldEnding{wire.PhaseCancelled, 70, job, 40}) {
 		t.Errorf("ending read as %+v, %v", e, err)
 	}
 }
@@ -117,9 +117,9 @@
 // An ending fits the least value however large the submission was.
 func TestEndingIsSmall(t *testing.T) {
 	rec := Record{Job: goldenJob, Chunk: 64}
-	rec.Job.Class, rec.Job.Bundle = strings.Repeat("x", 200), strings.Repeat("y", 200)
+	rec.Job.Class, rec.Job.Image = strings.Repeat("x", 200), strings.Repeat("y", 200)
 	for range 400 {
-		rec.Job.Flavors = append(rec.Job.Flavors, "a-machine-type")
+		rec.Job.InstanceTypes = append(rec.Job.InstanceTypes, "a-machine-type")
 	}
 	out, err := Encode(WithdrawnEnding(&rec, now))
 	if err != nil || len(out) > 512 {
@@ -142,7 +142,7 @@
 		{"laid out for the fall", ChunkTasks(16, 2), "i-%06d", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rec := job("b", wire.Batch, 100, 1)
+			rec := job("b", wire.KindArray, 100, 1)
 			rec.Chunk = tc.tasks
 			l := New("host-1.12", teams())
 			j := l.Add("req-1", rec, 1)
@@ -152,8 +152,8 @@
 				}
 			}
 			b := l.Next(Limits{Ops: 4, Bytes: 40 << 10, Value: 16 << 10}, now)
-			if big := len(b.Apply[0].Data) > least; big == tc.plain {
-				t.Fatalf("a chunk of %d tasks takes %d bytes: the case shows nothing", tc.tasks, len(b.Apply[0].Data))
+			if big := len(b.Apply[0].Value) > least; big == tc.plain {
+				t.Fatalf("a chunk of %d tasks takes %d bytes: the case shows nothing", tc.tasks, len(b.Apply[0].Value))
 			}
 			l.Committed(b, 2)
 			held := l.HeldBy(j)
@@ -161,18 +161,18 @@
 				l.Finish(h)
 			}
 			b = l.Next(Limits{Ops: 4, Bytes: 40 << 10, Value: least}, now)
-			if b == nil || len(b.Apply) != 1 || len(b.Apply[0].Data) > least {
+			if b == nil || len(b.Apply) != 1 || len(b.Apply[0].Value) > least {
 				t.Fatalf("after the fall: %+v", b)
 			}
 			if n := len(l.Committed(b, 3).Over); n != 3 {
 				t.Errorf("%d finishes became durable", n)
 			}
-			if w := WriterOf(b.Apply[0].Data); w != b.Writer {
+			if w := WriterOf(b.Apply[0].Value); w != b.Writer {
 				t.Errorf("written by %q", w)
 			}
 			n := New("n", teams())
 			k := n.Add("req-1", rec, 1)
-			if err := n.Load(b.Apply[0].Put, b.Apply[0].Data, 3, 1); err != nil {
+			if err := n.Load(b.Apply[0].Put, b.Apply[0].Value, 3, 1); err != nil {
 				t.Fatal(err)
 			}
 			n.Loaded()
@@ -196,7 +196,7 @@
 	for _, ops := range []int{4, 6} {
 		for _, ending := range []string{"", `{"phase":"done","tasks":70}`} {
 			l := New("w", teams())
-			rec := job("b", wire.Batch, 70, 1)
+			rec := job("b", wire.KindArray, 70, 1)
 			rec.Chunk = 16
 			s := store{}
 			j := l.Add("req-1", rec, 1)
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -15,7 +15,7 @@
 // testdata/production has what version 0.1 wrote; here are the fields added since.
 func TestGoldenStored(t *testing.T) {
 	rec := goldentest.Filled[Record]()
-	least := Record{Job: wire.Job{Ref: "req-1"}, Chunk: 8}
+	least := Record{Job: wire.Job{ID: "req-1"}, Chunk: 8}
 	at := time.UnixMilli(1_764_600_000_123)
 	stored := Stored{
 		Seq: 9, Done: map[int]bool{0: true, 9: true}, Block: 77,
@@ -40,7 +40,7 @@
 	line(LiveKey("req-1"), goldentest.JSON(t, least))
 	line(ChunkKey("req-1", 3), string(chunk))
 	line(EndedKey("req-1"), goldentest.JSON(t, goldentest.Filled[Ending]()))
-	line(EndedKey("req-1"), goldentest.JSON(t, Ending{Phase: wire.Done, Tasks: 4}))
+	line(EndedKey("req-1"), goldentest.JSON(t, Ending{Phase: wire.PhaseDone, Tasks: 4}))
 	line(EndedKey("req-1"), goldentest.JSON(t, WithdrawnEnding(&rec, at)))
 	line(EndedKey("req-1"), goldentest.JSON(t, LostEnding("req-1", at)))
 	goldentest.Check(t, "stored.txt", out.String())
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -120,18 +120,18 @@
 func (j *Job) Active() int { return len(j.claims) }
 
 // Unfinished counts tasks that are not done.
-func (j *Job) Unfinished() int { return j.Spec.Members - j.done }
+func (j *Job) Unfinished() int { return j.Spec.TaskCount - j.done }
 
 // WaitingTasks counts tasks without a claim.
 func (j *Job) WaitingTasks() int {
 	if j.Withdrawn || j.Finished || !j.Ready() {
 		return 0
 	}
-	return j.Spec.Members - j.cursor + len(j.requeue)
+	return j.Spec.TaskCount - j.cursor + len(j.requeue)
 }
 
 // Gang tells whether the job's tasks start together or not at all.
-func (j *Job) Gang() bool { return j.Spec.Shape == wire.Ensemble }
+func (j *Job) Gang() bool { return j.Spec.Kind == wire.KindGang }
 
 // Usage is what a team's claims take.
 type Usage struct{ CPUs, GPUs float64 }
@@ -162,9 +162,9 @@
 type Amount struct{ Cores, Accel, RAM float64 }
 
 func (a *Amount) add(s *wire.Job, n float64) {
-	a.Cores += n * s.Cores
-	a.Accel += n * s.Accel
-	a.RAM += n * s.RAM
+	a.Cores += n * s.CPUs
+	a.Accel += n * s.GPUs
+	a.RAM += n * s.MemoryGB
 }
 
 // onHost are a host's claims, with what those take that are not over.
@@ -309,7 +309,7 @@
 				}
 			}
 		}
-		j.cursor = min(last+1, j.Spec.Members)
+		j.cursor = min(last+1, j.Spec.TaskCount)
 		for i := range j.cursor {
 			if j.claims[i] == nil && !j.isDone(i) {
 				j.requeue = append(j.requeue, i)
@@ -341,9 +341,9 @@
 
 // spend accounts for a number of the job's tasks with its team.
 func (l *Ledger) spend(j *Job, n float64) {
-	if u := l.usage[j.Spec.Owner]; u != nil {
-		u.CPUs += n * j.Spec.Cores
-		u.GPUs += n * j.Spec.Accel
+	if u := l.usage[j.Spec.Team]; u != nil {
+		u.CPUs += n * j.Spec.CPUs
+		u.GPUs += n * j.Spec.GPUs
 	}
 }
 
@@ -394,19 +394,19 @@
 	if j.WaitingTasks() == 0 {
 		return ErrNoTask
 	}
-	t, u := l.teams[j.Spec.Owner], l.usage[j.Spec.Owner]
-	if u == nil || u.CPUs+l.reserved.CPUs+j.Spec.Cores > t.CPUsMax+slack || u.GPUs+l.reserved.GPUs+j.Spec.Accel > t.GPUsMax+slack {
+	t, u := l.teams[j.Spec.Team], l.usage[j.Spec.Team]
+	if u == nil || u.CPUs+l.reserved.CPUs+j.Spec.CPUs > t.CPUsMax+slack || u.GPUs+l.reserved.GPUs+j.Spec.GPUs > t.GPUsMax+slack {
 		return ErrQuota
 	}
-	if j.Spec.Locale != "" && j.Spec.Locale != zone {
+	if j.Spec.Zone != "" && j.Spec.Zone != zone {
 		return ErrPlace
 	}
 	// Both spreads are kept against every claim, also those whose task's
 	// fate is unknown: such a task may still be on its machine.
-	if j.Spec.Scatter && j.zones[zone]+1 > (j.Spec.Members+1)/2 {
+	if j.Spec.SpreadZones && j.zones[zone]+1 > (j.Spec.TaskCount+1)/2 {
 		return ErrPlace
 	}
-	if j.Spec.SamePlace && len(j.claims) > j.zones[zone] {
+	if j.Spec.SingleZone && len(j.claims) > j.zones[zone] {
 		return ErrPlace
 	}
 	return nil
@@ -414,28 +414,28 @@
 
 // Headroom is how many more tasks of the job its team's limit allows.
 func (l *Ledger) Headroom(j *Job) int {
-	t, u := l.teams[j.Spec.Owner], l.usage[j.Spec.Owner]
+	t, u := l.teams[j.Spec.Team], l.usage[j.Spec.Team]
 	if u == nil {
 		return 0
 	}
-	n := j.Spec.Members
-	if j.Spec.Cores > 0 {
-		n = min(n, int((t.CPUsMax-u.CPUs-l.reserved.CPUs+slack)/j.Spec.Cores))
+	n := j.Spec.TaskCount
+	if j.Spec.CPUs > 0 {
+		n = min(n, int((t.CPUsMax-u.CPUs-l.reserved.CPUs+slack)/j.Spec.CPUs))
 	}
-	if j.Spec.Accel > 0 {
-		n = min(n, int((t.GPUsMax-u.GPUs-l.reserved.GPUs+slack)/j.Spec.Accel))
+	if j.Spec.GPUs > 0 {
+		n = min(n, int((t.GPUsMax-u.GPUs-l.reserved.GPUs+slack)/j.Spec.GPUs))
 	}
 	return max(n, 0)
 }
 
 // ZoneRoom is how many more tasks of the job a zone may take.
 func (l *Ledger) ZoneRoom(j *Job, zone string) int {
-	n := j.Spec.Members
-	if j.Spec.Locale != "" && j.Spec.Locale != zone || j.Spec.SamePlace && len(j.claims) > j.zones[zone] {
+	n := j.Spec.TaskCount
+	if j.Spec.Zone != "" && j.Spec.Zone != zone || j.Spec.SingleZone && len(j.claims) > j.zones[zone] {
 		return 0
 	}
-	if j.Spec.Scatter {
-		n = (j.Spec.Members+1)/2 - j.zones[zone]
+	if j.Spec.SpreadZones {
+		n = (j.Spec.TaskCount+1)/2 - j.zones[zone]
 	}
 	return n
 }
@@ -446,16 +446,16 @@
 // MayAll tells whether all waiting tasks of a gang are within its team's limit,
 // and none of an earlier start is left.
 func (l *Ledger) MayAll(j *Job) bool {
-	t, u := l.teams[j.Spec.Owner], l.usage[j.Spec.Owner]
+	t, u := l.teams[j.Spec.Team], l.usage[j.Spec.Team]
 	n := float64(j.WaitingTasks())
 	return n > 0 && len(j.claims) == 0 && u != nil &&
-		u.CPUs+l.reserved.CPUs+n*j.Spec.Cores <= t.CPUsMax+slack && u.GPUs+l.reserved.GPUs+n*j.Spec.Accel <= t.GPUsMax+slack
+		u.CPUs+l.reserved.CPUs+n*j.Spec.CPUs <= t.CPUsMax+slack && u.GPUs+l.reserved.GPUs+n*j.Spec.GPUs <= t.GPUsMax+slack
 }
 
 // Guaranteed tells whether one more task is within its team's guarantee.
 func (l *Ledger) Guaranteed(j *Job) bool {
-	t, u := l.teams[j.Spec.Owner], l.usage[j.Spec.Owner]
-	return u != nil && u.CPUs+j.Spec.Cores <= t.CPUs+slack && u.GPUs+j.Spec.Accel <= t.GPUs+slack
+	t, u := l.teams[j.Spec.Team], l.usage[j.Spec.Team]
+	return u != nil && u.CPUs+j.Spec.CPUs <= t.CPUs+slack && u.GPUs+j.Spec.GPUs <= t.GPUs+slack
 }
 
 // Claim claims the job's next task for a host. The claim must be committed
@@ -540,7 +540,7 @@
 }
 
 func (l *Ledger) checkFinished(j *Job) {
-	if !j.Withdrawn && j.Spec.Shape != wire.Standing && j.done >= j.Spec.Members && !j.Finished {
+	if !j.Withdrawn && j.Spec.Kind != wire.KindService && j.done >= j.Spec.TaskCount && !j.Finished {
 		j.Finished = true
 		for n := range j.chunks {
 			l.touch(j, n)
@@ -604,7 +604,7 @@
 	if e.AtMS > 0 {
 		j.WithdrawnAt = time.UnixMilli(e.AtMS)
 	}
-	j.over = e.Phase == wire.Done
+	j.over = e.Phase == wire.PhaseDone
 	return nil
 }
 
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -24,7 +24,7 @@
 }
 
 func job(owner, shape string, n int, cores float64) Record {
-	return Record{Job: wire.Job{Owner: owner, Shape: shape, Members: n, Cores: cores}, Chunk: 8}
+	return Record{Job: wire.Job{Team: owner, Kind: shape, TaskCount: n, CPUs: cores}, Chunk: 8}
 }
 
 func TestMay(t *testing.T) {
@@ -36,17 +36,17 @@
 		zone  string
 		want  error
 	}{
-		{"plain", job("b", wire.Batch, 4, 1), nil, nil, "x", nil},
-		{"limit reached by one's own claims", job("a", wire.Batch, 9, 4), nil, []string{"x", "x", "y", "y"}, "x", ErrQuota},
-		{"just within the limit", job("a", wire.Batch, 9, 4), nil, []string{"x", "x", "y"}, "x", nil},
-		{"none left", job("b", wire.Batch, 1, 1), nil, []string{"x"}, "x", ErrNoTask},
-		{"unknown team", job("c", wire.Batch, 1, 1), nil, nil, "x", ErrQuota},
-		{"locale", job("b", wire.Batch, 1, 1), func(j *wire.Job) { j.Locale = "y" }, nil, "x", ErrPlace},
-		{"scatter: 5 of 9", job("b", wire.Standing, 9, 1), func(j *wire.Job) { j.Scatter = true }, []string{"x", "x", "x", "x"}, "x", nil},
-		{"scatter: not 6 of 9", job("b", wire.Standing, 9, 1), func(j *wire.Job) { j.Scatter = true }, []string{"x", "x", "x", "x", "x"}, "x", ErrPlace},
-		{"scatter: 1 of 1", job("b", wire.Standing, 1, 1), func(j *wire.Job) { j.Scatter = true }, nil, "x", nil},
-		{"same place", job("b", wire.Batch, 3, 1), func(j *wire.Job) { j.SamePlace = true }, []string{"y"}, "x", ErrPlace},
-		{"same place kept", job("b", wire.Batch, 3, 1), func(j *wire.Job) { j.SamePlace = true }, []string{"x"}, "x", nil},
+		{"plain", job("b", wire.KindArray, 4, 1), nil, nil, "x", nil},
+		{"limit reached by one's own claims", job("a", wire.KindArray, 9, 4), nil, []string{"x", "x", "y", "y"}, "x", ErrQuota},
+		{"just within the limit", job("a", wire.KindArray, 9, 4), nil, []string{"x", "x", "y"}, "x", nil},
+		{"none left", job("b", wire.KindArray, 1, 1), nil, []string{"x"}, "x", ErrNoTask},
+		{"unknown team", job("c", wire.KindArray, 1, 1), nil, nil, "x", ErrQuota},
+		{"locale", job("b", wire.KindArray, 1, 1), func(j *wire.Job) { j.Zone = "y" }, nil, "x", ErrPlace},
+		{"scatter: 5 of 9", job("b", wire.KindService, 9, 1), func(j *wire.Job) { j.SpreadZones = true }, []string{"x", "x", "x", "x"}, "x", nil},
+		{"scatter: not 6 of 9", job("b", wire.KindService, 9, 1), func(j *wire.Job) { j.SpreadZones = true }, []string{"x", "x", "x", "x", "x"}, "x", ErrPlace},
+		{"scatter: 1 of 1", job("b", wire.KindService, 1, 1), func(j *wire.Job) { j.SpreadZones = true }, nil, "x", nil},
+		{"same place", job("b", wire.KindArray, 3, 1), func(j *wire.Job) { j.SingleZone = true }, []string{"y"}, "x", ErrPlace},
+		{"same place kept", job("b", wire.KindArray, 3, 1), func(j *wire.Job) { j.SingleZone = true }, []string{"x"}, "x", nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := New("w", teams())
@@ -70,7 +70,7 @@
 // until it is freed.
 func TestClaimCountsUntilFreed(t *testing.T) {
 	l := New("w", teams())
-	j := l.Add("req-1", job("a", wire.Batch, 9, 16), 1)
+	j := l.Add("req-1", job("a", wire.KindArray, 9, 16), 1)
 	h, err := l.Claim(j, "h", 1, "x")
 	if err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 // A finish is told to the worker as reapable only once durable.
 func TestFinishStaysUntilDurable(t *testing.T) {
 	l := New("w", teams())
-	j := l.Add("req-1", job("b", wire.Batch, 1, 1), 7)
+	j := l.Add("req-1", job("b", wire.KindArray, 1, 1), 7)
 	h, _ := l.Claim(j, "h", 1, "x")
 	b := l.Next(limits(16), now)
 	if r := l.Committed(b, 8); len(r.Claims) != 1 || !h.Committed {
@@ -105,7 +105,7 @@
 	b = l.Next(limits(16), now)
 	var keys []string
 	for _, c := range b.Apply {
-		keys = append(keys, c.Put+c.Remove)
+		keys = append(keys, c.Put+c.Delete)
 	}
 	if got := strings.Join(keys, " "); got != "c/req-1/0 j/req-1 d/req-1" {
 		t.Errorf("wrote %s", got)
@@ -122,14 +122,14 @@
 // live key fails, and the claim, never launched, is dropped.
 func TestWithdrawnBeforeCommit(t *testing.T) {
 	l := New("w", teams())
-	j := l.Add("req-1", job("b", wire.Standing, 2, 1), 7)
+	j := l.Add("req-1", job("b", wire.KindService, 2, 1), 7)
 	if _, err := l.Claim(j, "h", 1, "x"); err != nil {
 		t.Fatal(err)
 	}
 	b := l.Next(limits(16), now)
 	guarded := false
 	for _, g := range b.Guards {
-		guarded = guarded || g.Path == "j/req-1" && g.Stamp == 7
+		guarded = guarded || g.Key == "j/req-1" && g.ModRevision == 7
 	}
 	if !guarded {
 		t.Fatal("a claim is not guarded on its job being live")
@@ -147,7 +147,7 @@
 // A claim that may have been launched stands after a withdrawal until proof.
 func TestWithdrawnAfterLaunch(t *testing.T) {
 	l := New("w", teams())
-	j := l.Add("req-1", job("b", wire.Standing, 1, 1), 7)
+	j := l.Add("req-1", job("b", wire.KindService, 1, 1), 7)
 	h, _ := l.Claim(j, "h", 1, "x")
 	l.Committed(l.Next(limits(16), now), 8)
 	h.Sent = true
@@ -157,7 +157,7 @@
 	}
 	l.Free(h, now)
 	b := l.Next(limits(16), now)
-	if b == nil || len(b.Apply) != 1 || b.Apply[0].Remove != "c/req-1/0" {
+	if b == nil || len(b.Apply) != 1 || b.Apply[0].Delete != "c/req-1/0" {
 		t.Fatalf("batch %+v", b)
 	}
 	l.Committed(b, 9)
@@ -170,7 +170,7 @@
 // leaves nothing behind.
 func TestWithdrawnWhileFinishing(t *testing.T) {
 	l := New("w", teams())
-	j := l.Add("req-1", job("b", wire.Batch, 1, 1), 7)
+	j := l.Add("req-1", job("b", wire.KindArray, 1, 1), 7)
 	h, _ := l.Claim(j, "h", 1, "x")
 	l.Committed(l.Next(limits(16), now), 8)
 	l.Finish(h)
@@ -189,7 +189,7 @@
 
 func TestGangSharesATry(t *testing.T) {
 	l := New("w", teams())
-	j := l.Add("req-1", job("b", wire.Ensemble, 20, 1), 7)
+	j := l.Add("req-1", job("b", wire.KindGang, 20, 1), 7)
 	for round := uint64(1); round < 4; round++ {
 		if !l.MayAll(j) {
 			t.Fatal("the gang may not start")
@@ -211,7 +211,7 @@
 
 func TestBatchLimits(t *testing.T) {
 	l := New("w", []settings.Team{{Name: "a", CPUsMax: 1e6}})
-	j := l.Add("req-1", job("a", wire.Batch, 1000, 1), 7)
+	j := l.Add("req-1", job("a", wire.KindArray, 1000, 1), 7)
 	for range 1000 {
 		l.Claim(j, "host-with-a-name", 1, "zone-with-a-name")
 	}
@@ -221,8 +221,8 @@
 			t.Fatalf("%d changes in a batch", len(b.Apply))
 		}
 		for _, c := range b.Apply {
-			if len(c.Data) > 1<<10 {
-				t.Fatalf("a value of %d bytes", len(c.Data))
+			if len(c.Value) > 1<<10 {
+				t.Fatalf("a value of %d bytes", len(c.Value))
 			}
 		}
 		seen += len(l.Committed(b, 9).Claims)
@@ -238,9 +238,9 @@
 func (s store) apply(b *Batch) {
 	for _, c := range b.Apply {
 		if c.Put != "" {
-			s[c.Put] = c.Data
+			s[c.Put] = c.Value
 		} else {
-			delete(s, c.Remove)
+			delete(s, c.Delete)
 		}
 	}
 }
@@ -253,7 +253,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		s := store{}
 		l := New("w", teams())
-		rec := job("b", wire.Batch, 30, 1)
+		rec := job("b", wire.KindArray, 30, 1)
 		j := l.Add("req-1", rec, 1)
 		durable := map[int]Claim{}
 		for step := uint64(2); l.Job("req-1") != nil && step < 3000; step++ {
@@ -348,7 +348,7 @@
 func TestLargestJob(t *testing.T) {
 	const n = 100_000
 	ts := []settings.Team{{Name: "a", CPUsMax: 500}}
-	rec := Record{Job: wire.Job{Owner: "a", Shape: wire.Batch, Members: n, Cores: 1}, Chunk: ChunkTasks(16, 16)}
+	rec := Record{Job: wire.Job{Team: "a", Kind: wire.KindArray, TaskCount: n, CPUs: 1}, Chunk: ChunkTasks(16, 16)}
 	s := store{}
 	l := New("w", ts)
 	j := l.Add("req-1", rec, 1)
@@ -357,8 +357,8 @@
 		for b := l.Next(limits(16), now); b != nil; b = l.Next(limits(16), now) {
 			gen++
 			for _, c := range b.Apply {
-				if len(c.Data) > 16<<10/4 {
-					t.Fatalf("a value of %d bytes", len(c.Data))
+				if len(c.Value) > 16<<10/4 {
+					t.Fatalf("a value of %d bytes", len(c.Value))
 				}
 			}
 			s.apply(b)
@@ -408,7 +408,7 @@
 		ref := fmt.Sprintf("req-%d", rnd.IntN(12))
 		j := l.Job(ref)
 		if j == nil {
-			j = l.Add(ref, Record{Job: wire.Job{Owner: "t", Shape: wire.Batch, Members: 40, Cores: 0.1 + float64(rnd.IntN(9)), RAM: 1.3}, Chunk: 8}, uint64(i+1))
+			j = l.Add(ref, Record{Job: wire.Job{Team: "t", Kind: wire.KindArray, TaskCount: 40, CPUs: 0.1 + float64(rnd.IntN(9)), MemoryGB: 1.3}, Chunk: 8}, uint64(i+1))
 		}
 		switch k := rnd.IntN(10); {
 		case k < 5:
@@ -464,7 +464,7 @@
 // Where not all fits a batch, claims go first: their tasks wait for it.
 func TestClaimsAreWrittenFirst(t *testing.T) {
 	l := New("w", teams())
-	old := l.Add("req-1", Record{Job: wire.Job{Owner: "b", Shape: wire.Batch, Members: 4, Cores: 1}, Chunk: 4}, 1)
+	old := l.Add("req-1", Record{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}, Chunk: 4}, 1)
 	h, err := l.Claim(old, "h1", 1, "a")
 	if err != nil {
 		t.Fatal(err)
@@ -474,7 +474,7 @@
 	if l.Urgent() {
 		t.Error("a finish alone is urgent")
 	}
-	young := l.Add("req-2", Record{Job: wire.Job{Owner: "b", Shape: wire.Batch, Members: 4, Cores: 1}, Chunk: 4}, 3)
+	young := l.Add("req-2", Record{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}, Chunk: 4}, 3)
 	if _, err := l.Claim(young, "h1", 1, "a"); err != nil {
 		t.Fatal(err)
 	}
@@ -490,7 +490,7 @@
 // the end of a needed job, then claims, then other ends, then plain finishes.
 func TestOrderOfWrites(t *testing.T) {
 	l := graph("1", "2", "3 1")
-	l.Add("req-4", Record{Job: wire.Job{Owner: "b", Shape: wire.Batch, Members: 3, Cores: 1}, Chunk: 4}, 9)
+	l.Add("req-4", Record{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 3, CPUs: 1}, Chunk: 4}, 9)
 	held := map[string]*Held{}
 	for _, ref := range []string{"req-4", "req-2", "req-1"} {
 		h, err := l.Claim(l.Job(ref), "h", 1, "x")
@@ -503,7 +503,7 @@
 	for _, ref := range []string{"req-4", "req-2", "req-1"} {
 		l.Finish(held[ref])
 	}
-	l.Add("req-5", job("b", wire.Batch, 1, 1), 12)
+	l.Add("req-5", job("b", wire.KindArray, 1, 1), 12)
 	if _, err := l.Claim(l.Job("req-5"), "h", 1, "x"); err != nil {
 		t.Fatal(err)
 	}
@@ -533,7 +533,7 @@
 // team may claim another in its place, and once it is, nothing is freed twice.
 func TestOverTakesNothing(t *testing.T) {
 	l := New("w", teams())
-	j := l.Add("req-1", job("a", wire.Batch, 3, 16), 1)
+	j := l.Add("req-1", job("a", wire.KindArray, 3, 16), 1)
 	h, _ := l.Claim(j, "h", 1, "x")
 	l.Committed(l.Next(limits(16), now), 2)
 	l.Finish(h)
--- a/internal/ledger/needs.go
+++ b/internal/ledger/needs.go
@@ -35,7 +35,7 @@
 
 // await notes what a new job waits for.
 func (l *Ledger) await(j *Job) {
-	for _, ref := range j.Spec.Needs {
+	for _, ref := range j.Spec.DependsOn {
 		if j.needs[ref] || ref == j.Ref {
 			continue
 		}
--- a/internal/ledger/needs_test.go
+++ b/internal/ledger/needs_test.go
@@ -19,9 +19,9 @@
 	l := New("w", teams())
 	for i, s := range lines {
 		f := strings.Fields(s)
-		rec := job("b", wire.Batch, 1, 1)
+		rec := job("b", wire.KindArray, 1, 1)
 		for _, n := range f[1:] {
-			rec.Job.Needs = append(rec.Job.Needs, "req-"+n)
+			rec.Job.DependsOn = append(rec.Job.DependsOn, "req-"+n)
 		}
 		l.Add("req-"+f[0], rec, uint64(i+1))
 	}
@@ -138,8 +138,8 @@
 
 	l = graph("1", "2 1")
 	finish(t, l, "req-1", now)
-	late := job("b", wire.Batch, 1, 1)
-	late.Job.Needs = []string{"req-1"}
+	late := job("b", wire.KindArray, 1, 1)
+	late.Job.DependsOn = []string{"req-1"}
 	j := l.Add("req-9", late, 50)
 	if j.Ready() || fmt.Sprint(l.Unknown()) != "[req-1]" {
 		t.Errorf("ready %v, asks for %v", j.Ready(), l.Unknown())
@@ -149,8 +149,8 @@
 		t.Errorf("to be withdrawn: %q", refs(l.ToWithdraw(9)))
 	}
 	// Who names it from now on shares its fate at once.
-	after := job("b", wire.Batch, 1, 1)
-	after.Job.Needs = []string{"req-9"}
+	after := job("b", wire.KindArray, 1, 1)
+	after.Job.DependsOn = []string{"req-9"}
 	l.Add("req-10", after, 51)
 	if refs(l.ToWithdraw(9)) != "10 9" {
 		t.Errorf("to be withdrawn: %q", refs(l.ToWithdraw(9)))
@@ -187,7 +187,7 @@
 			}
 			ref := live[rnd.IntN(len(live))]
 			if j := l.Job(ref); j.WaitingTasks() > 0 && rnd.IntN(8) > 0 {
-				for _, n := range j.Spec.Needs {
+				for _, n := range j.Spec.DependsOn {
 					if !done[n] {
 						t.Fatalf("seed %d: %s may start before %s", seed, ref, n)
 					}
@@ -200,7 +200,7 @@
 			gone[ref] = true
 			for js := l.ToWithdraw(1 + rnd.IntN(3)); len(js) > 0; js = l.ToWithdraw(2) {
 				for _, j := range js {
-					if !slices.ContainsFunc(j.Spec.Needs, func(n string) bool { return gone[n] || l.Job(n) != nil && l.Job(n).Doomed() != "" }) {
+					if !slices.ContainsFunc(j.Spec.DependsOn, func(n string) bool { return gone[n] || l.Job(n) != nil && l.Job(n).Doomed() != "" }) {
 						t.Fatalf("seed %d: %s is withdrawn for nothing", seed, j.Ref)
 					}
 					l.Withdraw(j.Ref)
--- a/internal/ledger/record.go
+++ b/internal/ledger/record.go
@@ -65,11 +65,11 @@
 // submission was.
 func WithdrawnEnding(rec *Record, now time.Time) Ending {
 	j := &rec.Job
-	e := Ending{Phase: wire.Withdrawn, Tasks: j.Members, Chunk: rec.Chunk, AtMS: now.UnixMilli(), Job: wire.Job{
-		Ref: j.Ref, Owner: j.Owner, Shape: j.Shape, Members: j.Members, Cores: j.Cores, Accel: j.Accel, RAM: j.RAM,
+	e := Ending{Phase: wire.PhaseCancelled, Tasks: j.TaskCount, Chunk: rec.Chunk, AtMS: now.UnixMilli(), Job: wire.Job{
+		ID: j.ID, Team: j.Team, Kind: j.Kind, TaskCount: j.TaskCount, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB,
 	}}
 	if rec.Origin != nil {
-		e.Owner = j.Owner
+		e.Owner = j.Team
 	}
 	return e
 }
--- a/internal/ledger/stored.go
+++ b/internal/ledger/stored.go
@@ -90,7 +90,7 @@
 // earlier try was over before that one was given out, and goes. It returns nil for a
 // task that is done, that has a later try, or that cannot be of the job.
 func (l *Ledger) Adopt(j *Job, index int, c Claim, epoch uint64) *Held {
-	if j.Withdrawn || j.Finished || index < 0 || index >= j.Spec.Members || j.isDone(index) {
+	if j.Withdrawn || j.Finished || index < 0 || index >= j.Spec.TaskCount || j.isDone(index) {
 		return nil
 	}
 	if old := j.claims[index]; old != nil {
@@ -131,5 +131,5 @@
 // LostEnding is the ending of a job of which nothing but its reference is known, that
 // its user withdrew.
 func LostEnding(ref string, now time.Time) Ending {
-	return Ending{Phase: wire.Withdrawn, AtMS: now.UnixMilli(), Job: wire.Job{Ref: ref}}
+	return Ending{Phase: wire.PhaseCancelled, AtMS: now.UnixMilli(), Job: wire.Job{ID: ref}}
 }
--- a/internal/ledger/stored_test.go
+++ b/internal/ledger/stored_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			l := New("w", []settings.Team{{Name: "t", CPUsMax: 10}})
-			j := l.Add("r", Record{Job: wire.Job{Ref: "r", Owner: "t", Shape: wire.Batch, Members: 6, Cores: 1}, Chunk: 4}, 3)
+			j := l.Add("r", Record{Job: wire.Job{ID: "r", Team: "t", Kind: wire.KindArray, TaskCount: 6, CPUs: 1}, Chunk: 4}, 3)
 			data, err := Stored{Seq: 2, Done: map[int]bool{1: true}, Claims: map[int]Claim{0: claim("a", 2)}}.Encode("w", 1<<10)
 			if err != nil {
 				t.Fatal(err)
@@ -76,8 +76,8 @@
 // What is reserved for tasks of unknown jobs counts against every team.
 func TestReserve(t *testing.T) {
 	l := New("w", []settings.Team{{Name: "t", CPUsMax: 4}, {Name: "u", CPUsMax: 2}})
-	j := l.Add("r", Record{Job: wire.Job{Ref: "r", Owner: "t", Shape: wire.Batch, Members: 6, Cores: 1}, Chunk: 4}, 3)
-	k := l.Add("s", Record{Job: wire.Job{Ref: "s", Owner: "u", Shape: wire.Ensemble, Members: 2, Cores: 1}, Chunk: 4}, 3)
+	j := l.Add("r", Record{Job: wire.Job{ID: "r", Team: "t", Kind: wire.KindArray, TaskCount: 6, CPUs: 1}, Chunk: 4}, 3)
+	k := l.Add("s", Record{Job: wire.Job{ID: "s", Team: "u", Kind: wire.KindGang, TaskCount: 2, CPUs: 1}, Chunk: 4}, 3)
 	if l.Headroom(j) != 4 || !l.MayAll(k) {
 		t.Fatal("before")
 	}
@@ -106,7 +106,7 @@
 		}
 	}
 	l := New("w", nil)
-	j := l.Add("r", Record{Job: wire.Job{Ref: "r", Shape: wire.Batch, Members: 3}, Chunk: 4}, 3)
+	j := l.Add("r", Record{Job: wire.Job{ID: "r", Kind: wire.KindArray, TaskCount: 3}, Chunk: 4}, 3)
 	data, err := Stored{Seq: 1, Claims: map[int]Claim{0: {Host: "h", Tenure: 1, Try: 1, Zone: "z"}}}.Encode("w", 1<<10)
 	if err != nil {
 		t.Fatal(err)
@@ -120,7 +120,7 @@
 	l.Restamp(ChunkKey("x", 0), 23)
 	l.Free(j.claims[0], time.Time{})
 	b := l.Next(Limits{Ops: 8, Bytes: 1 << 20, Value: 1 << 10}, time.Time{})
-	if j.Stamp() != 21 || len(b.Guards) != 1 || b.Guards[0].Stamp != 22 {
+	if j.Stamp() != 21 || len(b.Guards) != 1 || b.Guards[0].ModRevision != 22 {
 		t.Errorf("guards %v, job %d", b.Guards, j.Stamp())
 	}
 }
--- a/internal/part/deaf_test.go
+++ b/internal/part/deaf_test.go
@@ -107,8 +107,8 @@
 			for i := 0; tc.m.Owner(host) != "other"; i++ {
 				host += "x"
 			}
-			out, err := p.Beat(t.Context(), &wire.Report{Host: host, Locale: tc.zone, Epoch: tc.seen}, leader{})
-			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) || len(out.Orders) > 0 {
+			out, err := p.Beat(t.Context(), &wire.Heartbeat{Worker: host, Zone: tc.zone, Epoch: tc.seen}, leader{})
+			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) || len(out.Commands) > 0 {
 				t.Errorf("%+v, %v", out, err)
 			}
 		})
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -22,12 +22,12 @@
 
 // Leader is the leader's side, on this node while it leads.
 type Leader interface {
-	Beat(ctx context.Context, r *wire.Report) (wire.Orders, []agent.Finish, error)
+	Beat(ctx context.Context, r *wire.Heartbeat) (wire.CommandBatch, []agent.Finish, error)
 }
 
 // Links are the links to the other nodes.
 type Links interface {
-	Beat(ctx context.Context, node string, r *wire.Report) (peer.BeatAnswer, error)
+	Beat(ctx context.Context, node string, r *wire.Heartbeat) (peer.BeatAnswer, error)
 	Pick(ctx context.Context, node string, o *placement.Offer) ([]placement.Picked, error)
 	Peers() map[string]peer.Status
 }
@@ -78,23 +78,23 @@
 
 // Beat answers a worker's report. Whoever answers, tasks that this node knows to be
 // withdrawn are stopped: a leader that the state service refuses may not know.
-func (p *Part) Beat(ctx context.Context, r *wire.Report, leader Leader) (wire.Orders, error) {
+func (p *Part) Beat(ctx context.Context, r *wire.Heartbeat, leader Leader) (wire.CommandBatch, error) {
 	out, err := p.answer(ctx, r, leader)
 	if err == nil {
-		out.Orders = p.gone.Stops(r, out.Orders)
+		out.Commands = p.gone.Stops(r, out.Commands)
 	}
 	return out, err
 }
 
-func (p *Part) answer(ctx context.Context, r *wire.Report, leader Leader) (wire.Orders, error) {
+func (p *Part) answer(ctx context.Context, r *wire.Heartbeat, leader Leader) (wire.CommandBatch, error) {
 	m := p.known()
 	if r.Epoch > m.Epoch {
 		// The worker knows more than this node: an answer would be dropped
 		// and hold the worker here while its lease runs out.
-		return wire.Orders{}, ErrNotOwner{}
+		return wire.CommandBatch{}, ErrNotOwner{}
 	}
-	if owner := m.Owner(r.Host); owner != p.set.Node && !p.standsIn(m, owner, r.Locale) {
-		return wire.Orders{}, ErrNotOwner{owner}
+	if owner := m.Owner(r.Worker); owner != p.set.Node && !p.standsIn(m, owner, r.Zone) {
+		return wire.CommandBatch{}, ErrNotOwner{owner}
 	}
 	out, asked, err := p.ask(ctx, m.Leader, r, leader)
 	if err == nil {
@@ -106,16 +106,16 @@
 	// this host has the map without this node, and its epoch shows in the worker's next
 	// report. But for a node that has forgotten what users were told.
 	if ctx.Err() != nil || asked && !p.outage() || p.Refused() && !p.gone.Settled() {
-		return wire.Orders{}, ErrNotOwner{}
+		return wire.CommandBatch{}, ErrNotOwner{}
 	}
 	if now := p.known(); now.Epoch != m.Epoch {
-		return wire.Orders{}, ErrNotOwner{now.Owner(r.Host)}
+		return wire.CommandBatch{}, ErrNotOwner{now.Owner(r.Worker)}
 	}
-	return wire.Orders{Epoch: m.Epoch, Orders: []wire.Order{}}, nil
+	return wire.CommandBatch{Epoch: m.Epoch, Commands: []wire.Command{}}, nil
 }
 
 // ask has the leader answer a report, and tells whether it could be asked.
-func (p *Part) ask(ctx context.Context, node string, r *wire.Report, own Leader) (out wire.Orders, asked bool, err error) {
+func (p *Part) ask(ctx context.Context, node string, r *wire.Heartbeat, own Leader) (out wire.CommandBatch, asked bool, err error) {
 	if node == p.set.Node {
 		out, _, err = own.Beat(ctx, r)
 		return out, true, err
@@ -124,10 +124,10 @@
 	defer cancel()
 	a, err := p.links.Beat(ctx, node, r)
 	if err != nil {
-		return wire.Orders{}, false, err
+		return wire.CommandBatch{}, false, err
 	}
 	if !a.OK {
-		return wire.Orders{}, true, control.ErrNotLeading
+		return wire.CommandBatch{}, true, control.ErrNotLeading
 	}
 	for _, f := range a.Learned {
 		p.Learn(f)
--- a/internal/part/part_test.go
+++ b/internal/part/part_test.go
@@ -26,7 +26,7 @@
 	asked  string
 }
 
-func (l *links) Beat(_ context.Context, node string, _ *wire.Report) (peer.BeatAnswer, error) {
+func (l *links) Beat(_ context.Context, node string, _ *wire.Heartbeat) (peer.BeatAnswer, error) {
 	l.asked = node
 	return l.answer, l.err
 }
@@ -40,8 +40,8 @@
 // leader stands in for this node's own term.
 type leader struct{ err error }
 
-func (l leader) Beat(context.Context, *wire.Report) (wire.Orders, []agent.Finish, error) {
-	return wire.Orders{Epoch: 7}, nil, l.err
+func (l leader) Beat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.Finish, error) {
+	return wire.CommandBatch{Epoch: 7}, nil, l.err
 }
 
 func part(t *testing.T, m lead.Map, stale time.Duration, l *links) *Part {
@@ -73,20 +73,20 @@
 		{"another's host", lead.Map{Epoch: 7, Leader: "me", Parts: theirs}, 7, links{}, leader{}, 0, "other"},
 		{"no map yet", lead.Map{}, 0, links{}, leader{}, 0, ""},
 		{"a worker that knows more", lead.Map{Epoch: 7, Leader: "me", Parts: mine}, 8, links{}, leader{}, 0, ""},
-		{"passed on", lead.Map{Epoch: 7, Leader: "boss", Parts: mine}, 7, links{answer: peer.BeatAnswer{OK: true, Orders: wire.Orders{Epoch: 9}}}, leader{}, 9, ""},
+		{"passed on", lead.Map{Epoch: 7, Leader: "boss", Parts: mine}, 7, links{answer: peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}}, leader{}, 9, ""},
 		{"the leader may not answer", lead.Map{Epoch: 7, Leader: "boss", Parts: mine}, 7, links{}, leader{}, 0, ""},
 		{"the leader cannot be asked: the tasks run on", lead.Map{Epoch: 7, Leader: "boss", Parts: mine}, 7, links{err: peer.ErrDown}, leader{}, 7, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := part(t, tc.m, 0, &tc.links)
-			out, err := p.Beat(t.Context(), &wire.Report{Host: "i-1", Epoch: tc.seen}, tc.leader)
+			out, err := p.Beat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: tc.seen}, tc.leader)
 			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
 				t.Errorf("epoch %d, %v", out.Epoch, err)
 			}
 			if e, ok := AsNotOwner(err); err != nil && (!ok || e.Steward != tc.steward) {
 				t.Errorf("sent to %v, want %q", err, tc.steward)
 			}
-			if len(out.Orders) > 0 {
+			if len(out.Commands) > 0 {
 				t.Error("orders of nobody's making")
 			}
 		})
@@ -121,12 +121,12 @@
 				p.gone.Inherit("")
 			}
 			p.gone.Add("", "req-1")
-			out, err := p.Beat(t.Context(), &wire.Report{Host: "i-1", Epoch: 7, Members: []wire.Member{{Member: "req-1/0", Try: 2, Phase: wire.Running}, {Member: "req-2/0", Try: 1, Phase: wire.Running}}}, leader{no})
+			out, err := p.Beat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: 7, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-2/0", Attempt: 1, Phase: wire.PhaseRunning}}}, leader{no})
 			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
 				t.Fatalf("epoch %d, %v", out.Epoch, err)
 			}
-			if want := []wire.Order{{Verb: wire.Stop, Member: "req-1/0", Try: 2}}; err == nil && !slices.Equal(out.Orders, want) {
-				t.Errorf("orders %v, want %v", out.Orders, want)
+			if want := []wire.Command{{Action: wire.ActionStop, Task: "req-1/0", Attempt: 2}}; err == nil && !slices.Equal(out.Commands, want) {
+				t.Errorf("orders %v, want %v", out.Commands, want)
 			}
 		})
 	}
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -14,9 +14,9 @@
 
 var warning = 12.5
 
-var report = &wire.Report{
-	Host: "i-1", Address: "1.2.3.4:5", Flavor: "big", Locale: "a", Loaners: true, Tenure: 3, Tick: 1 << 40, Epoch: 7, Warning: &warning,
-	Members: []wire.Member{{Member: "req-1/2", Try: 3, Phase: "ended", Cause: "halted", Kept: true}, {Member: "req-2/0", Try: 1, Phase: "running"}},
+var report = &wire.Heartbeat{
+	Worker: "i-1", Address: "1.2.3.4:5", InstanceType: "big", Zone: "a", Spot: true, Incarnation: 3, Sequence: 1 << 40, Epoch: 7, SpotNoticeSeconds: &warning,
+	Tasks: []wire.TaskStatus{{Task: "req-1/2", Attempt: 3, Phase: "ended", ExitReason: "halted", CheckpointSaved: true}, {Task: "req-2/0", Attempt: 1, Phase: "running"}},
 }
 
 var offer = placement.Offer{
@@ -33,7 +33,7 @@
 var (
 	ping   = Ping{Node: "n", Epoch: 9, Leader: "m", Parts: []string{"m", "n"}, StateAge: time.Minute}
 	answer = BeatAnswer{
-		OK: true, Orders: wire.Orders{Epoch: 4, Orders: []wire.Order{{Verb: "stop", Member: "req-1/0", Try: 2, Wind: 1.5}}},
+		OK: true, Orders: wire.CommandBatch{Epoch: 4, Commands: []wire.Command{{Action: "stop", Task: "req-1/0", Attempt: 2, GraceSeconds: 1.5}}},
 		Learned: []agent.Finish{{Type: "t", Flavor: "big", Run: time.Hour}},
 	}
 	picks      = []placement.Picked{{Host: "i-1", Ref: "req-1", Tier: 2, Cost: -0.5, Weight: 8}}
@@ -117,7 +117,7 @@
 	f.Add(encodeOffer(&wide))
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if r, err := decodeReport(b); err == nil {
-			if again, err := decodeReport(encodeReport(r)); err != nil || again.Host != r.Host || len(again.Members) != len(r.Members) {
+			if again, err := decodeReport(encodeReport(r)); err != nil || again.Worker != r.Worker || len(again.Tasks) != len(r.Tasks) {
 				t.Fatalf("report changed: %v", err)
 			}
 		}
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -76,21 +76,21 @@
 	pick    func(placement.Offer) []placement.Picked
 }
 
-func (n *node) Ping() Ping                                    { return Ping{Node: "n"} }
-func (n *node) Pinged(Ping)                                   {}
-func (n *node) Beat(context.Context, *wire.Report) BeatAnswer { return BeatAnswer{} }
-func (n *node) Pick(o placement.Offer) []placement.Picked     { return n.pick(o) }
-func (n *node) User(context.Context, UserRequest) UserAnswer  { return UserAnswer{} }
-func (n *node) Counts(string) (Counts, error)                 { return Counts{}, nil }
-func (n *node) Hearing() Hearing                              { return Hearing{Age: time.Second, Deaf: true} }
-func (n *node) Version() string                               { return n.version }
-func (n *node) History() History                              { return History{} }
-func (n *node) Remembers(string, History)                     { n.told.Store(true) }
-func (n *node) Copy(*copies.Push) copies.Ack                  { return copies.Ack{} }
-func (n *node) Recall(copies.Ask) copies.Page                 { return copies.Page{} }
-func (n *node) Withdrawn(*withdrawn.Note) withdrawn.Ack       { return withdrawn.Ack{Taken: true} }
-func (n *node) Reached(context.Context, string)               {}
-func (n *node) Linked(context.Context, string)                {}
+func (n *node) Ping() Ping                                       { return Ping{Node: "n"} }
+func (n *node) Pinged(Ping)                                      {}
+func (n *node) Beat(context.Context, *wire.Heartbeat) BeatAnswer { return BeatAnswer{} }
+func (n *node) Pick(o placement.Offer) []placement.Picked        { return n.pick(o) }
+func (n *node) User(context.Context, UserRequest) UserAnswer     { return UserAnswer{} }
+func (n *node) Counts(string) (Counts, error)                    { return Counts{}, nil }
+func (n *node) Hearing() Hearing                                 { return Hearing{Age: time.Second, Deaf: true} }
+func (n *node) Version() string                                  { return n.version }
+func (n *node) History() History                                 { return History{} }
+func (n *node) Remembers(string, History)                        { n.told.Store(true) }
+func (n *node) Copy(*copies.Push) copies.Ack                     { return copies.Ack{} }
+func (n *node) Recall(copies.Ask) copies.Page                    { return copies.Page{} }
+func (n *node) Withdrawn(*withdrawn.Note) withdrawn.Ack          { return withdrawn.Ack{Taken: true} }
+func (n *node) Reached(context.Context, string)                  {}
+func (n *node) Linked(context.Context, string)                   {}
 
 func refuse(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -18,8 +18,8 @@
 // back as what was sent. testdata/production has those of version 0.1.
 func TestGoldenFrames(t *testing.T) {
 	p, h, past := goldentest.Filled[Ping](), goldentest.Filled[Hearing](), goldentest.Filled[History]()
-	rep, ba := goldentest.Filled[wire.Report](), goldentest.Filled[BeatAnswer]()
-	ba.Orders.Tenure = 0 // an answer has none
+	rep, ba := goldentest.Filled[wire.Heartbeat](), goldentest.Filled[BeatAnswer]()
+	ba.Orders.Incarnation = 0 // an answer has none
 	o, ps := goldentest.Filled[placement.Offer](), goldentest.Filled[[]placement.Picked]()
 	ur, ua, c := goldentest.Filled[UserRequest](), goldentest.Filled[UserAnswer](), goldentest.Filled[Counts]()
 	anonymous := ur
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -26,7 +26,7 @@
 type Handler interface {
 	Ping() Ping
 	Pinged(Ping)
-	Beat(ctx context.Context, r *wire.Report) BeatAnswer
+	Beat(ctx context.Context, r *wire.Heartbeat) BeatAnswer
 	Pick(o placement.Offer) []placement.Picked
 	User(ctx context.Context, r UserRequest) UserAnswer
 	Counts(ref string) (Counts, error)
@@ -115,7 +115,7 @@
 }
 
 // Beat passes a worker's report on to the leader.
-func (m *Mesh) Beat(ctx context.Context, node string, r *wire.Report) (BeatAnswer, error) {
+func (m *Mesh) Beat(ctx context.Context, node string, r *wire.Heartbeat) (BeatAnswer, error) {
 	b, err := m.ask(ctx, node, kindBeat, encodeReport(r))
 	if err != nil {
 		return BeatAnswer{}, err
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -79,48 +79,48 @@
 // BeatAnswer is the leader's answer to a report passed on by an owner.
 type BeatAnswer struct {
 	OK      bool // false: the leader may not answer it
-	Orders  wire.Orders
+	Orders  wire.CommandBatch
 	Learned []agent.Finish // for the owner's table
 }
 
-func encodeReport(r *wire.Report) []byte {
+func encodeReport(r *wire.Heartbeat) []byte {
 	var e codec.Encoder
-	e.Str(r.Host)
+	e.Str(r.Worker)
 	e.Str(r.Address)
-	e.Str(r.Flavor)
-	e.Str(r.Locale)
-	e.Bool(r.Loaners)
-	e.Uint(r.Tenure)
-	e.Uint(r.Tick)
+	e.Str(r.InstanceType)
+	e.Str(r.Zone)
+	e.Bool(r.Spot)
+	e.Uint(r.Incarnation)
+	e.Uint(r.Sequence)
 	e.Uint(r.Epoch)
-	e.Bool(r.Warning != nil)
-	if r.Warning != nil {
-		e.Float(*r.Warning)
+	e.Bool(r.SpotNoticeSeconds != nil)
+	if r.SpotNoticeSeconds != nil {
+		e.Float(*r.SpotNoticeSeconds)
 	}
-	e.Uint(uint64(len(r.Members)))
-	for i := range r.Members {
-		m := &r.Members[i]
-		e.Str(m.Member)
-		e.Uint(m.Try)
+	e.Uint(uint64(len(r.Tasks)))
+	for i := range r.Tasks {
+		m := &r.Tasks[i]
+		e.Str(m.Task)
+		e.Uint(m.Attempt)
 		e.Str(m.Phase)
-		e.Str(m.Cause)
-		e.Bool(m.Kept)
+		e.Str(m.ExitReason)
+		e.Bool(m.CheckpointSaved)
 	}
 	return e.B
 }
 
-func decodeReport(b []byte) (*wire.Report, error) {
+func decodeReport(b []byte) (*wire.Heartbeat, error) {
 	d := codec.Decoder{B: b}
-	r := &wire.Report{
-		Host: d.Str(), Address: d.Str(), Flavor: d.Str(), Locale: d.Str(), Loaners: d.Bool(),
-		Tenure: d.Uint(), Tick: d.Uint(), Epoch: d.Uint(),
+	r := &wire.Heartbeat{
+		Worker: d.Str(), Address: d.Str(), InstanceType: d.Str(), Zone: d.Str(), Spot: d.Bool(),
+		Incarnation: d.Uint(), Sequence: d.Uint(), Epoch: d.Uint(),
 	}
 	if d.Bool() {
 		w := d.Float()
-		r.Warning = &w
+		r.SpotNoticeSeconds = &w
 	}
 	for range d.Items() {
-		r.Members = append(r.Members, wire.Member{Member: d.Str(), Try: d.Uint(), Phase: d.Str(), Cause: d.Str(), Kept: d.Bool()})
+		r.Tasks = append(r.Tasks, wire.TaskStatus{Task: d.Str(), Attempt: d.Uint(), Phase: d.Str(), ExitReason: d.Str(), CheckpointSaved: d.Bool()})
 	}
 	return r, d.Done()
 }
@@ -129,13 +129,13 @@
 	var e codec.Encoder
 	e.Bool(a.OK)
 	e.Uint(a.Orders.Epoch)
-	e.Uint(uint64(len(a.Orders.Orders)))
-	for i := range a.Orders.Orders {
-		o := &a.Orders.Orders[i]
-		e.Str(o.Verb)
-		e.Str(o.Member)
-		e.Uint(o.Try)
-		e.Float(o.Wind)
+	e.Uint(uint64(len(a.Orders.Commands)))
+	for i := range a.Orders.Commands {
+		o := &a.Orders.Commands[i]
+		e.Str(o.Action)
+		e.Str(o.Task)
+		e.Uint(o.Attempt)
+		e.Float(o.GraceSeconds)
 	}
 	e.Uint(uint64(len(a.Learned)))
 	for _, l := range a.Learned {
@@ -149,9 +149,9 @@
 func decodeBeatAnswer(b []byte) (a BeatAnswer, err error) {
 	d := codec.Decoder{B: b}
 	a.OK = d.Bool()
-	a.Orders = wire.Orders{Epoch: d.Uint(), Orders: []wire.Order{}}
+	a.Orders = wire.CommandBatch{Epoch: d.Uint(), Commands: []wire.Command{}}
 	for range d.Items() {
-		a.Orders.Orders = append(a.Orders.Orders, wire.Order{Verb: d.Str(), Member: d.Str(), Try: d.Uint(), Wind: d.Float()})
+		a.Orders.Commands = append(a.Orders.Commands, wire.Command{Action: d.Str(), Task: d.Str(), Attempt: d.Uint(), GraceSeconds: d.Float()})
 	}
 	for range d.Items() {
 		a.Learned = append(a.Learned, agent.Finish{Type: d.Str(), Flavor: d.Str(), Run: time.Duration(d.Int())})
--- a/internal/rebuild/rebuild.go
+++ b/internal/rebuild/rebuild.go
@@ -113,7 +113,7 @@
 		}
 		if ref, ok := strings.CutPrefix(v.Key, ledger.LivePrefix); ok {
 			rec, err := ledger.DecodeRecord(v.Data)
-			if err != nil || rec.Job.Ref != ref || rec.Job.Members <= 0 {
+			if err != nil || rec.Job.ID != ref || rec.Job.TaskCount <= 0 {
 				m.bad[v.Key] = true
 				continue
 			}
@@ -124,7 +124,7 @@
 		}
 		if ref, ok := strings.CutPrefix(v.Key, ledger.EndedPrefix); ok {
 			var e ledger.Ending
-			if err := json.Unmarshal(v.Data, &e); err != nil || e.Phase != wire.Done && e.Phase != wire.Withdrawn {
+			if err := json.Unmarshal(v.Data, &e); err != nil || e.Phase != wire.PhaseDone && e.Phase != wire.PhaseCancelled {
 				m.bad[v.Key] = true
 				continue
 			}
@@ -256,7 +256,7 @@
 // layout gives a job's chunks as they are to be stored.
 func (m *merger) layout(r *Result, ref string, j *job, writer string, base uint64, limit int) error {
 	size := sizeOf(j)
-	if size == 0 || j.end != nil && j.end.Phase == wire.Done {
+	if size == 0 || j.end != nil && j.end.Phase == wire.PhaseDone {
 		return nil // what is left of a job that is done is tidied as ever
 	}
 	by := make(map[int]ledger.Stored)
--- a/internal/rebuild/rebuild_test.go
+++ b/internal/rebuild/rebuild_test.go
@@ -19,7 +19,7 @@
 const base, limit = 1 << 20, 16 << 10
 
 func record(ref string, members, size int) []byte {
-	b, err := ledger.Encode(ledger.Record{Job: wire.Job{Ref: ref, Owner: "t", Shape: wire.Batch, Members: members, Cores: 1}, AtMS: 1, Chunk: size})
+	b, err := ledger.Encode(ledger.Record{Job: wire.Job{ID: ref, Team: "t", Kind: wire.KindArray, TaskCount: members, CPUs: 1}, AtMS: 1, Chunk: size})
 	if err != nil {
 		panic(err)
 	}
@@ -159,9 +159,9 @@
 			gen++
 			for _, c := range b.Apply {
 				if c.Put != "" {
-					stored[c.Put] = c.Data
+					stored[c.Put] = c.Value
 				} else {
-					delete(stored, c.Remove)
+					delete(stored, c.Delete)
 				}
 			}
 			led.Committed(b, gen)
@@ -191,7 +191,7 @@
 				}
 				delete(stored, ledger.LiveKey(j.Ref))
 				stored[ledger.EndedKey(j.Ref)] = data
-				tr.ended[j.Ref] = wire.Withdrawn
+				tr.ended[j.Ref] = wire.PhaseCancelled
 				led.Withdraw(j.Ref)
 			case do < 6 && j.WaitingTasks() > 0:
 				h, err := claim(led, j, fmt.Sprintf("i-%d", step))
@@ -206,7 +206,7 @@
 					tr.done[h.Task().String()] = true
 					led.Finish(h)
 					if j.Finished {
-						tr.ended[j.Ref] = wire.Done
+						tr.ended[j.Ref] = wire.PhaseDone
 					}
 				} else {
 					led.Free(h, now)
@@ -354,7 +354,7 @@
 	}
 	for task, c := range tr.latest {
 		id, _ := ledger.ParseTask(task)
-		if tr.ended[id.Ref] == wire.Done {
+		if tr.ended[id.Ref] == wire.PhaseDone {
 			continue
 		}
 		if got, ok := claims[task]; !ok || got.Try != c.Try || got.Host != c.Host {
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -27,7 +27,9 @@
 
 // Above tells whether a rank is higher than another. An identity that may have one may
 // have those below it.
-func Above(a, b string) bool { return slices.Index(wire.Ranks(), a) < slices.Index(wire.Ranks(), b) }
+func Above(a, b string) bool {
+	return slices.Index(wire.Priorities(), a) < slices.Index(wire.Priorities(), b)
+}
 
 // Kinds of identities.
 const (
@@ -113,8 +115,8 @@
 			return fmt.Errorf("do: %q is none of %s", d, strings.Join(deeds, ", "))
 		}
 	}
-	if r.Rank != "" && !slices.Contains(wire.Ranks(), r.Rank) {
-		return fmt.Errorf("rank: %q is none of %s", r.Rank, strings.Join(wire.Ranks(), ", "))
+	if r.Rank != "" && !slices.Contains(wire.Priorities(), r.Rank) {
+		return fmt.Errorf("rank: %q is none of %s", r.Rank, strings.Join(wire.Priorities(), ", "))
 	}
 	return nil
 }
@@ -201,7 +203,7 @@
 
 // top is the highest rank that somebody may submit jobs of an owner at.
 func (rs *Rules) top(who *Identity, owner string) string {
-	ranks := wire.Ranks()
+	ranks := wire.Priorities()
 	for _, rank := range ranks {
 		denied := slices.ContainsFunc(rs.Deny, func(r Rule) bool {
 			return r.about(who, Submit, owner) && (r.Rank == "" || !Above(r.Rank, rank))
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -93,7 +93,7 @@
 		q := Request{
 			Do:    rapid.SampledFrom([]string{Submit, Withdraw, Read, Need}).Draw(t, "do"),
 			Owner: rapid.SampledFrom([]string{"museum", "archive", "visitors"}).Draw(t, "owner"),
-			Rank:  rapid.SampledFrom(wire.Ranks()).Draw(t, "rank"),
+			Rank:  rapid.SampledFrom(wire.Priorities()).Draw(t, "rank"),
 		}
 		d := rs.Decide(&who, q)
 		if d.Allowed && len(rs.Allow) == 0 {
@@ -106,7 +106,7 @@
 			t.Fatalf("%s is allowed above the cap %s", q.Rank, d.Cap)
 		}
 		if d.Allowed && q.Do == Submit {
-			for _, lower := range wire.Ranks()[slices.Index(wire.Ranks(), q.Rank):] {
+			for _, lower := range wire.Priorities()[slices.Index(wire.Priorities(), q.Rank):] {
 				if l := rs.Decide(&who, Request{Submit, q.Owner, lower}); !l.Allowed && !strings.HasPrefix(l.Rule, "deny") {
 					t.Fatalf("%s is allowed, %s not: %s", q.Rank, lower, l.Rule)
 				}
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -43,7 +43,7 @@
 // leave the balancer then would only make coming back slower.
 func (d *daemon) health(w http.ResponseWriter, _ *http.Request) {
 	if d.part.Refused() && len(d.set.Members) > 0 && !d.part.Linked() {
-		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "cut off"})
+		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "cut off"})
 		return
 	}
 	reply(w, http.StatusOK, struct{}{})
@@ -54,12 +54,12 @@
 	d.part.Heard()
 	d.crowd.ease(w)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, agent.MaxBody))
-	var rep wire.Report
+	var rep wire.Heartbeat
 	if err == nil {
 		err = json.Unmarshal(body, &rep)
 	}
 	if err != nil {
-		reply(w, http.StatusBadRequest, wire.Error{Error: "malformed report"})
+		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed report"})
 		return
 	}
 	d.shown(rep.Epoch)
@@ -69,10 +69,10 @@
 		return
 	}
 	if e, ok := part.AsNotOwner(err); ok && e.Steward != "" && e.Steward != d.set.Node {
-		reply(w, http.StatusMisdirectedRequest, wire.Steward{Steward: e.Steward})
+		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: e.Steward})
 		return
 	}
-	reply(w, http.StatusServiceUnavailable, wire.Error{Error: "not entitled"})
+	reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not entitled"})
 }
 
 // shown notes an epoch that a worker has seen. One that the state service has not given
@@ -118,7 +118,7 @@
 	// One more than may be: the peer sees that it is too large.
 	body, err := io.ReadAll(io.LimitReader(r.Body, intake.MaxBody+1))
 	if err != nil {
-		reply(w, http.StatusBadRequest, wire.Error{Error: "broken body"})
+		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "broken body"})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), d.set.Report()/2)
@@ -126,7 +126,7 @@
 	a, err := d.mesh.User(ctx, node, peer.UserRequest{Method: r.Method, Path: r.URL.Path, Body: body, Auth: r.Header.Get("Authorization")})
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
-		reply(w, http.StatusServiceUnavailable, wire.Error{Error: "state service"})
+		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "state service"})
 		return
 	}
 	if a.RetryAfter != "" {
@@ -150,7 +150,7 @@
 
 // Fence, Doubt, Check, Lost, Fresh, Fed and Young are what users' requests are decided under.
 
-func (d *daemon) Fence() ([]wire.Guard, history.Phase, error) { return d.hist.Fence(d.el.Old()) }
+func (d *daemon) Fence() ([]wire.Compare, history.Phase, error) { return d.hist.Fence(d.el.Old()) }
 
 func (d *daemon) Doubt(why string) { d.hist.Doubt(why) }
 
@@ -225,7 +225,7 @@
 	d.el.Learn(lead.Map{Epoch: p.Epoch, Leader: p.Leader, Parts: p.Parts})
 }
 
-func (d *daemon) Beat(ctx context.Context, r *wire.Report) peer.BeatAnswer {
+func (d *daemon) Beat(ctx context.Context, r *wire.Heartbeat) peer.BeatAnswer {
 	out, learned, err := d.control.Beat(ctx, r)
 	return peer.BeatAnswer{OK: err == nil, Orders: out, Learned: learned}
 }
@@ -297,11 +297,11 @@
 		if errors.Is(err, identity.ErrStale) {
 			status = http.StatusServiceUnavailable
 		}
-		reply(w, status, wire.Error{Error: err.Error()})
+		reply(w, status, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
 	if dec := d.door.May(who, rights.Request{Do: rights.Status}); !dec.Allowed {
-		reply(w, http.StatusForbidden, wire.Error{Error: dec.Rule})
+		reply(w, http.StatusForbidden, wire.ErrorResponse{Error: dec.Rule})
 		return
 	}
 	reply(w, http.StatusOK, Status{
--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -19,7 +19,7 @@
 
 // Get, List and Commit are what tools ask of the store.
 
-func (s *store) Get(_ context.Context, key string) (wire.Item, error) {
+func (s *store) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it, ok := s.keys[key]
@@ -29,7 +29,7 @@
 	return it, nil
 }
 
-func (s *store) List(_ context.Context, under string) (out []wire.Item, gen uint64, err error) {
+func (s *store) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, it := range s.keys {
@@ -37,16 +37,16 @@
 			out = append(out, it)
 		}
 	}
-	slices.SortFunc(out, func(a, b wire.Item) int { return strings.Compare(a.Path, b.Path) })
+	slices.SortFunc(out, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 	return out, s.rev, nil
 }
 
-func (s *store) Commit(_ context.Context, t wire.Commit) (uint64, []string, error) {
+func (s *store) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, res := s.commit(t)
-	r := res.(wire.Committed)
-	return r.Generation, r.Failed, nil
+	r := res.(wire.TxnResponse)
+	return r.Revision, r.FailedKeys, nil
 }
 
 // newRing makes a key ring in a file.
@@ -136,10 +136,10 @@
 			t.Errorf("%s: %s", ref, f)
 		}
 		j := w.jobs[ref]
-		if e := s.Accepted; e == nil || e.Act != audit.Accepted || e.Owner != j.Owner || e.Rank != j.Rank || e.Tasks[0].Index != j.Members || e.Via == "" {
+		if e := s.Accepted; e == nil || e.Act != audit.Accepted || e.Owner != j.Team || e.Rank != j.Priority || e.Tasks[0].Index != j.TaskCount || e.Via == "" {
 			t.Errorf("%s: its acceptance is told as %+v", ref, e)
 		}
-		if (w.told[ref] == wire.Withdrawn) != (s.Withdrawn != nil) || (w.told[ref] == wire.Done) != (s.Done != nil) {
+		if (w.told[ref] == wire.PhaseCancelled) != (s.Withdrawn != nil) || (w.told[ref] == wire.PhaseDone) != (s.Done != nil) {
 			t.Errorf("%s is %s, told withdrawn %v, done %v", ref, w.told[ref], s.Withdrawn, s.Done)
 		}
 		// One that was asked for may have been carried there from a needed job first.
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -79,7 +79,7 @@
 
 // free is what is free of a machine.
 type free struct {
-	h     wire.ListedHost
+	h     wire.Instance
 	cores float64
 	ram   float64
 	tasks map[string]bool
@@ -98,12 +98,12 @@
 		if k == nil {
 			continue
 		}
-		i := slices.IndexFunc(types, func(t wire.MachineType) bool { return t.Label == k.h.Flavor })
-		f := free{h: k.h, cores: types[i].Cores, ram: types[i].RAM, tasks: make(map[string]bool)}
+		i := slices.IndexFunc(types, func(t wire.InstanceType) bool { return t.Name == k.h.InstanceType })
+		f := free{h: k.h, cores: types[i].CPUs, ram: types[i].MemoryGB, tasks: make(map[string]bool)}
 		k.mu.Lock()
 		well := !k.hung && !k.deaf && !k.mute
 		for n, t := range k.tasks {
-			if t.Phase != wire.Ended {
+			if t.Phase != wire.TaskExited {
 				f.tasks[n] = true
 			}
 		}
@@ -112,7 +112,7 @@
 		for n := range f.tasks {
 			id, _ := ledger.ParseTask(n)
 			j := c.w.jobs[id.Ref]
-			f.cores, f.ram = f.cores-j.Cores, f.ram-j.RAM
+			f.cores, f.ram = f.cores-j.CPUs, f.ram-j.MemoryGB
 		}
 		c.w.mu.Unlock()
 		if well {
@@ -125,28 +125,28 @@
 // fits tells whether a task of a job waits that one of the rooms has room for; run it with
 // the lock held.
 func (w *world) fits(j wire.Job, rooms []free) bool {
-	if w.taken[j.Ref].IsZero() || w.asked[j.Ref] || j.Shape == wire.Ensemble || w.used[j.Owner]+j.Cores > w.limit {
+	if w.taken[j.ID].IsZero() || w.asked[j.ID] || j.Kind == wire.KindGang || w.used[j.Team]+j.CPUs > w.limit {
 		return false
 	}
-	for _, n := range j.Needs {
+	for _, n := range j.DependsOn {
 		if !w.finished(n) {
 			return false
 		}
 	}
 	waits, zones, all := false, make(map[string]int), 0
-	for i := range j.Members {
-		id := ledger.Task{Ref: j.Ref, Index: i}
+	for i := range j.TaskCount {
+		id := ledger.Task{Ref: j.ID, Index: i}
 		if w.done[id] {
 			continue
 		}
 		at := ""
 		for _, f := range rooms {
 			if f.tasks[id.String()] {
-				at = f.h.Locale
+				at = f.h.Zone
 			}
 		}
 		if at == "" && w.where[id] != "" {
-			at = w.workers[w.where[id]].h.Locale
+			at = w.workers[w.where[id]].h.Zone
 		}
 		if at == "" {
 			waits = true
@@ -156,24 +156,24 @@
 		all++
 	}
 	return waits && slices.ContainsFunc(rooms, func(f free) bool {
-		z := f.h.Locale
-		return f.cores >= j.Cores && f.ram >= j.RAM && (j.Loaners || !f.h.Loaners) && (j.Locale == "" || j.Locale == z) &&
-			(len(j.Flavors) == 0 || slices.Contains(j.Flavors, f.h.Flavor)) &&
-			(!j.Scatter || zones[z]+1 <= (j.Members+1)/2) && (!j.SamePlace || zones[z] == all)
+		z := f.h.Zone
+		return f.cores >= j.CPUs && f.ram >= j.MemoryGB && (j.AllowSpot || !f.h.Spot) && (j.Zone == "" || j.Zone == z) &&
+			(len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, f.h.InstanceType)) &&
+			(!j.SpreadZones || zones[z]+1 <= (j.TaskCount+1)/2) && (!j.SingleZone || zones[z] == all)
 	})
 }
 
 // begins checks that the largest jobs, a quarter of them, began in time; run it with the
 // lock held.
 func (w *world) begins() {
-	size := func(ref string) float64 { return float64(w.jobs[ref].Members) * w.jobs[ref].Cores }
+	size := func(ref string) float64 { return float64(w.jobs[ref].TaskCount) * w.jobs[ref].CPUs }
 	refs := slices.SortedFunc(maps.Keys(w.taken), func(a, b string) int { return int(100 * (size(b) - size(a))) })
 	for _, ref := range refs[:len(refs)/4] {
 		from, at := w.taken[ref], w.begun[ref]
 		if at.IsZero() {
 			at = time.Now()
 		}
-		if !w.asked[ref] && len(w.jobs[ref].Needs) == 0 && at.Sub(from) > largest {
+		if !w.asked[ref] && len(w.jobs[ref].DependsOn) == 0 && at.Sub(from) > largest {
 			w.broke("largest: %s began after %v", ref, at.Sub(from))
 		}
 	}
@@ -195,7 +195,7 @@
 		return 0, ""
 	}
 	defer res.Body.Close()
-	var p wire.Phase
+	var p wire.JobStatus
 	b, _ := io.ReadAll(res.Body)
 	json.Unmarshal(b, &p)
 	return res.StatusCode, p.Phase
@@ -278,7 +278,7 @@
 			if status != 200 && status != 503 && status != 0 {
 				w.broke("forgotten: %s submitted again with %s was answered %d", ref, o.name, status)
 			}
-			over := w.told[ref] == wire.Done
+			over := w.told[ref] == wire.PhaseDone
 			w.mu.Unlock()
 			if over {
 				if status, _ := w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs/"+ref+"/withdraw", nil); status != 200 && status != 503 && status != 0 {
--- a/internal/sim/crashpoint_test.go
+++ b/internal/sim/crashpoint_test.go
@@ -21,14 +21,14 @@
 	seen := make(chan write, 1)
 	begun, n := false, 0
 	d.st.mu.Lock()
-	d.st.done = func(from string, t wire.Commit) bool {
+	d.st.done = func(from string, t wire.Txn) bool {
 		begun = begun || puts(t, "history/id/")
 		if !begun || !puts(t, "history/") && !puts(t, "j/") && !puts(t, "c/") && !puts(t, "d/") {
 			return false
 		}
 		whole := false
-		for _, c := range t.Apply {
-			whole = whole || c.Put == "history/phase" && bytes.Contains(c.Data, []byte("whole"))
+		for _, c := range t.Operations {
+			whole = whole || c.Put == "history/phase" && bytes.Contains(c.Value, []byte("whole"))
 		}
 		n++
 		if n == number || whole {
@@ -82,7 +82,7 @@
 						t.Errorf("write %d: %s", k, b)
 					}
 					for ref, j := range d.w.jobs {
-						if want := map[string]string{wire.Batch: wire.Done, wire.Standing: wire.Withdrawn}[j.Shape]; d.w.told[ref] != want {
+						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; d.w.told[ref] != want {
 							t.Errorf("write %d: %s is %q, want %s", k, ref, d.w.told[ref], want)
 						}
 					}
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -27,11 +27,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, w, st, cl, cs, end := begin(t, 11, float64(4*machines), machines/2, "")
 		for i := range 24 {
-			j := wire.Job{Ref: fmt.Sprintf("req-%06d", i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "standard",
-				Members: machines / 8, Cores: 2, RAM: 2, Bundle: "img", Loaners: i%2 == 0, ExpectS: float64(8 + i)}
+			j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
+				TaskCount: machines / 8, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(8 + i)}
 			withdraw := time.Duration(0)
 			if i%4 == 3 {
-				j.Shape, j.Rank, j.Members, j.Cores, j.Scatter = wire.Standing, "production", machines/16, 1, true
+				j.Kind, j.Priority, j.TaskCount, j.CPUs, j.SpreadZones = wire.KindService, "production", machines/16, 1, true
 				withdraw = 260 * time.Second
 				if i == 11 {
 					withdraw = 29 * time.Second // while its zone is cut off
@@ -59,7 +59,7 @@
 		cl.mu.Lock()
 		kept, all := 0, 0
 		for ref, h := range before {
-			if h.Locale == zone {
+			if h.Zone == zone {
 				all++
 				if _, ok := cl.hosts[ref]; ok {
 					kept++
@@ -93,7 +93,7 @@
 			t.Error(b)
 		}
 		for ref, j := range w.jobs {
-			if want := map[string]string{wire.Batch: wire.Done, wire.Standing: wire.Withdrawn}[j.Shape]; w.told[ref] != want {
+			if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; w.told[ref] != want {
 				t.Errorf("%s is %q, want %s", ref, w.told[ref], want)
 			}
 		}
@@ -119,8 +119,8 @@
 			cs[n] = w.boot(n)
 		}
 		for i := range 12 {
-			w.submit(ctx, wire.Job{Ref: fmt.Sprintf("req-%06d", i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Standing, Rank: "production",
-				Members: machines / 12, Cores: 2, RAM: 2, Bundle: "img"}, time.Duration(1+i)*time.Second, 0)
+			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindService, Priority: "production",
+				TaskCount: machines / 12, CPUs: 2, MemoryGB: 2, Image: "img"}, time.Duration(1+i)*time.Second, 0)
 		}
 		time.Sleep(45 * time.Second)
 		w.mu.Lock()
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -75,7 +75,7 @@
 		}
 		job := func(ref, owner, rank string, needs ...string) map[string]any {
 			w.mu.Lock()
-			w.jobs[ref] = wire.Job{Ref: ref, Owner: owner, Shape: wire.Batch, Members: 1, Cores: 1, ExpectS: 30, Needs: needs}
+			w.jobs[ref] = wire.Job{ID: ref, Team: owner, Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 30, DependsOn: needs}
 			w.mu.Unlock()
 			return map[string]any{"ref": ref, "jobclass": "c", "owner": owner, "shape": "batch", "rank": rank, "members": 1, "cores": 1, "accelerators": 0, "ram_gb": 1,
 				"bundle": "img", "size_gb": 1, "same_place": false, "scatter": false, "loaners": true, "expect_s": 30, "snapshot_s": 0, "flush_s": 0, "waits_on": needs}
--- a/internal/sim/loss_test.go
+++ b/internal/sim/loss_test.go
@@ -168,14 +168,14 @@
 			d.w.mu.Lock()
 			asked, unknown := map[string]bool{}, 0
 			for id, host := range before {
-				if d.w.where[id] == host && d.w.told[id.Ref] == wire.Running {
+				if d.w.where[id] == host && d.w.told[id.Ref] == wire.PhaseRunning {
 					unknown++
 				}
 			}
 			d.w.again = func(ref string) bool { // every user submits once more
 				was := asked[ref]
 				asked[ref] = true
-				return !was && d.w.told[ref] != wire.Done && d.w.told[ref] != wire.Withdrawn
+				return !was && d.w.told[ref] != wire.PhaseDone && d.w.told[ref] != wire.PhaseCancelled
 			}
 			d.w.mu.Unlock()
 			kept := d.kept(before, 40*time.Second)
@@ -190,7 +190,7 @@
 				t.Error(b)
 			}
 			for ref, j := range d.w.jobs {
-				if got := d.w.told[ref]; before.job(ref) && j.Shape == wire.Batch && got != wire.Done {
+				if got := d.w.told[ref]; before.job(ref) && j.Kind == wire.KindArray && got != wire.PhaseDone {
 					t.Errorf("%s is %q", ref, got)
 				}
 			}
@@ -216,7 +216,7 @@
 
 // finished tells whether all of a job's tasks are done.
 func (w *world) finished(ref string) bool {
-	for i := range w.jobs[ref].Members {
+	for i := range w.jobs[ref].TaskCount {
 		if !w.done[ledger.Task{Ref: ref, Index: i}] {
 			return false
 		}
@@ -243,11 +243,11 @@
 func lossDayOf(t *testing.T, seed uint64, size int, operator string) (*lossDay, places, func()) {
 	ctx, w, st, cl, cs, end := begin(t, seed, float64(4*size), size/2, operator)
 	for i := range 24 {
-		j := wire.Job{Ref: fmt.Sprintf("req-%06d", i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "standard",
-			Members: max(2, size/8), Cores: 2, RAM: 2, Bundle: "img", Loaners: i%2 == 0, ExpectS: float64(8 + 3*i)}
+		j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
+			TaskCount: max(2, size/8), CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(8 + 3*i)}
 		withdraw := time.Duration(0)
 		if i%4 == 3 {
-			j.Shape, j.Rank, j.Members, j.Cores, j.Scatter = wire.Standing, "production", max(2, size/16), 1, true
+			j.Kind, j.Priority, j.TaskCount, j.CPUs, j.SpreadZones = wire.KindService, "production", max(2, size/16), 1, true
 			withdraw = 190 * time.Second
 			if i == 11 {
 				withdraw = 38 * time.Second // a few seconds before
@@ -281,7 +281,7 @@
 	}
 	ends := 0
 	for ref, j := range w.jobs {
-		if want := map[string]string{wire.Batch: wire.Done, wire.Standing: wire.Withdrawn}[j.Shape]; w.told[ref] == want {
+		if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; w.told[ref] == want {
 			ends++
 		} else {
 			t.Errorf("%s is %q, want %s", ref, w.told[ref], want)
@@ -303,7 +303,7 @@
 					t.Error(b)
 				}
 				for ref := range w.jobs {
-					if got := w.told[ref]; got != wire.Done && got != wire.Withdrawn {
+					if got := w.told[ref]; got != wire.PhaseDone && got != wire.PhaseCancelled {
 						t.Errorf("%s is %q at the end", ref, got)
 					}
 				}
@@ -335,11 +335,11 @@
 	ctx, w, st, cl, cs, end := begin(t, 5, float64(8*machines), machines/2, "")
 	d := &lossDay{w, st, cl, cs}
 	for i := range machines * 10 / 50 {
-		j := wire.Job{Ref: fmt.Sprintf("req-%06d", i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "standard",
-			Members: 50, Cores: 0.5, RAM: 1, Bundle: "img", Loaners: i%2 == 0, ExpectS: float64(100 + i%60)}
+		j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
+			TaskCount: 50, CPUs: 0.5, MemoryGB: 1, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(100 + i%60)}
 		withdraw := time.Duration(0)
 		if i%4 == 3 {
-			j.Shape, j.Rank, j.Members, withdraw = wire.Standing, "production", 10, 170*time.Second
+			j.Kind, j.Priority, j.TaskCount, withdraw = wire.KindService, "production", 10, 170*time.Second
 		}
 		w.submit(ctx, j, time.Duration(2000+10000*i/machines)*time.Millisecond, withdraw)
 	}
@@ -357,7 +357,7 @@
 	changes, bytes := 0, 0
 	for _, c := range st.log[min(wrote, len(st.log)):] {
 		changes++
-		bytes += len(c.Put) + len(c.Data)
+		bytes += len(c.Put) + len(c.Value)
 	}
 	st.mu.Unlock()
 	kept := d.kept(before, 20*time.Second)
--- a/internal/sim/meeting_test.go
+++ b/internal/sim/meeting_test.go
@@ -85,9 +85,9 @@
 		ctx, w, st, cl, cs, end := begin(t, seed, 40, 6, "")
 		m := newMeeting(t, ctx, w, st, cl, cs)
 		for i := range 8 {
-			j := wire.Job{Ref: ref(i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "standard", Members: 2 + i%2, Cores: 1, RAM: 1, Bundle: "img", ExpectS: 200 + 5*float64(i)}
+			j := wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 200 + 5*float64(i)}
 			if i%4 == 3 {
-				j.Shape, j.Rank, j.Scatter, j.ExpectS = wire.Standing, "production", true, 0
+				j.Kind, j.Priority, j.SpreadZones, j.ExpectedSeconds = wire.KindService, "production", true, 0
 			}
 			w.submit(ctx, j, 0, time.Hour)
 		}
@@ -107,12 +107,12 @@
 			_, gone := w.gone[r]
 			switch {
 			case gone:
-				for k := range w.jobs[r].Members {
+				for k := range w.jobs[r].TaskCount {
 					if at := w.where[ledger.Task{Ref: r, Index: k}]; at != "" {
 						t.Errorf("%s/%d is withdrawn and on %s at the end", r, k, at)
 					}
 				}
-			case w.jobs[r].Shape == wire.Batch && w.told[r] != wire.Done:
+			case w.jobs[r].Kind == wire.KindArray && w.told[r] != wire.PhaseDone:
 				t.Errorf("%s is %q at the end", r, w.told[r])
 			}
 		}
@@ -453,10 +453,10 @@
 		w.spread = 0.8
 		w.wg.Go(func() { w.strangers(ctx) })
 		for i := range jobs {
-			j := wire.Job{Ref: ref(i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "standard", Members: 2 + rnd.IntN(2), Cores: 1, RAM: 1, Bundle: "img", Loaners: i%3 == 0, ExpectS: float64(5 + rnd.IntN(60))}
+			j := wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + rnd.IntN(2), CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: i%3 == 0, ExpectedSeconds: float64(5 + rnd.IntN(60))}
 			withdraw := time.Duration(0)
 			if i%4 == 3 {
-				j.Shape, j.Rank, j.Scatter, j.ExpectS = wire.Standing, "production", true, 0
+				j.Kind, j.Priority, j.SpreadZones, j.ExpectedSeconds = wire.KindService, "production", true, 0
 			}
 			if i%2 == 1 {
 				withdraw = time.Duration(20+rnd.IntN(120)) * time.Second
@@ -478,7 +478,7 @@
 			t.Logf("%d starts after a withdrawal was told, the latest %v after", len(w.late), slices.Max(w.late))
 		}
 		for r, j := range w.jobs {
-			if got := w.told[r]; got != wire.Done && got != wire.Withdrawn && (j.Shape == wire.Batch || w.asked[r]) {
+			if got := w.told[r]; got != wire.PhaseDone && got != wire.PhaseCancelled && (j.Kind == wire.KindArray || w.asked[r]) {
 				t.Errorf("%s is %q at the end", r, got)
 			}
 		}
@@ -519,7 +519,7 @@
 				w.spread = 4
 				m := newMeeting(t, ctx, w, st, cl, cs)
 				for i := range 9 {
-					w.submit(ctx, wire.Job{Ref: ref(i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "standard", Members: 2 + i%2, Cores: 1, RAM: 1, Bundle: "img", ExpectS: 8 + 1.7*float64(i)}, 0, 0)
+					w.submit(ctx, wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 8 + 1.7*float64(i)}, 0, 0)
 				}
 				time.Sleep(22 * time.Second) // the first of some are done, of others about to be
 				for range 4 {
@@ -532,7 +532,7 @@
 					t.Error(b)
 				}
 				for i := range 9 {
-					if r := ref(i); w.told[r] != wire.Done {
+					if r := ref(i); w.told[r] != wire.PhaseDone {
 						t.Errorf("%s is %q", r, w.told[r])
 					}
 				}
@@ -602,7 +602,7 @@
 		m := newMeeting(t, ctx, w, st, cl, cs)
 		const jobs = 6
 		for i := range jobs {
-			w.submit(ctx, wire.Job{Ref: ref(i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Standing, Rank: "production", Members: 2, Cores: 1, RAM: 1, Bundle: "img"}, 0, time.Hour)
+			w.submit(ctx, wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 1, MemoryGB: 1, Image: "img"}, 0, time.Hour)
 		}
 		time.Sleep(25 * time.Second)
 		leader := st.leads()
@@ -625,7 +625,7 @@
 			t.Error(b)
 		}
 		for i := range jobs {
-			if w.told[ref(i)] != wire.Withdrawn {
+			if w.told[ref(i)] != wire.PhaseCancelled {
 				t.Errorf("%s is %q", ref(i), w.told[ref(i)])
 			}
 		}
--- a/internal/sim/quick_test.go
+++ b/internal/sim/quick_test.go
@@ -13,7 +13,7 @@
 // moment waits until something is seen, or for long enough that it will not be; seen is
 // called for every commit that is carried out and for whatever is sent between hosts.
 type moment struct {
-	commit func(node string, t wire.Commit) bool
+	commit func(node string, t wire.Txn) bool
 	sent   func(from, to string, b []byte) bool
 }
 
@@ -27,7 +27,7 @@
 		}
 	}
 	d.st.mu.Lock()
-	d.st.done = func(node string, t wire.Commit) bool {
+	d.st.done = func(node string, t wire.Txn) bool {
 		hit := m.commit != nil && m.commit(node, t)
 		if hit {
 			note()
@@ -59,12 +59,12 @@
 
 // more has a job come now, that no other gives way to.
 func (d *lossDay) more() {
-	d.w.submit(d.w.ctx, wire.Job{Ref: "req-000900", Class: "c", Owner: "a", Shape: wire.Batch, Rank: "standard", Members: 6, Cores: 1, RAM: 1, Bundle: "img", Loaners: true, ExpectS: 10}, 0, 0)
+	d.w.submit(d.w.ctx, wire.Job{ID: "req-000900", Class: "c", Team: "a", Kind: wire.KindArray, Priority: "standard", TaskCount: 6, CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, 0, 0)
 }
 
 // puts tells whether a commit puts a key that begins so.
-func puts(t wire.Commit, prefix string) bool {
-	for _, c := range t.Apply {
+func puts(t wire.Txn, prefix string) bool {
+	for _, c := range t.Operations {
 		if strings.HasPrefix(c.Put, prefix) {
 			return true
 		}
@@ -93,14 +93,14 @@
 			// As soon as another takes the lead, it ends too, and the first is back.
 			n := d.leader()
 			d.cs[n].crash()
-			came := d.until(moment{commit: func(_ string, t wire.Commit) bool { return puts(t, "lead") }})
+			came := d.until(moment{commit: func(_ string, t wire.Txn) bool { return puts(t, "lead") }})
 			d.cs[n] = d.w.boot(n)
 			d.crash(d.leader(), back)
 			return came
 		}},
 		{"in a takeover", func(d *lossDay) bool {
 			d.crash(d.leader(), back)
-			came := d.until(moment{commit: func(_ string, t wire.Commit) bool { return puts(t, "lead") }})
+			came := d.until(moment{commit: func(_ string, t wire.Txn) bool { return puts(t, "lead") }})
 			time.Sleep(10 * time.Millisecond) // the claims are being read
 			d.crash(d.leader(), back)
 			return came
@@ -120,7 +120,7 @@
 		{"between a claim and its launch", func(d *lossDay) bool {
 			d.more()
 			n := d.leader()
-			came := d.until(moment{commit: func(node string, t wire.Commit) bool { return node == fmt.Sprintf("host-%d", n) && puts(t, "c/") }})
+			came := d.until(moment{commit: func(node string, t wire.Txn) bool { return node == fmt.Sprintf("host-%d", n) && puts(t, "c/") }})
 			d.crash(n, back)
 			return came
 		}},
@@ -168,7 +168,7 @@
 		{"an owner, before it is missed", func(d *lossDay) bool { d.crash((d.leader()+1)%nodes, back); return true }},
 		{"in a rebuild", func(d *lossDay) bool {
 			d.lose(restored, 10*time.Second, "")
-			came := d.until(moment{commit: func(_ string, t wire.Commit) bool { return puts(t, "history/") }})
+			came := d.until(moment{commit: func(_ string, t wire.Txn) bool { return puts(t, "history/") }})
 			time.Sleep(20 * time.Millisecond)
 			d.crash(d.leader(), back)
 			return came
@@ -199,7 +199,7 @@
 						t.Error(b)
 					}
 					for ref, j := range d.w.jobs {
-						if want := map[string]string{wire.Batch: wire.Done, wire.Standing: wire.Withdrawn}[j.Shape]; d.w.told[ref] != want {
+						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; d.w.told[ref] != want {
 							t.Errorf("%s is %q, want %s", ref, d.w.told[ref], want)
 						}
 					}
--- a/internal/sim/services_test.go
+++ b/internal/sim/services_test.go
@@ -29,8 +29,8 @@
 	cond   *sync.Cond
 	rnd    *rand.Rand
 	rev    uint64
-	keys   map[string]wire.Item
-	log    []wire.Change
+	keys   map[string]wire.KeyValue
+	log    []wire.Operation
 	grants map[uint64]time.Time
 	lives  map[uint64]time.Duration
 	next   uint64
@@ -47,7 +47,7 @@
 	// What was asked and changed, by the second, and what sees each transaction that is
 	// carried out and may have its answer lost.
 	asked, wrote map[int64]int
-	done         func(node string, t wire.Commit) (lost bool)
+	done         func(node string, t wire.Txn) (lost bool)
 }
 
 // peak is the most requests and changes in a second since a time.
@@ -76,26 +76,26 @@
 	defer s.mu.Unlock()
 	switch how {
 	case wiped:
-		s.rev, s.keys, s.log, s.times = 1, map[string]wire.Item{}, nil, nil
+		s.rev, s.keys, s.log, s.times = 1, map[string]wire.KeyValue{}, nil, nil
 		clear(s.grants)
 	case restored:
 		n := 0
 		for n < len(s.log) && n < len(s.times) && time.Since(s.times[n]) > ago {
 			n++
 		}
-		s.rev, s.keys, s.log, s.times = 1, map[string]wire.Item{}, s.log[:n:n], s.times[:n:n]
+		s.rev, s.keys, s.log, s.times = 1, map[string]wire.KeyValue{}, s.log[:n:n], s.times[:n:n]
 		for _, c := range s.log {
-			s.rev = c.Stamp
+			s.rev = c.ModRevision
 			if c.Put != "" {
-				s.keys[c.Put] = wire.Item{Path: c.Put, Data: c.Data, Stamp: c.Stamp, Ticket: c.Ticket}
+				s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: c.ModRevision, LeaseID: c.LeaseID}
 			} else {
-				delete(s.keys, c.Remove)
+				delete(s.keys, c.Delete)
 			}
 		}
 		clear(s.grants)
 		for _, it := range s.keys { // grants come back with what is on them
-			if it.Ticket != 0 {
-				s.grants[it.Ticket] = time.Now().Add(s.lives[it.Ticket])
+			if it.LeaseID != 0 {
+				s.grants[it.LeaseID] = time.Now().Add(s.lives[it.LeaseID])
 			}
 		}
 	case holes:
@@ -109,7 +109,7 @@
 		for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 			if strings.HasPrefix(k, key) {
 				it := s.keys[k]
-				it.Data = []byte(`"rot"`)
+				it.Value = []byte(`"rot"`)
 				s.keys[k] = it
 				break
 			}
@@ -119,12 +119,12 @@
 }
 
 // note adds to the log; run it with the lock held.
-func (s *store) note(c wire.Change) {
+func (s *store) note(c wire.Operation) {
 	s.log, s.times = append(s.log, c), append(s.times, time.Now())
 }
 
 func newStore(rnd *rand.Rand, broke func(string, ...any)) *store {
-	s := &store{rnd: rnd, rev: 1, keys: map[string]wire.Item{}, grants: map[uint64]time.Time{}, lives: map[uint64]time.Duration{}, refuse: map[string]bool{}, value: 16 << 10, ops: 16, refust: map[string]int{}, broke: broke,
+	s := &store{rnd: rnd, rev: 1, keys: map[string]wire.KeyValue{}, grants: map[uint64]time.Time{}, lives: map[uint64]time.Duration{}, refuse: map[string]bool{}, value: 16 << 10, ops: 16, refust: map[string]int{}, broke: broke,
 		asked: map[int64]int{}, wrote: map[int64]int{}}
 	s.cond = sync.NewCond(&s.mu)
 	return s
@@ -171,10 +171,10 @@
 func (s *store) drop(ticket uint64) {
 	delete(s.grants, ticket)
 	for k, it := range s.keys {
-		if it.Ticket == ticket {
+		if it.LeaseID == ticket {
 			s.rev++
 			delete(s.keys, k)
-			s.note(wire.Change{Remove: k, Stamp: s.rev})
+			s.note(wire.Operation{Delete: k, ModRevision: s.rev})
 		}
 	}
 	s.cond.Broadcast()
@@ -199,14 +199,14 @@
 	defer s.mu.Unlock()
 	s.expire()
 	if s.down || s.refuse[node] {
-		answer(w, 503, wire.Error{Error: "trouble"})
+		answer(w, 503, wire.ErrorResponse{Error: "trouble"})
 		return
 	}
 	s.asked[time.Now().Unix()]++
 	q := r.URL.Query()
 	switch path := r.URL.Path; {
 	case path == "/commit":
-		var t wire.Commit
+		var t wire.Txn
 		json.Unmarshal(body, &t)
 		if s.late > 0 && s.rnd.Float64() < s.late {
 			s.again(t, 2*time.Second+time.Duration(s.rnd.Int64N(int64(10*time.Second))))
@@ -219,7 +219,7 @@
 			return
 		}
 		status, res := s.commit(t)
-		s.wrote[time.Now().Unix()] += len(t.Apply)
+		s.wrote[time.Now().Unix()] += len(t.Operations)
 		if s.rnd.IntN(50) == 0 { // a copy of it comes once more, much later or at once
 			s.again(t, time.Duration(s.rnd.Int64N(int64(2*lease))))
 		}
@@ -228,23 +228,23 @@
 		}
 		answer(w, status, res)
 	case path == "/store":
-		var p wire.Page
+		var p wire.RangeResponse
 		for k, it := range s.keys {
 			if strings.HasPrefix(k, q.Get("under")) && k > q.Get("after") {
 				p.Items = append(p.Items, it)
 			}
 		}
-		slices.SortFunc(p.Items, func(a, b wire.Item) int { return strings.Compare(a.Path, b.Path) })
+		slices.SortFunc(p.Items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
 		if len(p.Items) > 10 {
 			p.Items, p.More = p.Items[:10], true
 		}
-		p.Generation = s.rev
+		p.Revision = s.rev
 		answer(w, 200, p)
 	case strings.HasPrefix(path, "/store/"):
 		if it, ok := s.keys[path[len("/store/"):]]; ok {
 			answer(w, 200, it)
 		} else {
-			answer(w, 404, wire.Page{Generation: s.rev})
+			answer(w, 404, wire.RangeResponse{Revision: s.rev})
 		}
 	case path == "/changes":
 		after, _ := strconv.ParseUint(q.Get("after"), 10, 64)
@@ -253,14 +253,14 @@
 		timer := time.AfterFunc(time.Until(end), func() { s.mu.Lock(); defer s.mu.Unlock(); s.cond.Broadcast() })
 		defer timer.Stop()
 		for {
-			var l wire.ChangeLog
+			var l wire.WatchResponse
 			for _, c := range s.log {
-				if c.Stamp > after && strings.HasPrefix(c.Put+c.Remove, q.Get("under")) {
-					l.Log = append(l.Log, c)
+				if c.ModRevision > after && strings.HasPrefix(c.Put+c.Delete, q.Get("under")) {
+					l.Events = append(l.Events, c)
 				}
 			}
-			if !s.down && !s.refuse[node] && (len(l.Log) > 0 || !time.Now().Before(end)) {
-				l.Generation = s.rev
+			if !s.down && !s.refuse[node] && (len(l.Events) > 0 || !time.Now().Before(end)) {
+				l.Revision = s.rev
 				answer(w, 200, l)
 				return
 			}
@@ -271,12 +271,12 @@
 			s.expire()
 		}
 	case path == "/grants":
-		var g wire.Grant
+		var g wire.Lease
 		json.Unmarshal(body, &g)
 		s.next++
-		life := time.Duration(g.LifeMS) * time.Millisecond
+		life := time.Duration(g.TTLMillis) * time.Millisecond
 		s.grants[s.next], s.lives[s.next] = time.Now().Add(life), life
-		answer(w, 200, wire.Grant{Ticket: s.next})
+		answer(w, 200, wire.Lease{ID: s.next})
 	default:
 		f := strings.Split(path, "/")
 		t, _ := strconv.ParseUint(f[2], 10, 64)
@@ -294,7 +294,7 @@
 }
 
 // again carries a transaction out after a while, whatever came of it before.
-func (s *store) again(t wire.Commit, after time.Duration) {
+func (s *store) again(t wire.Txn, after time.Duration) {
 	time.AfterFunc(after, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -322,7 +322,7 @@
 func (s *store) get(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return string(s.keys[key].Data)
+	return string(s.keys[key].Value)
 }
 
 // lower lets the limits fall, as was announced to the controllers.
@@ -335,51 +335,51 @@
 // tooLarge tells whether a transaction is over the limits. Once they have fallen
 // as announced, one may be sent that a controller could not know to be too large, but
 // not again. Two may come: one whose packets were held is sent anew without an answer.
-func (s *store) tooLarge(t wire.Commit) bool {
-	large := len(t.Apply) > s.ops || len(t.Guards) > 4*s.ops
-	for _, c := range t.Apply {
-		large = large || len(c.Data) > s.value
+func (s *store) tooLarge(t wire.Txn) bool {
+	large := len(t.Operations) > s.ops || len(t.Compares) > 4*s.ops
+	for _, c := range t.Operations {
+		large = large || len(c.Value) > s.value
 	}
 	if large {
 		b, _ := json.Marshal(t)
 		if !s.fallen || s.refust[string(b)] > 1 {
-			s.broke("a transaction of %d changes, %d guards and %d bytes", len(t.Apply), len(t.Guards), len(b))
+			s.broke("a transaction of %d changes, %d guards and %d bytes", len(t.Operations), len(t.Compares), len(b))
 		}
 		s.refust[string(b)]++
 	}
 	return large
 }
 
-func (s *store) commit(t wire.Commit) (int, any) {
+func (s *store) commit(t wire.Txn) (int, any) {
 	if s.tooLarge(t) {
-		return 400, wire.Error{Error: "too large"}
+		return 400, wire.ErrorResponse{Error: "too large"}
 	}
 	var failed []string
-	for _, g := range t.Guards {
-		if s.keys[g.Path].Stamp != g.Stamp {
-			failed = append(failed, g.Path)
+	for _, g := range t.Compares {
+		if s.keys[g.Key].ModRevision != g.ModRevision {
+			failed = append(failed, g.Key)
 		}
 	}
 	if len(failed) > 0 {
-		return 409, wire.Committed{Failed: failed, Generation: s.rev}
+		return 409, wire.TxnResponse{FailedKeys: failed, Revision: s.rev}
 	}
-	for _, c := range t.Apply {
-		if c.Ticket != 0 && s.grants[c.Ticket].IsZero() {
-			return 400, wire.Error{Error: "no such lease"}
+	for _, c := range t.Operations {
+		if c.LeaseID != 0 && s.grants[c.LeaseID].IsZero() {
+			return 400, wire.ErrorResponse{Error: "no such lease"}
 		}
 	}
 	s.rev++
-	for _, c := range t.Apply {
-		c.Stamp = s.rev
+	for _, c := range t.Operations {
+		c.ModRevision = s.rev
 		if c.Put != "" {
-			s.keys[c.Put] = wire.Item{Path: c.Put, Data: c.Data, Stamp: s.rev, Ticket: c.Ticket}
+			s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: s.rev, LeaseID: c.LeaseID}
 		} else {
-			delete(s.keys, c.Remove)
+			delete(s.keys, c.Delete)
 		}
 		s.note(c)
 	}
 	s.cond.Broadcast()
-	return 200, wire.Committed{Generation: s.rev}
+	return 200, wire.TxnResponse{Revision: s.rev}
 }
 
 // cloud stands in for the cloud. Machines come up after a while; the list is
@@ -387,16 +387,16 @@
 type cloud struct {
 	w     *world
 	mu    sync.Mutex
-	types []wire.MachineType
+	types []wire.InstanceType
 	asks  map[string][]string
-	hosts map[string]wire.ListedHost
+	hosts map[string]wire.Instance
 	seen  map[string]time.Time // when listed first
 	count map[string]int
 	next  int
-	sizes map[string]wire.Rent // what was asked for, by its name
-	freed int                  // machines returned
-	most  int                  // machines of a type, zone and kind
-	few   map[string]int       // in zones that have less
+	sizes map[string]wire.ScaleOutRequest // what was asked for, by its name
+	freed int                             // machines returned
+	most  int                             // machines of a type, zone and kind
+	few   map[string]int                  // in zones that have less
 }
 
 func (c *cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -405,13 +405,13 @@
 	defer c.mu.Unlock()
 	switch r.URL.Path {
 	case "/machine_types":
-		answer(w, 200, wire.MachineTypes{Flavors: c.types})
+		answer(w, 200, wire.InstanceTypeList{Types: c.types})
 	case "/hosts/release":
-		var l wire.HostNames
+		var l wire.InstanceNames
 		json.Unmarshal(body, &l)
-		for _, n := range l.Hosts {
+		for _, n := range l.Names {
 			if h, ok := c.hosts[n]; ok {
-				c.count[h.Flavor+h.Locale]--
+				c.count[h.InstanceType+h.Zone]--
 				delete(c.hosts, n)
 				c.freed++
 				c.w.stop(n)
@@ -420,48 +420,48 @@
 		answer(w, 200, struct{}{})
 	case "/hosts":
 		if r.Method == http.MethodGet {
-			var l wire.HostList
+			var l wire.InstancePage
 			for n, h := range c.hosts {
 				if time.Since(c.seen[n]) > 2*time.Second {
-					l.Hosts = append(l.Hosts, h)
+					l.Instances = append(l.Instances, h)
 				}
 			}
-			slices.SortFunc(l.Hosts, func(a, b wire.ListedHost) int { return strings.Compare(a.Ref, b.Ref) })
+			slices.SortFunc(l.Instances, func(a, b wire.Instance) int { return strings.Compare(a.Name, b.Name) })
 			answer(w, 200, l)
 			return
 		}
-		var q wire.Rent
+		var q wire.ScaleOutRequest
 		json.Unmarshal(body, &q)
-		if was, ok := c.sizes[q.Ask]; ok && was != q {
+		if was, ok := c.sizes[q.RequestID]; ok && was != q {
 			c.w.mu.Lock()
-			c.w.broke("names: %s was used for %v and for %v", q.Ask, was, q)
+			c.w.broke("names: %s was used for %v and for %v", q.RequestID, was, q)
 			c.w.mu.Unlock()
 		}
-		c.sizes[q.Ask] = q
-		if names, ok := c.asks[q.Ask]; ok {
-			answer(w, 200, wire.HostNames{Hosts: names})
+		c.sizes[q.RequestID] = q
+		if names, ok := c.asks[q.RequestID]; ok {
+			answer(w, 200, wire.InstanceNames{Names: names})
 			return
 		}
 		var names []string
 		most := c.most
-		if n, ok := c.few[q.Locale]; ok {
+		if n, ok := c.few[q.Zone]; ok {
 			most = n
 		}
-		for len(names) < q.HowMany && c.count[q.Flavor+q.Locale] < most {
-			c.count[q.Flavor+q.Locale]++
+		for len(names) < q.Count && c.count[q.InstanceType+q.Zone] < most {
+			c.count[q.InstanceType+q.Zone]++
 			c.next++
 			n := fmt.Sprintf("i-%06d", c.next)
-			h := wire.ListedHost{Ref: n, Address: n + ":9000", Flavor: q.Flavor, Locale: q.Locale, Loaners: q.Loaners, Phase: wire.HostStarting}
+			h := wire.Instance{Name: n, Address: n + ":9000", InstanceType: q.InstanceType, Zone: q.Zone, Spot: q.Spot, Phase: wire.InstanceStarting}
 			c.hosts[n], c.seen[n] = h, time.Now()
 			names = append(names, n)
 			time.AfterFunc(3*time.Second, func() { c.up(n) })
 		}
 		if len(names) == 0 {
-			answer(w, 503, wire.Error{Error: "no capacity"})
+			answer(w, 503, wire.ErrorResponse{Error: "no capacity"})
 			return
 		}
-		c.asks[q.Ask] = names
-		answer(w, 200, wire.HostNames{Hosts: names})
+		c.asks[q.RequestID] = names
+		answer(w, 200, wire.InstanceNames{Names: names})
 	}
 }
 
@@ -472,7 +472,7 @@
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		if h, ok := c.hosts[n]; ok {
-			h.Phase = wire.HostFailed
+			h.Phase = wire.InstanceFailed
 			c.hosts[n] = h
 		}
 	})
@@ -482,7 +482,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h, ok := c.hosts[n]; ok && !c.w.ended() {
-		h.Phase = wire.Running
+		h.Phase = wire.PhaseRunning
 		c.hosts[n] = h
 		c.w.start(h)
 	}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -103,11 +103,11 @@
 }
 
 // on notes a task's start and checks the rules that a start can break.
-func (w *world) on(id ledger.Task, try uint64, h wire.ListedHost) wire.Job {
+func (w *world) on(id ledger.Task, try uint64, h wire.Instance) wire.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts++
-	w.ran[run{id, try, h.Ref}] = true
+	w.ran[run{id, try, h.Name}] = true
 	if w.begun[id.Ref].IsZero() {
 		w.begun[id.Ref] = time.Now()
 	}
@@ -116,47 +116,47 @@
 		w.broke("%s started, which nobody submitted", id)
 		return j
 	}
-	for _, n := range j.Needs {
-		for i := range w.jobs[n].Members {
+	for _, n := range j.DependsOn {
+		for i := range w.jobs[n].TaskCount {
 			if !w.done[ledger.Task{Ref: n, Index: i}] {
 				w.broke("too_early: %s starts before %s/%d is done", id, n, i)
 			}
 		}
 	}
 	if other := w.where[id]; other != "" {
-		w.broke("ran_twice: %s starts on %s while on %s", id, h.Ref, other)
+		w.broke("ran_twice: %s starts on %s while on %s", id, h.Name, other)
 	}
-	w.place(id, h.Ref)
+	w.place(id, h.Name)
 	if at, ok := w.gone[id.Ref]; ok {
 		w.late = append(w.late, time.Since(at))
 		if time.Since(at) > cancel {
 			w.broke("ran_cancelled: %s starts %v after", id, time.Since(at))
 		}
 	}
-	if h.Loaners && !j.Loaners {
+	if h.Spot && !j.AllowSpot {
 		w.broke("wrong_place: %s on a spot machine", id)
 	}
-	if len(j.Flavors) > 0 && !slices.Contains(j.Flavors, h.Flavor) {
-		w.broke("wrong_place: %s on a machine of type %s", id, h.Flavor)
+	if len(j.InstanceTypes) > 0 && !slices.Contains(j.InstanceTypes, h.InstanceType) {
+		w.broke("wrong_place: %s on a machine of type %s", id, h.InstanceType)
 	}
-	if j.Locale != "" && j.Locale != h.Locale {
-		w.broke("wrong_place: %s in zone %s, not %s", id, h.Locale, j.Locale)
+	if j.Zone != "" && j.Zone != h.Zone {
+		w.broke("wrong_place: %s in zone %s, not %s", id, h.Zone, j.Zone)
 	}
-	used, zone, all := w.used[j.Owner], 0, 0
-	for i := range j.Members {
+	used, zone, all := w.used[j.Team], 0, 0
+	for i := range j.TaskCount {
 		if k := w.workers[w.where[ledger.Task{Ref: id.Ref, Index: i}]]; k != nil {
-			if all++; k.h.Locale == h.Locale {
+			if all++; k.h.Zone == h.Zone {
 				zone++
 			}
 		}
 	}
 	if used > w.limit+1e-6 {
-		w.broke("quota: %v CPUs of %s", used, j.Owner)
+		w.broke("quota: %v CPUs of %s", used, j.Team)
 	}
-	if j.Scatter && zone > (j.Members+1)/2 {
-		w.broke("wrong_place: %d of %d tasks of %s in a zone", zone, j.Members, id.Ref)
+	if j.SpreadZones && zone > (j.TaskCount+1)/2 {
+		w.broke("wrong_place: %d of %d tasks of %s in a zone", zone, j.TaskCount, id.Ref)
 	}
-	if j.SamePlace && zone < all {
+	if j.SingleZone && zone < all {
 		w.broke("wrong_place: %s in another zone than %d tasks of its job", id, all-zone)
 	}
 	return j
@@ -165,7 +165,7 @@
 // orphan tells since when a user knows that something before a job is withdrawn;
 // run it with the lock held.
 func (w *world) orphan(ref string) (at time.Time) {
-	for _, n := range w.jobs[ref].Needs {
+	for _, n := range w.jobs[ref].DependsOn {
 		for _, t := range []time.Time{w.gone[n], w.orphan(n)} {
 			if !t.IsZero() && (at.IsZero() || t.Before(at)) {
 				at = t
@@ -192,12 +192,12 @@
 func (w *world) place(id ledger.Task, host string) {
 	j := w.jobs[id.Ref]
 	if _, there := w.where[id]; there {
-		w.used[j.Owner] -= j.Cores
+		w.used[j.Team] -= j.CPUs
 		delete(w.where, id)
 	}
 	if host != "" {
 		w.where[id] = host
-		w.used[j.Owner] += j.Cores
+		w.used[j.Team] += j.CPUs
 	}
 }
 
@@ -213,13 +213,13 @@
 	return w.done[id]
 }
 
-func (w *world) start(h wire.ListedHost) {
+func (w *world) start(h wire.Instance) {
 	ctx, cancel := context.WithCancel(w.ctx)
 	k := &worker{w: w, h: h, cancel: cancel, tenure: 1, sent: time.Now(), tasks: map[string]*task{}, node: w.intN(w.size), wake: make(chan struct{}, 1),
-		client: &http.Client{Transport: &http.Transport{DialContext: w.net.at(h.Ref).Dial}}}
+		client: &http.Client{Transport: &http.Transport{DialContext: w.net.at(h.Name).Dial}}}
 	w.mu.Lock()
 	k.mute, k.muted = w.mute, time.Now()
-	w.workers[h.Ref] = k
+	w.workers[h.Name] = k
 	w.mu.Unlock()
 	w.wg.Go(func() { k.run(ctx); k.client.CloseIdleConnections() })
 }
@@ -365,11 +365,11 @@
 func (w *world) user(ctx context.Context, j wire.Job, withdraw time.Duration) {
 	client := w.client()
 	body, _ := json.Marshal(map[string]any{
-		"ref": j.Ref, "jobclass": j.Class, "owner": j.Owner, "shape": j.Shape, "rank": j.Rank, "members": j.Members, "cores": j.Cores,
-		"accelerators": 0, "ram_gb": j.RAM, "bundle": j.Bundle, "size_gb": 1, "same_place": j.SamePlace, "scatter": j.Scatter, "loaners": j.Loaners,
-		"expect_s": j.ExpectS, "snapshot_s": 0, "flush_s": 0, "waits_on": j.Needs, "flavors": j.Flavors, "locale": orNull(j.Locale),
+		"ref": j.ID, "jobclass": j.Class, "owner": j.Team, "shape": j.Kind, "rank": j.Priority, "members": j.TaskCount, "cores": j.CPUs,
+		"accelerators": 0, "ram_gb": j.MemoryGB, "bundle": j.Image, "size_gb": 1, "same_place": j.SingleZone, "scatter": j.SpreadZones, "loaners": j.AllowSpot,
+		"expect_s": j.ExpectedSeconds, "snapshot_s": 0, "flush_s": 0, "waits_on": j.DependsOn, "flavors": j.InstanceTypes, "locale": orNull(j.Zone),
 	})
-	for _, n := range j.Needs {
+	for _, n := range j.DependsOn {
 		w.mu.Lock()
 		known := w.accepted[n]
 		w.mu.Unlock()
@@ -393,59 +393,59 @@
 			status, phase = ask("POST", "/v1/jobs", body)
 			if status == 400 || status == 422 {
 				w.mu.Lock()
-				w.broke("%s was refused: %d", j.Ref, status)
+				w.broke("%s was refused: %d", j.ID, status)
 				w.mu.Unlock()
 			}
 			if accepted = status == 200 || status == 201; accepted {
 				taken = time.Now()
 				w.mu.Lock()
-				if w.taken[j.Ref].IsZero() {
-					close(w.accepted[j.Ref])
-					w.taken[j.Ref] = taken
+				if w.taken[j.ID].IsZero() {
+					close(w.accepted[j.ID])
+					w.taken[j.ID] = taken
 				}
 				w.mu.Unlock()
 			}
 		case withdraw > 0 && time.Since(start) > withdraw:
 			w.mu.Lock()
-			w.asked[j.Ref] = true
+			w.asked[j.ID] = true
 			w.mu.Unlock()
-			status, phase = ask("POST", "/v1/jobs/"+j.Ref+"/withdraw", nil)
+			status, phase = ask("POST", "/v1/jobs/"+j.ID+"/withdraw", nil)
 		default:
-			status, phase = ask("GET", "/v1/jobs/"+j.Ref, nil)
+			status, phase = ask("GET", "/v1/jobs/"+j.ID, nil)
 		}
 		w.mu.Lock()
 		if accepted {
-			w.heard(j.Ref, status)
+			w.heard(j.ID, status)
 		}
 		if accepted && status == 404 {
-			w.broke("forgotten: %s", j.Ref)
+			w.broke("forgotten: %s", j.ID)
 			accepted = w.again == nil
 		}
-		if accepted && w.again != nil && w.again(j.Ref) {
+		if accepted && w.again != nil && w.again(j.ID) {
 			accepted = false
 		}
-		if was := w.told[j.Ref]; (was == wire.Done || was == wire.Withdrawn) && phase != "" && phase != was {
-			w.broke("went_back: %s from %s to %s", j.Ref, was, phase)
+		if was := w.told[j.ID]; (was == wire.PhaseDone || was == wire.PhaseCancelled) && phase != "" && phase != was {
+			w.broke("went_back: %s from %s to %s", j.ID, was, phase)
 		}
 		if phase != "" {
-			w.told[j.Ref] = phase
+			w.told[j.ID] = phase
 		}
-		if phase == wire.Withdrawn {
-			if !w.asked[j.Ref] && !w.severed(j.Ref) {
-				w.broke("went_back: %s called withdrawn", j.Ref)
+		if phase == wire.PhaseCancelled {
+			if !w.asked[j.ID] && !w.severed(j.ID) {
+				w.broke("went_back: %s called withdrawn", j.ID)
 			}
-			if w.gone[j.Ref].IsZero() {
-				w.gone[j.Ref] = time.Now()
+			if w.gone[j.ID].IsZero() {
+				w.gone[j.ID] = time.Now()
 			}
 		}
 		// A job may be accepted long after what it needs was withdrawn.
-		if at := w.orphan(j.Ref); time.Since(taken) > cancel && (phase == wire.Queued || phase == wire.Running) && !at.IsZero() && time.Since(at) > cancel {
-			w.broke("orphaned: %s is %s %v after", j.Ref, phase, time.Since(at))
+		if at := w.orphan(j.ID); time.Since(taken) > cancel && (phase == wire.PhaseQueued || phase == wire.PhaseRunning) && !at.IsZero() && time.Since(at) > cancel {
+			w.broke("orphaned: %s is %s %v after", j.ID, phase, time.Since(at))
 		}
-		if phase == wire.Done {
-			for i := range j.Members {
-				if !w.done[ledger.Task{Ref: j.Ref, Index: i}] {
-					w.broke("not_done: %s/%d", j.Ref, i)
+		if phase == wire.PhaseDone {
+			for i := range j.TaskCount {
+				if !w.done[ledger.Task{Ref: j.ID, Index: i}] {
+					w.broke("not_done: %s/%d", j.ID, i)
 				}
 			}
 		}
@@ -460,7 +460,7 @@
 // severed tells whether a user has asked to withdraw something before a job; run
 // it with the lock held.
 func (w *world) severed(ref string) bool {
-	for _, n := range w.jobs[ref].Needs {
+	for _, n := range w.jobs[ref].DependsOn {
 		if w.asked[n] || w.severed(n) {
 			return true
 		}
@@ -485,15 +485,15 @@
 		for s := range 4 {
 			var stage []string
 			for range 1 + rnd.IntN(2) {
-				j := wire.Job{Ref: fmt.Sprintf("req-1%02d%02d", p, len(js)), Class: "p", Owner: "ab"[p%2 : p%2+1], Shape: wire.Batch, Rank: "idle",
-					Members: 1 + rnd.IntN(4), Cores: 1, RAM: 1, Bundle: "img", Loaners: true, ExpectS: float64(2 + rnd.IntN(8)), Needs: last}
+				j := wire.Job{ID: fmt.Sprintf("req-1%02d%02d", p, len(js)), Class: "p", Team: "ab"[p%2 : p%2+1], Kind: wire.KindArray, Priority: "idle",
+					TaskCount: 1 + rnd.IntN(4), CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: true, ExpectedSeconds: float64(2 + rnd.IntN(8)), DependsOn: last}
 				if s == 3 {
-					j.Rank, j.DueS = "urgent", 120
+					j.Priority, j.DeadlineSeconds = "urgent", 120
 				}
 				if rnd.IntN(8) == 0 {
-					withdraw[j.Ref] = time.Duration(1+rnd.IntN(30)) * time.Second
+					withdraw[j.ID] = time.Duration(1+rnd.IntN(30)) * time.Second
 				}
-				stage = append(stage, j.Ref)
+				stage = append(stage, j.ID)
 				js = append(js, j)
 			}
 			last = stage
@@ -517,8 +517,8 @@
 	w.most, w.size, w.upgraded = most, size, make(map[int]bool)
 	st = newStore(rand.New(rand.NewPCG(seed, 9)), w.broke)
 	w.store = st
-	cl = &cloud{w: w, most: most, asks: map[string][]string{}, sizes: map[string]wire.Rent{}, hosts: map[string]wire.ListedHost{}, seen: map[string]time.Time{}, count: map[string]int{},
-		types: []wire.MachineType{{Label: "m", Cores: 8, RAM: 32, LocalGB: 20, PullRate: 1, Rate: 1, SpotPrice: 0.5, ReadyS: 3, Locales: []string{"a", "b"}}}}
+	cl = &cloud{w: w, most: most, asks: map[string][]string{}, sizes: map[string]wire.ScaleOutRequest{}, hosts: map[string]wire.Instance{}, seen: map[string]time.Time{}, count: map[string]int{},
+		types: []wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 32, DiskGB: 20, ImagePullGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5, BootSeconds: 3, Zones: []string{"a", "b"}}}}
 	var servers []*http.Server
 	for host, h := range map[string]http.Handler{"state": st, "cloud": cl} {
 		srv := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
@@ -586,13 +586,13 @@
 	ctx, w, st, cl, cs, stop := beginWith(t, seed, size, 24, 3, operator)
 	began := time.Now()
 	for i := range 14 {
-		j := wire.Job{Ref: fmt.Sprintf("req-%06d", i), Class: "c", Owner: []string{"a", "b"}[i%2], Shape: wire.Batch, Rank: "standard",
-			Members: 1 + rnd.IntN(8), Cores: float64(1 + rnd.IntN(3)), RAM: 2, Bundle: "img", Loaners: i%3 == 0, ExpectS: float64(3 + rnd.IntN(20))}
+		j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: []string{"a", "b"}[i%2], Kind: wire.KindArray, Priority: "standard",
+			TaskCount: 1 + rnd.IntN(8), CPUs: float64(1 + rnd.IntN(3)), MemoryGB: 2, Image: "img", AllowSpot: i%3 == 0, ExpectedSeconds: float64(3 + rnd.IntN(20))}
 		if i%3 == 1 {
-			j.Shape, j.Rank, j.Members, j.Cores, j.Scatter = wire.Standing, "production", 2, 1, true
+			j.Kind, j.Priority, j.TaskCount, j.CPUs, j.SpreadZones = wire.KindService, "production", 2, 1, true
 		}
 		withdraw := time.Duration(0)
-		if j.Shape == wire.Standing || i%5 == 0 {
+		if j.Kind == wire.KindService || i%5 == 0 {
 			withdraw = time.Duration(40+rnd.IntN(100)) * time.Second
 		}
 		w.submit(ctx, j, time.Duration(rnd.IntN(120))*time.Second, withdraw)
@@ -602,7 +602,7 @@
 	}
 	time.Sleep(15 * time.Second)
 	if piped {
-		w.submit(ctx, wire.Job{Ref: "req-099999", Class: "s", Owner: "a", Shape: wire.Batch, Rank: "urgent", Members: 64, Cores: 0.25, RAM: 0.1, Bundle: "img", ExpectS: 60}, 0, 0)
+		w.submit(ctx, wire.Job{ID: "req-099999", Class: "s", Team: "a", Kind: wire.KindArray, Priority: "urgent", TaskCount: 64, CPUs: 0.25, MemoryGB: 0.1, Image: "img", ExpectedSeconds: 60}, 0, 0)
 		for n := range w.size {
 			cs[n].crash()
 			w.mu.Lock()
@@ -619,7 +619,7 @@
 		}
 		js, withdraw := pipelines(rnd)
 		for _, j := range js {
-			w.submit(ctx, j, time.Duration(rnd.IntN(20))*time.Second, withdraw[j.Ref])
+			w.submit(ctx, j, time.Duration(rnd.IntN(20))*time.Second, withdraw[j.ID])
 		}
 		time.Sleep(time.Duration(rnd.IntN(5)) * time.Second)
 		st.lower(lowValue, lowOps)
@@ -736,7 +736,7 @@
 	}
 	cl.mu.Lock()
 	for ref, h := range cl.hosts {
-		if h.Locale == zone {
+		if h.Zone == zone {
 			in = append(in, ref)
 		}
 	}
@@ -751,8 +751,8 @@
 // submit has a user submit a job after a while.
 func (w *world) submit(ctx context.Context, j wire.Job, delay, withdraw time.Duration) {
 	w.mu.Lock()
-	w.jobs[j.Ref] = j
-	w.accepted[j.Ref] = make(chan struct{})
+	w.jobs[j.ID] = j
+	w.accepted[j.ID] = make(chan struct{})
 	w.mu.Unlock()
 	w.wg.Go(func() {
 		select {
@@ -780,11 +780,11 @@
 					t.Error(b)
 				}
 				for ref, j := range w.jobs {
-					want := wire.Done
-					if j.Shape == wire.Standing {
-						want = wire.Withdrawn
+					want := wire.PhaseDone
+					if j.Kind == wire.KindService {
+						want = wire.PhaseCancelled
 					}
-					if got := w.told[ref]; got != wire.Done && got != wire.Withdrawn {
+					if got := w.told[ref]; got != wire.PhaseDone && got != wire.PhaseCancelled {
 						t.Errorf("%s is %q at the end, want %s: recovery took too long", ref, got, want)
 					}
 				}
@@ -814,24 +814,24 @@
 		tamper func(*world)
 	}{
 		{"ran_twice", every(func(w *world, ref string, j *wire.Job) {
-			for i := range j.Members {
+			for i := range j.TaskCount {
 				w.where[ledger.Task{Ref: ref, Index: i}] = "elsewhere"
 			}
 		})},
 		{"too_early", every(func(w *world, ref string, j *wire.Job) {
-			w.jobs["req-9"] = wire.Job{Ref: "req-9", Members: 1}
+			w.jobs["req-9"] = wire.Job{ID: "req-9", TaskCount: 1}
 			if ref != "req-9" {
-				j.Needs = []string{"req-9"}
+				j.DependsOn = []string{"req-9"}
 			}
 		})},
 		{"orphaned", every(func(w *world, ref string, j *wire.Job) {
-			w.jobs["req-9"] = wire.Job{Ref: "req-9"}
+			w.jobs["req-9"] = wire.Job{ID: "req-9"}
 			w.gone["req-9"] = time.Now().Add(-time.Hour)
 			if ref != "req-9" {
-				j.Needs = []string{"req-9"}
+				j.DependsOn = []string{"req-9"}
 			}
 		})},
-		{"quota", every(func(w *world, ref string, j *wire.Job) { j.Cores *= 20 })},
+		{"quota", every(func(w *world, ref string, j *wire.Job) { j.CPUs *= 20 })},
 	} {
 		t.Run(tc.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -852,8 +852,8 @@
 		ctx, w, st, cl, cs, end := begin(t, 3, 1200, 100, "")
 		const jobs, members = 12, 150
 		for i := range jobs {
-			w.submit(ctx, wire.Job{Ref: fmt.Sprintf("req-%06d", i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "standard",
-				Members: members, Cores: 2, RAM: 2, Bundle: "img", Loaners: true, ExpectS: float64(10 + i)}, time.Duration(20+i)*time.Second, 0)
+			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
+				TaskCount: members, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: float64(10 + i)}, time.Duration(20+i)*time.Second, 0)
 		}
 		time.Sleep(35 * time.Second)
 		leader := max(0, st.leads())
@@ -866,7 +866,7 @@
 			t.Error(b)
 		}
 		for ref := range w.jobs {
-			if w.told[ref] != wire.Done {
+			if w.told[ref] != wire.PhaseDone {
 				t.Errorf("%s is %q", ref, w.told[ref])
 			}
 		}
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -30,8 +30,8 @@
 		w.reboot(cs, func() { w.teams = teams })
 		n := 0
 		submit := func(team int, rank string, members int, at time.Duration) {
-			w.submit(ctx, wire.Job{Ref: fmt.Sprintf("req-%06d", n), Class: "c", Owner: teamName(team), Shape: wire.Batch, Rank: rank,
-				Members: members, Cores: 2, RAM: 2, Bundle: "img", Loaners: true, ExpectS: 10}, at, 0)
+			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: teamName(team), Kind: wire.KindArray, Priority: rank,
+				TaskCount: members, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, at, 0)
 			n++
 		}
 		for i := range 20 {
@@ -48,7 +48,7 @@
 		for team := range teams {
 			asked, done := 0, 0
 			for ref, j := range w.jobs {
-				if j.Owner != teamName(team) {
+				if j.Team != teamName(team) {
 					continue
 				}
 				asked++
@@ -89,26 +89,26 @@
 		cl.mu.Unlock()
 		w.reboot(cs, func() {})
 		for i := range 12 { // 8 cores of each zone... 48 wanted of the small one
-			w.submit(ctx, wire.Job{Ref: fmt.Sprintf("req-%06d", i), Class: "s", Owner: "ab"[i%2 : i%2+1], Shape: wire.Standing, Rank: "production",
-				Members: 4, Cores: 2, RAM: 2, Bundle: "img", Scatter: true}, time.Duration(1+i)*time.Second, 0)
+			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "s", Team: "ab"[i%2 : i%2+1], Kind: wire.KindService, Priority: "production",
+				TaskCount: 4, CPUs: 2, MemoryGB: 2, Image: "img", SpreadZones: true}, time.Duration(1+i)*time.Second, 0)
 		}
 		for i := range 10 {
-			w.submit(ctx, wire.Job{Ref: fmt.Sprintf("req-1%05d", i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "urgent",
-				Members: 10, Cores: 4, RAM: 2, Bundle: "img", Loaners: true, ExpectS: 10}, time.Duration(5+12*i)*time.Second, 0)
+			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-1%05d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "urgent",
+				TaskCount: 10, CPUs: 4, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, time.Duration(5+12*i)*time.Second, 0)
 		}
 		time.Sleep(260 * time.Second)
 		w.mu.Lock()
 		inZone := map[string]int{}
 		for id, host := range w.where {
-			if w.jobs[id.Ref].Shape == wire.Standing {
-				inZone[w.workers[host].h.Locale]++
+			if w.jobs[id.Ref].Kind == wire.KindService {
+				inZone[w.workers[host].h.Zone]++
 			}
 		}
 		w.mu.Unlock()
 		cl.mu.Lock()
 		cores := map[string]int{}
 		for _, h := range cl.hosts {
-			cores[h.Locale] += 8
+			cores[h.Zone] += 8
 		}
 		cl.mu.Unlock()
 		end()
@@ -123,7 +123,7 @@
 			t.Errorf("%d cores are kept in the large zone long after the arrays", cores["a"])
 		}
 		for ref, j := range w.jobs {
-			if j.Shape == wire.Batch && w.told[ref] != wire.Done {
+			if j.Kind == wire.KindArray && w.told[ref] != wire.PhaseDone {
 				t.Errorf("%s is %q", ref, w.told[ref])
 			}
 		}
--- a/internal/sim/together_test.go
+++ b/internal/sim/together_test.go
@@ -80,9 +80,9 @@
 	for _, ref := range slices.Sorted(maps.Keys(w.taken)) {
 		got, j := w.told[ref], w.jobs[ref]
 		switch {
-		case got == wire.Done || got == wire.Withdrawn && w.asked[ref]:
-		case j.Shape == wire.Standing && !w.asked[ref]:
-			for i := range j.Members {
+		case got == wire.PhaseDone || got == wire.PhaseCancelled && w.asked[ref]:
+		case j.Kind == wire.KindService && !w.asked[ref]:
+			for i := range j.TaskCount {
 				if w.where[ledger.Task{Ref: ref, Index: i}] == "" {
 					t.Errorf("%s/%d does not run at the end", ref, i)
 				}
@@ -98,7 +98,7 @@
 
 // array is a job of a few tasks that run for so long.
 func array(i, members int, long time.Duration) wire.Job {
-	return wire.Job{Ref: ref(i), Class: "c", Owner: "ab"[i%2 : i%2+1], Shape: wire.Batch, Rank: "standard", Members: members, Cores: 1, RAM: 1, Bundle: "img", ExpectS: long.Seconds()}
+	return wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: members, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: long.Seconds()}
 }
 
 // arrays are so many of them, changed as is told.
@@ -149,7 +149,7 @@
 	m.cl.mu.Lock()
 	defer m.cl.mu.Unlock()
 	for _, h := range slices.Sorted(maps.Keys(m.cl.hosts)) {
-		if zone == "" || m.cl.hosts[h].Locale == zone {
+		if zone == "" || m.cl.hosts[h].Zone == zone {
 			out = append(out, h)
 		}
 	}
@@ -199,15 +199,15 @@
 // zone has room.
 func TestZoneBound(t *testing.T) {
 	bound := map[string]func(i int, j *wire.Job){
-		"a zone":          func(i int, j *wire.Job) { j.Locale = "a" },
-		"a zone, on spot": func(i int, j *wire.Job) { j.Locale, j.Loaners = "a", true },
-		"one place":       func(i int, j *wire.Job) { j.SamePlace = true },
+		"a zone":          func(i int, j *wire.Job) { j.Zone = "a" },
+		"a zone, on spot": func(i int, j *wire.Job) { j.Zone, j.AllowSpot = "a", true },
+		"one place":       func(i int, j *wire.Job) { j.SingleZone = true },
 		"one place, services": func(i int, j *wire.Job) {
-			j.SamePlace, j.Shape, j.Rank = true, wire.Standing, "production"
+			j.SingleZone, j.Kind, j.Priority = true, wire.KindService, "production"
 		},
-		"spread":           func(i int, j *wire.Job) { j.Scatter = true },
-		"spread, services": func(i int, j *wire.Job) { j.Scatter, j.Shape, j.Rank = true, wire.Standing, "production" },
-		"a type":           func(i int, j *wire.Job) { j.Flavors = []string{"m"}; j.Locale = "b" },
+		"spread":           func(i int, j *wire.Job) { j.SpreadZones = true },
+		"spread, services": func(i int, j *wire.Job) { j.SpreadZones, j.Kind, j.Priority = true, wire.KindService, "production" },
+		"a type":           func(i int, j *wire.Job) { j.InstanceTypes = []string{"m"}; j.Zone = "b" },
 	}
 	for _, tc := range []struct {
 		name string
@@ -275,7 +275,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			together(t, plan{seed: 2, limit: 12, jobs: arrays(10, 4, 60*time.Second, func(i int, j *wire.Job) { j.Cores = 1.5 }), rest: 400 * time.Second,
+			together(t, plan{seed: 2, limit: 12, jobs: arrays(10, 4, 60*time.Second, func(i int, j *wire.Job) { j.CPUs = 1.5 }), rest: 400 * time.Second,
 				troubles: func(m *meeting) {
 					cut := m.busy()
 					cut = cut[:(len(cut)+1)/2]
@@ -374,10 +374,10 @@
 			together(t, plan{seed: 4, jobs: arrays(jobs, members, 150*time.Second, nil), troubles: func(m *meeting) {
 				m.st.mu.Lock()
 				epochs = nil
-				m.st.done = func(_ string, c wire.Commit) bool {
-					for _, p := range c.Apply {
+				m.st.done = func(_ string, c wire.Txn) bool {
+					for _, p := range c.Operations {
 						var e lead.Map
-						if p.Put == "epoch" && json.Unmarshal(p.Data, &e) == nil {
+						if p.Put == "epoch" && json.Unmarshal(p.Value, &e) == nil {
 							epochs = append(epochs, e.Epoch)
 						}
 					}
@@ -542,7 +542,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			const moments = 40 // from 400 ms before the end, in steps of 50 ms
-			jobs := arrays(moments, 1, 20*time.Second, func(i int, j *wire.Job) { j.Cores = 0.5 })
+			jobs := arrays(moments, 1, 20*time.Second, func(i int, j *wire.Job) { j.CPUs = 0.5 })
 			together(t, plan{seed: 6, jobs: jobs, rest: 60 * time.Second, troubles: func(m *meeting) {
 				var wg sync.WaitGroup
 				for i := range moments {
@@ -564,7 +564,7 @@
 						}
 						var over string
 						see := func(status int, phase string) {
-							if status != 200 || phase != wire.Done && phase != wire.Withdrawn {
+							if status != 200 || phase != wire.PhaseDone && phase != wire.PhaseCancelled {
 								if over != "" && phase != "" {
 									m.Errorf("%s: %q after %q", r, phase, over)
 								}
@@ -662,12 +662,12 @@
 		t.Run(lag.String(), func(t *testing.T) {
 			t.Parallel()
 			const urgent, members = 6, 6
-			together(t, plan{seed: 8, limit: 40, most: 3, jobs: arrays(16, 8, 40*time.Second, func(i int, j *wire.Job) { j.Rank = "idle"; j.Loaners = true }), rest: 330 * time.Second,
+			together(t, plan{seed: 8, limit: 40, most: 3, jobs: arrays(16, 8, 40*time.Second, func(i int, j *wire.Job) { j.Priority = "idle"; j.AllowSpot = true }), rest: 330 * time.Second,
 				troubles: func(m *meeting) {
 					m.w.net.slow(lag, append(m.controllers(), m.machines("")...)...)
 					for i := range urgent {
 						j := array(50+i, members, 10*time.Second)
-						j.Rank = "urgent"
+						j.Priority = "urgent"
 						m.w.submit(m.ctx, j, time.Duration(i)*3*time.Second, 0)
 					}
 					time.Sleep(70 * time.Second)
@@ -853,7 +853,7 @@
 			t.Parallel()
 			together(t, plan{seed: 12, jobs: arrays(8, 3, 30*time.Second, func(i int, j *wire.Job) {
 				if i == 7 {
-					j.Shape, j.Rank = wire.Standing, "production"
+					j.Kind, j.Priority = wire.KindService, "production"
 				}
 			}), troubles: func(m *meeting) {
 				before := m.machines("")
@@ -1062,7 +1062,7 @@
 // minutes all the same.
 func TestLargestBegin(t *testing.T) {
 	const big, members = 4, 8
-	jobs := arrays(big, members, 20*time.Second, func(i int, j *wire.Job) { j.Owner = "a" })
+	jobs := arrays(big, members, 20*time.Second, func(i int, j *wire.Job) { j.Team = "a" })
 	together(t, plan{seed: 18, limit: 16, most: 2, jobs: nil, operator: "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>", rest: 150 * time.Second, troubles: func(m *meeting) {
 		var fs []func()
 		for i := range 480 { // 17 cores' worth, of 16
@@ -1083,8 +1083,8 @@
 			m.w.mu.Lock()
 			defer m.w.mu.Unlock()
 			for _, j := range jobs {
-				if at := m.w.begun[j.Ref]; at.IsZero() || at.Sub(m.w.taken[j.Ref]) > largest {
-					m.Errorf("%s has not begun within %v", j.Ref, largest)
+				if at := m.w.begun[j.ID]; at.IsZero() || at.Sub(m.w.taken[j.ID]) > largest {
+					m.Errorf("%s has not begun within %v", j.ID, largest)
 				}
 			}
 		})
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -19,14 +19,14 @@
 
 // task is one attempt on a worker.
 type task struct {
-	wire.Member
+	wire.TaskStatus
 	timer *time.Timer
 }
 
 // worker stands in for a machine's worker.
 type worker struct {
 	w      *world
-	h      wire.ListedHost
+	h      wire.Instance
 	cancel context.CancelFunc
 	client *http.Client
 
@@ -46,13 +46,13 @@
 	hung   bool // it stands still, and may go on within its lease; past that nothing is left to go on
 }
 
-func (k *worker) report() wire.Report {
+func (k *worker) report() wire.Heartbeat {
 	k.tick++
-	r := wire.Report{Host: k.h.Ref, Address: k.h.Address, Flavor: k.h.Flavor, Locale: k.h.Locale, Loaners: k.h.Loaners, Tenure: k.tenure, Tick: k.tick, Epoch: k.epoch, Members: []wire.Member{}}
+	r := wire.Heartbeat{Worker: k.h.Name, Address: k.h.Address, InstanceType: k.h.InstanceType, Zone: k.h.Zone, Spot: k.h.Spot, Incarnation: k.tenure, Sequence: k.tick, Epoch: k.epoch, Tasks: []wire.TaskStatus{}}
 	for _, t := range k.tasks {
-		r.Members = append(r.Members, t.Member)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
-	sort.Slice(r.Members, func(a, b int) bool { return r.Members[a].Member < r.Members[b].Member })
+	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Task < r.Tasks[b].Task })
 	return r
 }
 
@@ -77,15 +77,15 @@
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	if t.Phase == wire.Running {
-		k.w.off(t.Member.Member, k.h.Ref)
+	if t.Phase == wire.PhaseRunning {
+		k.w.off(t.TaskStatus.Task, k.h.Name)
 	}
-	t.Phase, t.Cause = wire.Ended, cause
+	t.Phase, t.ExitReason = wire.TaskExited, cause
 }
 
 func (k *worker) run(ctx context.Context) {
 	srv := &http.Server{Handler: k, ErrorLog: log.New(io.Discard, "", 0)}
-	go srv.Serve(k.w.net.listen(k.h.Ref, k.h.Address))
+	go srv.Serve(k.w.net.listen(k.h.Name, k.h.Address))
 	defer srv.Close()
 	// The lease ends when it ends, whatever the worker waits for.
 	go func() {
@@ -147,17 +147,17 @@
 		k.node = (node + 1) % k.w.size
 		k.nudge()
 	case err == nil && res.StatusCode == 200:
-		var o wire.Orders
+		var o wire.CommandBatch
 		json.Unmarshal(data, &o)
-		if k.tenure != r.Tenure || o.Epoch < k.epoch {
+		if k.tenure != r.Incarnation || o.Epoch < k.epoch {
 			return
 		}
 		k.epoch, k.sent = o.Epoch, sent
-		k.execute(o.Orders)
+		k.execute(o.Commands)
 	case err == nil && res.StatusCode == 421 && strings.Contains(string(data), "host-"):
-		var s wire.Steward
+		var s wire.Redirect
 		json.Unmarshal(data, &s)
-		k.node = int(s.Steward[len("host-")] - '0')
+		k.node = int(s.Controller[len("host-")] - '0')
 		k.nudge()
 	default:
 		k.node = (node + 1) % k.w.size
@@ -233,29 +233,29 @@
 	}
 }
 
-func (k *worker) execute(os []wire.Order) {
+func (k *worker) execute(os []wire.Command) {
 	for _, o := range os {
-		key := o.Member
+		key := o.Task
 		t := k.tasks[key]
-		switch o.Verb {
-		case wire.Launch:
+		switch o.Action {
+		case wire.ActionStart:
 			if t != nil {
-				if t.Try != o.Try && t.Phase != wire.Ended {
-					k.w.broke("%s: launched as try %d while try %d is there", key, o.Try, t.Try)
+				if t.Attempt != o.Attempt && t.Phase != wire.TaskExited {
+					k.w.broke("%s: launched as try %d while try %d is there", key, o.Attempt, t.Attempt)
 				}
-				if t.Try == o.Try || t.Phase != wire.Ended {
+				if t.Attempt == o.Attempt || t.Phase != wire.TaskExited {
 					continue
 				}
 			}
-			t = &task{Member: wire.Member{Member: key, Try: o.Try, Phase: wire.Fetching}}
+			t = &task{TaskStatus: wire.TaskStatus{Task: key, Attempt: o.Attempt, Phase: wire.TaskFetching}}
 			k.tasks[key] = t
 			t.timer = time.AfterFunc(time.Second, func() { k.begin(t) })
-		case wire.Stop:
-			if t != nil && t.Try == o.Try && t.Phase != wire.Ended {
-				k.finish(t, wire.CauseHalted)
+		case wire.ActionStop:
+			if t != nil && t.Attempt == o.Attempt && t.Phase != wire.TaskExited {
+				k.finish(t, wire.ExitStopped)
 			}
-		case wire.Reap:
-			if t != nil && t.Try == o.Try && t.Phase == wire.Ended {
+		case wire.ActionForget:
+			if t != nil && t.Attempt == o.Attempt && t.Phase == wire.TaskExited {
 				delete(k.tasks, key)
 			}
 		}
@@ -271,24 +271,24 @@
 		t.timer = time.AfterFunc(time.Second, func() { k.begin(t) })
 		return
 	}
-	if t.Phase != wire.Fetching || k.tasks[t.Member.Member] != t {
+	if t.Phase != wire.TaskFetching || k.tasks[t.TaskStatus.Task] != t {
 		return
 	}
-	id, _ := ledger.ParseTask(t.Member.Member)
-	j := k.w.on(id, t.Try, k.h)
+	id, _ := ledger.ParseTask(t.TaskStatus.Task)
+	j := k.w.on(id, t.Attempt, k.h)
 	if long := time.Since(k.muted); k.mute && long > lease {
 		k.w.mu.Lock()
-		k.w.broke("mute: %s starts on %s, which has reached no controller for %v", id, k.h.Ref, long)
+		k.w.broke("mute: %s starts on %s, which has reached no controller for %v", id, k.h.Name, long)
 		k.w.mu.Unlock()
 	}
-	t.Phase = wire.Running
+	t.Phase = wire.PhaseRunning
 	k.nudge()
-	if j.Shape == wire.Batch {
+	if j.Kind == wire.KindArray {
 		if k.w.isDone(id) { // the result was kept
 			t.timer = time.AfterFunc(0, func() { k.complete(t, id) })
 			return
 		}
-		long := j.ExpectS * (1 + k.w.spread*float64(id.Index))
+		long := j.ExpectedSeconds * (1 + k.w.spread*float64(id.Index))
 		t.timer = time.AfterFunc(time.Duration(long*float64(time.Second)), func() { k.complete(t, id) })
 	}
 }
@@ -302,15 +302,15 @@
 		return
 	}
 	k.expire()
-	if t.Phase == wire.Running && k.tasks[t.Member.Member] == t {
-		k.finish(t, wire.CauseDone)
+	if t.Phase == wire.PhaseRunning && k.tasks[t.TaskStatus.Task] == t {
+		k.finish(t, wire.ExitDone)
 		k.w.complete(id)
 		k.nudge()
 	}
 }
 
 func (k *worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var o wire.Orders
+	var o wire.CommandBatch
 	if r.Method == http.MethodPost {
 		json.NewDecoder(r.Body).Decode(&o)
 	}
@@ -322,11 +322,11 @@
 	k.expire()
 	status := 200
 	if r.URL.Path == "/do" {
-		if o.Epoch < k.epoch || o.Tenure != k.tenure {
+		if o.Epoch < k.epoch || o.Incarnation != k.tenure {
 			status = 409
 		} else {
 			k.epoch = o.Epoch
-			k.execute(o.Orders)
+			k.execute(o.Commands)
 		}
 	}
 	answer(w, status, k.report())
--- a/internal/state/state.go
+++ b/internal/state/state.go
@@ -282,19 +282,19 @@
 			}
 		}
 		switch g := out.(type) {
-		case *wire.ChangeLog:
-			c.floor.rise(g.Generation, era) // it may tell of its last change only
-		case *wire.Item:
-			c.floor.rise(g.Stamp, era)
+		case *wire.WatchResponse:
+			c.floor.rise(g.Revision, era) // it may tell of its last change only
+		case *wire.KeyValue:
+			c.floor.rise(g.ModRevision, era)
 		case generation:
-			c.floor.saw(g.At(), era, known)
+			c.floor.saw(g.StoreRevision(), era, known)
 		}
 		return nil
 	case http.StatusNotFound:
 		c.lastOK.Store(int64(time.Since(c.start)))
-		var p wire.Page
+		var p wire.RangeResponse
 		if json.Unmarshal(data, &p) == nil {
-			c.floor.saw(p.Generation, era, known)
+			c.floor.saw(p.Revision, era, known)
 		}
 		return ErrNotFound
 	case http.StatusGone:
@@ -317,19 +317,19 @@
 }
 
 // generation is an answer that tells the service's generation.
-type generation interface{ At() uint64 }
+type generation interface{ StoreRevision() uint64 }
 
 // Get reads a key; ErrNotFound if there is none.
-func (c *Client) Get(ctx context.Context, key string) (wire.Item, error) {
-	var it wire.Item
+func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
+	var it wire.KeyValue
 	err := c.do(ctx, http.MethodGet, "/store/"+key, nil, &it, 0, 0)
 	return it, err
 }
 
 // List reads all keys under a prefix. Changes after the generation it returns
 // may be in the items already: apply the log by stamp.
-func (c *Client) List(ctx context.Context, under string) ([]wire.Item, uint64, error) {
-	var all []wire.Item
+func (c *Client) List(ctx context.Context, under string) ([]wire.KeyValue, uint64, error) {
+	var all []wire.KeyValue
 	var gen uint64
 	after := ""
 	for first := true; ; first = false {
@@ -338,31 +338,31 @@
 			return nil, 0, err
 		}
 		if first {
-			gen = p.Generation
+			gen = p.Revision
 		}
 		all = append(all, p.Items...)
 		if !p.More || len(p.Items) == 0 {
 			return all, gen, nil
 		}
-		after = p.Items[len(p.Items)-1].Path
+		after = p.Items[len(p.Items)-1].Key
 	}
 }
 
 // Page reads some of the keys under a prefix behind one, and tells where the next page
 // begins: "" if there is none.
-func (c *Client) Page(ctx context.Context, under, after string, limit int) (items []wire.Item, next string, err error) {
+func (c *Client) Page(ctx context.Context, under, after string, limit int) (items []wire.KeyValue, next string, err error) {
 	p, err := c.page(ctx, under, after, limit, 0)
 	if err != nil {
 		return nil, "", err
 	}
 	if n := len(p.Items); p.More && n > 0 {
-		next = p.Items[n-1].Path
+		next = p.Items[n-1].Key
 	}
 	return p.Items, next, nil
 }
 
 // page asks for one page of a listing, with so much more time than is usual.
-func (c *Client) page(ctx context.Context, under, after string, limit int, extra time.Duration) (p wire.Page, err error) {
+func (c *Client) page(ctx context.Context, under, after string, limit int, extra time.Duration) (p wire.RangeResponse, err error) {
 	q := url.Values{"under": {under}, "limit": {strconv.Itoa(limit)}}
 	if after != "" {
 		q.Set("after", after)
@@ -372,22 +372,22 @@
 }
 
 // First reads the first key under a prefix; ErrNotFound if there is none.
-func (c *Client) First(ctx context.Context, under string) (wire.Item, error) {
+func (c *Client) First(ctx context.Context, under string) (wire.KeyValue, error) {
 	items, _, err := c.Page(ctx, under, "", 1)
 	if err != nil {
-		return wire.Item{}, err
+		return wire.KeyValue{}, err
 	}
 	if len(items) == 0 {
-		return wire.Item{}, ErrNotFound
+		return wire.KeyValue{}, ErrNotFound
 	}
 	return items[0], nil
 }
 
 // Look reads a key as Get does, by a listing of it alone: that tells the generation too,
 // by which a history that went back shows also where the key is there.
-func (c *Client) Look(ctx context.Context, key string) (wire.Item, error) {
+func (c *Client) Look(ctx context.Context, key string) (wire.KeyValue, error) {
 	it, err := c.First(ctx, key)
-	if err == nil && it.Path != key {
+	if err == nil && it.Key != key {
 		err = ErrNotFound
 	}
 	return it, err
@@ -395,25 +395,25 @@
 
 // Commit runs a transaction once. With a nil error, failed names the guards
 // that did not hold; none means that it was applied.
-func (c *Client) Commit(ctx context.Context, t wire.Commit) (gen uint64, failed []string, err error) {
-	if t.Guards == nil {
-		t.Guards = []wire.Guard{}
+func (c *Client) Commit(ctx context.Context, t wire.Txn) (gen uint64, failed []string, err error) {
+	if t.Compares == nil {
+		t.Compares = []wire.Compare{}
 	}
-	if t.Apply == nil {
-		t.Apply = []wire.Change{}
+	if t.Operations == nil {
+		t.Operations = []wire.Operation{}
 	}
-	var r wire.Committed
-	if err := c.do(ctx, http.MethodPost, "/commit", t, &r, len(t.Apply), 0); err != nil {
+	var r wire.TxnResponse
+	if err := c.do(ctx, http.MethodPost, "/commit", t, &r, len(t.Operations), 0); err != nil {
 		return 0, nil, err
 	}
-	return r.Generation, r.Failed, nil
+	return r.Revision, r.FailedKeys, nil
 }
 
 // NewGrant takes a grant.
 func (c *Client) NewGrant(ctx context.Context, life time.Duration) (uint64, error) {
-	var g wire.Grant
-	err := c.do(ctx, http.MethodPost, "/grants", wire.Grant{LifeMS: life.Milliseconds()}, &g, 0, 0)
-	return g.Ticket, err
+	var g wire.Lease
+	err := c.do(ctx, http.MethodPost, "/grants", wire.Lease{TTLMillis: life.Milliseconds()}, &g, 0, 0)
+	return g.ID, err
 }
 
 // Extend renews a grant.
@@ -428,12 +428,12 @@
 
 // Watch waits for changes under a prefix after a generation. When the history is found
 // to have gone back, there may be no such generation: that is ErrTooOld.
-func (c *Client) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.ChangeLog, error) {
+func (c *Client) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error) {
 	c.floor.mu.Lock()
 	turn, top := c.floor.turn, c.floor.top
 	c.floor.mu.Unlock()
 	if after > top {
-		return wire.ChangeLog{}, ErrTooOld
+		return wire.WatchResponse{}, ErrTooOld
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	over := make(chan struct{})
@@ -447,7 +447,7 @@
 		}
 	}()
 	q := url.Values{"under": {under}, "after": {strconv.FormatUint(after, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	var l wire.ChangeLog
+	var l wire.WatchResponse
 	err := c.do(ctx, http.MethodGet, "/changes?"+q.Encode(), nil, &l, 0, wait)
 	if context.Cause(ctx) == ErrTooOld {
 		err = ErrTooOld
@@ -462,8 +462,8 @@
 	Base, Limit time.Duration // of the pauses after errors
 	// Whole is given all there is, first and whenever the log does not go back far
 	// enough; News what came since. Asked is when the state service was.
-	Whole func(items []wire.Item, asked time.Time)
-	News  func(log []wire.Change, asked time.Time)
+	Whole func(items []wire.KeyValue, asked time.Time)
+	News  func(log []wire.Operation, asked time.Time)
 }
 
 // Follow runs a follower until ctx ends.
@@ -476,16 +476,16 @@
 		asked := time.Now()
 		var err error
 		if gen == 0 {
-			var items []wire.Item
+			var items []wire.KeyValue
 			if items, gen, err = c.List(ctx, f.Under); err == nil {
 				gen = max(gen, 1)
 				f.Whole(items, asked)
 			}
 		} else {
-			var log wire.ChangeLog
+			var log wire.WatchResponse
 			if log, err = c.Watch(ctx, f.Under, gen, f.Wait); err == nil {
-				gen = max(gen, log.Generation)
-				f.News(log.Log, asked)
+				gen = max(gen, log.Revision)
+				f.News(log.Events, asked)
 			}
 		}
 		if err == nil {
--- a/internal/state/state_test.go
+++ b/internal/state/state_test.go
@@ -44,7 +44,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			srv := httptest.NewServer(tc.handle)
 			defer srv.Close()
-			_, _, err := client(strings.TrimPrefix(srv.URL, "http://")).Commit(context.Background(), wire.Commit{})
+			_, _, err := client(strings.TrimPrefix(srv.URL, "http://")).Commit(context.Background(), wire.Txn{})
 			if !errors.Is(err, tc.want) {
 				t.Errorf("got %v, want %v", err, tc.want)
 			}
@@ -74,7 +74,7 @@
 		w.Write([]byte(`{"failed":["a"],"generation":9}`))
 	}))
 	defer srv.Close()
-	gen, failed, err := client(strings.TrimPrefix(srv.URL, "http://")).Commit(context.Background(), wire.Commit{})
+	gen, failed, err := client(strings.TrimPrefix(srv.URL, "http://")).Commit(context.Background(), wire.Txn{})
 	if err != nil || gen != 9 || len(failed) != 1 || failed[0] != "a" {
 		t.Errorf("%d %v %v", gen, failed, err)
 	}
@@ -145,7 +145,7 @@
 				Limits: Limits{WriteRPS: 1000, Value: 16384}, Least: Limits{WriteRPS: 500, Value: 2048}})
 			var err error
 			for range tc.answers {
-				_, _, err = c.Commit(context.Background(), wire.Commit{Apply: []wire.Change{{Remove: "k"}}})
+				_, _, err = c.Commit(context.Background(), wire.Txn{Operations: []wire.Operation{{Delete: "k"}}})
 			}
 			if !errors.Is(err, tc.want) || errors.Is(err, ErrTooLarge) != (tc.want == ErrTooLarge) {
 				t.Errorf("got %v, want %v", err, tc.want)
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -13,42 +13,42 @@
 	line := func(name, text string) { out.WriteString(name + "\t" + text + "\n") }
 	line("submission", goldentest.JSON(t, goldentest.Filled[Job]()))
 	line("submission, least", goldentest.JSON(t, Job{}))
-	line("phase", goldentest.JSON(t, goldentest.Filled[Phase]()))
-	line("phase, least", goldentest.JSON(t, Phase{}))
-	line("report", goldentest.JSON(t, goldentest.Filled[Report]()))
-	line("report, least", goldentest.JSON(t, Report{}))
-	line("report's task, least", goldentest.JSON(t, Member{}))
-	line("orders", goldentest.JSON(t, goldentest.Filled[Orders]()))
-	line("orders, least", goldentest.JSON(t, Orders{Orders: []Order{}}))
-	line("steward", goldentest.JSON(t, goldentest.Filled[Steward]()))
-	line("steward, least", goldentest.JSON(t, Steward{}))
-	line("error", goldentest.JSON(t, goldentest.Filled[Error]()))
-	line("machine types", goldentest.JSON(t, goldentest.Filled[MachineTypes]()))
-	line("rent", goldentest.JSON(t, goldentest.Filled[Rent]()))
-	line("host names", goldentest.JSON(t, goldentest.Filled[HostNames]()))
-	line("host list", goldentest.JSON(t, goldentest.Filled[HostList]()))
-	line("item", goldentest.JSON(t, goldentest.Filled[Item]()))
-	line("page", goldentest.JSON(t, goldentest.Filled[Page]()))
-	line("commit", goldentest.JSON(t, goldentest.Filled[Commit]()))
-	line("change, least", goldentest.JSON(t, Change{}))
-	line("committed", goldentest.JSON(t, goldentest.Filled[Committed]()))
-	line("grant", goldentest.JSON(t, goldentest.Filled[Grant]()))
-	line("grant, least", goldentest.JSON(t, Grant{}))
-	line("change log", goldentest.JSON(t, goldentest.Filled[ChangeLog]()))
+	line("phase", goldentest.JSON(t, goldentest.Filled[JobStatus]()))
+	line("phase, least", goldentest.JSON(t, JobStatus{}))
+	line("report", goldentest.JSON(t, goldentest.Filled[Heartbeat]()))
+	line("report, least", goldentest.JSON(t, Heartbeat{}))
+	line("report's task, least", goldentest.JSON(t, TaskStatus{}))
+	line("orders", goldentest.JSON(t, goldentest.Filled[CommandBatch]()))
+	line("orders, least", goldentest.JSON(t, CommandBatch{Commands: []Command{}}))
+	line("steward", goldentest.JSON(t, goldentest.Filled[Redirect]()))
+	line("steward, least", goldentest.JSON(t, Redirect{}))
+	line("error", goldentest.JSON(t, goldentest.Filled[ErrorResponse]()))
+	line("machine types", goldentest.JSON(t, goldentest.Filled[InstanceTypeList]()))
+	line("rent", goldentest.JSON(t, goldentest.Filled[ScaleOutRequest]()))
+	line("host names", goldentest.JSON(t, goldentest.Filled[InstanceNames]()))
+	line("host list", goldentest.JSON(t, goldentest.Filled[InstancePage]()))
+	line("item", goldentest.JSON(t, goldentest.Filled[KeyValue]()))
+	line("page", goldentest.JSON(t, goldentest.Filled[RangeResponse]()))
+	line("commit", goldentest.JSON(t, goldentest.Filled[Txn]()))
+	line("change, least", goldentest.JSON(t, Operation{}))
+	line("committed", goldentest.JSON(t, goldentest.Filled[TxnResponse]()))
+	line("grant", goldentest.JSON(t, goldentest.Filled[Lease]()))
+	line("grant, least", goldentest.JSON(t, Lease{}))
+	line("change log", goldentest.JSON(t, goldentest.Filled[WatchResponse]()))
 	goldentest.Check(t, "messages.txt", out.String())
 }
 
 // The words of the protocol.
 func TestGoldenWords(t *testing.T) {
 	goldentest.Check(t, "words.txt", strings.Join([]string{
-		"job phases: " + strings.Join([]string{Queued, Running, Done, Withdrawn}, " "),
-		"shapes: " + strings.Join([]string{Batch, Standing, Ensemble}, " "),
-		"ranks: " + strings.Join(Ranks(), " "),
-		"task phases: " + strings.Join([]string{Fetching, Running, Flushing, Ended}, " "),
+		"job phases: " + strings.Join([]string{PhaseQueued, PhaseRunning, PhaseDone, PhaseCancelled}, " "),
+		"shapes: " + strings.Join([]string{KindArray, KindService, KindGang}, " "),
+		"ranks: " + strings.Join(Priorities(), " "),
+		"task phases: " + strings.Join([]string{TaskFetching, PhaseRunning, TaskSaving, TaskExited}, " "),
 		"causes: " + strings.Join([]string{
-			CauseDone, CauseHalted, CauseError, CauseNoRoom, CauseInUse, CauseUnknown,
+			ExitDone, ExitStopped, ExitFailed, ExitNoCapacity, ExitDuplicate, ExitUnknownTask,
 		}, " "),
-		"verbs: " + strings.Join([]string{Launch, Stop, Reap}, " "),
-		"machine phases: " + strings.Join([]string{HostStarting, HostFailed}, " "),
+		"verbs: " + strings.Join([]string{ActionStart, ActionStop, ActionForget}, " "),
+		"machine phases: " + strings.Join([]string{InstanceStarting, InstanceFailed}, " "),
 	}, "\n")+"\n")
 }
--- a/internal/withdrawn/withdrawn.go
+++ b/internal/withdrawn/withdrawn.go
@@ -163,21 +163,23 @@
 }
 
 // Stops adds to the orders for a worker those that end tasks of withdrawn jobs on it.
-func (n *Notices) Stops(rep *wire.Report, orders []wire.Order) []wire.Order {
+func (n *Notices) Stops(rep *wire.Heartbeat, orders []wire.Command) []wire.Command {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.m) == 0 {
 		return orders
 	}
-	for _, m := range rep.Members {
-		if !n.has(m.Member) || m.Phase == wire.Ended ||
-			slices.ContainsFunc(orders, func(o wire.Order) bool { return o.Verb == wire.Stop && o.Member == m.Member && o.Try == m.Try }) {
+	for _, m := range rep.Tasks {
+		if !n.has(m.Task) || m.Phase == wire.TaskExited ||
+			slices.ContainsFunc(orders, func(o wire.Command) bool {
+				return o.Action == wire.ActionStop && o.Task == m.Task && o.Attempt == m.Attempt
+			}) {
 			continue
 		}
-		orders = append(orders, wire.Order{Verb: wire.Stop, Member: m.Member, Try: m.Try})
+		orders = append(orders, wire.Command{Action: wire.ActionStop, Task: m.Task, Attempt: m.Attempt})
 	}
 	// An order that was made before the notice came starts nothing after it.
-	return slices.DeleteFunc(orders, func(o wire.Order) bool { return o.Verb == wire.Launch && n.has(o.Member) })
+	return slices.DeleteFunc(orders, func(o wire.Command) bool { return o.Action == wire.ActionStart && n.has(o.Task) })
 }
 
 // has tells whether a task is of a job that is known to be withdrawn. Run it with the lock
--- a/internal/withdrawn/withdrawn_test.go
+++ b/internal/withdrawn/withdrawn_test.go
@@ -47,16 +47,16 @@
 func TestStops(t *testing.T) {
 	c, refused := &clock{time.Unix(1e9, 0)}, false
 	n := notices(c, &refused, 8)
-	rep := &wire.Report{Members: []wire.Member{
-		{Member: "req-1/0", Try: 1, Phase: wire.Running}, {Member: "req-1/1", Try: 2, Phase: wire.Fetching}, {Member: "req-1/2", Try: 1, Phase: wire.Ended},
-		{Member: "req-10/0", Try: 1, Phase: wire.Running},
+	rep := &wire.Heartbeat{Tasks: []wire.TaskStatus{
+		{Task: "req-1/0", Attempt: 1, Phase: wire.PhaseRunning}, {Task: "req-1/1", Attempt: 2, Phase: wire.TaskFetching}, {Task: "req-1/2", Attempt: 1, Phase: wire.TaskExited},
+		{Task: "req-10/0", Attempt: 1, Phase: wire.PhaseRunning},
 	}}
-	given := []wire.Order{{Verb: wire.Stop, Member: "req-1/0", Try: 1}, {Verb: wire.Launch, Member: "req-1/3", Try: 1}, {Verb: wire.Launch, Member: "req-10/1", Try: 1}, {Verb: wire.Reap, Member: "req-1/2", Try: 1}}
+	given := []wire.Command{{Action: wire.ActionStop, Task: "req-1/0", Attempt: 1}, {Action: wire.ActionStart, Task: "req-1/3", Attempt: 1}, {Action: wire.ActionStart, Task: "req-10/1", Attempt: 1}, {Action: wire.ActionForget, Task: "req-1/2", Attempt: 1}}
 	if got := n.Stops(rep, slices.Clone(given)); !slices.Equal(got, given) {
 		t.Errorf("%v, with nothing withdrawn", got)
 	}
 	n.Add("", "req-1")
-	want := []wire.Order{given[0], given[2], given[3], {Verb: wire.Stop, Member: "req-1/1", Try: 2}}
+	want := []wire.Command{given[0], given[2], given[3], {Action: wire.ActionStop, Task: "req-1/1", Attempt: 2}}
 	if got := n.Stops(rep, slices.Clone(given)); !slices.Equal(got, want) {
 		t.Errorf("%v, want %v", got, want)
 	}
