--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -36,7 +36,7 @@
 	}
 	d := net.Dialer{Timeout: set.Report()}
 	least := set.Facts.State
-	st := state.New(state.Options{Addr: set.Services.State, RPS: least.RPS / 8, Limits: state.Limits{WriteRPS: 1, Value: int(least.ValueKB * 1024)}, Timeout: 2 * set.Report(), Dial: d.DialContext})
+	st := state.New(state.Options{Addr: set.Services.State, RequestsPerSecond: least.RPS / 8, Limits: state.Limits{WritesPerSecond: 1, MaxValueBytes: int(least.ValueKB * 1024)}, Timeout: 2 * set.Report(), Dial: d.DialContext})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*set.Lease())
 	defer cancel()
 	tree, head, err := copies.Read(ctx, st)
--- a/cmd/rillflow/tools.go
+++ b/cmd/rillflow/tools.go
@@ -45,8 +45,8 @@
 	least := set.Facts.State.Least()
 	d := net.Dialer{Timeout: set.Report()}
 	st := state.New(state.Options{
-		Addr: set.Services.State, RPS: least.RPS * toolShare, Timeout: 2 * set.Report(), Dial: d.DialContext,
-		Limits: state.Limits{WriteRPS: least.WriteRPS * toolShare, Value: int(least.ValueKB * 1024)},
+		Addr: set.Services.State, RequestsPerSecond: least.RPS * toolShare, Timeout: 2 * set.Report(), Dial: d.DialContext,
+		Limits: state.Limits{WritesPerSecond: least.WriteRPS * toolShare, MaxValueBytes: int(least.ValueKB * 1024)},
 	})
 	return &desk{set, st, ring}, nil
 }
--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -212,7 +212,7 @@
 	defer d.mu.Unlock()
 	s := &slipped{place: fmt.Sprintf("%s%s.%x.%d", audit.SlipPrefix, d.node, d.began, d.slips)}
 	entries := append([]audit.Entry(nil), d.denied...)
-	for audit.Size(entries) > d.st.Value()/2 && len(entries) > 1 {
+	for audit.Size(entries) > d.st.MaxValueBytes()/2 && len(entries) > 1 {
 		entries = entries[:len(entries)/2] // the rest takes its turn
 	}
 	s.n = len(entries)
--- a/internal/control/chain.go
+++ b/internal/control/chain.go
@@ -159,7 +159,7 @@
 	if len(js) == 0 {
 		return nil, nil, nil
 	}
-	return js, w, r.rec.dooming(w, js, r.term.Epoch(), now, ops, r.st.Value())
+	return js, w, r.rec.dooming(w, js, r.term.Epoch(), now, ops, r.st.MaxValueBytes())
 }
 
 func (r *reign) carried(js []*ledger.Job, w *writing, failed []string) error {
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -216,7 +216,7 @@
 func (r *reign) follow(ctx context.Context, gen uint64) error {
 	for try := 0; ctx.Err() == nil; {
 		log, err := r.st.Watch(ctx, ledger.LivePrefix, gen, r.set.Lease()/2)
-		if errors.Is(err, state.ErrTooOld) {
+		if errors.Is(err, state.ErrCompacted) {
 			return err // a new term reads everything afresh
 		}
 		if err != nil {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -398,7 +398,7 @@
 	at := now
 	r.now = func() time.Time { return at }
 	r.set.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
-	r.st = state.New(state.Options{RPS: 1000, Limits: state.Limits{WriteRPS: 1000, Value: 16 << 10}})
+	r.st = state.New(state.Options{RequestsPerSecond: 1000, Limits: state.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10}})
 	old := r.add("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
 	claim := func(j *ledger.Job) *ledger.Held {
 		c, err := r.led.Claim(j, "h0", 1, "a")
--- a/internal/control/flush.go
+++ b/internal/control/flush.go
@@ -84,14 +84,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.now()
-	ops, value := r.set.Facts.State.Least().TxnOps, r.st.Value()
+	ops, value := r.set.Facts.State.Least().TxnOps, r.st.MaxValueBytes()
 	alone := r.rec.heavy(value) || r.led.Empty() && r.rec.due(now, r.set.Report()/2)
 	if r.led.Empty() && !alone {
 		return nil, 0, nil
 	}
 	b, wait := &ledger.Batch{}, time.Duration(0)
 	if alone {
-		_, wait = r.st.WriteRoom(1, keepUrgent)
+		_, wait = r.st.BulkWriteAllowance(1, keepUrgent)
 	} else {
 		b, wait = r.changes(ops, value, now)
 	}
@@ -117,7 +117,7 @@
 	} else {
 		r.tidied = now // all there is takes its turn
 	}
-	room, wait := r.st.WriteRoom(leastOps, keep)
+	room, wait := r.st.BulkWriteAllowance(leastOps, keep)
 	if wait > 0 {
 		return nil, wait
 	}
@@ -210,7 +210,7 @@
 			// batch made instead has the same guards and tells.
 			r.unwritten(b)
 			return err
-		case errors.Is(err, state.ErrUnknown):
+		case errors.Is(err, state.ErrOutcomeUnknown):
 			unsure = true
 		}
 		if !state.Backoff(ctx, try, r.set.Report()/64, r.set.Report()/4) {
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -263,7 +263,7 @@
 			store.Values = append(store.Values, rebuild.Value{Key: it.Key, Data: it.Value, Stamp: it.ModRevision})
 		}
 	}
-	sum, err := rebuild.Merge(append(sources, store), fmt.Sprintf("%s.%d.r", r.set.Node, r.first), r.base(), r.st.Value())
+	sum, err := rebuild.Merge(append(sources, store), fmt.Sprintf("%s.%d.r", r.set.Node, r.first), r.base(), r.st.MaxValueBytes())
 	if err != nil {
 		return sum, err
 	}
--- a/internal/control/record.go
+++ b/internal/control/record.go
@@ -346,9 +346,9 @@
 	if r.rec == nil {
 		return nil
 	}
-	return r.st.Follow(ctx, state.Follower{
-		Under: audit.SlipPrefix, Wait: r.set.Lease() / 2, Base: r.set.Report() / 32, Limit: r.set.Report() / 4,
-		Whole: func(items []wire.KeyValue, _ time.Time) {
+	return r.st.WatchPrefix(ctx, state.Watcher{
+		Prefix: audit.SlipPrefix, PollWait: r.set.Lease() / 2, BackoffBase: r.set.Report() / 32, BackoffLimit: r.set.Report() / 4,
+		OnSnapshot: func(items []wire.KeyValue, _ time.Time) {
 			r.mu.Lock()
 			for _, it := range items {
 				r.rec.take(it.Key, it.Value, it.ModRevision)
@@ -356,7 +356,7 @@
 			r.mu.Unlock()
 			kick(r.flushes)
 		},
-		News: func(log []wire.Operation, _ time.Time) {
+		OnChanges: func(log []wire.Operation, _ time.Time) {
 			r.mu.Lock()
 			for _, ch := range log {
 				if ch.Put != "" {
--- a/internal/control/restore.go
+++ b/internal/control/restore.go
@@ -76,7 +76,7 @@
 func (r *reign) reach(ctx context.Context, p history.Phase) error {
 	err := r.insist(ctx, func() (bool, error) {
 		err := r.term.Step(ctx, p)
-		return !errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrUnknown), err
+		return !errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrOutcomeUnknown), err
 	})
 	if err == nil {
 		r.log.Info("history", "phase", p)
@@ -90,7 +90,7 @@
 	ops := r.set.Facts.State.Least().TxnOps
 	for todo > 0 {
 		ws := r.back.writes[:todo]
-		room, wait := r.st.WriteRoom(1, keep)
+		room, wait := r.st.BulkWriteAllowance(1, keep)
 		if wait > 0 {
 			if !sleep(ctx, wait) {
 				return ctx.Err()
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -96,7 +96,7 @@
 			srv := httptest.NewServer(st)
 			defer srv.Close()
 			var d net.Dialer
-			client := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RPS: 1e6, Limits: state.Limits{WriteRPS: 1e6, Value: 16 << 10}, Timeout: time.Minute, Dial: d.DialContext})
+			client := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e6, Limits: state.Limits{WritesPerSecond: 1e6, MaxValueBytes: 16 << 10}, Timeout: time.Minute, Dial: d.DialContext})
 			b.ReportAllocs()
 			for b.Loop() {
 				ctx, end := context.WithCancel(b.Context())
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -177,7 +177,7 @@
 // once for each.
 func NewKeeper(st *state.Client, onDoubt func(why string), log *slog.Logger) *Keeper {
 	k := &Keeper{st: st, log: log, items: make(map[string]wire.KeyValue), onDoubt: onDoubt, kick: make(chan struct{}, 1)}
-	st.OnBack(func(seen, got uint64) {
+	st.OnRollback(func(seen, got uint64) {
 		// At once: the very answer may name the history that came after, which is not
 		// the one in doubt.
 		k.Doubt(fmt.Sprintf("generations went back from %d to %d", seen, got))
@@ -188,10 +188,10 @@
 // Run keeps to the history until ctx ends.
 func (k *Keeper) Run(ctx context.Context, wait time.Duration) error {
 	go k.refresh(ctx, wait)
-	return k.st.Follow(ctx, state.Follower{
-		Under: prefix, Wait: wait, Base: wait / 64, Limit: wait / 8,
-		Whole: k.whole,
-		News: func(log []wire.Operation, _ time.Time) {
+	return k.st.WatchPrefix(ctx, state.Watcher{
+		Prefix: prefix, PollWait: wait, BackoffBase: wait / 64, BackoffLimit: wait / 8,
+		OnSnapshot: k.whole,
+		OnChanges: func(log []wire.Operation, _ time.Time) {
 			if len(log) == 0 {
 				return
 			}
@@ -276,7 +276,7 @@
 	}
 	k.view = v
 	if was.ID != "" && v.ID != was.ID {
-		k.st.Turn() // what was followed in the last one is to be read anew
+		k.st.StartIncarnation() // what was followed in the last one is to be read anew
 	}
 	switch {
 	case v.ID == was.ID || v.ID == "":
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -56,7 +56,7 @@
 }
 
 func keeper() *Keeper {
-	st := state.New(state.Options{Addr: "none:1", RPS: 1, Timeout: time.Second})
+	st := state.New(state.Options{Addr: "none:1", RequestsPerSecond: 1, Timeout: time.Second})
 	return NewKeeper(st, nil, slog.New(slog.DiscardHandler))
 }
 
@@ -178,7 +178,7 @@
 	srv := httptest.NewServer(s)
 	defer srv.Close()
 	var d net.Dialer
-	st := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RPS: 1e5, Limits: state.Limits{WriteRPS: 1e5, Value: 1 << 10}, Timeout: time.Minute, Dial: d.DialContext})
+	st := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e5, Limits: state.Limits{WritesPerSecond: 1e5, MaxValueBytes: 1 << 10}, Timeout: time.Minute, Dial: d.DialContext})
 	commit := func(gs []wire.Compare, cs ...wire.Operation) (uint64, []string) {
 		gen, failed, err := st.Commit(t.Context(), wire.Txn{Compares: gs, Operations: cs})
 		if err != nil {
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -84,7 +84,7 @@
 			}
 		case err == nil:
 			return ErrChanged
-		case errors.Is(err, state.ErrUnknown):
+		case errors.Is(err, state.ErrOutcomeUnknown):
 			unsure = true
 		case errors.Is(err, state.ErrTooLarge):
 			return err
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -172,7 +172,7 @@
 // Follow keeps the copy until ctx ends. every is how long a watch lasts: the copy is
 // known to be whole at least that often.
 func (r *Registry) Follow(ctx context.Context, st *state.Client, every time.Duration) error {
-	return st.Follow(ctx, state.Follower{Under: Prefix, Wait: every, Base: every / 16, Limit: every, Whole: r.replace, News: r.apply})
+	return st.WatchPrefix(ctx, state.Watcher{Prefix: Prefix, PollWait: every, BackoffBase: every / 16, BackoffLimit: every, OnSnapshot: r.replace, OnChanges: r.apply})
 }
 
 func (r *Registry) replace(items []wire.KeyValue, at time.Time) {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -50,7 +50,7 @@
 	}
 	if s.lose > 0 {
 		s.lose--
-		return 0, nil, fmt.Errorf("%w: lost", state.ErrUnknown)
+		return 0, nil, fmt.Errorf("%w: lost", state.ErrOutcomeUnknown)
 	}
 	return s.rev, nil, nil
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -75,7 +75,7 @@
 // kept waiting for what cannot be decided now. What got no answer, or came at a
 // busy moment, may well be settled within the user's patience.
 func (u *Users) again(ctx context.Context, err error, try int) bool {
-	if errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrBusy) || u.down() {
+	if errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrRateLimited) || u.down() {
 		return false
 	}
 	return state.Backoff(ctx, try, 20*time.Millisecond, 200*time.Millisecond)
@@ -347,7 +347,7 @@
 }
 
 func (u *Users) read(ctx context.Context, ref string, before glance) (known, error) {
-	it, err := u.st.Look(ctx, ledger.LiveKey(ref))
+	it, err := u.st.GetByListing(ctx, ledger.LiveKey(ref))
 	if err == nil {
 		if p, ok := u.returned(ref, before); ok {
 			return p, nil
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -341,7 +341,7 @@
 						err = errors.Join(err, bad)
 					}
 				}
-			} else if errors.Is(err, state.ErrTooOld) {
+			} else if errors.Is(err, state.ErrCompacted) {
 				after = 0
 			}
 		}
@@ -572,7 +572,7 @@
 		return nil, 0, err
 	}
 	sent := time.Now()
-	ticket, err := e.st.NewGrant(ctx, e.life)
+	ticket, err := e.st.GrantLease(ctx, e.life)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -603,7 +603,7 @@
 	}
 	// Should the commit have gone through after all, ending its grant takes
 	// the key away again; the epoch it used up is never used again.
-	e.st.Revoke(ctx, ticket)
+	e.st.RevokeLease(ctx, ticket)
 	return nil, 0, err
 }
 
@@ -645,7 +645,7 @@
 func (e *Elector) revoke(ctx context.Context, t *Term) {
 	rctx, stop := context.WithTimeout(context.WithoutCancel(ctx), e.life/2)
 	defer stop()
-	e.st.Revoke(rctx, t.ticket)
+	e.st.RevokeLease(rctx, t.ticket)
 }
 
 // renew extends the grant. Refusals are endured: in an outage nobody else can
@@ -660,7 +660,7 @@
 		case <-tick.C:
 		}
 		sent := time.Now()
-		err := e.st.Extend(ctx, t.ticket)
+		err := e.st.RenewLease(ctx, t.ticket)
 		if errors.Is(err, state.ErrNotFound) {
 			cancel(fmt.Errorf("%w: the grant ended", ErrDeposed))
 			return
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -96,7 +96,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			log := slog.New(slog.DiscardHandler)
-			st := state.New(state.Options{Addr: "none:1", RPS: 1, Timeout: time.Second})
+			st := state.New(state.Options{Addr: "none:1", RequestsPerSecond: 1, Timeout: time.Second})
 			h := history.NewKeeper(st, nil, log)
 			if tc.doubted {
 				h.Doubt("x")
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -179,14 +179,14 @@
 	if !doubted {
 		id = d.hist.Current().ID
 	}
-	gen, _ := d.st.Generation()
+	gen, _ := d.st.Revision()
 	return peer.History{ID: id, Doubted: doubted, Why: why, Gen: gen}
 }
 
 func (d *daemon) Remembers(node string, h peer.History) {
 	d.hist.Heard(node, h.ID, h.Why, h.Doubted)
 	if _, _, doubted := d.hist.Doubted(); !doubted && !h.Doubted && h.ID != "" && h.ID == d.hist.Current().ID {
-		d.st.Reached(h.Gen)
+		d.st.ObserveRevision(h.Gen)
 	}
 }
 
@@ -218,7 +218,7 @@
 
 func (d *daemon) Ping() peer.Ping {
 	m := d.el.Known()
-	return peer.Ping{Node: d.set.Node, Epoch: m.Epoch, Leader: m.Leader, Parts: m.Parts, StateAge: d.st.SinceOK()}
+	return peer.Ping{Node: d.set.Node, Epoch: m.Epoch, Leader: m.Leader, Parts: m.Parts, StateAge: d.st.SinceLastAnswer()}
 }
 
 func (d *daemon) Pinged(p peer.Ping) {
@@ -306,7 +306,7 @@
 	}
 	reply(w, http.StatusOK, Status{
 		Node: d.set.Node, Version: Version, Map: d.el.Known(), UpS: time.Since(d.began).Seconds(),
-		StateS: d.st.SinceOK().Seconds(), Requests: d.st.Requests(), Lower: d.st.Fallen(), Peers: d.mesh.Peers(),
+		StateS: d.st.SinceLastAnswer().Seconds(), Requests: d.st.RequestCount(), Lower: d.st.LimitsLowered(), Peers: d.mesh.Peers(),
 		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.Rows(), Leading: d.control.View(), History: d.histories(),
 	})
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -85,8 +85,8 @@
 	// Any node may lead and then needs most of the budget; the rest is
 	// shared. Spent in full by all, this stays at what the service allows.
 	d.st = state.New(state.Options{
-		Addr: set.Services.State, RPS: facts.State.RPS * 0.8 * 2 / (nodes + 1),
-		Limits: limits(facts.State), Least: limits(facts.State.Least()),
+		Addr: set.Services.State, RequestsPerSecond: facts.State.RPS * 0.8 * 2 / (nodes + 1),
+		Limits: limits(facts.State), AnnouncedLimits: limits(facts.State.Least()),
 		Timeout: set.Report() / 2, Dial: nw.Dial,
 	})
 	cloud := fleet.NewCloud(set.Services.Cloud, facts.Cloud.RPS*0.8, set.Report(), nw.Dial)
@@ -103,7 +103,7 @@
 		Within: within, Max: withdrawn.Capacity(facts.State.WriteRPS, within), Peers: set.Others(),
 		Refused: func() bool { return d.part.Refused() }, Now: time.Now,
 	})
-	d.part = part.New(set, d.el.Known, d.st.SinceOK, d.gone, time.Now)
+	d.part = part.New(set, d.el.Known, d.st.SinceLastAnswer, d.gone, time.Now)
 	var tls *certs.Keeper
 	if op.TLS.On() {
 		var err error
@@ -232,7 +232,7 @@
 // limits is what a controller may use of the state service at a time: nearly
 // all, for any may lead.
 func limits(s settings.State) state.Limits {
-	return state.Limits{WriteRPS: s.WriteRPS * 0.8, Value: int(s.ValueKB * 1024)}
+	return state.Limits{WritesPerSecond: s.WriteRPS * 0.8, MaxValueBytes: int(s.ValueKB * 1024)}
 }
 
 // probe sees to it that this node knows whether the state service answers it.
@@ -250,7 +250,7 @@
 			// Another leads and answers the workers meanwhile.
 			d.el.Resign(d.set.Lease(), "workers reach others but not this node")
 		}
-		if d.st.SinceOK() >= every {
+		if d.st.SinceLastAnswer() >= every {
 			d.st.Probe(ctx)
 		}
 	}
--- a/internal/state/golden_test.go
+++ b/internal/state/golden_test.go
@@ -14,7 +14,7 @@
 	rec := goldentest.NewRecorder(t)
 	var d net.Dialer
 	c := New(Options{
-		Addr: rec.Addr(), RPS: 1e6, Limits: Limits{WriteRPS: 1e6, Value: 16 << 10}, Timeout: time.Minute, Dial: d.DialContext,
+		Addr: rec.Addr(), RequestsPerSecond: 1e6, Limits: Limits{WritesPerSecond: 1e6, MaxValueBytes: 16 << 10}, Timeout: time.Minute, Dial: d.DialContext,
 	})
 	ctx := t.Context()
 	for _, ask := range []func() error{
@@ -23,9 +23,9 @@
 		func() error { _, _, err := c.Page(ctx, "j/", "j/req-1", 7); return err },
 		func() error { _, _, err := c.Commit(ctx, wire.Txn{}); return err },
 		func() error { _, _, err := c.Commit(ctx, goldentest.Filled[wire.Txn]()); return err },
-		func() error { _, err := c.NewGrant(ctx, 1500*time.Millisecond); return err },
-		func() error { return c.Extend(ctx, 9) },
-		func() error { return c.Revoke(ctx, 9) },
+		func() error { _, err := c.GrantLease(ctx, 1500*time.Millisecond); return err },
+		func() error { return c.RenewLease(ctx, 9) },
+		func() error { return c.RevokeLease(ctx, 9) },
 		func() error { _, err := c.Watch(ctx, "i/", 0, 2*time.Second); return err },
 	} {
 		if err := ask(); err != nil {
@@ -33,6 +33,6 @@
 		}
 	}
 	c.First(ctx, "a/b/") // both find nothing
-	c.Look(ctx, "lead")
+	c.GetByListing(ctx, "lead")
 	goldentest.Check(t, "requests.txt", rec.Requests())
 }
--- a/internal/state/floor_test.go
+++ b/internal/state/revision_test.go
@@ -12,29 +12,29 @@
 	"time"
 )
 
-// told is a service that answers with the generation that it is given, for keys and
+// revisionServer is a service that answers with the generation that it is given, for keys and
 // changes alike.
-type told struct{ gen uint64 }
+type revisionServer struct{ revision uint64 }
 
-func (s *told) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *revisionServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case strings.HasPrefix(r.URL.Path, "/store/here"):
-		fmt.Fprintf(w, `{"path":"here","data":1,"stamp":%d}`, s.gen)
+		fmt.Fprintf(w, `{"path":"here","data":1,"stamp":%d}`, s.revision)
 	case strings.HasPrefix(r.URL.Path, "/store/"):
 		w.WriteHeader(404)
-		fmt.Fprintf(w, `{"generation":%d}`, s.gen)
+		fmt.Fprintf(w, `{"generation":%d}`, s.revision)
 	case r.URL.Path == "/changes":
-		fmt.Fprintf(w, `{"generation":%d,"log":[]}`, s.gen)
+		fmt.Fprintf(w, `{"generation":%d,"log":[]}`, s.revision)
 	case r.URL.Query().Get("under") == "here":
-		fmt.Fprintf(w, `{"generation":%d,"items":[{"path":"here","data":1,"stamp":1}]}`, s.gen)
+		fmt.Fprintf(w, `{"generation":%d,"items":[{"path":"here","data":1,"stamp":1}]}`, s.revision)
 	default:
-		fmt.Fprintf(w, `{"generation":%d,"items":[]}`, s.gen)
+		fmt.Fprintf(w, `{"generation":%d,"items":[]}`, s.revision)
 	}
 }
 
 // An answer of an earlier generation than was known when it was asked for is told once;
 // what may have other reasons is not.
-func TestHistoryGoesBack(t *testing.T) {
+func TestRevisionRollback(t *testing.T) {
 	type step struct {
 		ask string
 		gen uint64
@@ -58,31 +58,31 @@
 		{"another history begins below", []step{{"miss", 9}, {"turn", 0}, {"miss", 3}, {"miss", 2}}, []uint64{2}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := &told{}
+			s := &revisionServer{}
 			srv := httptest.NewServer(s)
 			defer srv.Close()
 			var d net.Dialer
-			c := New(Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RPS: 1e5, Limits: Limits{WriteRPS: 1e5}, Timeout: time.Minute, Dial: d.DialContext})
+			c := New(Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e5, Limits: Limits{WritesPerSecond: 1e5}, Timeout: time.Minute, Dial: d.DialContext})
 			var got []uint64
-			c.OnBack(func(_, gen uint64) { got = append(got, gen) })
+			c.OnRollback(func(_, gen uint64) { got = append(got, gen) })
 			ctx := t.Context()
 			for _, st := range tc.steps {
-				s.gen = st.gen
+				s.revision = st.gen
 				switch st.ask {
 				case "miss":
 					c.Get(ctx, "none")
 				case "here":
 					c.Get(ctx, "here")
 				case "look":
-					c.Look(ctx, "here")
+					c.GetByListing(ctx, "here")
 				case "list":
 					c.List(ctx, "j/")
 				case "watch":
 					c.Watch(ctx, "j/", 1, time.Second)
 				case "peer":
-					c.Reached(st.gen)
+					c.ObserveRevision(st.gen)
 				case "turn":
-					c.Turn()
+					c.StartIncarnation()
 				}
 			}
 			if fmt.Sprint(got) != fmt.Sprint(tc.told) {
@@ -94,23 +94,23 @@
 
 // What was asked before the history went back tells nothing of the one after: its answer
 // may come late.
-func TestLateAnswer(t *testing.T) {
-	f := floor{turn: make(chan struct{})}
-	backs := 0
-	f.back = func(uint64, uint64) { backs++ }
-	f.saw(9, 0, 0)
-	f.saw(2, 0, 9)
-	f.saw(11, 0, 9) // asked before, answered after
-	f.saw(5, 0, 9)  // so was this, by the history that came after
-	f.saw(3, 1, 2)
-	if backs != 1 || f.top != 3 {
-		t.Errorf("%d times back, at %d", backs, f.top)
+func TestLateAnswerAfterRollback(t *testing.T) {
+	f := revisionFloor{incarnationEnded: make(chan struct{})}
+	rollbacks := 0
+	f.onRollback = func(uint64, uint64) { rollbacks++ }
+	f.observe(9, 0, 0)
+	f.observe(2, 0, 9)
+	f.observe(11, 0, 9) // asked before, answered after
+	f.observe(5, 0, 9)  // so was this, by the history that came after
+	f.observe(3, 1, 2)
+	if rollbacks != 1 || f.latest != 3 {
+		t.Errorf("%d times back, at %d", rollbacks, f.latest)
 	}
 }
 
 // A watch of a history that is gone ends at once, and one after a generation that the
 // present one has not reached is not begun: the log would tell of nothing for long.
-func TestWatchOfLostHistory(t *testing.T) {
+func TestWatchEndsOnRollback(t *testing.T) {
 	block := make(chan struct{})
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/changes" {
@@ -124,9 +124,9 @@
 	defer srv.Close()
 	defer close(block)
 	var d net.Dialer
-	c := New(Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RPS: 1e5, Limits: Limits{WriteRPS: 1e5}, Timeout: time.Minute, Dial: d.DialContext})
+	c := New(Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e5, Limits: Limits{WritesPerSecond: 1e5}, Timeout: time.Minute, Dial: d.DialContext})
 	c.List(t.Context(), "j/")
-	if _, err := c.Watch(t.Context(), "j/", 8, time.Hour); !errors.Is(err, ErrTooOld) {
+	if _, err := c.Watch(t.Context(), "j/", 8, time.Hour); !errors.Is(err, ErrCompacted) {
 		t.Errorf("after a generation to come: %v", err)
 	}
 	ended := make(chan error, 1)
@@ -135,10 +135,10 @@
 		ended <- err
 	}()
 	for turned := false; !turned; {
-		c.Turn()
+		c.StartIncarnation()
 		select {
 		case err := <-ended:
-			if !errors.Is(err, ErrTooOld) {
+			if !errors.Is(err, ErrCompacted) {
 				t.Errorf("when the history turns: %v", err)
 			}
 			turned = true
