--- a/internal/agent/direct_test.go
+++ b/internal/agent/command_test.go
@@ -13,20 +13,20 @@
 	"rillflow/internal/wire"
 )
 
-// counted tells how many of the connections that it dialled are open.
-type counted struct {
+// connCounter tells how many of the connections that it dialled are open.
+type connCounter struct {
 	mu     sync.Mutex
 	open   int
 	closed chan struct{} // one for each that was closed
 }
 
-type conn struct {
+type countedConn struct {
 	net.Conn
-	c    *counted
-	once sync.Once
+	counter *connCounter
+	once    sync.Once
 }
 
-func (c *counted) dial(ctx context.Context, network, addr string) (net.Conn, error) {
+func (c *connCounter) dial(ctx context.Context, network, addr string) (net.Conn, error) {
 	var d net.Dialer
 	n, err := d.DialContext(ctx, network, addr)
 	if err != nil {
@@ -35,15 +35,15 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.open++
-	return &conn{Conn: n, c: c}, nil
+	return &countedConn{Conn: n, counter: c}, nil
 }
 
-func (n *conn) Close() error {
+func (n *countedConn) Close() error {
 	n.once.Do(func() {
-		n.c.mu.Lock()
-		defer n.c.mu.Unlock()
-		n.c.open--
-		n.c.closed <- struct{}{}
+		n.counter.mu.Lock()
+		defer n.counter.mu.Unlock()
+		n.counter.open--
+		n.counter.closed <- struct{}{}
 	})
 	return n.Conn.Close()
 }
@@ -51,20 +51,20 @@
 // However many workers are commanded, only so many connections stay open.
 func TestIdleConnections(t *testing.T) {
 	for _, tc := range []struct{ workers, idle, open int }{{2, 4, 2}, {8, 4, 4}, {8, 0, 1}} {
-		c := counted{closed: make(chan struct{}, tc.workers)}
-		d := NewDirect(5*time.Second, tc.idle, c.dial)
+		counter := connCounter{closed: make(chan struct{}, tc.workers)}
+		client := NewCommandClient(5*time.Second, tc.idle, counter.dial)
 		for range tc.workers {
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.Write([]byte(`{"host":"h"}`)) }))
 			defer srv.Close()
-			if _, _, err := d.Do(context.Background(), strings.TrimPrefix(srv.URL, "http://"), wire.CommandBatch{}); err != nil {
+			if _, _, err := client.Send(context.Background(), strings.TrimPrefix(srv.URL, "http://"), wire.CommandBatch{}); err != nil {
 				t.Fatal(err)
 			}
 		}
 		for range tc.workers - tc.open { // each is closed once the next is kept
 			select {
-			case <-c.closed:
+			case <-counter.closed:
 			case <-time.After(10 * time.Second):
-				t.Fatalf("%d workers, %d to be kept: %d open", tc.workers, tc.idle, c.open)
+				t.Fatalf("%d workers, %d to be kept: %d open", tc.workers, tc.idle, counter.open)
 			}
 		}
 	}
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -13,8 +13,8 @@
 func TestGoldenRequests(t *testing.T) {
 	rec := goldentest.NewRecorder(t)
 	var dialer net.Dialer
-	d := NewDirect(time.Minute, 1, dialer.DialContext)
-	if _, _, err := d.Do(t.Context(), rec.Addr(), goldentest.Filled[wire.CommandBatch]()); err != nil {
+	d := NewCommandClient(time.Minute, 1, dialer.DialContext)
+	if _, _, err := d.Send(t.Context(), rec.Addr(), goldentest.Filled[wire.CommandBatch]()); err != nil {
 		t.Error(err)
 	}
 	if _, err := d.Status(t.Context(), rec.Addr()); err != nil {
--- a/internal/agent/host_test.go
+++ b/internal/agent/worker_test.go
@@ -10,8 +10,8 @@
 	"rillflow/internal/wire"
 )
 
-func TestOrders(t *testing.T) {
-	live, gone := &ledger.Job{Ref: "req-1"}, &ledger.Job{Ref: "req-2", Withdrawn: true}
+func TestCommands(t *testing.T) {
+	live, cancelled := &ledger.Job{Ref: "req-1"}, &ledger.Job{Ref: "req-2", Withdrawn: true}
 	type member struct {
 		task  string
 		try   uint64
@@ -21,48 +21,48 @@
 		name    string
 		claims  []*ledger.Held
 		members []member
-		tweak   func(*Host)
+		tweak   func(*Worker)
 		answer  bool
 		want    string
 	}{
 		{"launch what is claimed", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true}}, nil, nil, false, "launch req-1/0 4"},
 		{"never before the claim is durable", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live}}, nil, nil, true, ""},
 		{"not what may be lost with its history", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true, Unsure: true}}, nil, nil, true, ""},
-		{"what nobody remembers is left alone", nil, []member{{"req-9/1", 2, "running"}}, func(h *Host) {
-			for t, m := range h.Members {
-				m.Kept = true
-				h.Members[t] = m
+		{"what nobody remembers is left alone", nil, []member{{"req-9/1", 2, "running"}}, func(worker *Worker) {
+			for t, m := range worker.Tasks {
+				m.Orphaned = true
+				worker.Tasks[t] = m
 			}
 		}, true, ""},
 		{"not in another tenure", []*ledger.Held{{Claim: ledger.Claim{Tenure: 2, Try: 4}, Job: live, Committed: true}}, nil, nil, true, ""},
 		{"not what it has", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true}}, []member{{"req-1/0", 4, "running"}}, nil, true, ""},
-		{"stop what is withdrawn", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: gone, Committed: true}}, []member{{"req-2/0", 4, "running"}}, nil, true, "stop req-2/0 4"},
-		{"stop a launch of it that may be on its way", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: gone, Committed: true, Sent: true}}, nil, nil, true, "stop req-2/0 4"},
+		{"stop what is withdrawn", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: cancelled, Committed: true}}, []member{{"req-2/0", 4, "running"}}, nil, true, "stop req-2/0 4"},
+		{"stop a launch of it that may be on its way", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: cancelled, Committed: true, Sent: true}}, nil, nil, true, "stop req-2/0 4"},
 		{"stop what nobody claimed", nil, []member{{"req-9/1", 2, "running"}}, nil, true, "stop req-9/1 2"},
 		{"reap what has ended", nil, []member{{"req-1/0", 4, "ended"}}, nil, true, "reap req-1/0 4"},
 		{"not while its finish is not durable", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true, Over: true}}, []member{{"req-1/0", 4, "ended"}}, nil, true, ""},
 		{"reap only in answer to a beat", nil, []member{{"req-1/0", 4, "ended"}}, nil, false, ""},
-		{"not while a command is under way", nil, []member{{"req-1/0", 4, "ended"}}, func(h *Host) { h.InFlight = true }, true, ""},
-		{"not while a lost command may still come", nil, []member{{"req-1/0", 4, "ended"}}, func(h *Host) { h.Taint = 7 }, true, ""},
-		{"once the worker has seen a later epoch", nil, []member{{"req-1/0", 4, "ended"}}, func(h *Host) { h.Taint = 6 }, true, "reap req-1/0 4"},
+		{"not while a command is under way", nil, []member{{"req-1/0", 4, "ended"}}, func(worker *Worker) { worker.CommandInFlight = true }, true, ""},
+		{"not while a lost command may still come", nil, []member{{"req-1/0", 4, "ended"}}, func(worker *Worker) { worker.UnresolvedEpoch = 7 }, true, ""},
+		{"once the worker has seen a later epoch", nil, []member{{"req-1/0", 4, "ended"}}, func(worker *Worker) { worker.UnresolvedEpoch = 6 }, true, "reap req-1/0 4"},
 		{"another try of a claimed task is stopped first", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true}}, []member{{"req-1/0", 3, "running"}}, nil, true, "stop req-1/0 3, launch req-1/0 4"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			h := NewHost("i-1")
-			h.Tenure, h.Epoch = 1, 7
+			worker := NewWorker("i-1")
+			worker.Incarnation, worker.SeenEpoch = 1, 7
 			claims := map[ledger.Task]*ledger.Held{}
 			for _, c := range tc.claims {
 				claims[c.Task()] = c
 			}
 			for _, m := range tc.members {
 				task, _ := ledger.ParseTask(m.task)
-				h.Members[task] = Member{Try: m.try, Phase: m.phase}
+				worker.Tasks[task] = TaskStatus{Attempt: m.try, Phase: m.phase}
 			}
 			if tc.tweak != nil {
-				tc.tweak(h)
+				tc.tweak(worker)
 			}
 			var got []string
-			for _, o := range h.Orders(claims, 7, tc.answer) {
+			for _, o := range worker.Commands(claims, 7, tc.answer) {
 				got = append(got, fmt.Sprintf("%s %s %d", o.Action, o.Task, o.Attempt))
 				if c := tc.claims; o.Action == wire.ActionStart && (!c[0].Sent || c[0].SentEpoch != 7) {
 					t.Error("a launch left without being noted")
@@ -75,32 +75,32 @@
 	}
 }
 
-func TestNewer(t *testing.T) {
-	h := NewHost("i-1")
-	h.Tenure, h.Tick = 2, 10
+func TestIsNewer(t *testing.T) {
+	worker := NewWorker("i-1")
+	worker.Incarnation, worker.Sequence = 2, 10
 	for _, tc := range []struct {
 		tenure, tick uint64
 		want         bool
 	}{{2, 11, true}, {2, 10, false}, {2, 9, false}, {3, 1, true}, {1, 99, false}} {
-		if got := h.Newer(&wire.Heartbeat{Incarnation: tc.tenure, Sequence: tc.tick}); got != tc.want {
+		if got := worker.IsNewer(&wire.Heartbeat{Incarnation: tc.tenure, Sequence: tc.tick}); got != tc.want {
 			t.Errorf("%d.%d newer than 2.10: %v", tc.tenure, tc.tick, got)
 		}
 	}
 }
 
 func TestImages(t *testing.T) {
-	h := NewHost("i-1")
-	h.Fetches("a", 4)
-	if h.HasImage("a") {
+	worker := NewWorker("i-1")
+	worker.RecordPull("a", 4)
+	if worker.HasImage("a") {
 		t.Error("an image is there before it is fetched")
 	}
-	h.Abandons("a")
+	worker.RecordPullAbandoned("a")
 	for _, b := range []string{"a", "b", "c", "a", "d"} {
-		h.Used(b, 4, 10)
+		worker.RecordImageUse(b, 4, 10)
 	}
 	var have []string
-	for _, im := range h.Images {
-		have = append(have, im.Bundle)
+	for _, im := range worker.Images {
+		have = append(have, im.Name)
 	}
 	if !slices.Equal(have, []string{"d", "a"}) {
 		t.Errorf("kept %v of a cache for two", have)
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -38,8 +38,8 @@
 				r.set.Facts.Teams[0].CPUs, r.set.Facts.Teams[0].CPUsMax = 1e6, 1e6
 				r.led = ledger.New("w", r.set.Facts.Teams)
 				for i := range hosts {
-					h := agent.NewHost(fmt.Sprintf("i-%06d", i))
-					h.Flavor, h.Zone, h.Tenure, h.Heard, h.Epoch = "m", "ab"[i%2:i%2+1], 1, now, 1
+					h := agent.NewWorker(fmt.Sprintf("i-%06d", i))
+					h.InstanceType, h.Zone, h.Incarnation, h.LastHeartbeat, h.SeenEpoch = "m", "ab"[i%2:i%2+1], 1, now, 1
 					r.enter(h)
 				}
 				for i := range hosts * 8 * 2 / 40 {
--- a/internal/control/chain_test.go
+++ b/internal/control/chain_test.go
@@ -49,7 +49,7 @@
 				c.Job.Ran.N++
 			}
 			if tc.left > 0 {
-				r.hosts["h0"].WarnAt = now.Add(tc.left)
+				r.hosts["h0"].ReclaimAt = now.Add(tc.left)
 			}
 			if r.evacuate(now); c.Stopping != tc.leaves {
 				t.Errorf("stopped: %v", c.Stopping)
@@ -181,7 +181,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
-			r.hosts["h0"].Loaners, r.hosts["h1"].Loaners = true, true // 16 cores are firm
+			r.hosts["h0"].Spot, r.hosts["h1"].Spot = true, true // 16 cores are firm
 			if tc.price {
 				r.set.Facts.Objectives = append(r.set.Facts.Objectives, settings.Objective{Kind: "price"})
 			}
@@ -220,9 +220,9 @@
 			r := term(t)
 			r.began = now.Add(-time.Hour)
 			h := r.hosts["h0"]
-			h.Heard = now.Add(-tc.silent)
+			h.LastHeartbeat = now.Add(-tc.silent)
 			if tc.warn != 0 {
-				h.WarnAt = now.Add(-tc.warn)
+				h.ReclaimAt = now.Add(-tc.warn)
 			}
 			if got := r.faulty(now); (len(got) == 1) != tc.gone {
 				t.Errorf("to be returned: %v", got)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -35,7 +35,7 @@
 	set     *settings.Settings
 	st      *state.Client
 	cloud   *fleet.Cloud
-	direct  *agent.Direct
+	direct  *agent.CommandClient
 	el      *lead.Elector
 	types   *fleet.Catalogue
 	parts   Parts
@@ -55,7 +55,7 @@
 	// Pick has a part's owner pick for its rooms.
 	Pick(ctx context.Context, node string, o placement.Offer) ([]placement.Picked, error)
 	// Learn takes a finish on a host of this node's own part.
-	Learn(f agent.Finish)
+	Learn(f agent.RuntimeSample)
 	// Fit are the nodes that may own a part now, given those that do.
 	Fit(have []string) []string
 	// Alone tells whether the state service refuses this node but serves a
@@ -88,7 +88,7 @@
 	Settings *settings.Settings
 	State    *state.Client
 	Cloud    *fleet.Cloud
-	Direct   *agent.Direct
+	Direct   *agent.CommandClient
 	Elector  *lead.Elector
 	Types    *fleet.Catalogue
 	Parts    Parts
@@ -123,8 +123,8 @@
 
 	mu       sync.Mutex
 	led      *ledger.Ledger
-	hosts    map[string]*agent.Host
-	sorted   []*agent.Host        // by name, for decisions that repeat
+	hosts    map[string]*agent.Worker
+	sorted   []*agent.Worker      // by name, for decisions that repeat
 	gone     map[string]time.Time // released, with when
 	rents    *fleet.Planner
 	ahead    map[string]bool // teams whose work is rented ahead for
@@ -147,7 +147,7 @@
 		Control: c, term: term, first: term.First, ready: make(chan struct{}), group: g, ctx: gctx,
 		flushes: make(chan struct{}, 1), plans: make(chan struct{}, 1), chains: make(chan struct{}, 1), raises: make(chan struct{}, 1),
 		led:    ledger.New(fmt.Sprintf("%s.%d", c.set.Node, term.First), c.set.Facts.Teams),
-		hosts:  make(map[string]*agent.Host),
+		hosts:  make(map[string]*agent.Worker),
 		gone:   make(map[string]time.Time),
 		listed: make(map[string]wire.Instance),
 		began:  c.now(),
@@ -308,7 +308,7 @@
 	r.led.Withdraw(ref)
 	for h := range hosts {
 		if host := r.hosts[h]; host != nil {
-			host.Nudge()
+			host.WakeSender()
 		}
 	}
 	kick(r.flushes)
@@ -347,15 +347,15 @@
 // it owns the host, and no other owner of a part is in the host's zone, where it
 // might stand in while the zone is cut off. Run it again once a host's zone is
 // known.
-func (r *reign) own(h *agent.Host, m lead.Map) {
-	if o := m.Owner(h.Name); o != h.Owner {
-		h.Owner, h.Moved = o, r.now()
+func (r *reign) own(h *agent.Worker, m lead.Map) {
+	if o := m.Owner(h.Name); o != h.ShardOwner {
+		h.ShardOwner, h.ShardOwnerSince = o, r.now()
 	}
 	switch {
-	case h.Owner != r.set.Node || h.Zone == "" || r.set.Near(h.Zone, m.Parts):
-		h.Sole = 0
-	case h.Sole == 0:
-		h.Sole = m.Epoch
+	case h.ShardOwner != r.set.Node || h.Zone == "" || r.set.Near(h.Zone, m.Parts):
+		h.SoleOwnerEpoch = 0
+	case h.SoleOwnerEpoch == 0:
+		h.SoleOwnerEpoch = m.Epoch
 	}
 }
 
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -38,11 +38,11 @@
 	cat.Set([]wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
 	r := &reign{
 		Control: &Control{set: set, types: cat, copies: copies.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return now }},
-		led:     ledger.New("w", set.Facts.Teams), hosts: map[string]*agent.Host{}, gone: map[string]time.Time{}, quiet: newQuiet(set), ahead: map[string]bool{}, deficits: map[string]*deficit{},
+		led:     ledger.New("w", set.Facts.Teams), hosts: map[string]*agent.Worker{}, gone: map[string]time.Time{}, quiet: newQuiet(set), ahead: map[string]bool{}, deficits: map[string]*deficit{},
 	}
 	for i, z := range []string{"a", "b", "a", "b"} {
-		h := agent.NewHost(fmt.Sprint("h", i))
-		h.Flavor, h.Zone, h.Tenure, h.Heard = "m", z, 1, now
+		h := agent.NewWorker(fmt.Sprint("h", i))
+		h.InstanceType, h.Zone, h.Incarnation, h.LastHeartbeat = "m", z, 1, now
 		r.enter(h)
 	}
 	return r
@@ -86,7 +86,7 @@
 		{"a checkpoint saves the work", func(_ *testing.T, _ *reign, a, _ *wire.Job) {
 			a.CheckpointIntervalSeconds, a.CheckpointSaveSeconds = 5, 1
 		}, []time.Duration{30 * time.Second}, "h0"},
-		{"not on a spot machine", func(_ *testing.T, r *reign, a, _ *wire.Job) { a.AllowSpot = true; r.hosts["h0"].Loaners = true }, []time.Duration{time.Second, 9 * time.Second}, "h1"},
+		{"not on a spot machine", func(_ *testing.T, r *reign, a, _ *wire.Job) { a.AllowSpot = true; r.hosts["h0"].Spot = true }, []time.Duration{time.Second, 9 * time.Second}, "h1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
@@ -382,7 +382,7 @@
 			j := r.add("req-1", wire.Job{Kind: wire.KindService, TaskCount: 1, CPUs: 1})
 			r.run(t, j, "h0", time.Minute)
 			h := r.hosts["h0"]
-			h.Sole, h.Epoch, h.Heard, h.Answered, h.Shown = tc.sole, tc.epoch, now.Add(-tc.silent), now.Add(-tc.silent), now.Add(-tc.shown)
+			h.SoleOwnerEpoch, h.SeenEpoch, h.LastHeartbeat, h.LastAnswered, h.EpochSeenAt = tc.sole, tc.epoch, now.Add(-tc.silent), now.Add(-tc.silent), now.Add(-tc.shown)
 			r.expire(now)
 			if got := j.Active() == 0; got != tc.freed {
 				t.Errorf("freed: %v, want %v", got, tc.freed)
--- a/internal/control/counts_test.go
+++ b/internal/control/counts_test.go
@@ -40,14 +40,14 @@
 			r.term, r.first, r.began = &after{lost: tc.lost}, 7, now.Add(-tc.since)
 			r.set.Facts.Cloud.ListLagS = 5
 			for _, h := range r.sorted {
-				h.Epoch = 7
+				h.SeenEpoch = 7
 			}
-			h := agent.NewHost("h9")
+			h := agent.NewWorker("h9")
 			switch tc.host {
 			case "heard":
-				h.Heard, h.Epoch = now, 7
+				h.LastHeartbeat, h.SeenEpoch = now, 7
 			case "earlier":
-				h.Heard, h.Epoch = now, 6
+				h.LastHeartbeat, h.SeenEpoch = now, 6
 			}
 			r.enter(h)
 			r.listed = map[string]wire.Instance{"h9": {Name: "h9", Phase: wire.PhaseRunning}}
--- a/internal/control/evacuate.go
+++ b/internal/control/evacuate.go
@@ -13,10 +13,10 @@
 // now, and not only once the machine has been found to be gone.
 func (r *reign) evacuate(now time.Time) {
 	for _, h := range r.sorted {
-		if h.WarnAt.IsZero() || h.WarnAt.Before(now) {
+		if h.ReclaimAt.IsZero() || h.ReclaimAt.Before(now) {
 			continue
 		}
-		left := h.WarnAt.Sub(now).Seconds()
+		left := h.ReclaimAt.Sub(now).Seconds()
 		for _, c := range r.led.OnHost(h.Name) {
 			if c.Over || c.Stopping || !c.Committed || c.Job.Withdrawn || c.Job.Gang() || c.Job.Spec.Kind == wire.KindService ||
 				r.remaining(c, now) <= left {
@@ -24,7 +24,7 @@
 			}
 			c.Stopping = true
 			r.rec.task(now, audit.Stopped, c, "the cloud takes the machine", "")
-			h.Nudge()
+			h.WakeSender()
 			r.log.Debug("evacuated", "task", c.Task(), "host", h.Name, "left_s", left)
 		}
 	}
--- a/internal/control/flush.go
+++ b/internal/control/flush.go
@@ -305,7 +305,7 @@
 	res := r.led.Committed(b.Batch, gen)
 	for _, h := range res.Claims {
 		if host := r.hosts[h.Host]; host != nil && !h.Over {
-			host.Nudge()
+			host.WakeSender()
 		}
 	}
 	for _, j := range res.Ended {
--- a/internal/control/heed.go
+++ b/internal/control/heed.go
@@ -82,7 +82,7 @@
 // The host may be behind a cut with a controller that knows of no withdrawal, or not hear
 // what it is told, or a launch of unknown fate may still be on its way to it: then only
 // the machine's return ends it for sure.
-func (r *reign) outlives(h *agent.Host, now time.Time) bool {
+func (r *reign) outlives(h *agent.Worker, now time.Time) bool {
 	// The time of a withdrawal may be by another node's clock: both may be off.
 	grace := settings.Seconds(r.set.Facts.Workers.CancelS) - 2*r.set.Report() - 2*r.set.ClockError()
 	for _, c := range r.led.OnHost(h.Name) {
--- a/internal/control/hold.go
+++ b/internal/control/hold.go
@@ -65,7 +65,7 @@
 		}
 		l, listed := r.listed[h.Name]
 		up := listed && l.Phase == wire.PhaseRunning || len(r.led.OnHost(h.Name)) > 0
-		if up && (h.Heard.IsZero() && h.Told.IsZero() || h.Epoch < r.first) {
+		if up && (h.LastHeartbeat.IsZero() && h.LastUpdate.IsZero() || h.SeenEpoch < r.first) {
 			out = append(out, h.Name)
 		}
 	}
@@ -107,7 +107,7 @@
 
 // settle takes in a report where claims are of a history that was lost: what the
 // machine shows is there, whatever is remembered of it.
-func (r *reign) settle(h *agent.Host, t ledger.Task, m wire.TaskStatus) {
+func (r *reign) settle(h *agent.Worker, t ledger.Task, m wire.TaskStatus) {
 	j := r.led.Job(t.Ref)
 	if j == nil {
 		return
@@ -120,7 +120,7 @@
 	if r.back == nil || !r.back.all || m.Phase == wire.TaskExited && m.ExitReason != wire.ExitDone {
 		return
 	}
-	if c := r.led.Adopt(j, t.Index, ledger.Claim{Host: h.Name, Tenure: h.Tenure, Try: m.Attempt, Zone: h.Zone}, r.first-1); c != nil {
+	if c := r.led.Adopt(j, t.Index, ledger.Claim{Host: h.Name, Tenure: h.Incarnation, Try: m.Attempt, Zone: h.Zone}, r.first-1); c != nil {
 		r.log.Info("known from its machine", "task", t, "try", m.Attempt, "host", h.Name, "phase", m.Phase)
 	}
 }
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -20,7 +20,7 @@
 // Beat takes in a worker's report and answers with its orders.
 //
 // What the host's tasks taught is returned too, if another node owns it.
-func (c *Control) Beat(ctx context.Context, rep *wire.Heartbeat) (wire.CommandBatch, []agent.Finish, error) {
+func (c *Control) Beat(ctx context.Context, rep *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
 	r := c.cur.Load()
 	if r == nil {
 		return wire.CommandBatch{}, nil, ErrNotLeading
@@ -47,30 +47,30 @@
 		return wire.CommandBatch{}, nil, ErrNotLeading
 	}
 	now := r.now()
-	if h.Heard.IsZero() && !h.Asked.IsZero() {
-		r.log.Info("up", "host", h.Name, "flavor", h.Flavor, "zone", h.Zone, "since_asked_s", now.Sub(h.Asked).Seconds())
+	if h.LastHeartbeat.IsZero() && !h.RequestedAt.IsZero() {
+		r.log.Info("up", "host", h.Name, "flavor", h.InstanceType, "zone", h.Zone, "since_asked_s", now.Sub(h.RequestedAt).Seconds())
 	}
 	// Whatever is answered may renew the lease. But a report that comes after newer ones,
 	// a late copy perhaps, tells nothing of how the machine is by now.
-	h.Answered = now
+	h.LastAnswered = now
 	out := wire.CommandBatch{Epoch: epoch, Commands: []wire.Command{}}
-	if h.Tenure == rep.Incarnation && h.Tick == rep.Sequence {
-		h.Heard, r.heard = now, now
+	if h.Incarnation == rep.Incarnation && h.Sequence == rep.Sequence {
+		h.LastHeartbeat, r.heard = now, now
 		if !r.doubted() {
-			out.Commands = append(out.Commands, h.Orders(r.led.OnHost(h.Name), epoch, true)...)
+			out.Commands = append(out.Commands, h.Commands(r.led.OnHost(h.Name), epoch, true)...)
 			r.fence(h)
 		}
 	}
-	learned := h.Learned
-	h.Learned = nil
+	learned := h.PendingSamples
+	h.PendingSamples = nil
 	return out, learned, nil
 }
 
 // host finds or makes a host.
-func (r *reign) host(name string) *agent.Host {
+func (r *reign) host(name string) *agent.Worker {
 	h := r.hosts[name]
 	if h == nil {
-		h = agent.NewHost(name)
+		h = agent.NewWorker(name)
 		r.own(h, r.term.Map())
 		r.enter(h)
 		r.group.Go(func() error { return r.send(r.ctx, h) })
@@ -79,59 +79,59 @@
 }
 
 // zoned notes a host's zone.
-func (r *reign) zoned(h *agent.Host, zone string) {
+func (r *reign) zoned(h *agent.Worker, zone string) {
 	if h.Zone != zone {
-		h.Zone, h.Sole = zone, 0
+		h.Zone, h.SoleOwnerEpoch = zone, 0
 		r.own(h, r.term.Map())
 	}
 }
 
 // enter and leave keep the hosts and their order.
-func (r *reign) enter(h *agent.Host) {
+func (r *reign) enter(h *agent.Worker) {
 	r.hosts[h.Name] = h
 	i, _ := slices.BinarySearchFunc(r.sorted, h.Name, byName)
 	r.sorted = slices.Insert(r.sorted, i, h)
 }
 
-func (r *reign) leave(h *agent.Host) {
+func (r *reign) leave(h *agent.Worker) {
 	delete(r.hosts, h.Name)
 	if i, ok := slices.BinarySearchFunc(r.sorted, h.Name, byName); ok {
 		r.sorted = slices.Delete(r.sorted, i, i+1)
 	}
 }
 
-func byName(h *agent.Host, name string) int { return strings.Compare(h.Name, name) }
+func byName(h *agent.Worker, name string) int { return strings.Compare(h.Name, name) }
 
 // report takes in what a worker says, if it is news. It returns nil for a
 // machine that was returned to the cloud: a late message from the past.
-func (r *reign) report(rep *wire.Heartbeat) *agent.Host {
+func (r *reign) report(rep *wire.Heartbeat) *agent.Worker {
 	if at := r.gone[rep.Worker]; !at.IsZero() || rep.Worker == "" {
 		return nil
 	}
 	h := r.host(rep.Worker)
-	if !h.Newer(rep) {
+	if !h.IsNewer(rep) {
 		return h
 	}
 	now := r.now()
-	news := h.Stray || !r.usable(h, now) // it may be of use from now on
+	news := h.HasUnclaimedTask || !r.usable(h, now) // it may be of use from now on
 	used := r.led.Used(h.Name)
-	h.Address, h.Flavor, h.Loaners = rep.Address, rep.InstanceType, rep.Spot
+	h.Address, h.InstanceType, h.Spot = rep.Address, rep.InstanceType, rep.Spot
 	r.zoned(h, rep.Zone)
-	h.Tick, h.Told = rep.Sequence, now
-	if rep.Epoch > h.Epoch {
-		h.Epoch, h.Shown = rep.Epoch, now
+	h.Sequence, h.LastUpdate = rep.Sequence, now
+	if rep.Epoch > h.SeenEpoch {
+		h.SeenEpoch, h.EpochSeenAt = rep.Epoch, now
 	}
-	if h.Epoch > h.Taint {
-		h.Taint = 0
+	if h.SeenEpoch > h.UnresolvedEpoch {
+		h.UnresolvedEpoch = 0
 	}
-	h.WarnAt = time.Time{}
+	h.ReclaimAt = time.Time{}
 	if rep.SpotNoticeSeconds != nil {
-		h.WarnAt = now.Add(time.Duration(*rep.SpotNoticeSeconds * float64(time.Second)))
+		h.ReclaimAt = now.Add(time.Duration(*rep.SpotNoticeSeconds * float64(time.Second)))
 	}
-	if rep.Incarnation > h.Tenure {
-		h.Tenure = rep.Incarnation
-		h.Members = make(map[ledger.Task]agent.Member)
-		h.Taint = 0 // commands carry the tenure: none of the old ones is executed now
+	if rep.Incarnation > h.Incarnation {
+		h.Incarnation = rep.Incarnation
+		h.Tasks = make(map[ledger.Task]agent.TaskStatus)
+		h.UnresolvedEpoch = 0 // commands carry the tenure: none of the old ones is executed now
 		for _, c := range r.led.OnHost(h.Name) {
 			if c.Tenure < rep.Incarnation {
 				r.abandon(c, h)
@@ -140,7 +140,7 @@
 		}
 	}
 	r.members(h, rep, now)
-	h.Idle = idleSince(h, len(r.led.OnHost(h.Name)), now)
+	h.IdleSince = idleSince(h, len(r.led.OnHost(h.Name)), now)
 	if !r.led.Empty() {
 		kick(r.flushes)
 	}
@@ -151,20 +151,20 @@
 	return h
 }
 
-func idleSince(h *agent.Host, claims int, now time.Time) time.Time {
-	if claims > 0 || len(h.Members) > 0 {
+func idleSince(h *agent.Worker, claims int, now time.Time) time.Time {
+	if claims > 0 || len(h.Tasks) > 0 {
 		return time.Time{}
 	}
-	if h.Idle.IsZero() {
+	if h.IdleSince.IsZero() {
 		return now
 	}
-	return h.Idle
+	return h.IdleSince
 }
 
 // members compares a report's tasks with the claims.
-func (r *reign) members(h *agent.Host, rep *wire.Heartbeat, now time.Time) {
+func (r *reign) members(h *agent.Worker, rep *wire.Heartbeat, now time.Time) {
 	claims := r.led.OnHost(h.Name)
-	seen := make(map[ledger.Task]agent.Member, len(rep.Tasks))
+	seen := make(map[ledger.Task]agent.TaskStatus, len(rep.Tasks))
 	for _, m := range rep.Tasks {
 		t, ok := ledger.ParseTask(m.Task)
 		if !ok {
@@ -172,12 +172,12 @@
 		}
 		r.settle(h, t, m)
 		claims = r.led.OnHost(h.Name)
-		mem := agent.Member{Try: m.Attempt, Phase: m.Phase, Cause: m.ExitReason, Since: now, Kept: r.stray(t)}
-		if old, ok := h.Members[t]; ok && old.Try == m.Attempt && old.Phase == m.Phase {
+		mem := agent.TaskStatus{Attempt: m.Attempt, Phase: m.Phase, EndCause: m.ExitReason, Since: now, Orphaned: r.stray(t)}
+		if old, ok := h.Tasks[t]; ok && old.Attempt == m.Attempt && old.Phase == m.Phase {
 			mem.Since = old.Since
 		}
 		c := claims[t]
-		if have, twice := seen[t]; twice && c != nil && have.Try == c.Try {
+		if have, twice := seen[t]; twice && c != nil && have.Attempt == c.Try {
 			continue // of two tries on the machine the claimed one counts
 		}
 		seen[t] = mem
@@ -194,46 +194,46 @@
 			r.ended(c, h, m.ExitReason, now)
 		}
 	}
-	h.Members, h.Stray = seen, false
+	h.Tasks, h.HasUnclaimedTask = seen, false
 	for t, m := range seen {
-		if c := claims[t]; (c == nil || c.Try != m.Try) && m.Phase != wire.TaskExited {
-			h.Stray = true
+		if c := claims[t]; (c == nil || c.Try != m.Attempt) && m.Phase != wire.TaskExited {
+			h.HasUnclaimedTask = true
 		}
 	}
 	// A withdrawn job's task that the worker does not have is gone once no
 	// launch can reach the worker any more: it has seen a higher epoch than
 	// any launch carried.
 	for t, c := range claims {
-		if _, there := seen[t]; !there && (c.Job.Withdrawn || c.Stopping || c.Unsure) && !h.InFlight && h.Epoch > c.SentEpoch {
+		if _, there := seen[t]; !there && (c.Job.Withdrawn || c.Stopping || c.Unsure) && !h.CommandInFlight && h.SeenEpoch > c.SentEpoch {
 			r.lost(c, "no launch can reach the machine")
 		}
 	}
 }
 
 // started notes that a task runs: its machine has the image.
-func (r *reign) started(c *ledger.Held, h *agent.Host, now time.Time) {
+func (r *reign) started(c *ledger.Held, h *agent.Worker, now time.Time) {
 	cache := 0.0
-	if t := r.types.Types()[h.Flavor]; t != nil {
+	if t := r.types.Types()[h.InstanceType]; t != nil {
 		cache = t.DiskGB
 	}
-	h.Used(c.Job.Spec.Image, c.Job.Spec.ImageGB, cache)
+	h.RecordImageUse(c.Job.Spec.Image, c.Job.Spec.ImageGB, cache)
 	r.took.observe(c, now)
 	r.log.Debug("started", "task", c.Task(), "host", h.Name, "wait_s", now.Sub(c.Job.WaitingSince).Seconds())
 }
 
 // abandon notes that a task went before it ran; with the last that waited for
 // its image the fetch goes too.
-func (r *reign) abandon(c *ledger.Held, h *agent.Host) {
+func (r *reign) abandon(c *ledger.Held, h *agent.Worker) {
 	for _, o := range r.led.OnHost(h.Name) {
 		if o != c && o.Job.Spec.Image == c.Job.Spec.Image {
 			return
 		}
 	}
-	h.Abandons(c.Job.Spec.Image)
+	h.RecordPullAbandoned(c.Job.Spec.Image)
 }
 
 // ended deals with a claimed task that its worker reports as ended.
-func (r *reign) ended(c *ledger.Held, h *agent.Host, cause string, now time.Time) {
+func (r *reign) ended(c *ledger.Held, h *agent.Worker, cause string, now time.Time) {
 	j := c.Job
 	if c.Running.IsZero() {
 		r.abandon(c, h)
@@ -250,7 +250,7 @@
 				o.Stopping = true
 				r.rec.task(now, audit.Stopped, o, "a member of the gang ended", "")
 				if host := r.hosts[o.Host]; host != nil {
-					host.Nudge()
+					host.WakeSender()
 				}
 			}
 		}
@@ -261,18 +261,18 @@
 			r.lost(c, "ended")
 			return
 		}
-		h.Errors = nil
+		h.FailedJobs = nil
 		j.Fails = 0
 		// Only tasks that were seen running teach: a result that was kept
 		// from an earlier try comes back at once and says nothing.
 		if !c.Running.IsZero() {
 			j.Ran.Sum += now.Sub(c.Running).Seconds()
 			j.Ran.N++
-			f := agent.Finish{Type: r.typeOf(j), Flavor: h.Flavor, Run: now.Sub(c.Running)}
+			f := agent.RuntimeSample{JobType: r.typeOf(j), InstanceType: h.InstanceType, Duration: now.Sub(c.Running)}
 			if r.term.Map().Owner(h.Name) == r.set.Node {
 				r.parts.Learn(f)
-			} else if len(h.Learned) < 64 {
-				h.Learned = append(h.Learned, f)
+			} else if len(h.PendingSamples) < 64 {
+				h.PendingSamples = append(h.PendingSamples, f)
 			}
 		}
 		r.led.Finish(c)
@@ -281,7 +281,7 @@
 		r.failed(j, h, now)
 	case wire.ExitNoCapacity:
 		r.lost(c, "refused: no room")
-		h.Sulking = now.Add(r.set.Report())
+		h.StartBackoffUntil = now.Add(r.set.Report())
 	case wire.ExitDuplicate, wire.ExitUnknownTask:
 		r.lost(c, "refused: "+cause)
 		j.Fails++
@@ -294,16 +294,16 @@
 // failed counts a failure against the machine and the job. A job that fails on
 // several machines and finishes nowhere is at fault itself, and is held back;
 // a machine is at fault when jobs fail there that do not fail elsewhere.
-func (r *reign) failed(j *ledger.Job, h *agent.Host, now time.Time) {
+func (r *reign) failed(j *ledger.Job, h *agent.Worker, now time.Time) {
 	if j.FailedOn == nil {
 		j.FailedOn = make(map[string]bool)
 	}
 	j.FailedOn[h.Name] = true
 	j.Fails++
-	if h.Failed = now; len(h.Errors) < 16 {
-		h.Errors = append(h.Errors, j.Ref)
+	if h.LastFailure = now; len(h.FailedJobs) < 16 {
+		h.FailedJobs = append(h.FailedJobs, j.Ref)
 	}
-	r.log.Info("task failed", "job", j.Ref, "host", h.Name, "job_fails", j.Fails, "host_fails", len(h.Errors))
+	r.log.Info("task failed", "job", j.Ref, "host", h.Name, "job_fails", j.Fails, "host_fails", len(h.FailedJobs))
 	if r.badJob(j) {
 		j.RetryAt = now.Add(r.pause(j.Fails))
 	}
@@ -332,9 +332,9 @@
 
 // badHost tells whether a machine fails what it starts: two failures or more
 // since its last success, of jobs that are not known to fail everywhere.
-func (r *reign) badHost(h *agent.Host) bool {
+func (r *reign) badHost(h *agent.Worker) bool {
 	n := 0
-	for _, ref := range h.Errors {
+	for _, ref := range h.FailedJobs {
 		if j := r.led.Job(ref); j == nil || j.Done() > 0 || len(j.FailedOn) < 3 {
 			n++
 		}
@@ -345,8 +345,8 @@
 // shunned tells whether a machine that fails what it starts is not to be tried for now. One
 // that is not returned, because most do or for what runs on there, is tried again once in
 // a lease: it may be well by then, and only a success shows that.
-func (r *reign) shunned(h *agent.Host, now time.Time) bool {
-	return r.badHost(h) && now.Sub(h.Failed) < r.set.Lease()
+func (r *reign) shunned(h *agent.Worker, now time.Time) bool {
+	return r.badHost(h) && now.Sub(h.LastFailure) < r.set.Lease()
 }
 
 // lost frees a claim on proof that its task is gone.
@@ -358,21 +358,21 @@
 }
 
 // fence asks for a higher epoch when a host waits for one.
-func (r *reign) fence(h *agent.Host) {
-	wait := h.Taint != 0 && len(h.Members) > 0
+func (r *reign) fence(h *agent.Worker) {
+	wait := h.UnresolvedEpoch != 0 && len(h.Tasks) > 0
 	for t, c := range r.led.OnHost(h.Name) {
-		if _, there := h.Members[t]; !there && (c.Job.Withdrawn || c.Stopping || c.Unsure) {
-			wait = wait || h.Epoch <= c.SentEpoch
+		if _, there := h.Tasks[t]; !there && (c.Job.Withdrawn || c.Stopping || c.Unsure) {
+			wait = wait || h.SeenEpoch <= c.SentEpoch
 		}
 	}
-	if wait && h.Epoch >= r.term.Epoch() {
+	if wait && h.SeenEpoch >= r.term.Epoch() {
 		kick(r.raises)
 	}
 }
 
 // send commands one host directly whenever it is nudged, so that nothing waits
 // for its next beat.
-func (r *reign) send(ctx context.Context, h *agent.Host) error {
+func (r *reign) send(ctx context.Context, h *agent.Worker) error {
 	for try := 0; ; {
 		select {
 		case <-ctx.Done():
@@ -385,27 +385,27 @@
 			return nil
 		}
 		epoch := r.term.Epoch()
-		known := h.Tenure > 0 && h.Address != ""
+		known := h.Incarnation > 0 && h.Address != ""
 		var orders []wire.Command
 		if known && !r.doubted() {
-			orders = h.Orders(r.led.OnHost(h.Name), epoch, false)
+			orders = h.Commands(r.led.OnHost(h.Name), epoch, false)
 		}
-		tenure, addr, asked := h.Tenure, h.Address, h.Heard
-		h.InFlight = known && len(orders) > 0
+		tenure, addr, asked := h.Incarnation, h.Address, h.LastHeartbeat
+		h.CommandInFlight = known && len(orders) > 0
 		r.mu.Unlock()
 		if !known || len(orders) == 0 {
 			continue
 		}
-		rep, refused, err := r.direct.Do(ctx, addr, wire.CommandBatch{Epoch: epoch, Incarnation: tenure, Commands: orders})
+		rep, refused, err := r.direct.Send(ctx, addr, wire.CommandBatch{Epoch: epoch, Incarnation: tenure, Commands: orders})
 		r.mu.Lock()
-		h.InFlight = false
+		h.CommandInFlight = false
 		if err != nil && !errors.Is(err, agent.ErrNotSent) {
-			h.Taint = max(h.Taint, epoch)
+			h.UnresolvedEpoch = max(h.UnresolvedEpoch, epoch)
 		}
 		if rep != nil {
 			r.report(rep)
 		}
-		quiet := h.Heard.Equal(asked)
+		quiet := h.LastHeartbeat.Equal(asked)
 		r.mu.Unlock()
 		if err == nil && !refused {
 			try = 0
@@ -422,8 +422,8 @@
 
 // alive tells whether a host's report was answered lately. Nothing else renews its lease:
 // one that answers direct commands, and reaches no controller, loses whatever it is given.
-func (r *reign) alive(h *agent.Host, now time.Time) bool {
-	return !h.Heard.IsZero() && now.Sub(h.Heard) < 5*r.set.Report()/2
+func (r *reign) alive(h *agent.Worker, now time.Time) bool {
+	return !h.LastHeartbeat.IsZero() && now.Sub(h.LastHeartbeat) < 5*r.set.Report()/2
 }
 
 // typeOf is the type of a job for the placement rule.
--- a/internal/control/late_test.go
+++ b/internal/control/late_test.go
@@ -20,21 +20,21 @@
 	for _, tc := range []struct {
 		name  string
 		tick  uint64
-		tweak func(h *agent.Host, c *ledger.Held)
+		tweak func(h *agent.Worker, c *ledger.Held)
 		freed bool
 	}{
 		{"news, and no launch can arrive any more", 11, nil, true},
 		{"a late copy", 9, nil, false},
 		{"the last one once more", 10, nil, false},
-		{"a command is under way", 11, func(h *agent.Host, _ *ledger.Held) { h.InFlight = true }, false},
-		{"it was launched under the epoch that the worker shows", 11, func(_ *agent.Host, c *ledger.Held) { c.SentEpoch = 7 }, false},
-		{"it was launched under a later one", 11, func(_ *agent.Host, c *ledger.Held) { c.SentEpoch = 8 }, false},
+		{"a command is under way", 11, func(h *agent.Worker, _ *ledger.Held) { h.CommandInFlight = true }, false},
+		{"it was launched under the epoch that the worker shows", 11, func(_ *agent.Worker, c *ledger.Held) { c.SentEpoch = 7 }, false},
+		{"it was launched under a later one", 11, func(_ *agent.Worker, c *ledger.Held) { c.SentEpoch = 8 }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r := term(t)
 			r.took = newLatencies()
 			h := r.hosts["h0"]
-			h.Tick, h.Epoch = 10, 7
+			h.Sequence, h.SeenEpoch = 10, 7
 			j := r.add("req-1", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			c := r.run(t, j, "h0", time.Second)
 			c.Sent, c.SentEpoch = true, 6
@@ -69,16 +69,16 @@
 			close(r.ready)
 			r.cur.Store(r)
 			h := r.hosts["h0"]
-			h.Tenure, h.Tick, h.Epoch = 2, 10, 7
+			h.Incarnation, h.Sequence, h.SeenEpoch = 2, 10, 7
 			before := now.Add(-20 * time.Second)
-			h.Heard, h.Answered, h.Told, r.heard = before, before, before, before
+			h.LastHeartbeat, h.LastAnswered, h.LastUpdate, r.heard = before, before, before, before
 			if _, _, err := r.Beat(t.Context(), &wire.Heartbeat{Worker: "h0", InstanceType: "m", Zone: h.Zone, Incarnation: tc.tenure, Sequence: tc.tick, Epoch: 7}); err != nil {
 				t.Fatal(err)
 			}
-			if got := h.Heard.Equal(now) && r.heard.Equal(now) && h.Told.Equal(now); got != tc.heard || got != r.alive(h, now) {
-				t.Errorf("heard %v, told %v, alive %v", h.Heard, h.Told, r.alive(h, now))
+			if got := h.LastHeartbeat.Equal(now) && r.heard.Equal(now) && h.LastUpdate.Equal(now); got != tc.heard || got != r.alive(h, now) {
+				t.Errorf("heard %v, told %v, alive %v", h.LastHeartbeat, h.LastUpdate, r.alive(h, now))
 			}
-			if !h.Answered.Equal(now) {
+			if !h.LastAnswered.Equal(now) {
 				t.Error("the answer is not counted: it may have renewed the lease")
 			}
 		})
@@ -119,9 +119,9 @@
 			}
 			at := now.Add(tc.since)
 			if !tc.silent {
-				r.hosts["h0"].Heard = at
+				r.hosts["h0"].LastHeartbeat = at
 			}
-			r.hosts["h1"].Heard = at
+			r.hosts["h1"].LastHeartbeat = at
 			due := slices.Contains(r.overdue(at), "h0")
 			if due != tc.due || slices.Contains(r.overdue(at), "h1") {
 				t.Errorf("overdue %v", r.overdue(at))
@@ -139,7 +139,7 @@
 	n *int
 }
 
-func (l learner) Learn(agent.Finish) { *l.n++ }
+func (l learner) Learn(agent.RuntimeSample) { *l.n++ }
 
 // A result that was kept from an earlier try comes back at once: the task is done, and
 // nothing is learned of how long it runs.
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -45,7 +45,7 @@
 
 // room is what is free on a host.
 type room struct {
-	h                 *agent.Host
+	h                 *agent.Worker
 	t                 *wire.InstanceType
 	cores, accel, ram float64
 	held              *ledger.Job // kept for this one until it fits
@@ -175,15 +175,15 @@
 			offers[owner] = &placement.Offer{Queues: cloneQueues(qs)}
 		}
 		pr := placement.Room{
-			Host: m.h.Name, Flavor: m.h.Flavor, Zone: m.h.Zone, Loaners: m.h.Loaners,
+			Host: m.h.Name, Flavor: m.h.InstanceType, Zone: m.h.Zone, Loaners: m.h.Spot,
 			Cores: m.cores, Accel: m.accel, RAM: m.ram, Total: m.t.CPUs, Pull: m.t.ImagePullGBPerSecond,
 		}
 		for _, im := range m.h.Images {
-			if im.Coming {
-				pr.Coming = append(pr.Coming, im.Bundle)
-				pr.ComingGB += im.GB
+			if im.Pulling {
+				pr.Coming = append(pr.Coming, im.Name)
+				pr.ComingGB += im.SizeGB
 			} else {
-				pr.Images = append(pr.Images, im.Bundle)
+				pr.Images = append(pr.Images, im.Name)
 			}
 		}
 		if m.held != nil {
@@ -209,8 +209,8 @@
 			v.zones = append(v.zones, m.h.Zone)
 		}
 		for _, im := range m.h.Images {
-			if !im.Coming {
-				v.warm[im.Bundle] = append(v.warm[im.Bundle], m)
+			if !im.Pulling {
+				v.warm[im.Name] = append(v.warm[im.Name], m)
 			}
 		}
 	}
@@ -221,7 +221,7 @@
 func (v *survey) firm(j *ledger.Job) int {
 	n := 0
 	for _, m := range v.rooms {
-		if !m.h.Loaners && m.fits(j) {
+		if !m.h.Spot && m.fits(j) {
 			n += slots(&j.Spec, m.cores, m.accel, m.ram)
 		}
 	}
@@ -289,12 +289,12 @@
 
 // claim claims the job's next task for a room.
 func (r *reign) claim(m *room, j *ledger.Job) bool {
-	c, err := r.led.Claim(j, m.h.Name, m.h.Tenure, m.h.Zone)
+	c, err := r.led.Claim(j, m.h.Name, m.h.Incarnation, m.h.Zone)
 	if err != nil {
 		return false
 	}
-	m.h.Idle = time.Time{}
-	m.h.Fetches(j.Spec.Image, j.Spec.ImageGB)
+	m.h.IdleSince = time.Time{}
+	m.h.RecordPull(j.Spec.Image, j.Spec.ImageGB)
 	r.log.Debug("claim", "task", c.Task(), "try", c.Try, "host", c.Host)
 	m.take(j)
 	r.placed(j)
@@ -504,9 +504,9 @@
 }
 
 // usable tells whether a host may take new tasks.
-func (r *reign) usable(h *agent.Host, now time.Time) bool {
+func (r *reign) usable(h *agent.Worker, now time.Time) bool {
 	_, leaving := r.gone[h.Name]
-	return !leaving && r.alive(h, now) && h.WarnAt.IsZero() && !h.Draining && !now.Before(h.Sulking) && !r.shunned(h, now)
+	return !leaving && r.alive(h, now) && h.ReclaimAt.IsZero() && !h.Draining && !now.Before(h.StartBackoffUntil) && !r.shunned(h, now)
 }
 
 func (r *reign) rooms(now time.Time) []*room {
@@ -520,11 +520,11 @@
 }
 
 // room is what is free on a host, or nil if it may not take new tasks.
-func (r *reign) room(h *agent.Host, now time.Time) *room {
-	if h == nil || h.Stray || !r.usable(h, now) {
+func (r *reign) room(h *agent.Worker, now time.Time) *room {
+	if h == nil || h.HasUnclaimedTask || !r.usable(h, now) {
 		return nil
 	}
-	t := r.types.Types()[h.Flavor]
+	t := r.types.Types()[h.InstanceType]
 	if t == nil {
 		return nil
 	}
@@ -551,8 +551,8 @@
 // allowed tells whether a job may be on the room's machine at all.
 func (m *room) allowed(j *ledger.Job) bool {
 	s := &j.Spec
-	return (s.AllowSpot || !m.h.Loaners) && (s.Zone == "" || s.Zone == m.h.Zone) &&
-		(len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, m.h.Flavor)) && !j.FailedOn[m.h.Name]
+	return (s.AllowSpot || !m.h.Spot) && (s.Zone == "" || s.Zone == m.h.Zone) &&
+		(len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, m.h.InstanceType)) && !j.FailedOn[m.h.Name]
 }
 
 // tier orders jobs: what is within a guarantee before what is borrowed, and in
--- a/internal/control/preempt.go
+++ b/internal/control/preempt.go
@@ -34,7 +34,7 @@
 				left[m.h.Zone]++
 				victim.Stopping = true
 				r.rec.task(now, audit.Stopped, victim, fmt.Sprintf("rank %s gives way to %s", named(r.rank(victim.Job)), named(r.rank(j))), j.Ref)
-				m.h.Nudge()
+				m.h.WakeSender()
 				r.log.Info("preempted", "task", victim.Task(), "host", m.h.Name, "for", j.Ref)
 			}
 		}
--- a/internal/control/quiet.go
+++ b/internal/control/quiet.go
@@ -22,16 +22,16 @@
 // to be heard before this term began, its boot was over, or its owner took over. What it
 // answers to direct commands tells that it is up, but not for longer than a lease: then
 // whatever it had is gone, since only an answered report renews the lease.
-func (r *reign) quietFor(h *agent.Host, now time.Time) time.Duration {
+func (r *reign) quietFor(h *agent.Worker, now time.Time) time.Duration {
 	last := r.began
-	for _, t := range []time.Time{h.Heard, h.Running, h.Moved} {
+	for _, t := range []time.Time{h.LastHeartbeat, h.ListedRunningAt, h.ShardOwnerSince} {
 		if t.After(last) {
 			last = t
 		}
 	}
 	mute := now.Sub(last)
-	if h.Told.After(last) && mute <= r.leaseOver() {
-		return now.Sub(h.Told)
+	if h.LastUpdate.After(last) && mute <= r.leaseOver() {
+		return now.Sub(h.LastUpdate)
 	}
 	return mute
 }
@@ -40,7 +40,7 @@
 func (r *reign) listen(now time.Time) {
 	hosts := make([]silence.Host, 0, len(r.sorted))
 	for _, h := range r.sorted {
-		if _, leaving := r.gone[h.Name]; leaving || r.listed[h.Name].Phase == wire.InstanceFailed || h.Heard.IsZero() && h.Running.IsZero() {
+		if _, leaving := r.gone[h.Name]; leaving || r.listed[h.Name].Phase == wire.InstanceFailed || h.LastHeartbeat.IsZero() && h.ListedRunningAt.IsZero() {
 			continue
 		}
 		hosts = append(hosts, r.voice(h, now))
@@ -54,8 +54,8 @@
 	}
 }
 
-func (r *reign) voice(h *agent.Host, now time.Time) silence.Host {
-	return silence.Host{Zone: h.Zone, Owner: h.Owner, Loaners: h.Loaners, Quiet: r.quietFor(h, now)}
+func (r *reign) voice(h *agent.Worker, now time.Time) silence.Host {
+	return silence.Host{Zone: h.Zone, Owner: h.ShardOwner, Loaners: h.Spot, Quiet: r.quietFor(h, now)}
 }
 
 // Bare tells whether this controller leads, and no machine of its own part is up: that it
@@ -67,15 +67,15 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !slices.ContainsFunc(r.sorted, func(h *agent.Host) bool {
+	return !slices.ContainsFunc(r.sorted, func(h *agent.Worker) bool {
 		_, leaving := r.gone[h.Name]
-		return h.Owner == r.set.Node && !leaving && !h.Heard.IsZero()
+		return h.ShardOwner == r.set.Node && !leaving && !h.LastHeartbeat.IsZero()
 	})
 }
 
 // cutOff tells whether a silent host is more likely behind a cut than dead: it is
 // neither returned nor counted on until that has lasted for longer than cuts do.
-func (r *reign) cutOff(h *agent.Host, now time.Time) bool {
+func (r *reign) cutOff(h *agent.Worker, now time.Time) bool {
 	v := r.voice(h, now)
 	if !r.quiet.Silent(v) {
 		return false
@@ -92,6 +92,6 @@
 // deserted tells whether a host behind a cut has most likely ended its tasks: no
 // controller is in its zone to answer it, and it was last heard a lease ago. That
 // is no proof where another controller owns it, but its return is.
-func (r *reign) deserted(h *agent.Host, now time.Time) bool {
+func (r *reign) deserted(h *agent.Worker, now time.Time) bool {
 	return !r.set.Covered(h.Zone) && r.quietFor(h, now) > r.leaseOver()
 }
--- a/internal/control/quiet_test.go
+++ b/internal/control/quiet_test.go
@@ -50,12 +50,12 @@
 				name := fmt.Sprint("h", i)
 				h := r.hosts[name]
 				if h == nil {
-					h = agent.NewHost(name)
+					h = agent.NewWorker(name)
 					r.enter(h)
 				}
-				h.Flavor, h.Zone, h.Tenure, h.Heard, h.Owner = "m", "abc"[i%3:i%3+1], 1, now.Add(-report), []string{"n", "m"}[i/3%2]
+				h.InstanceType, h.Zone, h.Incarnation, h.LastHeartbeat, h.ShardOwner = "m", "abc"[i%3:i%3+1], 1, now.Add(-report), []string{"n", "m"}[i/3%2]
 				if tc.silent(i) {
-					h.Heard = now.Add(-tc.since)
+					h.LastHeartbeat = now.Add(-tc.since)
 				}
 			}
 			r.run(t, r.add("req-2", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h1", time.Minute)
@@ -82,7 +82,7 @@
 func told(names ...string) func(r *reign) {
 	return func(r *reign) {
 		for _, n := range names {
-			r.hosts[n].Told = now
+			r.hosts[n].LastUpdate = now
 		}
 	}
 }
--- a/internal/control/rules_test.go
+++ b/internal/control/rules_test.go
@@ -49,7 +49,7 @@
 // parts learns nothing and picks nothing.
 type parts struct{}
 
-func (parts) Learn(agent.Finish) {}
+func (parts) Learn(agent.RuntimeSample) {}
 func (parts) Pick(context.Context, string, placement.Offer) ([]placement.Picked, error) {
 	return nil, nil
 }
@@ -130,7 +130,7 @@
 	m.t.Cleanup(cancel)
 	m.r = &reign{
 		Control: &Control{set: m.set, types: cat, parts: parts{}, copies: copies.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now }},
-		term:    m.term, first: m.term.m.Epoch, ready: ready, ctx: ctx, led: ledger.New("w", m.set.Facts.Teams), hosts: map[string]*agent.Host{}, gone: map[string]time.Time{},
+		term:    m.term, first: m.term.m.Epoch, ready: ready, ctx: ctx, led: ledger.New("w", m.set.Facts.Teams), hosts: map[string]*agent.Worker{}, gone: map[string]time.Time{},
 		listed: map[string]wire.Instance{}, quiet: newQuiet(m.set), ahead: map[string]bool{}, began: m.now, took: newLatencies(),
 	}
 	m.r.Control.cur.Store(m.r)
@@ -158,8 +158,8 @@
 	}
 	m.r.led.Loaded()
 	for _, w := range m.workers {
-		h := agent.NewHost(w.name) // a late report may come of one that is gone
-		h.Flavor = "m"
+		h := agent.NewWorker(w.name) // a late report may come of one that is gone
+		h.InstanceType = "m"
 		m.r.enter(h)
 		m.r.own(h, m.term.m)
 	}
@@ -336,18 +336,18 @@
 func (m *model) command() {
 	w := m.worker()
 	h := m.r.hosts[w.name]
-	if h == nil || h.Tenure == 0 || h.InFlight {
+	if h == nil || h.Incarnation == 0 || h.CommandInFlight {
 		return
 	}
 	epoch := m.term.Epoch()
-	os := h.Orders(m.r.led.OnHost(w.name), epoch, false)
+	os := h.Commands(m.r.led.OnHost(w.name), epoch, false)
 	if len(os) == 0 {
 		return
 	}
-	o := wire.CommandBatch{Epoch: epoch, Incarnation: h.Tenure, Commands: os}
+	o := wire.CommandBatch{Epoch: epoch, Incarnation: h.Incarnation, Commands: os}
 	if rapid.Bool().Draw(m.t, "held") {
 		w.late = append(w.late, o)
-		h.Taint = max(h.Taint, epoch)
+		h.UnresolvedEpoch = max(h.UnresolvedEpoch, epoch)
 		return
 	}
 	m.do(w, o)
--- a/internal/control/takeover_test.go
+++ b/internal/control/takeover_test.go
@@ -103,7 +103,7 @@
 				g, ctx := errgroup.WithContext(ctx)
 				r := &reign{
 					Control: &Control{set: &settings.Settings{Node: "n"}, st: client, copies: copies.New(1<<20, nil), log: slog.New(slog.DiscardHandler), now: time.Now},
-					term:    &held{lead.Map{Epoch: 2, Leader: "n", Parts: []string{"n"}}}, first: 2, group: g, ctx: ctx, hosts: make(map[string]*agent.Host),
+					term:    &held{lead.Map{Epoch: 2, Leader: "n", Parts: []string{"n"}}}, first: 2, group: g, ctx: ctx, hosts: make(map[string]*agent.Worker),
 					led: ledger.New("v", teams),
 				}
 				if _, err := r.load(ctx); err != nil {
--- a/internal/control/tend.go
+++ b/internal/control/tend.go
@@ -54,12 +54,12 @@
 func (r *reign) expire(now time.Time) {
 	over := r.leaseOver()
 	for _, h := range r.hosts {
-		if h.Heard.IsZero() || h.Sole == 0 || h.Epoch < h.Sole || now.Sub(h.Answered) < over || now.Sub(h.Shown) < over {
+		if h.LastHeartbeat.IsZero() || h.SoleOwnerEpoch == 0 || h.SeenEpoch < h.SoleOwnerEpoch || now.Sub(h.LastAnswered) < over || now.Sub(h.EpochSeenAt) < over {
 			continue
 		}
 		for _, c := range r.led.OnHost(h.Name) {
 			// A claim of a tenure not yet heard of cannot be.
-			if c.Tenure <= h.Tenure {
+			if c.Tenure <= h.Incarnation {
 				r.lost(c, "lease over")
 			}
 		}
@@ -75,7 +75,7 @@
 	}
 	up := 0
 	for _, h := range r.hosts {
-		if !h.Heard.IsZero() {
+		if !h.LastHeartbeat.IsZero() {
 			up++
 		}
 	}
@@ -84,18 +84,18 @@
 
 // strangers are hosts that are up but have not come to this leader yet, stay
 // with a node that no longer owns them, or are late with a report.
-func (r *reign) strangers(now time.Time) []*agent.Host {
-	var hs []*agent.Host
+func (r *reign) strangers(now time.Time) []*agent.Worker {
+	var hs []*agent.Worker
 	for _, l := range r.listed {
 		if _, gone := r.gone[l.Name]; gone || l.Phase != wire.PhaseRunning || l.Address == "" {
 			continue
 		}
 		h := r.host(l.Name)
-		strange := h.Heard.IsZero() && now.Sub(r.began) > r.set.Report()/2 ||
-			!h.Heard.IsZero() && now.Sub(h.Heard) > 3*r.set.Report()/2
+		strange := h.LastHeartbeat.IsZero() && now.Sub(r.began) > r.set.Report()/2 ||
+			!h.LastHeartbeat.IsZero() && now.Sub(h.LastHeartbeat) > 3*r.set.Report()/2
 		if strange && !h.Polling && len(hs) < 16 {
 			h.Polling = true
-			h.Address, h.Flavor, h.Loaners = l.Address, l.InstanceType, l.Spot
+			h.Address, h.InstanceType, h.Spot = l.Address, l.InstanceType, l.Spot
 			r.zoned(h, l.Zone)
 			hs = append(hs, h)
 		}
@@ -105,7 +105,7 @@
 
 // poll asks a host for its report and shows it this leader's epoch, so that it
 // turns from whoever answers it still.
-func (r *reign) poll(ctx context.Context, h *agent.Host) {
+func (r *reign) poll(ctx context.Context, h *agent.Worker) {
 	r.mu.Lock()
 	addr := h.Address
 	r.mu.Unlock()
@@ -120,7 +120,7 @@
 	r.report(rep)
 	r.mu.Unlock()
 	if rep.Epoch < r.term.Epoch() {
-		rep, _, err = r.direct.Do(ctx, addr, wire.CommandBatch{Epoch: r.term.Epoch(), Incarnation: rep.Incarnation, Commands: []wire.Command{}})
+		rep, _, err = r.direct.Send(ctx, addr, wire.CommandBatch{Epoch: r.term.Epoch(), Incarnation: rep.Incarnation, Commands: []wire.Command{}})
 		if err == nil {
 			r.mu.Lock()
 			r.report(rep)
@@ -268,13 +268,13 @@
 			moved[j.Ref] = true
 			c.Stopping = true
 			r.rec.task(now, audit.Stopped, c, "its machine is drained", "")
-			h.Nudge()
+			h.WakeSender()
 		}
 	}
 }
 
 // replicas tells whether any replica is on a host.
-func (r *reign) replicas(h *agent.Host) bool {
+func (r *reign) replicas(h *agent.Worker) bool {
 	for _, c := range r.led.OnHost(h.Name) {
 		if c.Job.Spec.Kind == wire.KindService {
 			return true
@@ -297,7 +297,7 @@
 	j := c.Job
 	own := 0.0
 	if h := r.hosts[c.Host]; h != nil {
-		if t := r.types.Types()[h.Flavor]; t != nil {
+		if t := r.types.Types()[h.InstanceType]; t != nil {
 			own = t.CPUs
 		}
 	}
@@ -330,9 +330,9 @@
 			r.listed[n] = wire.Instance{Name: n, InstanceType: q.InstanceType, Zone: q.Zone, Spot: q.Spot, Phase: wire.InstanceStarting}
 		}
 		h := r.host(n)
-		h.Flavor, h.Loaners = q.InstanceType, q.Spot
+		h.InstanceType, h.Spot = q.InstanceType, q.Spot
 		r.zoned(h, q.Zone)
-		h.Asked = now
+		h.RequestedAt = now
 	}
 }
 
@@ -355,14 +355,14 @@
 	for _, n := range names {
 		r.gone[n] = now
 		if h := r.hosts[n]; h != nil {
-			r.rents.Returned(fleet.Machine{Flavor: h.Flavor, Zone: h.Zone, Loaners: h.Loaners})
+			r.rents.Returned(fleet.Machine{Flavor: h.InstanceType, Zone: h.Zone, Loaners: h.Spot})
 		}
 		for _, c := range r.led.OnHost(n) {
 			r.lost(c, "machine returned")
 		}
 		if h := r.hosts[n]; h != nil {
 			r.leave(h)
-			h.Nudge() // ends its sender
+			h.WakeSender() // ends its sender
 		}
 		delete(r.listed, n)
 	}
@@ -385,15 +385,15 @@
 		}
 		r.listed[l.Name] = l
 		h := r.host(l.Name)
-		if h.Asked.IsZero() {
-			h.Asked = now.Add(-time.Duration(l.AgeSeconds * float64(time.Second)))
+		if h.RequestedAt.IsZero() {
+			h.RequestedAt = now.Add(-time.Duration(l.AgeSeconds * float64(time.Second)))
 		}
-		if h.Heard.IsZero() {
-			h.Flavor, h.Loaners = l.InstanceType, l.Spot
+		if h.LastHeartbeat.IsZero() {
+			h.InstanceType, h.Spot = l.InstanceType, l.Spot
 			r.zoned(h, l.Zone)
 		}
-		if l.Phase == wire.PhaseRunning && h.Running.IsZero() {
-			h.Running = now
+		if l.Phase == wire.PhaseRunning && h.ListedRunningAt.IsZero() {
+			h.ListedRunningAt = now
 		}
 	}
 	for name, at := range r.gone {
@@ -413,7 +413,7 @@
 	for _, h := range r.sorted {
 		why := ""
 		l, listed := r.listed[h.Name]
-		t := types[h.Flavor]
+		t := types[h.InstanceType]
 		claims := r.led.OnHost(h.Name)
 		at, leaving := r.gone[h.Name]
 		switch {
@@ -427,13 +427,13 @@
 			if len(claims) > 0 && r.deserted(h, now) {
 				why = "lease over"
 			}
-		case (!h.Heard.IsZero() || !h.Running.IsZero()) && r.quietFor(h, now) > silence,
+		case (!h.LastHeartbeat.IsZero() || !h.ListedRunningAt.IsZero()) && r.quietFor(h, now) > silence,
 			// The cloud said it would take it: there is less to doubt.
-			!h.WarnAt.IsZero() && now.After(h.WarnAt) && r.quietFor(h, now) > 3*r.set.Report()/2,
-			h.Heard.IsZero() && !listed && len(claims) > 0 && now.Sub(r.began) > r.set.Lease():
+			!h.ReclaimAt.IsZero() && now.After(h.ReclaimAt) && r.quietFor(h, now) > 3*r.set.Report()/2,
+			h.LastHeartbeat.IsZero() && !listed && len(claims) > 0 && now.Sub(r.began) > r.set.Lease():
 			why = "silent"
-		case h.Heard.IsZero() && h.Running.IsZero() && listed && l.Phase == wire.InstanceStarting && len(claims) == 0 &&
-			t != nil && !h.Asked.IsZero() && now.Sub(h.Asked) > 4*time.Duration(t.BootSeconds*float64(time.Second)):
+		case h.LastHeartbeat.IsZero() && h.ListedRunningAt.IsZero() && listed && l.Phase == wire.InstanceStarting && len(claims) == 0 &&
+			t != nil && !h.RequestedAt.IsZero() && now.Sub(h.RequestedAt) > 4*time.Duration(t.BootSeconds*float64(time.Second)):
 			why = "never up"
 		case r.badHost(h) && !r.mostBad():
 			why = "fails tasks"
@@ -459,7 +459,7 @@
 func (r *reign) mostBad() bool {
 	bad, up := 0, 0
 	for _, h := range r.hosts {
-		if !h.Heard.IsZero() {
+		if !h.LastHeartbeat.IsZero() {
 			up++
 			if r.badHost(h) {
 				bad++
@@ -475,14 +475,14 @@
 	var rooms []*room // shared, so that no place is counted for two machines
 	for _, h := range r.sorted {
 		_, leaving := r.gone[h.Name]
-		if h.Flavor == "" {
+		if h.InstanceType == "" {
 			continue
 		}
 		claims := r.led.OnHost(h.Name)
 		m := fleet.Machine{
-			Name: h.Name, Flavor: h.Flavor, Zone: h.Zone, Loaners: h.Loaners,
-			Up: !h.Heard.IsZero(), Booting: h.Heard.IsZero() && h.Running.IsZero(), Leaving: leaving || !h.WarnAt.IsZero() || r.badHost(h),
-			Draining: h.Draining, Asked: h.Asked, CutOff: r.cutOff(h, now),
+			Name: h.Name, Flavor: h.InstanceType, Zone: h.Zone, Loaners: h.Spot,
+			Up: !h.LastHeartbeat.IsZero(), Booting: h.LastHeartbeat.IsZero() && h.ListedRunningAt.IsZero(), Leaving: leaving || !h.ReclaimAt.IsZero() || r.badHost(h),
+			Draining: h.Draining, Asked: h.RequestedAt, CutOff: r.cutOff(h, now),
 			Movable: func() bool {
 				if rooms == nil {
 					rooms = r.rooms(now)
@@ -496,8 +496,8 @@
 				m.Taken += c.Job.Spec.CPUs
 			}
 		}
-		if m.Up && len(h.Members) == 0 && len(claims) == 0 {
-			m.Idle = h.Idle
+		if m.Up && len(h.Tasks) == 0 && len(claims) == 0 {
+			m.Idle = h.IdleSince
 		}
 		ms = append(ms, m)
 	}
@@ -506,7 +506,7 @@
 
 // movable tells whether every replica on a host has a place elsewhere, and
 // takes the places from the rooms. What it took is given back if one has none.
-func (r *reign) movable(h *agent.Host, rooms []*room, now time.Time) bool {
+func (r *reign) movable(h *agent.Worker, rooms []*room, now time.Time) bool {
 	var undo []func()
 	for _, c := range r.led.OnHost(h.Name) {
 		if c.Job.Spec.Kind != wire.KindService {
--- a/internal/control/trace.go
+++ b/internal/control/trace.go
@@ -64,10 +64,10 @@
 			if x := r.traces[ref]; x != nil { // else it was submitted again meanwhile
 				x.over = true
 			}
-			r.spread(ref, func(h *agent.Host, t ledger.Task, m agent.Member) {
-				m.Kept = false
-				h.Members[t] = m
-				h.Nudge()
+			r.spread(ref, func(h *agent.Worker, t ledger.Task, m agent.TaskStatus) {
+				m.Orphaned = false
+				h.Tasks[t] = m
+				h.WakeSender()
 			})
 			r.mu.Unlock()
 		}
@@ -76,9 +76,9 @@
 }
 
 // spread goes through the tasks of a job on all machines.
-func (r *reign) spread(ref string, f func(h *agent.Host, t ledger.Task, m agent.Member)) {
+func (r *reign) spread(ref string, f func(h *agent.Worker, t ledger.Task, m agent.TaskStatus)) {
 	for _, h := range r.sorted {
-		for t, m := range h.Members {
+		for t, m := range h.Tasks {
 			if t.Ref == ref {
 				f(h, t, m)
 			}
@@ -91,7 +91,7 @@
 func (r *reign) reserve() {
 	var cores, accel float64
 	for _, h := range r.sorted {
-		t := r.types.Types()[h.Flavor]
+		t := r.types.Types()[h.InstanceType]
 		if t == nil || !r.keeps(h) {
 			continue
 		}
@@ -103,9 +103,9 @@
 }
 
 // keeps tells whether a host has a task of an unknown job.
-func (r *reign) keeps(h *agent.Host) bool {
-	for _, m := range h.Members {
-		if m.Kept && m.Phase != wire.TaskExited {
+func (r *reign) keeps(h *agent.Worker) bool {
+	for _, m := range h.Tasks {
+		if m.Orphaned && m.Phase != wire.TaskExited {
 			return true
 		}
 	}
@@ -119,16 +119,16 @@
 	}
 	delete(r.traces, ref)
 	j, now, n := r.led.Job(ref), r.now(), 0
-	r.spread(ref, func(h *agent.Host, t ledger.Task, m agent.Member) {
-		if !m.Kept {
+	r.spread(ref, func(h *agent.Worker, t ledger.Task, m agent.TaskStatus) {
+		if !m.Orphaned {
 			return
 		}
-		m.Kept = false
-		h.Members[t] = m
-		if m.Phase == wire.TaskExited && m.Cause != wire.ExitDone {
+		m.Orphaned = false
+		h.Tasks[t] = m
+		if m.Phase == wire.TaskExited && m.EndCause != wire.ExitDone {
 			return
 		}
-		c := r.led.Adopt(j, t.Index, ledger.Claim{Host: h.Name, Tenure: h.Tenure, Try: m.Try, Zone: h.Zone}, r.first-1)
+		c := r.led.Adopt(j, t.Index, ledger.Claim{Host: h.Name, Tenure: h.Incarnation, Try: m.Attempt, Zone: h.Zone}, r.first-1)
 		if c == nil {
 			return
 		}
@@ -137,7 +137,7 @@
 		case wire.PhaseRunning:
 			c.Running = m.Since
 		case wire.TaskExited:
-			r.ended(c, h, m.Cause, now)
+			r.ended(c, h, m.EndCause, now)
 		}
 	})
 	r.log.Info("known again", "job", ref, "tasks", n)
@@ -150,7 +150,7 @@
 	if x == nil || x.over {
 		return 0, false
 	}
-	r.spread(ref, func(_ *agent.Host, _ ledger.Task, m agent.Member) {
+	r.spread(ref, func(_ *agent.Worker, _ ledger.Task, m agent.TaskStatus) {
 		if m.Phase == wire.PhaseRunning {
 			running++
 		}
--- a/internal/control/view.go
+++ b/internal/control/view.go
@@ -116,9 +116,9 @@
 	now := r.now()
 	v := &View{Epoch: r.term.Epoch(), Jobs: len(r.led.Jobs()), Start: map[string]int64{}}
 	for _, h := range r.sorted {
-		hv := HostView{Name: h.Name, Flavor: h.Flavor, Zone: h.Zone, Loaners: h.Loaners, Claims: len(r.led.OnHost(h.Name)), Bad: r.badHost(h), SilentS: -1}
-		if !h.Heard.IsZero() {
-			hv.SilentS = now.Sub(h.Heard).Seconds()
+		hv := HostView{Name: h.Name, Flavor: h.InstanceType, Zone: h.Zone, Loaners: h.Spot, Claims: len(r.led.OnHost(h.Name)), Bad: r.badHost(h), SilentS: -1}
+		if !h.LastHeartbeat.IsZero() {
+			hv.SilentS = now.Sub(h.LastHeartbeat).Seconds()
 		}
 		v.Claims += hv.Claims
 		v.Hosts = append(v.Hosts, hv)
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -22,7 +22,7 @@
 
 // Leader is the leader's side, on this node while it leads.
 type Leader interface {
-	Beat(ctx context.Context, r *wire.Heartbeat) (wire.CommandBatch, []agent.Finish, error)
+	Beat(ctx context.Context, r *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error)
 }
 
 // Links are the links to the other nodes.
@@ -153,10 +153,10 @@
 }
 
 // Learn takes in a finish.
-func (p *Part) Learn(f agent.Finish) {
+func (p *Part) Learn(f agent.RuntimeSample) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.table.Finish(placement.Arm{Type: f.Type, Machine: f.Flavor}, f.Run, p.now())
+	p.table.Finish(placement.Arm{Type: f.JobType, Machine: f.InstanceType}, f.Duration, p.now())
 	if p.fed++; p.fed%256 == 0 {
 		p.table.Trim(p.now())
 	}
--- a/internal/part/part_test.go
+++ b/internal/part/part_test.go
@@ -40,7 +40,7 @@
 // leader stands in for this node's own term.
 type leader struct{ err error }
 
-func (l leader) Beat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.Finish, error) {
+func (l leader) Beat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
 	return wire.CommandBatch{Epoch: 7}, nil, l.err
 }
 
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -34,7 +34,7 @@
 	ping   = Ping{Node: "n", Epoch: 9, Leader: "m", Parts: []string{"m", "n"}, StateAge: time.Minute}
 	answer = BeatAnswer{
 		OK: true, Orders: wire.CommandBatch{Epoch: 4, Commands: []wire.Command{{Action: "stop", Task: "req-1/0", Attempt: 2, GraceSeconds: 1.5}}},
-		Learned: []agent.Finish{{Type: "t", Flavor: "big", Run: time.Hour}},
+		Learned: []agent.RuntimeSample{{JobType: "t", InstanceType: "big", Duration: time.Hour}},
 	}
 	picks      = []placement.Picked{{Host: "i-1", Ref: "req-1", Tier: 2, Cost: -0.5, Weight: 8}}
 	user       = UserRequest{Method: "POST", Path: "/v1/jobs", Body: []byte("{}")}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -80,7 +80,7 @@
 type BeatAnswer struct {
 	OK      bool // false: the leader may not answer it
 	Orders  wire.CommandBatch
-	Learned []agent.Finish // for the owner's table
+	Learned []agent.RuntimeSample // for the owner's table
 }
 
 func encodeReport(r *wire.Heartbeat) []byte {
@@ -139,9 +139,9 @@
 	}
 	e.Uint(uint64(len(a.Learned)))
 	for _, l := range a.Learned {
-		e.Str(l.Type)
-		e.Str(l.Flavor)
-		e.Int(int64(l.Run))
+		e.Str(l.JobType)
+		e.Str(l.InstanceType)
+		e.Int(int64(l.Duration))
 	}
 	return e.B
 }
@@ -154,7 +154,7 @@
 		a.Orders.Commands = append(a.Orders.Commands, wire.Command{Action: d.Str(), Task: d.Str(), Attempt: d.Uint(), GraceSeconds: d.Float()})
 	}
 	for range d.Items() {
-		a.Learned = append(a.Learned, agent.Finish{Type: d.Str(), Flavor: d.Str(), Run: time.Duration(d.Int())})
+		a.Learned = append(a.Learned, agent.RuntimeSample{JobType: d.Str(), InstanceType: d.Str(), Duration: time.Duration(d.Int())})
 	}
 	return a, d.Done()
 }
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -53,7 +53,7 @@
 func (d *daemon) beat(w http.ResponseWriter, r *http.Request) {
 	d.part.Heard()
 	d.crowd.ease(w)
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, agent.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, agent.MaxHeartbeatBytes))
 	var rep wire.Heartbeat
 	if err == nil {
 		err = json.Unmarshal(body, &rep)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -126,7 +126,7 @@
 		kept = nil
 	}
 	d.control = control.New(control.Deps{
-		Settings: set, State: d.st, Cloud: cloud, Direct: agent.NewDirect(set.Report(), int(idleWorkers*float64(facts.Resources.Sockets)), nw.Dial), Elector: d.el,
+		Settings: set, State: d.st, Cloud: cloud, Direct: agent.NewCommandClient(set.Report(), int(idleWorkers*float64(facts.Resources.Sockets)), nw.Dial), Elector: d.el,
 		Types: types, Parts: d.part, Full: d.memory.High, Ring: kept, History: d.hist, Copies: d.copies, Peers: d.mesh, Notices: d.gone, Log: log,
 	})
 	d.teller = &withdrawn.Teller{Node: set.Node, Notices: d.gone, Link: d.mesh, Own: d.control, Pause: set.Report() / 256, Leader: d.leads}
