--- a/internal/control/chain_test.go
+++ b/internal/control/chain_test.go
@@ -135,7 +135,7 @@
 	if qs := r.queues(now); len(qs) != 1 || qs[0].count != 1 {
 		t.Errorf("%d queues, %+v", len(qs), qs)
 	}
-	if n := r.need(nil, now); n.Steady != 1 || n.Passing != 0 {
+	if n := r.need(nil, now); n.OnDemandCores != 1 || n.SpotCores != 0 {
 		t.Errorf("need %+v", n)
 	}
 	at := now.Add(time.Minute)
--- a/internal/control/control.go
+++ b/internal/control/control.go
@@ -34,7 +34,7 @@
 type Control struct {
 	set     *settings.Settings
 	st      *state.Client
-	cloud   *fleet.Cloud
+	cloud   *fleet.CloudClient
 	direct  *agent.CommandClient
 	el      *lead.Elector
 	types   *fleet.Catalogue
@@ -87,7 +87,7 @@
 type Deps struct {
 	Settings *settings.Settings
 	State    *state.Client
-	Cloud    *fleet.Cloud
+	Cloud    *fleet.CloudClient
 	Direct   *agent.CommandClient
 	Elector  *lead.Elector
 	Types    *fleet.Catalogue
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -273,11 +273,11 @@
 			for _, h := range tc.on {
 				r.run(t, j, h, time.Minute)
 			}
-			n := fleet.Need{Only: map[string]float64{}, Exposed: map[string]float64{}}
+			n := fleet.Demand{ZoneBoundCores: map[string]float64{}, FailoverCores: map[string]float64{}}
 			r.bounds(&n, j, tc.zones)
 			for _, z := range tc.zones {
-				if n.Only[z] != tc.only[z] || n.Exposed[z] != tc.exposed[z] {
-					t.Errorf("zone %s: %v wait for it alone, %v of it would move; want %v and %v", z, n.Only[z], n.Exposed[z], tc.only[z], tc.exposed[z])
+				if n.ZoneBoundCores[z] != tc.only[z] || n.FailoverCores[z] != tc.exposed[z] {
+					t.Errorf("zone %s: %v wait for it alone, %v of it would move; want %v and %v", z, n.ZoneBoundCores[z], n.FailoverCores[z], tc.only[z], tc.exposed[z])
 				}
 			}
 		})
--- a/internal/control/hosts.go
+++ b/internal/control/hosts.go
@@ -213,7 +213,7 @@
 // started notes that a task runs: its machine has the image.
 func (r *reign) started(c *ledger.Held, h *agent.Worker, now time.Time) {
 	cache := 0.0
-	if t := r.types.Types()[h.InstanceType]; t != nil {
+	if t := r.types.InstanceTypes()[h.InstanceType]; t != nil {
 		cache = t.DiskGB
 	}
 	h.RecordImageUse(c.Job.Spec.Image, c.Job.Spec.ImageGB, cache)
--- a/internal/control/plan.go
+++ b/internal/control/plan.go
@@ -524,7 +524,7 @@
 	if h == nil || h.HasUnclaimedTask || !r.usable(h, now) {
 		return nil
 	}
-	t := r.types.Types()[h.InstanceType]
+	t := r.types.InstanceTypes()[h.InstanceType]
 	if t == nil {
 		return nil
 	}
--- a/internal/control/tend.go
+++ b/internal/control/tend.go
@@ -141,7 +141,7 @@
 			continue
 		}
 		if n%2 == 0 {
-			if list, err := r.cloud.List(ctx); err == nil {
+			if list, err := r.cloud.ListInstances(ctx); err == nil {
 				r.mu.Lock()
 				r.merge(list)
 				r.mu.Unlock()
@@ -198,11 +198,11 @@
 		var bad []string
 		var plan fleet.Plan
 		// What an earlier leader rented shows within a report interval.
-		if types := r.types.Types(); types != nil && (r.term.History().Phase == history.Open || now.Sub(r.began) > r.set.Report()) {
+		if types := r.types.InstanceTypes(); types != nil && (r.term.History().Phase == history.Open || now.Sub(r.began) > r.set.Report()) {
 			ms := r.machines(now)
 			plan = r.rents.Plan(types, ms, r.need(ms, now), now)
 		}
-		for _, name := range plan.Leave {
+		for _, name := range plan.Release {
 			// Not a host that was given a task since it was looked at.
 			if len(r.led.OnHost(name)) == 0 {
 				bad = append(bad, name)
@@ -218,11 +218,11 @@
 		if len(bad) > 0 {
 			r.release(ctx, bad)
 		}
-		if len(plan.Rents) == 0 || r.full() {
+		if len(plan.ScaleOut) == 0 || r.full() {
 			return // more machines than there is memory for are of no use
 		}
-		q := plan.Rents[0]
-		names, err := r.cloud.Rent(ctx, q)
+		q := plan.ScaleOut[0]
+		names, err := r.cloud.RequestInstances(ctx, q)
 		r.mu.Lock()
 		r.rented(q, names, err)
 		r.mu.Unlock()
@@ -246,7 +246,7 @@
 		if !h.Draining {
 			continue
 		}
-		if plan.Keep || slices.Contains(plan.Wide, h.Zone) || plan.Freed && !r.replicas(h) {
+		if plan.CancelDrains || slices.Contains(plan.CancelDrainZones, h.Zone) || plan.ReuseDrained && !r.replicas(h) {
 			h.Draining = false
 			kick(r.plans)
 			continue
@@ -260,7 +260,7 @@
 				j.Active() < j.Spec.TaskCount {
 				continue
 			}
-			m := r.elsewhere(c, rooms, plan.Freed)
+			m := r.elsewhere(c, rooms, plan.ReuseDrained)
 			if m == nil {
 				continue
 			}
@@ -297,7 +297,7 @@
 	j := c.Job
 	own := 0.0
 	if h := r.hosts[c.Host]; h != nil {
-		if t := r.types.Types()[h.InstanceType]; t != nil {
+		if t := r.types.InstanceTypes()[h.InstanceType]; t != nil {
 			own = t.CPUs
 		}
 	}
@@ -321,7 +321,7 @@
 	if err != nil && !errors.Is(err, fleet.ErrNoCapacity) {
 		r.log.Debug("rent", "ask", q.RequestID, "err", err)
 	}
-	r.rents.Answered(q, len(names), now)
+	r.rents.RecordAnswer(q, len(names), now)
 	if len(names) > 0 {
 		r.log.Info("rented", "flavor", q.InstanceType, "zone", q.Zone, "loaners", q.Spot, "asked", q.Count, "got", len(names), "hosts", names)
 	}
@@ -344,7 +344,7 @@
 
 // release returns machines. The answer is proof that what was on them is gone.
 func (r *reign) release(ctx context.Context, names []string) {
-	err := r.cloud.Release(ctx, names)
+	err := r.cloud.ReleaseInstances(ctx, names)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
@@ -355,7 +355,7 @@
 	for _, n := range names {
 		r.gone[n] = now
 		if h := r.hosts[n]; h != nil {
-			r.rents.Returned(fleet.Machine{Flavor: h.InstanceType, Zone: h.Zone, Loaners: h.Spot})
+			r.rents.RecordRelease(fleet.Instance{InstanceType: h.InstanceType, Zone: h.Zone, Spot: h.Spot})
 		}
 		for _, c := range r.led.OnHost(n) {
 			r.lost(c, "machine returned")
@@ -407,7 +407,7 @@
 // come up, and those that fail what they start.
 func (r *reign) faulty(now time.Time) []string {
 	silence := time.Duration(r.set.Operator.Fleet.Silence * float64(r.set.Report()))
-	types := r.types.Types()
+	types := r.types.InstanceTypes()
 	r.listen(now)
 	var out []string
 	for _, h := range r.sorted {
@@ -470,8 +470,8 @@
 }
 
 // machines shows the fleet to the planner.
-func (r *reign) machines(now time.Time) []fleet.Machine {
-	ms := make([]fleet.Machine, 0, len(r.hosts))
+func (r *reign) machines(now time.Time) []fleet.Instance {
+	ms := make([]fleet.Instance, 0, len(r.hosts))
 	var rooms []*room // shared, so that no place is counted for two machines
 	for _, h := range r.sorted {
 		_, leaving := r.gone[h.Name]
@@ -479,11 +479,11 @@
 			continue
 		}
 		claims := r.led.OnHost(h.Name)
-		m := fleet.Machine{
-			Name: h.Name, Flavor: h.InstanceType, Zone: h.Zone, Loaners: h.Spot,
-			Up: !h.LastHeartbeat.IsZero(), Booting: h.LastHeartbeat.IsZero() && h.ListedRunningAt.IsZero(), Leaving: leaving || !h.ReclaimAt.IsZero() || r.badHost(h),
-			Draining: h.Draining, Asked: h.RequestedAt, CutOff: r.cutOff(h, now),
-			Movable: func() bool {
+		m := fleet.Instance{
+			Name: h.Name, InstanceType: h.InstanceType, Zone: h.Zone, Spot: h.Spot,
+			Up: !h.LastHeartbeat.IsZero(), Booting: h.LastHeartbeat.IsZero() && h.ListedRunningAt.IsZero(), Releasing: leaving || !h.ReclaimAt.IsZero() || r.badHost(h),
+			Draining: h.Draining, RequestedAt: h.RequestedAt, Partitioned: r.cutOff(h, now),
+			CanMoveReplicas: func() bool {
 				if rooms == nil {
 					rooms = r.rooms(now)
 				}
@@ -493,11 +493,11 @@
 		for _, c := range claims {
 			if c.Job.Spec.Kind == wire.KindService {
 				m.Replicas++
-				m.Taken += c.Job.Spec.CPUs
+				m.ReplicaCores += c.Job.Spec.CPUs
 			}
 		}
 		if m.Up && len(h.Tasks) == 0 && len(claims) == 0 {
-			m.Idle = h.IdleSince
+			m.IdleSince = h.IdleSince
 		}
 		ms = append(ms, m)
 	}
@@ -529,12 +529,12 @@
 }
 
 // need sums up the work on hand, with what runs on machines behind a cut left out.
-func (r *reign) need(ms []fleet.Machine, now time.Time) fleet.Need {
-	n := fleet.Need{Only: make(map[string]float64), Exposed: make(map[string]float64)}
+func (r *reign) need(ms []fleet.Instance, now time.Time) fleet.Demand {
+	n := fleet.Demand{ZoneBoundCores: make(map[string]float64), FailoverCores: make(map[string]float64)}
 	seen, waits := make(map[string]int), make(map[int]bool)
 	cut := make(map[*ledger.Job]int)
 	for _, m := range ms {
-		if !m.CutOff {
+		if !m.Partitioned {
 			continue
 		}
 		for _, c := range r.led.OnHost(m.Name) {
@@ -563,42 +563,42 @@
 		case s.AllowSpot:
 			passing[s.Team] += cores
 			paced[s.Team] += cores * r.pace(j, now)
-			n.Queue += s.CPUs * float64(min(j.WaitingTasks(), r.led.Headroom(j)))
+			n.QueuedCores += s.CPUs * float64(min(j.WaitingTasks(), r.led.Headroom(j)))
 		default:
-			n.Steady += cores
-			n.SteadyJobs++
+			n.OnDemandCores += cores
+			n.OnDemandJobs++
 			if s.SpreadZones {
-				n.Spread = max(n.Spread, s.CPUs*float64(s.TaskCount/2))
+				n.SecondZoneCores = max(n.SecondZoneCores, s.CPUs*float64(s.TaskCount/2))
 			}
 			r.bounds(&n, j, zones)
-			n.Largest = max(n.Largest, cores)
+			n.LargestServiceCores = max(n.LargestServiceCores, cores)
 		}
 		key := fmt.Sprint(s.CPUs, s.GPUs, s.MemoryGB, s.InstanceTypes, s.Zone, s.AllowSpot)
 		k, ok := seen[key]
 		if !ok {
-			k = len(n.Tasks)
+			k = len(n.TaskShapes)
 			seen[key] = k
-			n.Tasks = append(n.Tasks, fleet.Shape{Cores: s.CPUs, Accel: s.GPUs, RAM: s.MemoryGB, Flavors: s.InstanceTypes, Zone: s.Zone, Loaners: s.AllowSpot})
+			n.TaskShapes = append(n.TaskShapes, fleet.TaskShape{Cores: s.CPUs, Accel: s.GPUs, RAM: s.MemoryGB, InstanceTypes: s.InstanceTypes, Zone: s.Zone, SpotAllowed: s.AllowSpot})
 		}
-		n.Tasks[k].Weight += cores
+		n.TaskShapes[k].Weight += cores
 		if !waits[k] && s.AllowSpot && min(j.WaitingTasks(), r.led.Headroom(j)) > 0 {
 			waits[k] = true
-			n.Waiting = append(n.Waiting, n.Tasks[k])
+			n.WaitingShapes = append(n.WaitingShapes, n.TaskShapes[k])
 		}
 	}
 	for team := range r.ahead {
-		n.Ahead += r.led.Team(team).CPUsMax
+		n.ScaleAheadCores += r.led.Team(team).CPUsMax
 	}
 	for team, cores := range passing {
-		n.Passing += min(cores, r.led.Team(team).CPUsMax)
-		n.Paced += min(paced[team], r.led.Team(team).CPUsMax)
+		n.SpotCores += min(cores, r.led.Team(team).CPUsMax)
+		n.UrgentCores += min(paced[team], r.led.Team(team).CPUsMax)
 	}
 	return n
 }
 
 // bounds adds what a job's waiting tasks want of each zone because no other may take
 // them, and what it has in each that others would take were the zone lost.
-func (r *reign) bounds(n *fleet.Need, j *ledger.Job, zones []string) {
+func (r *reign) bounds(n *fleet.Demand, j *ledger.Job, zones []string) {
 	all := 0
 	for _, z := range zones {
 		all += max(0, r.led.ZoneRoom(j, z))
@@ -606,8 +606,8 @@
 	for _, z := range zones {
 		// What the others may take, less what waits.
 		others := all - max(0, r.led.ZoneRoom(j, z)) - j.WaitingTasks()
-		n.Only[z] += j.Spec.CPUs * float64(max(0, -others))
-		n.Exposed[z] += j.Spec.CPUs * float64(min(j.InZone(z), max(0, others)))
+		n.ZoneBoundCores[z] += j.Spec.CPUs * float64(max(0, -others))
+		n.FailoverCores[z] += j.Spec.CPUs * float64(min(j.InZone(z), max(0, others)))
 	}
 }
 
--- a/internal/control/trace.go
+++ b/internal/control/trace.go
@@ -91,7 +91,7 @@
 func (r *reign) reserve() {
 	var cores, accel float64
 	for _, h := range r.sorted {
-		t := r.types.Types()[h.InstanceType]
+		t := r.types.InstanceTypes()[h.InstanceType]
 		if t == nil || !r.keeps(h) {
 			continue
 		}
--- a/internal/fleet/catalogue.go
+++ b/internal/fleet/catalogue.go
@@ -13,62 +13,62 @@
 
 // Catalogue keeps the machine types at hand.
 type Catalogue struct {
-	cloud *Cloud
-	every time.Duration
-	log   *slog.Logger
-	types atomic.Pointer[map[string]*wire.InstanceType]
+	cloud           *CloudClient
+	refreshInterval time.Duration
+	log             *slog.Logger
+	types           atomic.Pointer[map[string]*wire.InstanceType]
 }
 
 // NewCatalogue makes a catalogue that is read again at the interval given.
-func NewCatalogue(cloud *Cloud, every time.Duration, log *slog.Logger) *Catalogue {
-	return &Catalogue{cloud: cloud, every: every, log: log}
+func NewCatalogue(cloud *CloudClient, refreshInterval time.Duration, log *slog.Logger) *Catalogue {
+	return &Catalogue{cloud: cloud, refreshInterval: refreshInterval, log: log}
 }
 
-// Types are the machine types by label, or nil while they are not known.
-func (c *Catalogue) Types() map[string]*wire.InstanceType {
-	if m := c.types.Load(); m != nil {
-		return *m
+// InstanceTypes are the machine types by label, or nil while they are not known.
+func (c *Catalogue) InstanceTypes() map[string]*wire.InstanceType {
+	if types := c.types.Load(); types != nil {
+		return *types
 	}
 	return nil
 }
 
 // Zones are all in which some type can be rented, by name.
 func (c *Catalogue) Zones() []string {
-	var out []string
-	for _, t := range c.Types() {
-		out = append(out, t.Zones...)
+	var zones []string
+	for _, instanceType := range c.InstanceTypes() {
+		zones = append(zones, instanceType.Zones...)
 	}
-	slices.Sort(out)
-	return slices.Compact(out)
+	slices.Sort(zones)
+	return slices.Compact(zones)
 }
 
 // Set takes in the machine types.
-func (c *Catalogue) Set(ts []wire.InstanceType) {
-	m := make(map[string]*wire.InstanceType, len(ts))
-	for i := range ts {
-		m[ts[i].Name] = &ts[i]
+func (c *Catalogue) Set(types []wire.InstanceType) {
+	byName := make(map[string]*wire.InstanceType, len(types))
+	for i := range types {
+		byName[types[i].Name] = &types[i]
 	}
-	c.types.Store(&m)
+	c.types.Store(&byName)
 }
 
 // Run reads the catalogue until ctx ends.
 func (c *Catalogue) Run(ctx context.Context) error {
-	for try := 0; ctx.Err() == nil; {
-		ts, err := c.cloud.Types(ctx)
-		if err != nil || len(ts) == 0 {
+	for attempt := 0; ctx.Err() == nil; {
+		types, err := c.cloud.InstanceTypes(ctx)
+		if err != nil || len(types) == 0 {
 			c.log.Debug("machine types", "err", err)
-			state.Backoff(ctx, try, c.every/64, c.every/8)
-			try++
+			state.Backoff(ctx, attempt, c.refreshInterval/64, c.refreshInterval/8)
+			attempt++
 			continue
 		}
-		try = 0
-		c.Set(ts)
-		t := time.NewTimer(c.every)
+		attempt = 0
+		c.Set(types)
+		timer := time.NewTimer(c.refreshInterval)
 		select {
 		case <-ctx.Done():
-		case <-t.C:
+		case <-timer.C:
 		}
-		t.Stop()
+		timer.Stop()
 	}
 	return ctx.Err()
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -13,13 +13,13 @@
 func TestGoldenRequests(t *testing.T) {
 	rec := goldentest.NewRecorder(t)
 	var d net.Dialer
-	c := NewCloud(rec.Addr(), 1e6, time.Minute, d.DialContext)
+	c := NewCloudClient(rec.Addr(), 1e6, time.Minute, d.DialContext)
 	ctx := t.Context()
 	for _, ask := range []func() error{
-		func() error { _, err := c.Types(ctx); return err },
-		func() error { _, err := c.Rent(ctx, goldentest.Filled[wire.ScaleOutRequest]()); return err },
-		func() error { return c.Release(ctx, []string{"i-1", "i-2"}) },
-		func() error { _, err := c.List(ctx); return err },
+		func() error { _, err := c.InstanceTypes(ctx); return err },
+		func() error { _, err := c.RequestInstances(ctx, goldentest.Filled[wire.ScaleOutRequest]()); return err },
+		func() error { return c.ReleaseInstances(ctx, []string{"i-1", "i-2"}) },
+		func() error { _, err := c.ListInstances(ctx); return err },
 	} {
 		if err := ask(); err != nil {
 			t.Error(err)
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-func planner(t *testing.T, thrift string) *Planner {
+func newTestPlanner(t *testing.T, thrift string) *Planner {
 	t.Helper()
 	op, err := settings.ParseOperator([]byte("<rillflow><fleet><thrift>" + thrift + "</thrift><spare>0</spare></fleet></rillflow>"))
 	if err != nil {
@@ -29,65 +29,65 @@
 	}}, 5)
 }
 
-func TestFrugal(t *testing.T) {
-	service := Shape{Cores: 2, RAM: 2}
-	array := Shape{Cores: 4, RAM: 4, Loaners: true}
+func TestPlanFrugal(t *testing.T) {
+	service := TaskShape{Cores: 2, RAM: 2}
+	array := TaskShape{Cores: 4, RAM: 4, SpotAllowed: true}
 	old := now.Add(-time.Hour)
 	for _, tc := range []struct {
 		name string
-		ms   []Machine
-		need Need
+		ms   []Instance
+		need Demand
 		ask  string // first request: flavor, zone, kind
 		n    int
 		out  []string // machines to return or drain
 	}{
-		{"nothing to do, nothing rented", nil, Need{}, "", 0, nil},
-		{"replicas want firm machines, the cheapest core", nil, Need{Steady: 6, Tasks: []Shape{service}}, "s a firm", 2, nil},
-		{"the zone with the least goes first", []Machine{{Flavor: "s", Zone: "a"}}, Need{Steady: 8, Tasks: []Shape{service}}, "s b firm", 1, nil},
-		{"arrays run on spot", nil, Need{Passing: 8, Paced: 8, Tasks: []Shape{array}}, "s a spot", 2, nil},
-		{"only types that a task fits", nil, Need{Passing: 8, Paced: 8, Tasks: []Shape{{Cores: 8, Loaners: true}}}, "l a spot", 1, nil},
-		{"only what must run at once, at first", nil, Need{Passing: 16, Paced: 8, Tasks: []Shape{array}}, "s a spot", 2, nil},
-		{"machines that boot count", []Machine{{Flavor: "l", Loaners: true}}, Need{Passing: 8, Paced: 8, Tasks: []Shape{array}}, "", 0, nil},
-		{"one that boots for too long does not", []Machine{{Flavor: "l", Loaners: true, Booting: true, Asked: now.Add(-40 * time.Second)}}, Need{Passing: 8, Paced: 8, Tasks: []Shape{array}}, "s a spot", 2, nil},
-		{"one that may still come up in time does", []Machine{{Flavor: "l", Loaners: true, Booting: true, Asked: now.Add(-30 * time.Second)}}, Need{Passing: 8, Paced: 8, Tasks: []Shape{array}}, "", 0, nil},
-		{"a spread service needs room in a second zone", []Machine{{Flavor: "l", Zone: "a"}}, Need{Steady: 4, Spread: 2, Tasks: []Shape{service}}, "s b firm", 1, nil},
-		{"what replicas take there is no room", []Machine{{Flavor: "l", Zone: "a"}, {Flavor: "s", Zone: "b", Taken: 4}}, Need{Steady: 8, Spread: 2, Tasks: []Shape{service}}, "s b firm", 1, nil},
-		{"the second zone's room stays", []Machine{
-			{Name: "x", Flavor: "l", Zone: "a", Up: true, Idle: old, Asked: old}, {Name: "y", Flavor: "s", Zone: "b", Up: true, Idle: old, Asked: old},
-		}, Need{Steady: 2, Spread: 2, Tasks: []Shape{service}}, "", 0, nil},
+		{"nothing to do, nothing rented", nil, Demand{}, "", 0, nil},
+		{"replicas want firm machines, the cheapest core", nil, Demand{OnDemandCores: 6, TaskShapes: []TaskShape{service}}, "s a firm", 2, nil},
+		{"the zone with the least goes first", []Instance{{InstanceType: "s", Zone: "a"}}, Demand{OnDemandCores: 8, TaskShapes: []TaskShape{service}}, "s b firm", 1, nil},
+		{"arrays run on spot", nil, Demand{SpotCores: 8, UrgentCores: 8, TaskShapes: []TaskShape{array}}, "s a spot", 2, nil},
+		{"only types that a task fits", nil, Demand{SpotCores: 8, UrgentCores: 8, TaskShapes: []TaskShape{{Cores: 8, SpotAllowed: true}}}, "l a spot", 1, nil},
+		{"only what must run at once, at first", nil, Demand{SpotCores: 16, UrgentCores: 8, TaskShapes: []TaskShape{array}}, "s a spot", 2, nil},
+		{"machines that boot count", []Instance{{InstanceType: "l", Spot: true}}, Demand{SpotCores: 8, UrgentCores: 8, TaskShapes: []TaskShape{array}}, "", 0, nil},
+		{"one that boots for too long does not", []Instance{{InstanceType: "l", Spot: true, Booting: true, RequestedAt: now.Add(-40 * time.Second)}}, Demand{SpotCores: 8, UrgentCores: 8, TaskShapes: []TaskShape{array}}, "s a spot", 2, nil},
+		{"one that may still come up in time does", []Instance{{InstanceType: "l", Spot: true, Booting: true, RequestedAt: now.Add(-30 * time.Second)}}, Demand{SpotCores: 8, UrgentCores: 8, TaskShapes: []TaskShape{array}}, "", 0, nil},
+		{"a spread service needs room in a second zone", []Instance{{InstanceType: "l", Zone: "a"}}, Demand{OnDemandCores: 4, SecondZoneCores: 2, TaskShapes: []TaskShape{service}}, "s b firm", 1, nil},
+		{"what replicas take there is no room", []Instance{{InstanceType: "l", Zone: "a"}, {InstanceType: "s", Zone: "b", ReplicaCores: 4}}, Demand{OnDemandCores: 8, SecondZoneCores: 2, TaskShapes: []TaskShape{service}}, "s b firm", 1, nil},
+		{"the second zone's room stays", []Instance{
+			{Name: "x", InstanceType: "l", Zone: "a", Up: true, IdleSince: old, RequestedAt: old}, {Name: "y", InstanceType: "s", Zone: "b", Up: true, IdleSince: old, RequestedAt: old},
+		}, Demand{OnDemandCores: 2, SecondZoneCores: 2, TaskShapes: []TaskShape{service}}, "", 0, nil},
 		// A zone that has no more to give kept all idle machines of the others.
-		{"what the second zone lacks keeps nothing elsewhere", []Machine{
-			{Name: "x", Flavor: "l", Zone: "a", Up: true, Idle: old, Asked: old}, {Flavor: "l", Zone: "a", Up: true, Taken: 2, Replicas: 1, Asked: old, Movable: func() bool { return false }},
-			{Flavor: "s", Zone: "b", Up: true, Taken: 4, Replicas: 2, Asked: old, Movable: func() bool { return false }},
-		}, Need{Steady: 6, Spread: 2, Tasks: []Shape{service}}, "s b firm", 1, []string{"x"}},
-		{"what only one zone may take is rented there", []Machine{{Flavor: "l", Zone: "a"}}, Need{Steady: 8, Only: map[string]float64{"b": 4}, Tasks: []Shape{service}}, "s b firm", 1, nil},
-		{"and not elsewhere", []Machine{{Flavor: "s", Zone: "b", Taken: 4}}, Need{Steady: 8, Only: map[string]float64{"b": 4}, Tasks: []Shape{service}}, "s b firm", 1, nil},
-		{"nor is anything kept elsewhere for it", []Machine{
-			{Name: "x", Flavor: "l", Zone: "a", Up: true, Idle: old, Asked: old}, {Flavor: "s", Zone: "b", Up: true, Taken: 4, Replicas: 2, Asked: old, Movable: func() bool { return false }},
-			{Flavor: "l", Zone: "a", Up: true, Taken: 2, Replicas: 1, Asked: old, Movable: func() bool { return false }},
-		}, Need{Steady: 22, Only: map[string]float64{"b": 16}, Tasks: []Shape{service}}, "s b firm", 4, []string{"x"}},
-		{"room elsewhere for what a lost zone leaves", []Machine{{Flavor: "l", Zone: "a", Taken: 4}}, Need{Steady: 4, Exposed: map[string]float64{"a": 4}, Tasks: []Shape{service}}, "s b firm", 1, nil},
-		{"none for what may not be elsewhere", []Machine{{Flavor: "l", Zone: "a", Taken: 4}}, Need{Steady: 4, Tasks: []Shape{service}}, "", 0, nil},
-		{"idle machines go", []Machine{{Name: "x", Flavor: "s", Loaners: true, Up: true, Idle: old, Asked: old}}, Need{}, "", 0, []string{"x"}},
-		{"not in the first moments", []Machine{{Name: "x", Flavor: "s", Loaners: true, Up: true, Idle: now.Add(-time.Second), Asked: now.Add(-time.Second)}}, Need{}, "", 0, nil},
-		{"the dearest core goes first", []Machine{
-			{Name: "x", Flavor: "s", Up: true, Idle: old, Asked: old}, {Name: "y", Flavor: "l", Up: true, Idle: old, Asked: old},
-		}, Need{Steady: 2, Largest: 2, Tasks: []Shape{service}}, "", 0, []string{"y"}},
-		{"a machine with replicas is drained only if they have a place", []Machine{
-			{Name: "x", Flavor: "s", Up: true, Asked: old, Replicas: 1, Movable: func() bool { return true }}, {Name: "y", Flavor: "l", Up: true, Asked: old, Replicas: 1, Movable: func() bool { return false }},
-		}, Need{Steady: 2, Tasks: []Shape{service}}, "", 0, []string{"x"}},
+		{"what the second zone lacks keeps nothing elsewhere", []Instance{
+			{Name: "x", InstanceType: "l", Zone: "a", Up: true, IdleSince: old, RequestedAt: old}, {InstanceType: "l", Zone: "a", Up: true, ReplicaCores: 2, Replicas: 1, RequestedAt: old, CanMoveReplicas: func() bool { return false }},
+			{InstanceType: "s", Zone: "b", Up: true, ReplicaCores: 4, Replicas: 2, RequestedAt: old, CanMoveReplicas: func() bool { return false }},
+		}, Demand{OnDemandCores: 6, SecondZoneCores: 2, TaskShapes: []TaskShape{service}}, "s b firm", 1, []string{"x"}},
+		{"what only one zone may take is rented there", []Instance{{InstanceType: "l", Zone: "a"}}, Demand{OnDemandCores: 8, ZoneBoundCores: map[string]float64{"b": 4}, TaskShapes: []TaskShape{service}}, "s b firm", 1, nil},
+		{"and not elsewhere", []Instance{{InstanceType: "s", Zone: "b", ReplicaCores: 4}}, Demand{OnDemandCores: 8, ZoneBoundCores: map[string]float64{"b": 4}, TaskShapes: []TaskShape{service}}, "s b firm", 1, nil},
+		{"nor is anything kept elsewhere for it", []Instance{
+			{Name: "x", InstanceType: "l", Zone: "a", Up: true, IdleSince: old, RequestedAt: old}, {InstanceType: "s", Zone: "b", Up: true, ReplicaCores: 4, Replicas: 2, RequestedAt: old, CanMoveReplicas: func() bool { return false }},
+			{InstanceType: "l", Zone: "a", Up: true, ReplicaCores: 2, Replicas: 1, RequestedAt: old, CanMoveReplicas: func() bool { return false }},
+		}, Demand{OnDemandCores: 22, ZoneBoundCores: map[string]float64{"b": 16}, TaskShapes: []TaskShape{service}}, "s b firm", 4, []string{"x"}},
+		{"room elsewhere for what a lost zone leaves", []Instance{{InstanceType: "l", Zone: "a", ReplicaCores: 4}}, Demand{OnDemandCores: 4, FailoverCores: map[string]float64{"a": 4}, TaskShapes: []TaskShape{service}}, "s b firm", 1, nil},
+		{"none for what may not be elsewhere", []Instance{{InstanceType: "l", Zone: "a", ReplicaCores: 4}}, Demand{OnDemandCores: 4, TaskShapes: []TaskShape{service}}, "", 0, nil},
+		{"idle machines go", []Instance{{Name: "x", InstanceType: "s", Spot: true, Up: true, IdleSince: old, RequestedAt: old}}, Demand{}, "", 0, []string{"x"}},
+		{"not in the first moments", []Instance{{Name: "x", InstanceType: "s", Spot: true, Up: true, IdleSince: now.Add(-time.Second), RequestedAt: now.Add(-time.Second)}}, Demand{}, "", 0, nil},
+		{"the dearest core goes first", []Instance{
+			{Name: "x", InstanceType: "s", Up: true, IdleSince: old, RequestedAt: old}, {Name: "y", InstanceType: "l", Up: true, IdleSince: old, RequestedAt: old},
+		}, Demand{OnDemandCores: 2, LargestServiceCores: 2, TaskShapes: []TaskShape{service}}, "", 0, []string{"y"}},
+		{"a machine with replicas is drained only if they have a place", []Instance{
+			{Name: "x", InstanceType: "s", Up: true, RequestedAt: old, Replicas: 1, CanMoveReplicas: func() bool { return true }}, {Name: "y", InstanceType: "l", Up: true, RequestedAt: old, Replicas: 1, CanMoveReplicas: func() bool { return false }},
+		}, Demand{OnDemandCores: 2, TaskShapes: []TaskShape{service}}, "", 0, []string{"x"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			plan := planner(t, "always").Plan(types(), tc.ms, tc.need, now)
+			plan := newTestPlanner(t, "always").Plan(types(), tc.ms, tc.need, now)
 			ask, n := "", 0
-			if len(plan.Rents) > 0 {
-				r := plan.Rents[0]
+			if len(plan.ScaleOut) > 0 {
+				r := plan.ScaleOut[0]
 				ask, n = r.InstanceType+" "+r.Zone+map[bool]string{true: " spot", false: " firm"}[r.Spot], r.Count
 			}
 			if ask != tc.ask || n != tc.n {
 				t.Errorf("asks %d of %q, want %d of %q", n, ask, tc.n, tc.ask)
 			}
-			out := append(plan.Leave, plan.Drain...)
+			out := append(plan.Release, plan.Drain...)
 			if len(out) != len(tc.out) || len(out) > 0 && out[0] != tc.out[0] {
 				t.Errorf("lets go of %v, want %v", out, tc.out)
 			}
@@ -95,26 +95,26 @@
 	}
 }
 
-func TestAmpleStopsAtTheTeamsLimits(t *testing.T) {
-	p := planner(t, "never")
-	need := Need{Ahead: 24, Tasks: []Shape{{Cores: 1}}}
-	if rents := p.Plan(types(), []Machine{{Flavor: "l"}, {Flavor: "s"}}, need, now).Rents; len(rents) != 2 || rents[0].Count != 1 {
+func TestScaleOutAheadStopsAtQuotaLimits(t *testing.T) {
+	p := newTestPlanner(t, "never")
+	need := Demand{ScaleAheadCores: 24, TaskShapes: []TaskShape{{Cores: 1}}}
+	if rents := p.Plan(types(), []Instance{{InstanceType: "l"}, {InstanceType: "s"}}, need, now).ScaleOut; len(rents) != 2 || rents[0].Count != 1 {
 		t.Errorf("asks %+v", rents)
 	}
-	if rents := p.Plan(types(), []Machine{{Flavor: "l"}, {Flavor: "s"}, {Flavor: "s"}}, need, now).Rents; len(rents) != 0 {
+	if rents := p.Plan(types(), []Instance{{InstanceType: "l"}, {InstanceType: "s"}, {InstanceType: "s"}}, need, now).ScaleOut; len(rents) != 0 {
 		t.Errorf("asks %+v past the limit", rents)
 	}
 }
 
 // A type that was refused is left alone for a while, longer each time, and no
 // request name is used twice.
-func TestRefusals(t *testing.T) {
-	p := planner(t, "always")
-	need := Need{Passing: 4, Paced: 4, Tasks: []Shape{{Cores: 4, Loaners: true}}}
+func TestRefusedOfferings(t *testing.T) {
+	p := newTestPlanner(t, "always")
+	need := Demand{SpotCores: 4, UrgentCores: 4, TaskShapes: []TaskShape{{Cores: 4, SpotAllowed: true}}}
 	seen := map[string]bool{}
 	var last wire.ScaleOutRequest
 	for i := range 3 {
-		rents := p.Plan(types(), nil, need, now).Rents
+		rents := p.Plan(types(), nil, need, now).ScaleOut
 		if len(rents) == 0 {
 			break
 		}
@@ -123,26 +123,26 @@
 			t.Fatalf("try %d asks again for %+v", i, r)
 		}
 		seen[r.RequestID], last = true, r
-		p.Answered(r, 0, now)
+		p.RecordAnswer(r, 0, now)
 	}
 	if len(seen) != 3 {
 		t.Errorf("%d requests, want one for each type and zone", len(seen))
 	}
-	p.Returned(Machine{Flavor: last.InstanceType, Zone: last.Zone, Loaners: true})
-	if rents := p.Plan(types(), nil, need, now).Rents; len(rents) != 1 || rents[0].InstanceType != last.InstanceType {
+	p.RecordRelease(Instance{InstanceType: last.InstanceType, Zone: last.Zone, Spot: true})
+	if rents := p.Plan(types(), nil, need, now).ScaleOut; len(rents) != 1 || rents[0].InstanceType != last.InstanceType {
 		t.Errorf("after one was returned: %+v", rents)
 	}
 }
 
 // Many services even out: they need a smaller spare share than a few.
-func TestSpareFallsWithManyJobs(t *testing.T) {
+func TestSpareShareFallsWithManyJobs(t *testing.T) {
 	op, err := settings.ParseOperator([]byte("<rillflow><fleet><spare>0.2</spare></fleet></rillflow>"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := NewPlanner(&settings.Settings{Operator: op}, 1)
 	for jobs, want := range map[int]float64{0: 0.2, 10: 0.2, 64: 0.2, 256: 0.1, 1024: 0.05} {
-		if got := p.spare(jobs); got != want {
+		if got := p.spareShare(jobs); got != want {
 			t.Errorf("%d jobs: %v, want %v", jobs, got, want)
 		}
 	}
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -129,7 +129,7 @@
 	}
 	status := http.StatusBadRequest
 	if bad == nil {
-		bad = Runnable(&job, u.set, u.types.Types())
+		bad = Runnable(&job, u.set, u.types.InstanceTypes())
 		status = http.StatusUnprocessableEntity
 	}
 	if bad != nil {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -89,7 +89,7 @@
 		Limits: limits(facts.State), AnnouncedLimits: limits(facts.State.Least()),
 		Timeout: set.Report() / 2, Dial: nw.Dial,
 	})
-	cloud := fleet.NewCloud(set.Services.Cloud, facts.Cloud.RPS*0.8, set.Report(), nw.Dial)
+	cloud := fleet.NewCloudClient(set.Services.Cloud, facts.Cloud.RPS*0.8, set.Report(), nw.Dial)
 	d.memory = pressure.New(uint64(op.Limits.Refuse*facts.Resources.MemoryMB*(1<<20)), set.Report()/16)
 	types := fleet.NewCatalogue(cloud, 2*set.Lease(), log)
 	d.copies = copies.New(int(op.Rebuild.Ends*facts.Resources.MemoryMB*(1<<20)), log)
