--- /dev/null
+++ b/internal/control/antientropy.go
@@ -0,0 +1,119 @@
+package control
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"rillflow/internal/copies"
+	"rillflow/internal/ledger"
+	"rillflow/internal/rebuild"
+	"rillflow/internal/state"
+	"rillflow/internal/wire"
+)
+
+// runAntiEntropy looks for keys that were lost without a trace: it walks what this node
+// remembers and asks for a few keys at a time.
+func (t *leaderTerm) runAntiEntropy(ctx context.Context) error {
+	// Ends first, and fast: those before this term are known to nobody else if the
+	// leader has just begun.
+	prefixes := []string{ledger.EndedPrefix, ledger.LivePrefix, ledger.ClaimPrefix}
+	after, current, interval, limit := "", 0, t.settings.Report()/8, 5*keysPerHeartbeat
+	for sleep(ctx, interval) {
+		before, _ := t.replica.Tree()
+		page, next, err := t.store.Page(ctx, prefixes[current], after, limit)
+		if err != nil {
+			continue
+		}
+		if err := t.checkPage(ctx, before, prefixes[current], after, next, page); err != nil {
+			return err
+		}
+		if prefixes[current] == ledger.EndedPrefix {
+			t.addEndings(page)
+		}
+		if after = next; after == "" {
+			current = (current + 1) % len(prefixes)
+			interval, limit = t.settings.Report(), keysPerHeartbeat
+		}
+	}
+	return ctx.Err()
+}
+
+// keysPerHeartbeat is how many keys are looked at in a report interval.
+const keysPerHeartbeat = 200
+
+// addEndings adds ends of earlier terms to the copy.
+func (t *leaderTerm) addEndings(page []wire.KeyValue) {
+	var ops []wire.Operation
+	for _, item := range page {
+		if _, ok := t.replica.Get(item.Key); !ok {
+			ops = append(ops, wire.Operation{Put: item.Key, Value: item.Value})
+		}
+	}
+	t.replica.Apply(0, ops...)
+}
+
+// checkPage finds what was remembered before a page was read, still is, and is not in it.
+func (t *leaderTerm) checkPage(ctx context.Context, before *copies.Tree, prefix, after, next string, page []wire.KeyValue) error {
+	present := make(map[string]bool, len(page))
+	for _, it := range page {
+		present[it.Key] = true
+		if strings.HasPrefix(prefix, ledger.EndedPrefix) {
+			continue
+		}
+		if old, ok := t.replica.Get(it.Key); ok && string(old) != string(it.Value) && !json.Valid(it.Value) {
+			return t.suspectDataLoss(fmt.Errorf("%s cannot be read", it.Key))
+		}
+	}
+	var lost []string
+	it := before.Root().Iterator()
+	it.SeekLowerBound([]byte(max(prefix, after+"\x00")))
+	for key, _, ok := it.Next(); ok && strings.HasPrefix(string(key), prefix) && (next == "" || string(key) <= next); key, _, ok = it.Next() {
+		if !present[string(key)] {
+			lost = append(lost, string(key))
+		}
+	}
+	for _, key := range lost[:min(len(lost), 8)] {
+		if prefix == ledger.EndedPrefix && t.endingPending(key) {
+			continue
+		}
+		if _, err := t.store.Get(ctx, key); !errors.Is(err, state.ErrNotFound) {
+			continue
+		}
+		// Removed by somebody meanwhile, and the copy is yet to be told?
+		if !sleep(ctx, t.settings.Report()/4) {
+			return ctx.Err()
+		}
+		if _, still := t.replica.Get(key); !still || prefix == ledger.ClaimPrefix && t.chunkRemovable(key) {
+			continue
+		}
+		if _, err := t.store.Get(ctx, key); errors.Is(err, state.ErrNotFound) {
+			if ref, ok := strings.CutPrefix(key, ledger.LivePrefix); ok {
+				if _, err := t.readEnding(ctx, ref); !errors.Is(err, state.ErrNotFound) {
+					continue
+				}
+			}
+			return t.suspectDataLoss(fmt.Errorf("%s is gone though nobody removed it", key))
+		}
+	}
+	return nil
+}
+
+// chunkRemovable tells whether the job of a chunk is over, so that the chunk may go.
+func (t *leaderTerm) chunkRemovable(key string) bool {
+	ref, _ := ledger.ChunkRef(key)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	job := t.jobs.Job(ref)
+	return job == nil || job.Withdrawn || job.Finished
+}
+
+// endingPending tells whether an end is yet to be stored again.
+func (t *leaderTerm) endingPending(key string) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.progress != nil && slices.ContainsFunc(t.progress.pending, func(write rebuild.Write) bool { return write.Key == key })
+}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -15,7 +15,7 @@
 
 // chooser picks by the rule, as the owner of a part does.
 type chooser struct {
-	parts
+	idleOwners
 	table *placement.Table
 }
 
@@ -31,27 +31,27 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				b.StopTimer()
-				r := term(b)
+				r := newTestTerm(b)
 				table := placement.NewTable(placement.Params{Horizon: 512, Bonus: 0.05, RunBound: 8, Tick: 12 * time.Second}, now)
-				r.term, r.parts = &held{lead.Map{Epoch: 1, Leader: "n", Parts: []string{"n"}}}, chooser{table: table}
-				r.flushes, r.took = make(chan struct{}, 1), newLatencies()
-				r.set.Facts.Teams[0].CPUs, r.set.Facts.Teams[0].CPUsMax = 1e6, 1e6
-				r.led = ledger.New("w", r.set.Facts.Teams)
+				r.leadership, r.shards = &fakeLeadership{lead.Map{Epoch: 1, Leader: "n", Parts: []string{"n"}}}, chooser{table: table}
+				r.writeSignal, r.latencies = make(chan struct{}, 1), newLatencies()
+				r.settings.Facts.Teams[0].CPUs, r.settings.Facts.Teams[0].CPUsMax = 1e6, 1e6
+				r.jobs = ledger.New("w", r.settings.Facts.Teams)
 				for i := range hosts {
 					h := agent.NewWorker(fmt.Sprintf("i-%06d", i))
 					h.InstanceType, h.Zone, h.Incarnation, h.LastHeartbeat, h.SeenEpoch = "m", "ab"[i%2:i%2+1], 1, now, 1
-					r.enter(h)
+					r.addWorker(h)
 				}
 				for i := range hosts * 8 * 2 / 40 {
-					r.add(fmt.Sprintf("req-%06d", i), wire.Job{
+					r.addTestJob(fmt.Sprintf("req-%06d", i), wire.Job{
 						Class: fmt.Sprint("class-", i%4), Kind: wire.KindArray, Priority: wire.Priorities()[i%3], TaskCount: 40, CPUs: 1, MemoryGB: 1,
 						Image: fmt.Sprint("image-", i%4), ImageGB: 1, ExpectedSeconds: 60,
 					})
 				}
 				b.StartTimer()
-				r.pass(b.Context())
+				r.schedulingPass(b.Context())
 				b.StopTimer()
-				if n := len(r.led.ClaimedHosts()); n < hosts {
+				if n := len(r.jobs.ClaimedHosts()); n < hosts {
 					b.Fatalf("%d of %d hosts have tasks", n, hosts)
 				}
 				b.StartTimer()
--- /dev/null
+++ b/internal/control/cancellations.go
@@ -0,0 +1,110 @@
+package control
+
+import (
+	"time"
+
+	"rillflow/internal/agent"
+	"rillflow/internal/settings"
+)
+
+// Heed has the term take in the withdrawals that this node knows of, and tells whether it
+// leads and has: its machines are told at once, also while the state service, which would
+// tell it otherwise, refuses it.
+func (r *Runner) Heed() bool {
+	term := r.current.Load()
+	if term == nil {
+		return false
+	}
+	select {
+	case <-term.ready:
+	default:
+		return false
+	}
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	if term.ctx.Err() != nil {
+		return false
+	}
+	term.applyCancellations()
+	return true
+}
+
+// Settled tells whether no launch that this leader gave may still start a task of jobs
+// that are withdrawn, as far as it can be seen to soon: a machine that has not said what
+// became of a launch by the time at which it is taken for silent is returned, or is behind a
+// cut, and its user is told then.
+func (r *Runner) Settled(refs ...string) bool {
+	term := r.current.Load()
+	if term == nil {
+		return true
+	}
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	now, suspectAfter := term.now(), time.Duration(term.settings.Operator.Fleet.Silence*float64(term.settings.Report()))
+	for _, ref := range refs {
+		job := term.jobs.Job(ref)
+		if job == nil || !job.Withdrawn || now.Sub(job.WithdrawnAt) > suspectAfter {
+			continue
+		}
+		for _, claim := range term.jobs.HeldBy(job) {
+			if claim.Sent && !claim.Over && claim.Running.IsZero() {
+				return false
+			}
+		}
+	}
+	return true
+}
+
+// applyCancellations takes in the withdrawals that this node knows of.
+func (t *leaderTerm) applyCancellations() {
+	for _, ref := range t.recentCancellations.All() {
+		// Of a job about to be done nothing is left to stop, and its last write fails.
+		if job := t.jobs.Job(ref); job != nil && !job.Finished {
+			t.cancelJob(ref)
+		}
+	}
+}
+
+// cancelledJobs are the jobs that are withdrawn and of which there are claims left. Just read
+// by a new leader they are all whose tasks may be there still: a claim goes only once its
+// task surely has.
+func (t *leaderTerm) cancelledJobs() []string {
+	var refs []string
+	for ref, job := range t.jobs.Jobs() {
+		if job.Withdrawn {
+			refs = append(refs, ref)
+		}
+	}
+	return refs
+}
+
+// hasOverdueTask tells whether a withdrawn task might still be on a host when it must be gone.
+// The host may be behind a cut with a controller that knows of no withdrawal, or not hear
+// what it is told, or a launch of unknown fate may still be on its way to it: then only
+// the machine's return ends it for sure.
+func (t *leaderTerm) hasOverdueTask(worker *agent.Worker, now time.Time) bool {
+	// The time of a withdrawal may be by another node's clock: both may be off.
+	grace := settings.Seconds(t.settings.Facts.Workers.CancelS) - 2*t.settings.Report() - 2*t.settings.ClockError()
+	for _, claim := range t.jobs.OnHost(worker.Name) {
+		if claim.Job.Withdrawn && !claim.Over && now.Sub(claim.Job.WithdrawnAt) > grace {
+			return true
+		}
+	}
+	return false
+}
+
+// overdueWorkers are the machines that a withdrawn task would outlive its time on, and those of
+// them whose return was not answered.
+func (t *leaderTerm) overdueWorkers(now time.Time) []string {
+	var names []string
+	for _, worker := range t.workersByName {
+		if !t.hasOverdueTask(worker, now) {
+			continue
+		}
+		if _, leaving := t.released[worker.Name]; !leaving {
+			t.noteRelease(worker.Name, "withdrawn task", now)
+		}
+		names = append(names, worker.Name)
+	}
+	return names
+}
--- a/internal/control/chain_test.go
+++ b/internal/control/dependencies_test.go
@@ -15,7 +15,7 @@
 )
 
 // On a machine with a notice only what will be done in time stays.
-func TestEvacuate(t *testing.T) {
+func TestDrainOnTerminationNotice(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		job    wire.Job
@@ -35,24 +35,24 @@
 		{"no notice", wire.Job{ExpectedSeconds: 300}, time.Second, nil, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
+			leader := newTestTerm(t)
 			if tc.job.Kind == "" {
 				tc.job.Kind = wire.KindArray
 			}
 			tc.job.TaskCount, tc.job.CPUs, tc.job.AllowSpot = 2, 1, true
-			c := r.run(t, r.add("req-1", tc.job), "h0", tc.ran)
+			claim := leader.runTestTask(t, leader.addTestJob("req-1", tc.job), "h0", tc.ran)
 			if tc.ran == 0 {
-				c.Running = time.Time{}
+				claim.Running = time.Time{}
 			}
-			for _, s := range tc.others {
-				c.Job.Ran.Sum += s
-				c.Job.Ran.N++
+			for _, seconds := range tc.others {
+				claim.Job.Ran.Sum += seconds
+				claim.Job.Ran.N++
 			}
 			if tc.left > 0 {
-				r.hosts["h0"].ReclaimAt = now.Add(tc.left)
+				leader.workers["h0"].ReclaimAt = now.Add(tc.left)
 			}
-			if r.evacuate(now); c.Stopping != tc.leaves {
-				t.Errorf("stopped: %v", c.Stopping)
+			if leader.drainReclaimed(now); claim.Stopping != tc.leaves {
+				t.Errorf("stopped: %v", claim.Stopping)
 			}
 		})
 	}
@@ -60,10 +60,10 @@
 
 // A chain's last job gives its rank and its deadline, less the steps between, to
 // all that it needs, however late it comes, and takes them back when withdrawn.
-func TestLift(t *testing.T) {
-	r := term(t)
+func TestInheritedPriorityAndDeadline(t *testing.T) {
+	leader := newTestTerm(t)
 	due := func(ref string) float64 {
-		at := r.lift(r.led.Job(ref)).Due[2]
+		at := leader.inherited(leader.jobs.Job(ref)).Due[2]
 		if at.IsZero() {
 			return 0
 		}
@@ -71,19 +71,19 @@
 	}
 	check := func(when string, want ...float64) {
 		t.Helper()
-		for i, w := range want {
+		for i, wantDue := range want {
 			ref := fmt.Sprint("req-", i+1)
-			rank := rankOf("idle")
-			if w != 0 {
-				rank = rankOf("urgent")
+			priority := priorityLevel("idle")
+			if wantDue != 0 {
+				priority = priorityLevel("urgent")
 			}
-			if got := due(ref); got != w || r.rank(r.led.Job(ref)) != rank {
-				t.Errorf("%s: %s is due in %v, rank %d; want %v, %d", when, ref, got, r.rank(r.led.Job(ref)), w, rank)
+			if got := due(ref); got != wantDue || leader.effectivePriority(leader.jobs.Job(ref)) != priority {
+				t.Errorf("%s: %s is due in %v, rank %d; want %v, %d", when, ref, got, leader.effectivePriority(leader.jobs.Job(ref)), wantDue, priority)
 			}
 		}
 	}
 	add := func(ref string, expect float64, needs ...string) {
-		r.add(ref, wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1, ExpectedSeconds: expect, DependsOn: needs})
+		leader.addTestJob(ref, wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1, ExpectedSeconds: expect, DependsOn: needs})
 	}
 	add("req-1", 10)
 	add("req-2", 20, "req-1")
@@ -92,7 +92,7 @@
 	check("before the last one", 0, 0, 0, 0)
 	last := wire.Job{Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, ExpectedSeconds: 4, DeadlineSeconds: 200}
 	last.DependsOn = []string{"req-4"}
-	r.add("req-5", last)
+	leader.addTestJob("req-5", last)
 	// 1.5 deadlines; a step takes 1.5 times its expectation and half a report.
 	d5 := 300.0
 	d4 := d5 - 1.5*4 - 1.5
@@ -101,70 +101,70 @@
 	check("with the last one", d1, d2, d2, d4)
 	sooner := last
 	sooner.DeadlineSeconds, sooner.DependsOn = 40, []string{"req-2"}
-	r.add("req-6", sooner)
+	leader.addTestJob("req-6", sooner)
 	check("with one that is due sooner", 60-1.5*4-1.5-1.5*20-1.5, 60-1.5*4-1.5, d2, d4)
-	r.led.Withdraw("req-6")
+	leader.jobs.Withdraw("req-6")
 	check("that one withdrawn", d1, d2, d2, d4)
-	r.led.Withdraw("req-5")
+	leader.jobs.Withdraw("req-5")
 	check("all withdrawn", 0, 0, 0, 0)
 }
 
 // A lifted rank goes before others within its own team's guarantee; beyond that
 // it takes nothing from those within theirs.
-func TestLiftTakesNoGuarantee(t *testing.T) {
-	r := term(t)
-	chain := r.add("req-1", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
-	other := r.add("req-2", wire.Job{Team: "t", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
-	r.add("req-3", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"}})
-	if r.tier(chain) >= r.tier(other) {
+func TestInheritedPriorityRespectsQuota(t *testing.T) {
+	leader := newTestTerm(t)
+	chain := leader.addTestJob("req-1", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
+	other := leader.addTestJob("req-2", wire.Job{Team: "t", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
+	leader.addTestJob("req-3", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"}})
+	if leader.tier(chain) >= leader.tier(other) {
 		t.Error("the chain does not go first within its guarantee")
 	}
-	r.run(t, chain, "h0", time.Second)
-	r.run(t, chain, "h0", time.Second) // 4 of 4 guaranteed CPUs
-	if r.tier(chain) <= r.tier(other) {
+	leader.runTestTask(t, chain, "h0", time.Second)
+	leader.runTestTask(t, chain, "h0", time.Second) // 4 of 4 guaranteed CPUs
+	if leader.tier(chain) <= leader.tier(other) {
 		t.Error("beyond its guarantee the chain goes before one within its own")
 	}
 }
 
 // A job that waits for others is in no queue, rents nothing and counts nowhere.
-func TestWaitingJobIsNoQueue(t *testing.T) {
-	r := term(t)
-	r.set.Operator.Fleet.Thrift = "always"
-	r.add("req-1", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
-	r.add("req-2", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 50, CPUs: 1, AllowSpot: true, DependsOn: []string{"req-1"}})
-	if qs := r.queues(now); len(qs) != 1 || qs[0].count != 1 {
+func TestBlockedJobIsNotQueued(t *testing.T) {
+	leader := newTestTerm(t)
+	leader.settings.Operator.Fleet.Thrift = "always"
+	leader.addTestJob("req-1", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
+	leader.addTestJob("req-2", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 50, CPUs: 1, AllowSpot: true, DependsOn: []string{"req-1"}})
+	if qs := leader.waitingQueues(now); len(qs) != 1 || qs[0].unfinished != 1 {
 		t.Errorf("%d queues, %+v", len(qs), qs)
 	}
-	if n := r.need(nil, now); n.OnDemandCores != 1 || n.SpotCores != 0 {
+	if n := leader.demand(nil, now); n.OnDemandCores != 1 || n.SpotCores != 0 {
 		t.Errorf("need %+v", n)
 	}
 	at := now.Add(time.Minute)
-	r.led.Settle("req-1", true, at)
-	if qs := r.queues(at); qs[0].count != 51 {
-		t.Errorf("%d unfinished once ready", qs[0].count)
+	leader.jobs.Settle("req-1", true, at)
+	if qs := leader.waitingQueues(at); qs[0].unfinished != 51 {
+		t.Errorf("%d unfinished once ready", qs[0].unfinished)
 	}
-	if w := r.wanted(0, r.led.Job("req-2")); !w.IsZero() {
+	if w := leader.objectiveDeadline(0, leader.jobs.Job("req-2")); !w.IsZero() {
 		t.Errorf("wanted by %v", w)
 	}
 }
 
 // Times other than a deadline count from when the job could start.
-func TestTimesFromReady(t *testing.T) {
-	r := term(t)
-	j := r.add("req-2", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 1, DependsOn: []string{"req-1"}})
+func TestObjectivesCountFromReady(t *testing.T) {
+	leader := newTestTerm(t)
+	job := leader.addTestJob("req-2", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 1, DependsOn: []string{"req-1"}})
 	at := now.Add(5 * time.Minute)
-	r.led.Settle("req-1", true, at)
-	if w := r.wanted(0, j); !w.Equal(at.Add(time.Minute)) {
+	leader.jobs.Settle("req-1", true, at)
+	if w := leader.objectiveDeadline(0, job); !w.Equal(at.Add(time.Minute)) {
 		t.Errorf("wanted %v after it was ready", w.Sub(at))
 	}
-	if u := r.urgency(j, at.Add(10*time.Second)); u.stage != 0 {
-		t.Errorf("late by %d stages", u.stage)
+	if u := leader.deadlineSlack(job, at.Add(10*time.Second)); u.missed != 0 {
+		t.Errorf("late by %d stages", u.missed)
 	}
 }
 
 // Work that a deadline depends on is kept off machines that the cloud may take,
 // while firm ones have room to spare.
-func TestBoundToFirm(t *testing.T) {
+func TestDeadlineWorkAvoidsSpot(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		tasks int
@@ -180,21 +180,21 @@
 		{"users pay by the machine", 8, 8, true, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			r.hosts["h0"].Spot, r.hosts["h1"].Spot = true, true // 16 cores are firm
+			leader := newTestTerm(t)
+			leader.workers["h0"].Spot, leader.workers["h1"].Spot = true, true // 16 cores are firm
 			if tc.price {
-				r.set.Facts.Objectives = append(r.set.Facts.Objectives, settings.Objective{Kind: "price"})
+				leader.settings.Facts.Objectives = append(leader.settings.Facts.Objectives, settings.Objective{Kind: "price"})
 			}
-			r.set.Operator.Fleet.Thrift = "auto"
-			j := r.add("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: tc.tasks, CPUs: 1, AllowSpot: true})
+			leader.settings.Operator.Fleet.Thrift = "auto"
+			job := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: tc.tasks, CPUs: 1, AllowSpot: true})
 			last := wire.Job{Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"}}
 			if tc.due {
 				last.DeadlineSeconds = 100
 			}
-			r.add("req-2", last)
-			look := newSurvey(r.rooms(now))
-			if w := r.waiting(j, look, now); w.Loaners == tc.firm || w.Tasks != tc.now || look.more != (tc.now < tc.tasks) {
-				t.Errorf("%d tasks, spot machines allowed: %v, more: %v", w.Tasks, w.Loaners, look.more)
+			leader.addTestJob("req-2", last)
+			look := newCandidateIndex(leader.candidates(now))
+			if w := leader.describeJob(job, look, now); w.Loaners == tc.firm || w.Tasks != tc.now || look.moreWaiting != (tc.now < tc.tasks) {
+				t.Errorf("%d tasks, spot machines allowed: %v, more: %v", w.Tasks, w.Loaners, look.moreWaiting)
 			}
 		})
 	}
@@ -202,7 +202,7 @@
 
 // A machine that the cloud had announced to take is returned sooner once silent
 // than one that nobody expected to go, and never while it is heard.
-func TestSilentAfterNotice(t *testing.T) {
+func TestSilentAfterTerminationNotice(t *testing.T) {
 	report := 3 * time.Second
 	for _, tc := range []struct {
 		name   string
@@ -217,14 +217,14 @@
 		{"its time is still to come", -report, 2 * report, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			r.began = now.Add(-time.Hour)
-			h := r.hosts["h0"]
-			h.LastHeartbeat = now.Add(-tc.silent)
+			leader := newTestTerm(t)
+			leader.startedAt = now.Add(-time.Hour)
+			worker := leader.workers["h0"]
+			worker.LastHeartbeat = now.Add(-tc.silent)
 			if tc.warn != 0 {
-				h.ReclaimAt = now.Add(-tc.warn)
+				worker.ReclaimAt = now.Add(-tc.warn)
 			}
-			if got := r.faulty(now); (len(got) == 1) != tc.gone {
+			if got := leader.faultyWorkers(now); (len(got) == 1) != tc.gone {
 				t.Errorf("to be returned: %v", got)
 			}
 		})
@@ -234,7 +234,7 @@
 // Whatever a guest submits and waits for, and whatever others wait for of it: none of
 // its jobs goes above the rank that it may have, and no job of another team goes higher
 // for its sake.
-func TestGuestLiftsNothing(t *testing.T) {
+func TestGuestCannotRaisePriority(t *testing.T) {
 	rules := rights.Rules{Allow: []rights.Rule{
 		{Who: "role:guest", Do: "submit need", Rank: "standard"},
 		{Who: "role:curator", Do: "submit need", Owner: "t u"},
@@ -242,7 +242,7 @@
 	guest := rights.Identity{Name: "gus", Kind: rights.Person, Teams: []string{"u"}, Roles: []string{"guest"}}
 	curator := rights.Identity{Name: "ana", Kind: rights.Person, Teams: []string{"t"}, Roles: []string{"curator"}}
 	rapid.Check(t, func(rt *rapid.T) {
-		r := term(t)
+		leader := newTestTerm(t)
 		type known struct {
 			j     *ledger.Job
 			guest bool
@@ -254,27 +254,27 @@
 			if rapid.Bool().Draw(rt, "guest") {
 				who = &guest
 			}
-			spec := wire.Job{Team: rapid.SampledFrom([]string{"t", "u"}).Draw(rt, "owner"), Kind: wire.KindArray, TaskCount: 1, CPUs: 1, Priority: named(rapid.IntRange(0, 3).Draw(rt, "rank"))}
-			dec := rules.Decide(who, rights.Request{Do: rights.Submit, Owner: spec.Team, Rank: spec.Priority})
+			spec := wire.Job{Team: rapid.SampledFrom([]string{"t", "u"}).Draw(rt, "owner"), Kind: wire.KindArray, TaskCount: 1, CPUs: 1, Priority: priorityName(rapid.IntRange(0, 3).Draw(rt, "rank"))}
+			decision := rules.Decide(who, rights.Request{Do: rights.Submit, Owner: spec.Team, Rank: spec.Priority})
 			k := known{guest: who == &guest}
 			for n := range jobs {
 				if rapid.Bool().Draw(rt, "need") {
-					dec.Allowed = dec.Allowed && rules.Decide(who, rights.Request{Do: rights.Need, Owner: jobs[n].j.Spec.Team}).Allowed
+					decision.Allowed = decision.Allowed && rules.Decide(who, rights.Request{Do: rights.Need, Owner: jobs[n].j.Spec.Team}).Allowed
 					spec.DependsOn = append(spec.DependsOn, jobs[n].j.Ref)
 					k.needs = append(k.needs, n)
 				}
 			}
-			if !dec.Allowed {
+			if !decision.Allowed {
 				continue
 			}
-			k.j = r.add(fmt.Sprint("req-", i), spec)
-			k.j.Origin = &ledger.Origin{Cap: dec.Cap}
+			k.j = leader.addTestJob(fmt.Sprint("req-", i), spec)
+			k.j.Origin = &ledger.Origin{Cap: decision.Cap}
 			jobs = append(jobs, k)
 		}
 		// best is the highest rank that curators ask for of what needs a job, or it.
 		best := make([]int, len(jobs))
 		for i := len(jobs) - 1; i >= 0; i-- {
-			best[i] = rankOf(jobs[i].j.Spec.Priority)
+			best[i] = priorityLevel(jobs[i].j.Spec.Priority)
 			for n := i + 1; n < len(jobs); n++ {
 				if slices.Contains(jobs[n].needs, i) && !jobs[n].guest {
 					best[i] = min(best[i], best[n])
@@ -282,29 +282,29 @@
 			}
 		}
 		for i, k := range jobs {
-			got := r.rank(k.j)
-			if k.guest && got < rankOf("standard") {
-				rt.Fatalf("%s, a guest's, goes by %s", k.j.Ref, named(got))
+			got := leader.effectivePriority(k.j)
+			if k.guest && got < priorityLevel("standard") {
+				rt.Fatalf("%s, a guest's, goes by %s", k.j.Ref, priorityName(got))
 			}
 			if k.j.Spec.Team == "t" && got < best[i] {
-				rt.Fatalf("%s goes by %s for a guest's sake, not %s", k.j.Ref, named(got), named(best[i]))
+				rt.Fatalf("%s goes by %s for a guest's sake, not %s", k.j.Ref, priorityName(got), priorityName(best[i]))
 			}
 		}
 	})
 }
 
 // What needs a job lifts it no higher than whoever submitted it may have.
-func TestLiftIsCapped(t *testing.T) {
+func TestInheritedPriorityIsCapped(t *testing.T) {
 	for _, tc := range []struct{ cap, want string }{{"", "production"}, {"production", "production"}, {"standard", "standard"}, {"idle", "idle"}} {
-		r := term(t)
-		j := r.add("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
-		deep := r.add("req-0", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
-		r.add("req-2", wire.Job{Kind: wire.KindArray, Priority: "production", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1", "req-0"}})
-		j.Origin = &ledger.Origin{Cap: tc.cap}
-		if got := named(r.rank(j)); got != tc.want {
+		leader := newTestTerm(t)
+		job := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
+		deep := leader.addTestJob("req-0", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
+		leader.addTestJob("req-2", wire.Job{Kind: wire.KindArray, Priority: "production", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1", "req-0"}})
+		job.Origin = &ledger.Origin{Cap: tc.cap}
+		if got := priorityName(leader.effectivePriority(job)); got != tc.want {
 			t.Errorf("cap %q: goes by %s, want %s", tc.cap, got, tc.want)
 		}
-		if got := named(r.rank(deep)); got != "production" {
+		if got := priorityName(leader.effectivePriority(deep)); got != "production" {
 			t.Errorf("a job without a cap goes by %s", got)
 		}
 	}
--- a/internal/control/gang.go
+++ b/internal/control/gang.go
@@ -9,153 +9,155 @@
 	"rillflow/internal/wire"
 )
 
-// gangs starts every gang for whose waiting tasks there is room now, all of
+// placeGangs starts every gang for whose waiting tasks there is room now, all of
 // them or none.
-func (r *reign) gangs(queues []*queue, rooms []*room, now time.Time) int {
-	var js []*ledger.Job
-	for _, q := range queues {
-		for _, j := range q.jobs {
-			if j.Gang() && r.led.MayAll(j) {
-				js = append(js, j)
+func (t *leaderTerm) placeGangs(queues []*typeQueue, candidates []*candidate, now time.Time) int {
+	var gangs []*ledger.Job
+	for _, queue := range queues {
+		for _, job := range queue.jobs {
+			if job.Gang() && t.jobs.MayAll(job) {
+				gangs = append(gangs, job)
 			}
 		}
 	}
-	slices.SortFunc(js, func(a, b *ledger.Job) int {
-		return cmp.Or(cmp.Compare(r.tier(a), r.tier(b)), a.ReadyAt.Compare(b.ReadyAt), cmp.Compare(a.Ref, b.Ref))
+	slices.SortFunc(gangs, func(a, b *ledger.Job) int {
+		return cmp.Or(cmp.Compare(t.tier(a), t.tier(b)), a.ReadyAt.Compare(b.ReadyAt), cmp.Compare(a.Ref, b.Ref))
 	})
-	n := 0
-	for _, j := range js {
-		for _, m := range r.muster(j, rooms) {
-			if r.claim(m, j) {
-				n++
+	claimed := 0
+	for _, job := range gangs {
+		for _, target := range t.assembleGang(job, candidates) {
+			if t.claimTask(target, job) {
+				claimed++
 			}
 		}
 	}
-	return n
+	return claimed
 }
 
-// muster finds a room for each waiting task of a gang, or returns nil.
-func (r *reign) muster(j *ledger.Job, rooms []*room) []*room {
-	need := j.WaitingTasks()
-	order := slices.Clone(rooms)
-	slices.SortStableFunc(order, func(a, b *room) int { return cmp.Compare(a.fetch(j), b.fetch(j)) })
-	for _, zone := range zonesOf(j, order) {
-		perZone := make(map[string]int)
-		var got []*room
-		for _, m := range order {
-			if zone != "" && m.h.Zone != zone || !m.fits(j) {
+// assembleGang finds a room for each waiting task of a gang, or returns nil.
+func (t *leaderTerm) assembleGang(job *ledger.Job, candidates []*candidate) []*candidate {
+	needed := job.WaitingTasks()
+	ordered := slices.Clone(candidates)
+	slices.SortStableFunc(ordered, func(a, b *candidate) int { return cmp.Compare(a.pullSeconds(job), b.pullSeconds(job)) })
+	for _, zone := range zonesToTry(job, ordered) {
+		placedInZone := make(map[string]int)
+		var places []*candidate
+		for _, target := range ordered {
+			if zone != "" && target.worker.Zone != zone || !target.fits(job) {
 				continue
 			}
-			free := *m
-			for len(got) < need && free.fits(j) && (!j.Spec.SpreadZones || perZone[m.h.Zone] < (j.Spec.TaskCount+1)/2) {
-				got = append(got, m)
-				perZone[m.h.Zone]++
-				free.cores -= j.Spec.CPUs
-				free.accel -= j.Spec.GPUs
-				free.ram -= j.Spec.MemoryGB
+			remaining := *target
+			for len(places) < needed && remaining.fits(job) && (!job.Spec.SpreadZones || placedInZone[target.worker.Zone] < (job.Spec.TaskCount+1)/2) {
+				places = append(places, target)
+				placedInZone[target.worker.Zone]++
+				remaining.cpus -= job.Spec.CPUs
+				remaining.gpus -= job.Spec.GPUs
+				remaining.memoryGB -= job.Spec.MemoryGB
 			}
 		}
-		if len(got) == need {
-			return got
+		if len(places) == needed {
+			return places
 		}
 	}
 	return nil
 }
 
-// zonesOf are the zones to try one after the other, or "" for all at once.
-func zonesOf(j *ledger.Job, rooms []*room) []string {
-	if !j.Spec.SingleZone {
+// zonesToTry are the zones to try one after the other, or "" for all at once.
+func zonesToTry(job *ledger.Job, candidates []*candidate) []string {
+	if !job.Spec.SingleZone {
 		return []string{""}
 	}
-	var zs []string
-	for _, m := range rooms {
-		if !slices.Contains(zs, m.h.Zone) {
-			zs = append(zs, m.h.Zone)
+	var zones []string
+	for _, target := range candidates {
+		if !slices.Contains(zones, target.worker.Zone) {
+			zones = append(zones, target.worker.Zone)
 		}
 	}
-	return zs
+	return zones
 }
 
-// hold keeps rooms for the oldest job past the set wait that fits nowhere, so
+// reserveCapacity keeps rooms for the oldest job past the set wait that fits nowhere, so
 // that large tasks and gangs are not starved by small ones: as what runs there
 // ends, the room adds up until they fit.
-func (r *reign) hold(queues []*queue, rooms []*room, now time.Time) {
-	aged := r.waitAge()
-	var old *ledger.Job
-	for _, q := range queues {
-		for _, j := range q.jobs {
-			if now.Sub(j.WaitingSince) < aged || old != nil && !j.WaitingSince.Before(old.WaitingSince) {
+func (t *leaderTerm) reserveCapacity(queues []*typeQueue, candidates []*candidate, now time.Time) {
+	agingThreshold := t.agingThreshold()
+	var oldest *ledger.Job
+	for _, queue := range queues {
+		for _, job := range queue.jobs {
+			if now.Sub(job.WaitingSince) < agingThreshold || oldest != nil && !job.WaitingSince.Before(oldest.WaitingSince) {
 				continue
 			}
-			if j.Gang() && r.led.MayAll(j) || !j.Gang() && r.homeless(j, rooms) {
-				old = j
+			if job.Gang() && t.jobs.MayAll(job) || !job.Gang() && t.lacksCapacity(job, candidates) {
+				oldest = job
 			}
 		}
 	}
-	if old == nil {
+	if oldest == nil {
 		return
 	}
-	need := 1
-	if old.Gang() {
-		need = old.WaitingTasks()
+	needed := 1
+	if oldest.Gang() {
+		needed = oldest.WaitingTasks()
 	}
-	order := slices.DeleteFunc(slices.Clone(rooms), func(m *room) bool {
-		return !m.couldFit(old) || !old.Gang() && r.led.May(old, m.h.Zone) != nil
+	ordered := slices.DeleteFunc(slices.Clone(candidates), func(target *candidate) bool {
+		return !target.fitsWhenEmpty(oldest) || !oldest.Gang() && t.jobs.May(oldest, target.worker.Zone) != nil
 	})
 	// The freest machines first: they come free soonest.
-	slices.SortStableFunc(order, func(a, b *room) int { return -cmp.Compare(a.cores, b.cores) })
-	for _, zone := range zonesOf(old, order) {
-		var held []*room
+	slices.SortStableFunc(ordered, func(a, b *candidate) int { return -cmp.Compare(a.cpus, b.cpus) })
+	for _, zone := range zonesToTry(oldest, ordered) {
+		var reserved []*candidate
 		slots := 0
-		for _, m := range order {
-			if slots < need && (zone == "" || m.h.Zone == zone) {
-				held = append(held, m)
-				slots += m.slots(old)
+		for _, target := range ordered {
+			if slots < needed && (zone == "" || target.worker.Zone == zone) {
+				reserved = append(reserved, target)
+				slots += target.slotsWhenEmpty(oldest)
 			}
 		}
-		if slots >= need {
-			for _, m := range held {
-				m.held = old
+		if slots >= needed {
+			for _, target := range reserved {
+				target.reservedFor = oldest
 			}
 			return
 		}
 	}
 }
 
-// homeless tells whether the job's next task fits no room, though it would fit
+// lacksCapacity tells whether the job's next task fits no room, though it would fit
 // some machine and is within its limits.
-func (r *reign) homeless(j *ledger.Job, rooms []*room) bool {
-	could := false
-	for _, m := range rooms {
-		if r.led.May(j, m.h.Zone) != nil {
+func (t *leaderTerm) lacksCapacity(job *ledger.Job, candidates []*candidate) bool {
+	fitsSomewhere := false
+	for _, target := range candidates {
+		if t.jobs.May(job, target.worker.Zone) != nil {
 			continue
 		}
-		if m.fits(j) {
+		if target.fits(job) {
 			return false
 		}
-		could = could || m.couldFit(j)
+		fitsSomewhere = fitsSomewhere || target.fitsWhenEmpty(job)
 	}
-	return could
+	return fitsSomewhere
 }
 
-// slots is how many tasks of a job the machine holds when empty.
-func (m *room) slots(j *ledger.Job) int { return slots(&j.Spec, m.t.CPUs, m.t.GPUs, m.t.MemoryGB) }
+// slotsWhenEmpty is how many tasks of a job the machine holds when empty.
+func (c *candidate) slotsWhenEmpty(job *ledger.Job) int {
+	return slotsIn(&job.Spec, c.instanceType.CPUs, c.instanceType.GPUs, c.instanceType.MemoryGB)
+}
 
-// slots is how many tasks of a job fit an amount.
-func slots(s *wire.Job, cores, accel, ram float64) int {
-	n := s.TaskCount
-	for _, q := range [][2]float64{{cores, s.CPUs}, {accel, s.GPUs}, {ram, s.MemoryGB}} {
-		if q[1] > 0 {
-			n = min(n, int((q[0]+slack)/q[1]))
+// slotsIn is how many tasks of a job fit an amount.
+func slotsIn(spec *wire.Job, cpus, gpus, memoryGB float64) int {
+	count := spec.TaskCount
+	for _, amount := range [][2]float64{{cpus, spec.CPUs}, {gpus, spec.GPUs}, {memoryGB, spec.MemoryGB}} {
+		if amount[1] > 0 {
+			count = min(count, int((amount[0]+roundingTolerance)/amount[1]))
 		}
 	}
-	return n
+	return count
 }
 
-// fetch is how long the machine would fetch the job's image, in seconds.
-func (m *room) fetch(j *ledger.Job) float64 {
-	if m.t.ImagePullGBPerSecond <= 0 || m.h.HasImage(j.Spec.Image) {
+// pullSeconds is how long the machine would fetch the job's image, in seconds.
+func (c *candidate) pullSeconds(job *ledger.Job) float64 {
+	if c.instanceType.ImagePullGBPerSecond <= 0 || c.worker.HasImage(job.Spec.Image) {
 		return 0
 	}
-	return j.Spec.ImageGB / m.t.ImagePullGBPerSecond
+	return job.Spec.ImageGB / c.instanceType.ImagePullGBPerSecond
 }
--- a/internal/control/control_test.go
+++ b/internal/control/leader_test.go
@@ -20,87 +20,90 @@
 
 var now = time.Unix(9000, 0)
 
-// term makes a reign with hosts of 8 cores in zones a and b, that no network
+// newTestTerm makes a reign with hosts of 8 cores in zones a and b, that no network
 // is needed for.
-func term(t testing.TB) *reign {
+func newTestTerm(t testing.TB) *leaderTerm {
 	t.Helper()
-	op, err := settings.ParseOperator(nil)
+	operator, err := settings.ParseOperator(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := &settings.Settings{Node: "n", Operator: op, Facts: settings.Facts{
+	config := &settings.Settings{Node: "n", Operator: operator, Facts: settings.Facts{
 		Workers: settings.Workers{ReportS: 3, LeaseS: 30},
 		Teams:   []settings.Team{{Name: "t", CPUs: 100, CPUsMax: 100}, {Name: "u", CPUs: 4, CPUsMax: 100}},
 		Objectives: []settings.Objective{{Kind: "finished", Class: "f", WithinS: 60}, {Kind: "finished", Class: "f", WithinS: 120}, {Kind: "deadline", Class: "d", Times: 1.5},
 			{Kind: "wait", Class: "s", WithinS: 12}},
 	}}
-	cat := fleet.NewCatalogue(nil, time.Minute, nil)
-	cat.Set([]wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
-	r := &reign{
-		Control: &Control{set: set, types: cat, copies: copies.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return now }},
-		led:     ledger.New("w", set.Facts.Teams), hosts: map[string]*agent.Worker{}, gone: map[string]time.Time{}, quiet: newQuiet(set), ahead: map[string]bool{}, deficits: map[string]*deficit{},
+	instanceTypes := fleet.NewCatalogue(nil, time.Minute, nil)
+	instanceTypes.Set([]wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
+	leader := &leaderTerm{
+		Runner: &Runner{settings: config, instanceTypes: instanceTypes, replica: copies.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return now }},
+		jobs:   ledger.New("w", config.Facts.Teams), workers: map[string]*agent.Worker{}, released: map[string]time.Time{}, detector: newFailureDetector(config), scaledAheadTeams: map[string]bool{}, deficits: map[string]*deficitCounter{},
 	}
-	for i, z := range []string{"a", "b", "a", "b"} {
-		h := agent.NewWorker(fmt.Sprint("h", i))
-		h.InstanceType, h.Zone, h.Incarnation, h.LastHeartbeat = "m", z, 1, now
-		r.enter(h)
+	for i, zone := range []string{"a", "b", "a", "b"} {
+		worker := agent.NewWorker(fmt.Sprint("h", i))
+		worker.InstanceType, worker.Zone, worker.Incarnation, worker.LastHeartbeat = "m", zone, 1, now
+		leader.addWorker(worker)
 	}
-	return r
+	return leader
 }
 
-func member(node, zone string) settings.Member {
+func testPeer(node, zone string) settings.Member {
 	return settings.Member{Node: node, Zone: zone, Endpoint: node + ":1"}
 }
 
-func (r *reign) add(ref string, j wire.Job) *ledger.Job {
-	if j.Team == "" {
-		j.Team = "t"
+func (t *leaderTerm) addTestJob(jobID string, spec wire.Job) *ledger.Job {
+	if spec.Team == "" {
+		spec.Team = "t"
 	}
-	return r.led.Add(ref, ledger.Record{Job: j, AtMS: now.UnixMilli(), Chunk: 8}, 1)
+	return t.jobs.Add(jobID, ledger.Record{Job: spec, AtMS: now.UnixMilli(), Chunk: 8}, 1)
 }
 
-func (r *reign) run(t *testing.T, j *ledger.Job, host string, ran time.Duration) *ledger.Held {
-	t.Helper()
-	c, err := r.led.Claim(j, host, 1, r.hosts[host].Zone)
+func (t *leaderTerm) runTestTask(tb *testing.T, job *ledger.Job, worker string, ran time.Duration) *ledger.Held {
+	tb.Helper()
+	claim, err := t.jobs.Claim(job, worker, 1, t.workers[worker].Zone)
 	if err != nil {
-		t.Fatal(err)
+		tb.Fatal(err)
 	}
-	c.Committed, c.Running = true, now.Add(-ran)
-	return c
+	claim.Committed, claim.Running = true, now.Add(-ran)
+	return claim
 }
 
-func TestVictim(t *testing.T) {
-	array := wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 8, CPUs: 8, ExpectedSeconds: 50}
-	replica := wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 2}
+func TestSelectVictim(t *testing.T) {
+	arraySpec := wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 8, CPUs: 8, ExpectedSeconds: 50}
+	serviceSpec := wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 2}
 	for _, tc := range []struct {
 		name  string
-		tweak func(t *testing.T, r *reign, array, replica *wire.Job)
+		tweak func(t *testing.T, leader *leaderTerm, arraySpec, serviceSpec *wire.Job)
 		ran   []time.Duration // array tasks on h0, h1, ...
 		want  string
 	}{
 		{"the least work lost", nil, []time.Duration{20 * time.Second, 10 * time.Second, 30 * time.Second}, "h1"},
 		{"not one about to finish", nil, []time.Duration{20 * time.Second, 49 * time.Second}, "h0"},
-		{"not of the same rank", func(_ *testing.T, _ *reign, a, _ *wire.Job) { a.Priority = "production" }, []time.Duration{time.Second}, ""},
-		{"not for a team past its guarantee against one within its own", func(_ *testing.T, _ *reign, _, p *wire.Job) { p.Team, p.CPUs = "u", 5 }, []time.Duration{time.Second}, ""},
-		{"not where the job may not be", func(_ *testing.T, _ *reign, _, p *wire.Job) { p.Zone = "b" }, []time.Duration{time.Second, 20 * time.Second}, "h1"},
-		{"a checkpoint saves the work", func(_ *testing.T, _ *reign, a, _ *wire.Job) {
+		{"not of the same rank", func(_ *testing.T, _ *leaderTerm, a, _ *wire.Job) { a.Priority = "production" }, []time.Duration{time.Second}, ""},
+		{"not for a team past its guarantee against one within its own", func(_ *testing.T, _ *leaderTerm, _, p *wire.Job) { p.Team, p.CPUs = "u", 5 }, []time.Duration{time.Second}, ""},
+		{"not where the job may not be", func(_ *testing.T, _ *leaderTerm, _, p *wire.Job) { p.Zone = "b" }, []time.Duration{time.Second, 20 * time.Second}, "h1"},
+		{"a checkpoint saves the work", func(_ *testing.T, _ *leaderTerm, a, _ *wire.Job) {
 			a.CheckpointIntervalSeconds, a.CheckpointSaveSeconds = 5, 1
 		}, []time.Duration{30 * time.Second}, "h0"},
-		{"not on a spot machine", func(_ *testing.T, r *reign, a, _ *wire.Job) { a.AllowSpot = true; r.hosts["h0"].Spot = true }, []time.Duration{time.Second, 9 * time.Second}, "h1"},
+		{"not on a spot machine", func(_ *testing.T, leader *leaderTerm, a, _ *wire.Job) {
+			a.AllowSpot = true
+			leader.workers["h0"].Spot = true
+		}, []time.Duration{time.Second, 9 * time.Second}, "h1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			a, p := array, replica
+			leader := newTestTerm(t)
+			a, p := arraySpec, serviceSpec
 			if tc.tweak != nil {
-				tc.tweak(t, r, &a, &p)
+				tc.tweak(t, leader, &a, &p)
 			}
-			aj, pj := r.add("req-1", a), r.add("req-2", p)
-			for i, d := range tc.ran {
-				r.run(t, aj, fmt.Sprint("h", i), d)
+			arrayJob, serviceJob := leader.addTestJob("req-1", a), leader.addTestJob("req-2", p)
+			for i, ran := range tc.ran {
+				leader.runTestTask(t, arrayJob, fmt.Sprint("h", i), ran)
 			}
 			got := ""
-			if m, c := r.victim(pj, r.rooms(now), map[string]int{}, now); c != nil {
-				got = m.h.Name
+			if target, victim := leader.selectVictim(serviceJob, leader.candidates(now), map[string]int{}, now); victim != nil {
+				got = target.worker.Name
 			}
 			if got != tc.want {
 				t.Errorf("stops on %q, want %q", got, tc.want)
@@ -123,19 +126,19 @@
 		{"a job caught on a bad machine is not bad", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}, {"req-1", "h1"}}, " h0", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			jobs := []*ledger.Job{r.add("req-1", wire.Job{TaskCount: 9}), r.add("req-2", wire.Job{TaskCount: 9})}
+			leader := newTestTerm(t)
+			jobs := []*ledger.Job{leader.addTestJob("req-1", wire.Job{TaskCount: 9}), leader.addTestJob("req-2", wire.Job{TaskCount: 9})}
 			for _, f := range tc.failures {
-				r.failed(r.led.Job(f[0]), r.hosts[f[1]], now)
+				leader.countFailure(leader.jobs.Job(f[0]), leader.workers[f[1]], now)
 			}
 			hosts, bad := "", ""
-			for _, h := range r.sorted {
-				if r.badHost(h) {
+			for _, h := range leader.workersByName {
+				if leader.workerFaulty(h) {
 					hosts += " " + h.Name
 				}
 			}
 			for _, j := range jobs {
-				if r.badJob(j) {
+				if leader.jobFaulty(j) {
 					bad += " " + j.Ref
 				}
 			}
@@ -146,7 +149,7 @@
 	}
 }
 
-func TestUrgency(t *testing.T) {
+func TestDeadlineSlack(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		job   wire.Job
@@ -161,11 +164,11 @@
 		{"no aim", wire.Job{Class: "x", ExpectedSeconds: 20}, time.Hour, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
+			leader := newTestTerm(t)
 			tc.job.TaskCount, tc.job.CPUs = 2, 3
-			u := r.urgency(r.add("req-1", tc.job), now.Add(tc.after))
-			if u.stage != tc.stage || u.work != 2*3*20 {
-				t.Errorf("got %+v, want stage %d", u, tc.stage)
+			slack := leader.deadlineSlack(leader.addTestJob("req-1", tc.job), now.Add(tc.after))
+			if slack.missed != tc.stage || slack.work != 2*3*20 {
+				t.Errorf("got %+v, want stage %d", slack, tc.stage)
 			}
 		})
 	}
@@ -189,17 +192,17 @@
 		{"nothing left to lose: last", 200 * time.Second, 70 * time.Second, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			job := wire.Job{Class: "f", Kind: wire.KindArray, ExpectedSeconds: 10, TaskCount: 20, CPUs: 1}
-			a := r.add("req-1", job)
+			leader := newTestTerm(t)
+			spec := wire.Job{Class: "f", Kind: wire.KindArray, ExpectedSeconds: 10, TaskCount: 20, CPUs: 1}
+			first := leader.addTestJob("req-1", spec)
 			if tc.small {
-				job.TaskCount = 2
+				spec.TaskCount = 2
 			}
-			b := r.add("req-2", job)
-			a.ReadyAt, b.ReadyAt = now.Add(-tc.first), now.Add(-tc.second)
-			jobs := []*ledger.Job{b, a}
-			r.order(jobs, now)
-			if got := jobs[0] == a; got != tc.want {
+			second := leader.addTestJob("req-2", spec)
+			first.ReadyAt, second.ReadyAt = now.Add(-tc.first), now.Add(-tc.second)
+			jobs := []*ledger.Job{second, first}
+			leader.orderJobs(jobs, now)
+			if got := jobs[0] == first; got != tc.want {
 				t.Errorf("the first goes first: %v", got)
 			}
 		})
@@ -209,7 +212,7 @@
 // Among replicas that wait for room of which there is too little, those that can still
 // start in time go first, whatever their teams; but what is within its team's guarantee
 // goes before all that is not.
-func TestOrderOfReplicas(t *testing.T) {
+func TestOrderOfServices(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		first, second time.Duration // since when each is ready
@@ -225,23 +228,23 @@
 		{"late, but the other is past its guarantee", 13 * time.Second, 5 * time.Second, 0, true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			job := wire.Job{Class: "s", Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 2}
-			a := r.add("req-1", job)
+			leader := newTestTerm(t)
+			spec := wire.Job{Class: "s", Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 2}
+			first := leader.addTestJob("req-1", spec)
 			if tc.other {
-				job.Team = "u"
-				r.run(t, r.add("req-3", job), "h0", time.Minute)
-				r.run(t, r.led.Job("req-3"), "h1", time.Minute)
+				spec.Team = "u"
+				leader.runTestTask(t, leader.addTestJob("req-3", spec), "h0", time.Minute)
+				leader.runTestTask(t, leader.jobs.Job("req-3"), "h1", time.Minute)
 			}
-			b := r.add("req-2", job)
-			a.ReadyAt, b.ReadyAt = now.Add(-tc.first), now.Add(-tc.second)
-			a.WaitingSince, b.WaitingSince = a.ReadyAt, b.ReadyAt
+			second := leader.addTestJob("req-2", spec)
+			first.ReadyAt, second.ReadyAt = now.Add(-tc.first), now.Add(-tc.second)
+			first.WaitingSince, second.WaitingSince = first.ReadyAt, second.ReadyAt
 			if tc.lost > 0 {
-				a.WaitingSince = now.Add(-tc.lost)
+				first.WaitingSince = now.Add(-tc.lost)
 			}
-			jobs := []*ledger.Job{b, a}
-			r.order(jobs, now)
-			if got := jobs[0] == a; got != tc.want {
+			jobs := []*ledger.Job{second, first}
+			leader.orderJobs(jobs, now)
+			if got := jobs[0] == first; got != tc.want {
 				t.Errorf("the first goes first: %v", got)
 			}
 		})
@@ -250,7 +253,7 @@
 
 // What of a job waits for one zone alone, and what the other zones would take were one
 // lost; both in cores, in two zones and in three.
-func TestBounds(t *testing.T) {
+func TestZoneDemand(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		job           wire.Job
@@ -267,14 +270,14 @@
 		{"its only zone", wire.Job{TaskCount: 2, Zone: "a"}, []string{"h0"}, []string{"a", "b"}, map[string]float64{"a": 2}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
+			leader := newTestTerm(t)
 			tc.job.Class, tc.job.Kind, tc.job.CPUs = "s", wire.KindService, 2
-			j := r.add("req-1", tc.job)
+			j := leader.addTestJob("req-1", tc.job)
 			for _, h := range tc.on {
-				r.run(t, j, h, time.Minute)
+				leader.runTestTask(t, j, h, time.Minute)
 			}
 			n := fleet.Demand{ZoneBoundCores: map[string]float64{}, FailoverCores: map[string]float64{}}
-			r.bounds(&n, j, tc.zones)
+			leader.addZoneDemand(&n, j, tc.zones)
 			for _, z := range tc.zones {
 				if n.ZoneBoundCores[z] != tc.only[z] || n.FailoverCores[z] != tc.exposed[z] {
 					t.Errorf("zone %s: %v wait for it alone, %v of it would move; want %v and %v", z, n.ZoneBoundCores[z], n.FailoverCores[z], tc.only[z], tc.exposed[z])
@@ -288,21 +291,21 @@
 // accepted it said; of a job that was there before, from what is stored.
 func TestClocksApart(t *testing.T) {
 	for _, off := range []time.Duration{-time.Second, time.Second} {
-		r := term(t)
-		j := r.led.Add("req-1", ledger.Record{Job: wire.Job{Class: "d", Team: "t", TaskCount: 1, CPUs: 1, ExpectedSeconds: 10, DeadlineSeconds: 20}, AtMS: now.Add(off).UnixMilli(), Chunk: 8}, 1)
-		if got := r.lift(j).Due[2]; !got.Equal(now.Add(off + 30*time.Second)) {
+		leader := newTestTerm(t)
+		j := leader.jobs.Add("req-1", ledger.Record{Job: wire.Job{Class: "d", Team: "t", TaskCount: 1, CPUs: 1, ExpectedSeconds: 10, DeadlineSeconds: 20}, AtMS: now.Add(off).UnixMilli(), Chunk: 8}, 1)
+		if got := leader.inherited(j).Due[2]; !got.Equal(now.Add(off + 30*time.Second)) {
 			t.Errorf("clock off by %v, there before: due %v", off, got.Sub(now))
 		}
 		j.Lift = nil
 		j.Arrive(now)
-		if got := r.lift(j).Due[2]; !got.Equal(now.Add(30*time.Second)) || !j.ReadyAt.Equal(now) || !j.WaitingSince.Equal(now) {
+		if got := leader.inherited(j).Due[2]; !got.Equal(now.Add(30*time.Second)) || !j.ReadyAt.Equal(now) || !j.WaitingSince.Equal(now) {
 			t.Errorf("clock off by %v, seen to come: due %v, ready %v", off, got.Sub(now), j.ReadyAt.Sub(now))
 		}
 	}
 }
 
 // Work with time for several rounds needs fewer machines at once.
-func TestPace(t *testing.T) {
+func TestRequiredConcurrency(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		job   wire.Job
@@ -317,8 +320,8 @@
 		{"all missed", wire.Job{Class: "f", ExpectedSeconds: 20}, time.Hour, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			if got := r.pace(r.add("req-1", tc.job), now.Add(tc.after)); math.Abs(got-tc.want) > 1e-9 {
+			leader := newTestTerm(t)
+			if got := leader.requiredConcurrency(leader.addTestJob("req-1", tc.job), now.Add(tc.after)); math.Abs(got-tc.want) > 1e-9 {
 				t.Errorf("got %v, want %v", got, tc.want)
 			}
 		})
@@ -326,42 +329,42 @@
 }
 
 // Rooms add up for a large task that small ones would starve.
-func TestHold(t *testing.T) {
-	r := term(t)
-	small := r.add("req-1", wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 99, CPUs: 2})
+func TestReserveCapacity(t *testing.T) {
+	leader := newTestTerm(t)
+	small := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 99, CPUs: 2})
 	for i := range 4 {
 		for range 3 + i%2 {
-			r.run(t, small, fmt.Sprint("h", i), time.Second)
+			leader.runTestTask(t, small, fmt.Sprint("h", i), time.Second)
 		}
 	}
-	large := r.add("req-2", wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 1, CPUs: 8})
-	queues, rooms := r.queues(now), r.rooms(now)
-	r.hold(queues, rooms, now)
-	for _, m := range rooms {
-		if m.held != nil {
+	large := leader.addTestJob("req-2", wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 1, CPUs: 8})
+	queues, candidates := leader.waitingQueues(now), leader.candidates(now)
+	leader.reserveCapacity(queues, candidates, now)
+	for _, target := range candidates {
+		if target.reservedFor != nil {
 			t.Fatal("a room is held for a task that just came")
 		}
 	}
-	late := now.Add(5 * r.set.Lease())
+	late := now.Add(5 * leader.settings.Lease())
 	small.WaitingSince = late
-	r.hold(queues, rooms, late)
-	held := 0
-	for _, m := range rooms {
-		if m.held == large {
-			held++
-			if m.cores != 2 {
+	leader.reserveCapacity(queues, candidates, late)
+	reserved := 0
+	for _, target := range candidates {
+		if target.reservedFor == large {
+			reserved++
+			if target.cpus != 2 {
 				t.Error("a fuller machine is held while one has room")
 			}
 		}
 	}
-	if held != 1 {
-		t.Errorf("%d rooms held for one task", held)
+	if reserved != 1 {
+		t.Errorf("%d rooms held for one task", reserved)
 	}
 }
 
 // Until proof, the claims of a silent host stand: another node may have
 // renewed its lease.
-func TestExpire(t *testing.T) {
+func TestExpireLeases(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		sole   uint64
@@ -378,12 +381,12 @@
 		{"another owns it", 0, 9, time.Hour, time.Hour, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			j := r.add("req-1", wire.Job{Kind: wire.KindService, TaskCount: 1, CPUs: 1})
-			r.run(t, j, "h0", time.Minute)
-			h := r.hosts["h0"]
-			h.SoleOwnerEpoch, h.SeenEpoch, h.LastHeartbeat, h.LastAnswered, h.EpochSeenAt = tc.sole, tc.epoch, now.Add(-tc.silent), now.Add(-tc.silent), now.Add(-tc.shown)
-			r.expire(now)
+			leader := newTestTerm(t)
+			j := leader.addTestJob("req-1", wire.Job{Kind: wire.KindService, TaskCount: 1, CPUs: 1})
+			leader.runTestTask(t, j, "h0", time.Minute)
+			worker := leader.workers["h0"]
+			worker.SoleOwnerEpoch, worker.SeenEpoch, worker.LastHeartbeat, worker.LastAnswered, worker.EpochSeenAt = tc.sole, tc.epoch, now.Add(-tc.silent), now.Add(-tc.silent), now.Add(-tc.shown)
+			leader.expireLeases(now)
 			if got := j.Active() == 0; got != tc.freed {
 				t.Errorf("freed: %v, want %v", got, tc.freed)
 			}
@@ -393,15 +396,15 @@
 
 // Where something urgent is always to be written, the rest still has its turn.
 func TestIdleWritesHaveTheirTurn(t *testing.T) {
-	r := term(t)
-	r.term = &held{lead.Map{Epoch: 1}}
+	leader := newTestTerm(t)
+	leader.leadership = &fakeLeadership{lead.Map{Epoch: 1}}
 	at := now
-	r.now = func() time.Time { return at }
-	r.set.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
-	r.st = state.New(state.Options{RequestsPerSecond: 1000, Limits: state.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10}})
-	old := r.add("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
+	leader.now = func() time.Time { return at }
+	leader.settings.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
+	leader.store = state.New(state.Options{RequestsPerSecond: 1000, Limits: state.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10}})
+	old := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
 	claim := func(j *ledger.Job) *ledger.Held {
-		c, err := r.led.Claim(j, "h0", 1, "a")
+		c, err := leader.jobs.Claim(j, "h0", 1, "a")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -409,20 +412,20 @@
 	}
 	c := claim(old)
 	commit := func() []string {
-		b, wait, err := r.batch()
+		b, wait, err := leader.nextAuditedBatch()
 		if wait > 0 || b == nil || err != nil {
 			t.Fatalf("no batch, wait %v, %v", wait, err)
 		}
-		r.led.Committed(b.Batch, 5)
+		leader.jobs.Committed(b.Batch, 5)
 		return b.Refs()
 	}
 	commit()
-	r.led.Finish(c)
+	leader.jobs.Finish(c)
 	first := 0
 	for i := range 20 {
-		j := r.add(fmt.Sprint("req-1", i), wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 0.1})
+		j := leader.addTestJob(fmt.Sprint("req-1", i), wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 0.1})
 		claim(j)
-		at = at.Add(r.set.Report() / 8)
+		at = at.Add(leader.settings.Report() / 8)
 		if refs := commit(); refs[0] == "req-1" {
 			first = i
 			break
@@ -435,7 +438,7 @@
 
 // Of the jobs that are about to lose a time, those with the least work go first, as many
 // as there is room for; the rest have lost it and stand behind those with time left.
-func TestRationOfLateJobs(t *testing.T) {
+func TestLimitLastChances(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		tasks  []int // of the jobs that are about to lose their time, 10 cores each
@@ -448,16 +451,16 @@
 		{"no room", []int{30, 20, 12, 11}, 1, 20},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
+			leader := newTestTerm(t)
 			at := now.Add(40 * time.Second) // of 60, with 1.5 times 20 to run and half a lease to spare
 			var jobs []*ledger.Job
 			for i, n := range tc.tasks {
-				jobs = append(jobs, r.add(fmt.Sprint("req-", i), wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: n, CPUs: 10, ExpectedSeconds: tc.expect}))
+				jobs = append(jobs, leader.addTestJob(fmt.Sprint("req-", i), wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: n, CPUs: 10, ExpectedSeconds: tc.expect}))
 			}
-			early := r.add("req-9", wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: 1, CPUs: 1, ExpectedSeconds: 20})
+			early := leader.addTestJob("req-9", wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: 1, CPUs: 1, ExpectedSeconds: 20})
 			early.At, early.ReadyAt = at, at
 			jobs = append(jobs, early)
-			r.order(jobs, at)
+			leader.orderJobs(jobs, at)
 			for i, j := range jobs {
 				first := tc.tasks[len(tc.tasks)-1-min(i, len(tc.tasks)-1)]
 				if i < tc.last && j.Spec.TaskCount != first || i == tc.last && j != early {
--- a/internal/control/takeover_test.go
+++ b/internal/control/load_test.go
@@ -28,15 +28,15 @@
 // page is the state service's bound on a page: items and bytes.
 const pageItems, pageBytes = 1000, 512 << 10
 
-// loaded answers lists of what is stored, and counts them.
-type loaded struct {
+// fakeStore answers lists of what is stored, and counts them.
+type fakeStore struct {
 	keys     []string
 	data     map[string][]byte
 	requests int
 	bytes    int
 }
 
-func (s *loaded) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	p := wire.RangeResponse{Revision: 9}
 	size := 0
@@ -65,35 +65,35 @@
 	for _, tasks := range []int{500, 5000, 50000} {
 		b.Run(fmt.Sprint(tasks), func(b *testing.B) {
 			const size = 45
-			st := &loaded{data: make(map[string][]byte)}
+			store := &fakeStore{data: make(map[string][]byte)}
 			teams := []settings.Team{{Name: "t", CPUs: 1e9, CPUsMax: 1e9}}
-			led := ledger.New("w", teams)
+			table := ledger.New("w", teams)
 			for n := range (tasks + size - 1) / size {
-				rec := ledger.Record{Job: wire.Job{ID: fmt.Sprintf("req-%06d", n), Team: "t", Class: "tally-sweeps", Kind: wire.KindArray, Priority: "standard", TaskCount: size, CPUs: 1, MemoryGB: 1, Image: "b", ExpectedSeconds: 20}, AtMS: 1, Chunk: 64}
-				data, err := ledger.Encode(rec)
+				record := ledger.Record{Job: wire.Job{ID: fmt.Sprintf("req-%06d", n), Team: "t", Class: "tally-sweeps", Kind: wire.KindArray, Priority: "standard", TaskCount: size, CPUs: 1, MemoryGB: 1, Image: "b", ExpectedSeconds: 20}, AtMS: 1, Chunk: 64}
+				data, err := ledger.Encode(record)
 				if err != nil {
 					b.Fatal(err)
 				}
-				st.data[ledger.LiveKey(rec.Job.ID)] = data
-				j := led.Add(rec.Job.ID, rec, 9)
+				store.data[ledger.LiveKey(record.Job.ID)] = data
+				job := table.Add(record.Job.ID, record, 9)
 				for i := range size {
-					if _, err := led.Claim(j, fmt.Sprintf("i-%06d", (n*size+i)/8), 1, "zone-a"); err != nil {
+					if _, err := table.Claim(job, fmt.Sprintf("i-%06d", (n*size+i)/8), 1, "zone-a"); err != nil {
 						b.Fatal(err)
 					}
 				}
 			}
 			for {
-				batch := led.Next(ledger.Limits{Ops: 16, Bytes: 40 << 10, Value: 16 << 10}, time.Now())
+				batch := table.Next(ledger.Limits{Ops: 16, Bytes: 40 << 10, Value: 16 << 10}, time.Now())
 				if batch == nil {
 					break
 				}
-				for _, c := range batch.Apply {
-					st.data[c.Put] = c.Value
+				for _, op := range batch.Apply {
+					store.data[op.Put] = op.Value
 				}
-				led.Committed(batch, 9)
+				table.Committed(batch, 9)
 			}
-			st.keys = slices.Sorted(maps.Keys(st.data))
-			srv := httptest.NewServer(st)
+			store.keys = slices.Sorted(maps.Keys(store.data))
+			srv := httptest.NewServer(store)
 			defer srv.Close()
 			var d net.Dialer
 			client := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e6, Limits: state.Limits{WritesPerSecond: 1e6, MaxValueBytes: 16 << 10}, Timeout: time.Minute, Dial: d.DialContext})
@@ -101,21 +101,21 @@
 			for b.Loop() {
 				ctx, end := context.WithCancel(b.Context())
 				g, ctx := errgroup.WithContext(ctx)
-				r := &reign{
-					Control: &Control{set: &settings.Settings{Node: "n"}, st: client, copies: copies.New(1<<20, nil), log: slog.New(slog.DiscardHandler), now: time.Now},
-					term:    &held{lead.Map{Epoch: 2, Leader: "n", Parts: []string{"n"}}}, first: 2, group: g, ctx: ctx, hosts: make(map[string]*agent.Worker),
-					led: ledger.New("v", teams),
+				leader := &leaderTerm{
+					Runner:     &Runner{settings: &settings.Settings{Node: "n"}, store: client, replica: copies.New(1<<20, nil), log: slog.New(slog.DiscardHandler), now: time.Now},
+					leadership: &fakeLeadership{lead.Map{Epoch: 2, Leader: "n", Parts: []string{"n"}}}, firstEpoch: 2, group: g, ctx: ctx, workers: make(map[string]*agent.Worker),
+					jobs: ledger.New("v", teams),
 				}
-				if _, err := r.load(ctx); err != nil {
+				if _, err := leader.load(ctx); err != nil {
 					b.Fatal(err)
 				}
 				end()
-				if got := len(r.led.ClaimedHosts()); got != (tasks+size-1)/size*size/8 && got != (tasks+size-1)/size*size/8+1 {
+				if got := len(leader.jobs.ClaimedHosts()); got != (tasks+size-1)/size*size/8 && got != (tasks+size-1)/size*size/8+1 {
 					b.Fatalf("%d hosts", got)
 				}
 			}
-			b.ReportMetric(float64(st.requests)/float64(b.N), "requests/op")
-			b.ReportMetric(float64(st.bytes)/float64(b.N)/1024, "KB/op")
+			b.ReportMetric(float64(store.requests)/float64(b.N), "requests/op")
+			b.ReportMetric(float64(store.bytes)/float64(b.N)/1024, "KB/op")
 		})
 	}
 }
--- /dev/null
+++ b/internal/control/offer_test.go
@@ -0,0 +1,40 @@
+package control
+
+import (
+	"context"
+	"errors"
+	"testing"
+
+	"rillflow/internal/placement"
+)
+
+// partitionedOwners are parts of which one owner is out of reach.
+type partitionedOwners struct {
+	idleOwners
+	unreachable string
+	asked       []string
+}
+
+func (p *partitionedOwners) Pick(_ context.Context, node string, offer placement.Offer) ([]placement.Picked, error) {
+	p.asked = append(p.asked, node)
+	if node == p.unreachable {
+		return nil, errors.New("not connected")
+	}
+	var picks []placement.Picked
+	for _, target := range offer.Rooms {
+		picks = append(picks, placement.Picked{Host: target.Host, Ref: "req-1"})
+	}
+	return picks, nil
+}
+
+// The rooms of an owner that is out of reach do not stand empty until the part map is
+// without it: the leader picks for them.
+func TestPicksWhenOwnerUnreachable(t *testing.T) {
+	leader := newTestTerm(t)
+	owners := &partitionedOwners{unreachable: "far"}
+	leader.shards = owners
+	picks := leader.requestPicks(t.Context(), map[string]*placement.Offer{"far": {Rooms: []placement.Room{{Host: "h0"}, {Host: "h1"}}}})
+	if len(picks) != 2 || len(owners.asked) != 2 || owners.asked[1] != leader.settings.Node {
+		t.Errorf("%d picks, asked %v", len(picks), owners.asked)
+	}
+}
--- /dev/null
+++ b/internal/control/preemption.go
@@ -0,0 +1,79 @@
+package control
+
+import (
+	"fmt"
+	"time"
+
+	"rillflow/internal/audit"
+	"rillflow/internal/ledger"
+)
+
+// preempt stops tasks of lower rank for waiting ones that found no room. The
+// ones stopped are those that lose the least work, and never one that is about
+// to finish by itself.
+func (t *leaderTerm) preempt(queues []*typeQueue, now time.Time) {
+	var candidates []*candidate
+	for _, queue := range queues {
+		for _, job := range queue.jobs {
+			if t.effectivePriority(job) >= priorityLevel("standard") || job.WaitingTasks() == 0 || job.Gang() ||
+				now.Sub(job.WaitingSince) < t.settings.Report()/16 || now.Before(job.PreemptAt) {
+				continue
+			}
+			// Once stopped, the tasks' room comes free within a moment; give
+			// it time to be taken before more are stopped for this job.
+			job.PreemptAt = now.Add(t.settings.Report() / 2)
+			if candidates == nil {
+				candidates = t.candidates(now)
+			}
+			preemptedInZone := make(map[string]int)
+			for range min(job.WaitingTasks(), t.jobs.Headroom(job)) {
+				target, victim := t.selectVictim(job, candidates, preemptedInZone, now)
+				if victim == nil {
+					break
+				}
+				preemptedInZone[target.worker.Zone]++
+				victim.Stopping = true
+				t.auditLog.enqueueTask(now, audit.Stopped, victim, fmt.Sprintf("rank %s gives way to %s", priorityName(t.effectivePriority(victim.Job)), priorityName(t.effectivePriority(job))), job.Ref)
+				target.worker.WakeSender()
+				t.log.Info("preempted", "task", victim.Task(), "host", target.worker.Name, "for", job.Ref)
+			}
+		}
+	}
+}
+
+// selectVictim finds the task whose stop makes room for a job's task at the least
+// cost: seconds of work lost, and of fetching the image there.
+func (t *leaderTerm) selectVictim(job *ledger.Job, candidates []*candidate, preemptedInZone map[string]int, now time.Time) (*candidate, *ledger.Held) {
+	var bestTarget *candidate
+	var bestClaim *ledger.Held
+	lowestCost := 0.0
+	tier := t.tier(job)
+	for _, target := range candidates {
+		if !target.fitsWhenEmpty(job) || t.jobs.ZoneRoom(job, target.worker.Zone) <= preemptedInZone[target.worker.Zone] {
+			continue
+		}
+		for _, claim := range t.jobs.OnHost(target.worker.Name) {
+			spec := &claim.Job.Spec
+			if claim.Over || claim.Stopping || !claim.Committed || claim.Job.Withdrawn || claim.Job.Gang() ||
+				t.effectivePriority(claim.Job) <= t.effectivePriority(job) || t.tier(claim.Job) <= tier ||
+				!fitsWithin(&job.Spec, target.cpus+spec.CPUs, target.gpus+spec.GPUs, target.memoryGB+spec.MemoryGB) {
+				continue
+			}
+			lostSeconds := 0.0
+			if !claim.Running.IsZero() {
+				lostSeconds = now.Sub(claim.Running).Seconds()
+			}
+			if spec.ExpectedSeconds > 0 && lostSeconds > spec.ExpectedSeconds-t.settings.Facts.Workers.ReportS && lostSeconds < spec.ExpectedSeconds+t.settings.Facts.Workers.ReportS {
+				continue // about to finish
+			}
+			if spec.CheckpointIntervalSeconds > 0 {
+				lostSeconds = min(lostSeconds, spec.CheckpointSaveSeconds)
+			}
+			cost := lostSeconds + 4*target.pullSeconds(job)
+			if bestClaim == nil || cost < lowestCost {
+				bestTarget, bestClaim, lowestCost = target, claim, cost
+			}
+		}
+	}
+	return bestTarget, bestClaim
+}
--- a/internal/control/shun_test.go
+++ b/internal/control/quarantine_test.go
@@ -10,7 +10,7 @@
 // A machine that fails what it starts is left alone, and tried again once in a lease where it
 // is not returned: where most machines fail tasks, none is, and a fault that is over would
 // never show.
-func TestTriedAgain(t *testing.T) {
+func TestQuarantineIsRetried(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		fails  int
@@ -23,21 +23,21 @@
 		{"two, a lease ago", 2, 30 * time.Second, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			for _, h := range r.sorted { // most fail, of jobs that fail nowhere else: none is returned
-				j := r.add("req-"+h.Name[1:], wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 4, CPUs: 1})
+			leader := newTestTerm(t)
+			for _, h := range leader.workersByName { // most fail, of jobs that fail nowhere else: none is returned
+				j := leader.addTestJob("req-"+h.Name[1:], wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 4, CPUs: 1})
 				for range tc.fails {
-					r.failed(j, h, now.Add(-tc.since))
+					leader.countFailure(j, h, now.Add(-tc.since))
 				}
 			}
-			if got := r.faulty(now); len(got) > 0 {
+			if got := leader.faultyWorkers(now); len(got) > 0 {
 				t.Errorf("returned %v", got)
 			}
-			if got := r.usable(r.hosts["h0"], now); got != tc.usable {
+			if got := leader.acceptsTasks(leader.workers["h0"], now); got != tc.usable {
 				t.Errorf("usable: %v", got)
 			}
-			r.failed(r.led.Job("req-0"), r.hosts["h0"], now)
-			if tc.fails > 1 && r.usable(r.hosts["h0"], now) {
+			leader.countFailure(leader.jobs.Job("req-0"), leader.workers["h0"], now)
+			if tc.fails > 1 && leader.acceptsTasks(leader.workers["h0"], now) {
 				t.Error("tried again at once after it failed once more")
 			}
 		})
--- /dev/null
+++ b/internal/control/recovery.go
@@ -0,0 +1,243 @@
+package control
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"rillflow/internal/history"
+	"rillflow/internal/ledger"
+	"rillflow/internal/rebuild"
+	"rillflow/internal/state"
+	"rillflow/internal/wire"
+)
+
+// recoveryProgress is what a leader does about data that the state service has lost.
+type recoveryProgress struct {
+	pending   []rebuild.Write
+	recovered rebuild.Count
+	written   int
+	// exact: this node led when the data was lost, so that what it remembers is all
+	// that was ever launched.
+	exact bool
+	// full: everything is put together anew; else only ends that are still to be written.
+	full               bool
+	missingPeers       []string // peers that could not be asked
+	damagedKeys        []string
+	orphanedClaims     []string
+	durableAt          time.Time // when all that is alive was stored again
+	placementResumedAt time.Time // when tasks were placed again
+}
+
+// suspectDataLoss notes that what the state service holds contradicts itself or what is known,
+// and ends the term: the next one puts it together anew.
+func (t *leaderTerm) suspectDataLoss(cause error) error {
+	t.dataLoss.Doubt(cause.Error())
+	return fmt.Errorf("%w: %w", history.ErrGone, cause)
+}
+
+// dataLossSuspected tells whether data may have been lost, so that nothing is ordered any more.
+func (t *leaderTerm) dataLossSuspected() bool {
+	if t.dataLoss == nil {
+		return false
+	}
+	_, _, suspected := t.dataLoss.Doubted()
+	return suspected
+}
+
+// baseAttempt is the try above which a leader that rebuilds gives them out: epochs never come
+// again, so no try does.
+func (t *leaderTerm) baseAttempt() uint64 { return t.firstEpoch << 16 }
+
+// restoreLiveData stores again all that is alive, before any duty but answering beats begins.
+func (t *leaderTerm) restoreLiveData(ctx context.Context) error {
+	if t.progress == nil || !t.progress.full {
+		return nil
+	}
+	n, _ := slices.BinarySearchFunc(t.progress.pending, false, func(write rebuild.Write, _ bool) int {
+		if write.Task {
+			return -1
+		}
+		return 1
+	})
+	if err := t.writePending(ctx, n, urgentWriteReserve/2); err != nil {
+		return err
+	}
+	t.mu.Lock()
+	t.progress.durableAt = t.now()
+	t.mu.Unlock()
+	return t.advancePhase(ctx, history.Ends)
+}
+
+// advancePhase takes the history to a phase, however long that takes.
+func (t *leaderTerm) advancePhase(ctx context.Context, phase history.Phase) error {
+	err := t.retry(ctx, func() (bool, error) {
+		err := t.leadership.AdvancePhase(ctx, phase)
+		return !errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrOutcomeUnknown), err
+	})
+	if err == nil {
+		t.log.Info("history", "phase", phase)
+	}
+	return err
+}
+
+// writePending makes the next changes, so many, in transactions of as many as the limits
+// allow, within the budget.
+func (t *leaderTerm) writePending(ctx context.Context, todo int, reserve float64) error {
+	maxOps := t.settings.Facts.State.Least().TxnOps
+	for todo > 0 {
+		writes := t.progress.pending[:todo]
+		budget, wait := t.store.BulkWriteAllowance(1, reserve)
+		if wait > 0 {
+			if !sleep(ctx, wait) {
+				return ctx.Err()
+			}
+			continue
+		}
+		n, size := 0, 0
+		for n < min(len(writes), maxOps, budget) && size < maxTxnBytes {
+			size += len(writes[n].Data)
+			n++
+		}
+		revision, err := t.commitWrites(ctx, writes[:n])
+		if err != nil {
+			return err
+		}
+		t.mu.Lock()
+		for _, write := range writes[:n] {
+			if write.Data != nil {
+				t.jobs.Restamp(write.Key, revision)
+			}
+		}
+		t.progress.written += n
+		t.progress.pending = t.progress.pending[n:]
+		t.mu.Unlock()
+		todo -= n
+	}
+	return nil
+}
+
+// commitWrites commits one transaction of a rebuild until its fate is known.
+func (t *leaderTerm) commitWrites(ctx context.Context, writes []rebuild.Write) (uint64, error) {
+	txn := wire.Txn{Compares: t.leadership.Compares()}
+	for _, write := range writes {
+		txn.Compares = append(txn.Compares, wire.Compare{Key: write.Key, ModRevision: write.Stamp})
+		op := wire.Operation{Put: write.Key, Value: write.Data}
+		if write.Data == nil {
+			op = wire.Operation{Delete: write.Key}
+		}
+		txn.Operations = append(txn.Operations, op)
+	}
+	for attempt := 0; ; attempt++ {
+		revision, failed, err := t.store.Commit(ctx, txn)
+		if err == nil && len(failed) == 0 {
+			return revision, nil
+		}
+		if err == nil {
+			if err := t.leadership.CheckCompares(failed); err != nil {
+				return 0, err
+			}
+			// An earlier sending whose answer was lost, or a user's own end of it: read
+			// what is there. Nobody but the leader writes anything else now.
+			if revision, err = t.storedRevision(ctx, writes[0].Value); err == nil {
+				return revision, nil
+			}
+			if errors.Is(err, errDifferentValue) {
+				return 0, t.suspectDataLoss(fmt.Errorf("%s was written by another", writes[0].Key))
+			}
+		}
+		if errors.Is(err, state.ErrTooLarge) {
+			return 0, err
+		}
+		if !state.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
+			return 0, ctx.Err()
+		}
+	}
+}
+
+var errDifferentValue = errors.New("another value")
+
+// storedRevision tells at which generation a value was written, if it is what is stored.
+func (t *leaderTerm) storedRevision(ctx context.Context, value rebuild.Value) (uint64, error) {
+	item, err := t.store.Get(ctx, value.Key)
+	switch {
+	case errors.Is(err, state.ErrNotFound) && value.Data == nil:
+		return 0, nil
+	case errors.Is(err, state.ErrNotFound), err == nil && !sameJSON(item.Value, value.Data):
+		return 0, errDifferentValue
+	}
+	return item.ModRevision, err
+}
+
+// sameJSON compares values as the service may have set them anew.
+func sameJSON(a, b []byte) bool {
+	var x, y any
+	if json.Unmarshal(a, &x) != nil || json.Unmarshal(b, &y) != nil {
+		return false
+	}
+	ea, err1 := json.Marshal(x)
+	eb, err2 := json.Marshal(y)
+	return err1 == nil && err2 == nil && string(ea) == string(eb)
+}
+
+// finishRecovery writes what nothing waits for, and tells when the history is whole.
+func (t *leaderTerm) finishRecovery(ctx context.Context) error {
+	switch t.leadership.Incarnation().Phase {
+	case history.Open:
+		if err := t.awaitEarlierEpochs(ctx); err != nil {
+			return err
+		}
+	case history.Rebuild, history.Ends:
+		if err := t.writePending(ctx, len(t.progress.pending), idleWriteReserve); err != nil {
+			return err
+		}
+		if err := t.awaitOrphanReports(ctx); err != nil {
+			return err
+		}
+	default:
+		return nil
+	}
+	if err := t.advancePhase(ctx, history.Whole); err != nil {
+		return err
+	}
+	t.replica.Settled(t.leadership.Incarnation().ID)
+	return nil
+}
+
+// feedReplicas sends this node's copy to the others.
+func (t *leaderTerm) feedReplicas(ctx context.Context) error {
+	cancels := make(map[string]context.CancelFunc)
+	for {
+		followers := t.replicaPeers.Followers()
+		for _, follower := range followers {
+			if cancels[follower] == nil {
+				feedCtx, cancel := context.WithCancel(ctx)
+				cancels[follower] = cancel
+				t.group.Go(func() error {
+					t.replica.Feed(feedCtx, t.replicaPeers, follower, t.settings.Report()/time.Duration(pushesPerHeartbeat))
+					return nil
+				})
+			}
+		}
+		for follower, cancel := range cancels {
+			if !slices.Contains(followers, follower) {
+				cancel()
+				delete(cancels, follower)
+			}
+		}
+		if !sleep(ctx, t.settings.Report()/2) {
+			return ctx.Err()
+		}
+	}
+}
+
+// pushesPerHeartbeat is how often in a report interval a copy is sent on.
+const pushesPerHeartbeat = 12
+
+// endingOps is the change by which a job ended.
+func endingOps(ref string, data []byte) []wire.Operation {
+	return []wire.Operation{{Put: ledger.EndedKey(ref), Value: data}, {Delete: ledger.LiveKey(ref)}}
+}
--- a/internal/control/quiet_test.go
+++ b/internal/control/silence_test.go
@@ -11,13 +11,13 @@
 
 // What is done about machines that fall silent goes by who is at fault, and by what
 // would be lost or would outlive its time.
-func TestSilentTogether(t *testing.T) {
+func TestWorkersSilentTogether(t *testing.T) {
 	const report = 3 * time.Second // lease 30 s, cancel 50 s
 	for _, tc := range []struct {
 		name   string
 		silent func(i int) bool // of 24 hosts, in zones a, b and c
 		since  time.Duration
-		tweak  func(r *reign)
+		tweak  func(leader *leaderTerm)
 		gone   int
 		why    string
 	}{
@@ -28,49 +28,49 @@
 		{"no controller there, within the lease", func(i int) bool { return i%3 == 2 }, 9 * report, nil, 0, ""},
 		{"no controller there, past it: the one with a task", func(i int) bool { return i%3 == 2 }, 11 * report, nil, 1, "h2"},
 		{"everything is kept: this node is cut off", func(int) bool { return true }, 9 * report, nil, 0, ""},
-		{"a withdrawn task must be gone in time", func(i int) bool { return i%3 == 1 }, 20 * report, func(r *reign) {
-			r.led.Job("req-2").WithdrawnAt = now.Add(-45 * time.Second)
-			r.led.Withdraw("req-2")
+		{"a withdrawn task must be gone in time", func(i int) bool { return i%3 == 1 }, 20 * report, func(leader *leaderTerm) {
+			leader.jobs.Job("req-2").WithdrawnAt = now.Add(-45 * time.Second)
+			leader.jobs.Withdraw("req-2")
 		}, 1, "h1"},
-		{"and has time still", func(i int) bool { return i%3 == 1 }, 20 * report, func(r *reign) {
-			r.led.Job("req-2").WithdrawnAt = now.Add(-43 * time.Second)
-			r.led.Withdraw("req-2")
+		{"and has time still", func(i int) bool { return i%3 == 1 }, 20 * report, func(leader *leaderTerm) {
+			leader.jobs.Job("req-2").WithdrawnAt = now.Add(-43 * time.Second)
+			leader.jobs.Withdraw("req-2")
 		}, 0, ""},
-		{"one that answers commands, within the lease", func(i int) bool { return i == 1 }, 9 * report, told("h1"), 0, ""},
-		{"one that answers commands, past it", func(i int) bool { return i == 1 }, 11 * report, told("h1"), 1, "h1"},
-		{"a zone that answers commands is kept", func(i int) bool { return i%3 == 1 }, 11 * report, told("h1", "h4", "h7", "h10", "h13", "h16", "h19", "h22"), 0, ""},
+		{"one that answers commands, within the lease", func(i int) bool { return i == 1 }, 9 * report, answersCommands("h1"), 0, ""},
+		{"one that answers commands, past it", func(i int) bool { return i == 1 }, 11 * report, answersCommands("h1"), 1, "h1"},
+		{"a zone that answers commands is kept", func(i int) bool { return i%3 == 1 }, 11 * report, answersCommands("h1", "h4", "h7", "h10", "h13", "h16", "h19", "h22"), 0, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			r.set.Zone = "a"
-			r.set.Members = append(r.set.Members, member("m", "b"))
-			r.set.Facts.Workers.CancelS = 50
-			r.began = now.Add(-time.Hour)
+			leader := newTestTerm(t)
+			leader.settings.Zone = "a"
+			leader.settings.Members = append(leader.settings.Members, testPeer("m", "b"))
+			leader.settings.Facts.Workers.CancelS = 50
+			leader.startedAt = now.Add(-time.Hour)
 			for i := range 24 {
 				name := fmt.Sprint("h", i)
-				h := r.hosts[name]
-				if h == nil {
-					h = agent.NewWorker(name)
-					r.enter(h)
+				worker := leader.workers[name]
+				if worker == nil {
+					worker = agent.NewWorker(name)
+					leader.addWorker(worker)
 				}
-				h.InstanceType, h.Zone, h.Incarnation, h.LastHeartbeat, h.ShardOwner = "m", "abc"[i%3:i%3+1], 1, now.Add(-report), []string{"n", "m"}[i/3%2]
+				worker.InstanceType, worker.Zone, worker.Incarnation, worker.LastHeartbeat, worker.ShardOwner = "m", "abc"[i%3:i%3+1], 1, now.Add(-report), []string{"n", "m"}[i/3%2]
 				if tc.silent(i) {
-					h.LastHeartbeat = now.Add(-tc.since)
+					worker.LastHeartbeat = now.Add(-tc.since)
 				}
 			}
-			r.run(t, r.add("req-2", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h1", time.Minute)
-			r.run(t, r.add("req-3", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h2", time.Minute)
+			leader.runTestTask(t, leader.addTestJob("req-2", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h1", time.Minute)
+			leader.runTestTask(t, leader.addTestJob("req-3", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h2", time.Minute)
 			if tc.tweak != nil {
-				tc.tweak(r)
+				tc.tweak(leader)
 			}
 			// It has been so since it began: the judgement is not of this moment.
 			at := now
-			r.now = func() time.Time { return at }
+			leader.now = func() time.Time { return at }
 			for at = now.Add(-tc.since + 2*report); at.Before(now); at = at.Add(report) {
-				r.listen(at)
+				leader.observeSilence(at)
 			}
 			at = now
-			got := r.faulty(now)
+			got := leader.faultyWorkers(now)
 			if len(got) != tc.gone || tc.why != "" && got[0] != tc.why {
 				t.Errorf("returned %v", got)
 			}
@@ -78,11 +78,11 @@
 	}
 }
 
-// told has hosts answer direct commands.
-func told(names ...string) func(r *reign) {
-	return func(r *reign) {
+// answersCommands has hosts answer direct commands.
+func answersCommands(names ...string) func(leader *leaderTerm) {
+	return func(leader *leaderTerm) {
 		for _, n := range names {
-			r.hosts[n].LastUpdate = now
+			leader.workers[n].LastUpdate = now
 		}
 	}
 }
--- a/internal/control/starve_test.go
+++ b/internal/control/starvation_test.go
@@ -20,7 +20,7 @@
 		waits [3]time.Duration // of jobs of one, two and three tasks
 		begun string           // one of which a task runs
 		given []string         // tasks placed before, after an order with these waits
-		tweak func(js []*wire.Job)
+		tweak func(jobs []*wire.Job)
 		want  []string
 	}{
 		{"the least work first", [3]time.Duration{10 * s, 20 * s, 30 * s}, "", nil, nil, []string{"req-1", "req-2", "req-3"}},
@@ -31,13 +31,13 @@
 		{"of two the oldest", [3]time.Duration{10 * s, 170 * s, 190 * s}, "", nil, nil, []string{"req-3", "req-2", "req-1"}},
 		{"it was given more", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", []string{"req-3"}, nil, []string{"req-1", "req-2", "req-3"}},
 		{"and then the others", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", []string{"req-3", "req-1"}, nil, []string{"req-3", "req-1", "req-2"}},
-		{"a service", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", nil, func(js []*wire.Job) { js[2].Kind = wire.KindService }, []string{"req-1", "req-2", "req-3"}},
-		{"past its team's guarantee", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", nil, func(js []*wire.Job) { js[2].Team = "u" }, []string{"req-1", "req-2", "req-3"}},
+		{"a service", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", nil, func(jobs []*wire.Job) { jobs[2].Kind = wire.KindService }, []string{"req-1", "req-2", "req-3"}},
+		{"past its team's guarantee", [3]time.Duration{10 * s, 20 * s, 169 * s}, "", nil, func(jobs []*wire.Job) { jobs[2].Team = "u" }, []string{"req-1", "req-2", "req-3"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r := term(t)
-			r.set.Operator.Placement.WaitAge = 4 // of a lease of 30 s
-			r.led = ledger.New("n.1", []settings.Team{{Name: "t", CPUs: 100, CPUsMax: 100}, {Name: "u", CPUsMax: 100}})
+			leader := newTestTerm(t)
+			leader.settings.Operator.Placement.WaitAge = 4 // of a lease of 30 s
+			leader.jobs = ledger.New("n.1", []settings.Team{{Name: "t", CPUs: 100, CPUsMax: 100}, {Name: "u", CPUsMax: 100}})
 			var specs []*wire.Job
 			for i := range 3 {
 				specs = append(specs, &wire.Job{Team: "t", Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: i + 1, CPUs: 1, ExpectedSeconds: 10})
@@ -45,23 +45,23 @@
 			if tc.tweak != nil {
 				tc.tweak(specs)
 			}
-			var js []*ledger.Job
+			var jobs []*ledger.Job
 			for i, spec := range specs {
-				j := r.add([]string{"req-1", "req-2", "req-3"}[i], *spec)
-				j.WaitingSince = now.Add(-tc.waits[i])
-				js = append(js, j)
+				job := leader.addTestJob([]string{"req-1", "req-2", "req-3"}[i], *spec)
+				job.WaitingSince = now.Add(-tc.waits[i])
+				jobs = append(jobs, job)
 			}
 			if tc.begun != "" {
-				r.run(t, r.led.Job(tc.begun), "h0", time.Second)
+				leader.runTestTask(t, leader.jobs.Job(tc.begun), "h0", time.Second)
 			}
-			r.order(js, now)
+			leader.orderJobs(jobs, now)
 			for _, ref := range tc.given {
-				r.placed(r.led.Job(ref))
+				leader.recordPlacement(leader.jobs.Job(ref))
 			}
-			r.order(js, now)
+			leader.orderJobs(jobs, now)
 			var got []string
-			for _, j := range js {
-				got = append(got, j.Ref)
+			for _, job := range jobs {
+				got = append(got, job.Ref)
 			}
 			if !slices.Equal(got, tc.want) {
 				t.Errorf("%v, want %v", got, tc.want)
--- a/internal/lead/lead.go
+++ b/internal/lead/lead.go
@@ -88,8 +88,8 @@
 	resigned   time.Time // the grant is kept no more since then; zero: it is
 }
 
-// Resigned is since when the term only waits for the next one, if it does.
-func (t *Term) Resigned() (since time.Time, ok bool) {
+// SteppedDown is since when the term only waits for the next one, if it does.
+func (t *Term) SteppedDown() (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.resigned, !t.resigned.IsZero()
@@ -102,11 +102,11 @@
 	t.resigned, t.until = time.Now(), time.Time{}
 }
 
-// Sure tells whether nobody else can lead at present. What the state service
+// LeaseHeld tells whether nobody else can lead at present. What the state service
 // cannot fence, above all returning machines, is done only while it holds: a
 // leader cut off from the state service would otherwise return machines that
 // work for the next one.
-func (t *Term) Sure(now time.Time) bool {
+func (t *Term) LeaseHeld(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Before(t.until)
@@ -130,17 +130,17 @@
 	return t.now.Epoch
 }
 
-// Map is the term's present part map.
-func (t *Term) Map() Map {
+// ShardMap is the term's present part map.
+func (t *Term) ShardMap() Map {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.now
 }
 
-// Guards are the conditions that every write of the leader carries: that it leads, and
+// Compares are the conditions that every write of the leader carries: that it leads, and
 // that the history is the one that it leads in. The second is needed where data was
 // lost, since a stamp of the leader's key may come again.
-func (t *Term) Guards() []wire.Compare {
+func (t *Term) Compares() []wire.Compare {
 	gs := []wire.Compare{{Key: leaderKey, ModRevision: t.stamp}}
 	if g, ok := t.hist.Guard(); ok {
 		gs = append(gs, g)
@@ -158,28 +158,28 @@
 	return false
 }
 
-// History is the history that the term belongs to, as it was when the term began.
-func (t *Term) History() history.View { return t.hist }
+// Incarnation is the history that the term belongs to, as it was when the term began.
+func (t *Term) Incarnation() history.View { return t.hist }
 
-// Before is the latest map that this node knew before the term.
-func (t *Term) Before() Map { return t.before }
+// PreviousMap is the latest map that this node knew before the term.
+func (t *Term) PreviousMap() Map { return t.before }
 
-// Step takes the term's history to a phase.
-func (t *Term) Step(ctx context.Context, p history.Phase) error {
+// AdvancePhase takes the term's history to a phase.
+func (t *Term) AdvancePhase(ctx context.Context, p history.Phase) error {
 	c, err := t.hist.Step(p)
 	if err != nil {
 		return err
 	}
-	_, failed, err := t.st.Commit(ctx, wire.Txn{Compares: t.Guards(), Operations: []wire.Operation{c}})
+	_, failed, err := t.st.Commit(ctx, wire.Txn{Compares: t.Compares(), Operations: []wire.Operation{c}})
 	if err != nil {
 		return err
 	}
-	return t.Over(failed)
+	return t.CheckCompares(failed)
 }
 
-// Over tells whether failed guards say that the leadership is over: another leads, or
+// CheckCompares tells whether failed guards say that the leadership is over: another leads, or
 // the history is another.
-func (t *Term) Over(failed []string) error {
+func (t *Term) CheckCompares(failed []string) error {
 	gone := history.Failed(failed)
 	if gone {
 		t.el.hist.Check()
@@ -193,9 +193,9 @@
 	return nil
 }
 
-// Raise moves the term to the next epoch, with the hosts parted among the nodes
+// RaiseEpoch moves the term to the next epoch, with the hosts parted among the nodes
 // given, so that workers that see it refuse whatever was sent before.
-func (t *Term) Raise(ctx context.Context, parts []string) error {
+func (t *Term) RaiseEpoch(ctx context.Context, parts []string) error {
 	t.mu.Lock()
 	next, stamp := Map{Epoch: t.now.Epoch + 1, Leader: t.now.Leader, Parts: parts, Near: true, History: t.hist.ID}, t.epochStamp
 	t.mu.Unlock()
@@ -204,13 +204,13 @@
 		return err
 	}
 	gen, failed, err := t.st.Commit(ctx, wire.Txn{
-		Compares:   append(t.Guards(), wire.Compare{Key: epochKey, ModRevision: stamp}),
+		Compares:   append(t.Compares(), wire.Compare{Key: epochKey, ModRevision: stamp}),
 		Operations: []wire.Operation{{Put: epochKey, Value: data}},
 	})
 	if err != nil {
 		return err
 	}
-	if err := t.Over(failed); err != nil {
+	if err := t.CheckCompares(failed); err != nil {
 		return err
 	}
 	if len(failed) > 0 {
@@ -636,7 +636,7 @@
 	e.resign, e.yield = nil, nil
 	e.mu.Unlock()
 	e.log.Info("no longer leading", "epoch", t.First, "why", context.Cause(tctx))
-	if _, gave := t.Resigned(); !gave {
+	if _, gave := t.SteppedDown(); !gave {
 		e.revoke(ctx, t)
 	}
 }
--- a/internal/lead/lead_test.go
+++ b/internal/lead/lead_test.go
@@ -45,18 +45,18 @@
 		at   time.Duration
 		want bool
 	}{{0, true}, {1990 * time.Millisecond, true}, {1998 * time.Millisecond, false}, {3 * time.Second, false}} {
-		if got := term.Sure(t0.Add(tc.at)); got != tc.want {
+		if got := term.LeaseHeld(t0.Add(tc.at)); got != tc.want {
 			t.Errorf("after %v: %v", tc.at, got)
 		}
 	}
 	// Once it is given up it is sure no more, whatever extension is answered after.
-	if _, ok := term.Resigned(); ok {
+	if _, ok := term.SteppedDown(); ok {
 		t.Error("resigned from the start")
 	}
 	term.give()
 	term.lasts(t0, 2*time.Second)
-	if _, ok := term.Resigned(); !ok || term.Sure(t0) {
-		t.Errorf("given up: %v, sure: %v", ok, term.Sure(t0))
+	if _, ok := term.SteppedDown(); !ok || term.LeaseHeld(t0) {
+		t.Errorf("given up: %v, sure: %v", ok, term.LeaseHeld(t0))
 	}
 }
 
@@ -65,10 +65,10 @@
 func TestGuards(t *testing.T) {
 	term := &Term{stamp: 3, hist: history.View{Marker: history.Marker{ID: "A", Stamp: 7}}}
 	want := []wire.Compare{{Key: leaderKey, ModRevision: 3}, {Key: "history/id/A", ModRevision: 7}}
-	if got := term.Guards(); !slices.Equal(got, want) {
+	if got := term.Compares(); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	if got := (&Term{stamp: 3}).Guards(); !slices.Equal(got, want[:1]) {
+	if got := (&Term{stamp: 3}).Compares(); !slices.Equal(got, want[:1]) {
 		t.Errorf("got %v, want %v", got, want[:1])
 	}
 }
--- a/internal/part/deaf.go
+++ b/internal/part/deaf.go
@@ -93,9 +93,9 @@
 	return fresh, now.Sub(e.since)
 }
 
-// Unheard tells whether peers are linked, and none of them has been hearing workers
+// PeersHearNoWorkers tells whether peers are linked, and none of them has been hearing workers
 // either: where all workers are cut off, it is no fault of this node's.
-func (p *Part) Unheard() bool {
+func (p *Part) PeersHearNoWorkers() bool {
 	linked := false
 	for _, s := range p.links.Peers() {
 		if s.Live && !s.HearingKnown {
--- a/internal/part/deaf_test.go
+++ b/internal/part/deaf_test.go
@@ -47,7 +47,7 @@
 			if got := p.Deaf(); got != tc.want {
 				t.Fatalf("deaf: %v", got)
 			}
-			if got, want := p.Unheard(), tc.live && (tc.peer.Age > report || tc.quiet > 4*report || tc.quiet < 7*report/4); got != want {
+			if got, want := p.PeersHearNoWorkers(), tc.live && (tc.peer.Age > report || tc.quiet > 4*report || tc.quiet < 7*report/4); got != want {
 				t.Errorf("no peer hears a worker either: %v, want %v", got, want)
 			}
 			if !tc.want {
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -22,7 +22,7 @@
 
 // Leader is the leader's side, on this node while it leads.
 type Leader interface {
-	Beat(ctx context.Context, r *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error)
+	Heartbeat(ctx context.Context, r *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error)
 }
 
 // Links are the links to the other nodes.
@@ -105,7 +105,7 @@
 	// The worker's tasks run on, under the epoch that stands: a leader that could hear
 	// this host has the map without this node, and its epoch shows in the worker's next
 	// report. But for a node that has forgotten what users were told.
-	if ctx.Err() != nil || asked && !p.outage() || p.Refused() && !p.gone.Settled() {
+	if ctx.Err() != nil || asked && !p.outage() || p.StoreRefuses() && !p.gone.Settled() {
 		return wire.CommandBatch{}, ErrNotOwner{}
 	}
 	if now := p.known(); now.Epoch != m.Epoch {
@@ -117,7 +117,7 @@
 // ask has the leader answer a report, and tells whether it could be asked.
 func (p *Part) ask(ctx context.Context, node string, r *wire.Heartbeat, own Leader) (out wire.CommandBatch, asked bool, err error) {
 	if node == p.set.Node {
-		out, _, err = own.Beat(ctx, r)
+		out, _, err = own.Heartbeat(ctx, r)
 		return out, true, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, p.set.Report()/3)
@@ -138,8 +138,8 @@
 // outage tells whether the state service refuses all controllers, as far as this one
 // can know.
 func (p *Part) outage() bool {
-	_, alone := p.Alone()
-	return p.Refused() && !alone
+	_, alone := p.StoreServesPeerOnly()
+	return p.StoreRefuses() && !alone
 }
 
 // standsIn tells whether this node answers a host of its own zone in place of its
@@ -149,7 +149,7 @@
 // this: no lease of such a host is taken to be over meanwhile.
 func (p *Part) standsIn(m lead.Map, owner, zone string) bool {
 	return m.Near && zone != "" && zone == p.set.Zone && slices.Contains(m.Parts, p.set.Node) &&
-		p.Refused() && !p.links.Peers()[owner].Live
+		p.StoreRefuses() && !p.links.Peers()[owner].Live
 }
 
 // Learn takes in a finish.
@@ -184,10 +184,10 @@
 	return p.links.Pick(ctx, node, &o)
 }
 
-// Fit are the nodes that may own a part: this one, and the peers that are
+// EligibleOwners are the nodes that may own a part: this one, and the peers that are
 // linked and that the state service does not refuse while it serves others. A
 // node that comes back waits a little, so that hosts do not move to and fro.
-func (p *Part) Fit(have []string) []string {
+func (p *Part) EligibleOwners(have []string) []string {
 	fit := []string{p.set.Node}
 	for n, s := range p.links.Peers() {
 		settled := slices.Contains(have, n) || p.now().Sub(s.Since) > 2*p.set.Report() || len(have) == 0
@@ -202,10 +202,10 @@
 // refused is how long without an answer the state service counts as refusing.
 func refused(set *settings.Settings) time.Duration { return 5 * set.Report() / 4 }
 
-// Alone tells whether the state service refuses this node while it serves a
+// StoreServesPeerOnly tells whether the state service refuses this node while it serves a
 // linked peer, and names such a peer. When all are refused it is an outage,
 // which must be sat out.
-func (p *Part) Alone() (string, bool) {
+func (p *Part) StoreServesPeerOnly() (string, bool) {
 	if p.stale() < refused(p.set) {
 		return "", false
 	}
@@ -230,10 +230,10 @@
 	return false
 }
 
-// Refused tells whether the state service has not answered for long.
-func (p *Part) Refused() bool { return p.stale() >= refused(p.set) }
+// StoreRefuses tells whether the state service has not answered for long.
+func (p *Part) StoreRefuses() bool { return p.stale() >= refused(p.set) }
 
-var _ Leader = (*control.Control)(nil)
+var _ Leader = (*control.Runner)(nil)
 
 // AsNotOwner takes an ErrNotOwner out of an error.
 func AsNotOwner(err error) (ErrNotOwner, bool) {
--- a/internal/part/part_test.go
+++ b/internal/part/part_test.go
@@ -40,7 +40,7 @@
 // leader stands in for this node's own term.
 type leader struct{ err error }
 
-func (l leader) Beat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
+func (l leader) Heartbeat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
 	return wire.CommandBatch{Epoch: 7}, nil, l.err
 }
 
@@ -155,10 +155,10 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := part(t, lead.Map{}, tc.stale, &links{peers: tc.peers})
-			if got := p.Fit(tc.have); !slices.Equal(got, tc.fit) {
+			if got := p.EligibleOwners(tc.have); !slices.Equal(got, tc.fit) {
 				t.Errorf("fit %v, want %v", got, tc.fit)
 			}
-			if _, alone := p.Alone(); alone != tc.alone {
+			if _, alone := p.StoreServesPeerOnly(); alone != tc.alone {
 				t.Errorf("alone: %v", alone)
 			}
 		})
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -42,7 +42,7 @@
 // cut off, and others serve better. When all are refused it is an outage: to
 // leave the balancer then would only make coming back slower.
 func (d *daemon) health(w http.ResponseWriter, _ *http.Request) {
-	if d.part.Refused() && len(d.set.Members) > 0 && !d.part.Linked() {
+	if d.part.StoreRefuses() && len(d.set.Members) > 0 && !d.part.Linked() {
 		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "cut off"})
 		return
 	}
@@ -110,7 +110,7 @@
 // user serves a user's request here, or through a peer when the state service
 // refuses this node alone.
 func (d *daemon) user(w http.ResponseWriter, r *http.Request) {
-	node, alone := d.part.Alone()
+	node, alone := d.part.StoreServesPeerOnly()
 	if !alone {
 		d.users.ServeHTTP(w, r)
 		return
@@ -138,7 +138,7 @@
 // counts tells a live job's counts: the leader has them.
 func (d *daemon) counts(ctx context.Context, ref string) (done, running int, ok bool, err error) {
 	leader := d.el.Known().Leader
-	c, ok, err := d.control.Counts(ref)
+	c, ok, err := d.control.TaskCounts(ref)
 	if ok || leader == d.set.Node {
 		return c.Done, c.Running, ok, err
 	}
@@ -226,14 +226,14 @@
 }
 
 func (d *daemon) Beat(ctx context.Context, r *wire.Heartbeat) peer.BeatAnswer {
-	out, learned, err := d.control.Beat(ctx, r)
+	out, learned, err := d.control.Heartbeat(ctx, r)
 	return peer.BeatAnswer{OK: err == nil, Orders: out, Learned: learned}
 }
 
 func (d *daemon) Pick(o placement.Offer) []placement.Picked { return d.part.Choose(o) }
 
 func (d *daemon) Counts(ref string) (peer.Counts, error) {
-	c, ok, err := d.control.Counts(ref)
+	c, ok, err := d.control.TaskCounts(ref)
 	return peer.Counts{Known: ok, Done: c.Done, Running: c.Running}, err
 }
 
@@ -267,7 +267,7 @@
 	MemoryMB float64                `json:"memory_mb"`
 	Full     bool                   `json:"memory_short"` // new jobs and machines are turned away
 	Rates    []placement.Row        `json:"rates"`
-	Leading  *control.View          `json:"leading,omitempty"`
+	Leading  *control.Status        `json:"leading,omitempty"`
 	History  HistoryStatus          `json:"history"`
 }
 
@@ -307,7 +307,7 @@
 	reply(w, http.StatusOK, Status{
 		Node: d.set.Node, Version: Version, Map: d.el.Known(), UpS: time.Since(d.began).Seconds(),
 		StateS: d.st.SinceLastAnswer().Seconds(), Requests: d.st.RequestCount(), Lower: d.st.LimitsLowered(), Peers: d.mesh.Peers(),
-		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.Rows(), Leading: d.control.View(), History: d.histories(),
+		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.Rows(), Leading: d.control.Status(), History: d.histories(),
 	})
 }
 
--- a/internal/serve/golden_test.go
+++ b/internal/serve/golden_test.go
@@ -13,6 +13,6 @@
 	goldentest.Check(t, "status.txt", strings.Join([]string{
 		goldentest.JSON(t, goldentest.Filled[Status]()),
 		goldentest.JSON(t, Status{}),
-		goldentest.JSON(t, control.View{Rebuilt: &control.RebuiltView{}}),
+		goldentest.JSON(t, control.Status{Recovery: &control.RecoveryStatus{}}),
 	}, "\n")+"\n")
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -42,7 +42,7 @@
 	set     *settings.Settings
 	st      *state.Client
 	el      *lead.Elector
-	control *control.Control
+	control *control.Runner
 	part    *part.Part
 	mesh    *peer.Mesh
 	memory  *pressure.Gauge
@@ -95,13 +95,13 @@
 	d.copies = copies.New(int(op.Rebuild.Ends*facts.Resources.MemoryMB*(1<<20)), log)
 	d.hist = history.NewKeeper(d.st, func(why string) { d.el.Distrust(why) }, log)
 	d.el = lead.New(lead.Deps{
-		State: d.st, Node: set.Node, Life: time.Duration(op.Lead.Grant * float64(set.Lease())), Parts: func() []string { return d.part.Fit(nil) },
+		State: d.st, Node: set.Node, Life: time.Duration(op.Lead.Grant * float64(set.Lease())), Parts: func() []string { return d.part.EligibleOwners(nil) },
 		History: d.hist, Knows: func() bool { return !d.copies.Empty() }, Log: log,
 	})
 	within := settings.Seconds(facts.Workers.CancelS)
 	d.gone = withdrawn.New(withdrawn.Options{
 		Within: within, Max: withdrawn.Capacity(facts.State.WriteRPS, within), Peers: set.Others(),
-		Refused: func() bool { return d.part.Refused() }, Now: time.Now,
+		Refused: func() bool { return d.part.StoreRefuses() }, Now: time.Now,
 	})
 	d.part = part.New(set, d.el.Known, d.st.SinceLastAnswer, d.gone, time.Now)
 	var tls *certs.Keeper
@@ -125,13 +125,13 @@
 	if !op.Access.Audited() {
 		kept = nil
 	}
-	d.control = control.New(control.Deps{
-		Settings: set, State: d.st, Cloud: cloud, Direct: agent.NewCommandClient(set.Report(), int(idleWorkers*float64(facts.Resources.Sockets)), nw.Dial), Elector: d.el,
-		Types: types, Parts: d.part, Full: d.memory.High, Ring: kept, History: d.hist, Copies: d.copies, Peers: d.mesh, Notices: d.gone, Log: log,
+	d.control = control.New(control.Options{
+		Settings: set, Store: d.st, Cloud: cloud, WorkerClient: agent.NewCommandClient(set.Report(), int(idleWorkers*float64(facts.Resources.Sockets)), nw.Dial), Elector: d.el,
+		InstanceTypes: types, Shards: d.part, MemoryFull: d.memory.High, AuditKeys: kept, DataLoss: d.hist, Replica: d.copies, ReplicaPeers: d.mesh, Cancellations: d.gone, Log: log,
 	})
 	d.teller = &withdrawn.Teller{Node: set.Node, Notices: d.gone, Link: d.mesh, Own: d.control, Pause: set.Report() / 256, Leader: d.leads}
 	mux := http.NewServeMux()
-	intake.New(set, d.st, types, d.counts, d.part.Refused, d.memory.High, d.door, d, d.copies, d.teller, day, log).Routes(mux)
+	intake.New(set, d.st, types, d.counts, d.part.StoreRefuses, d.memory.High, d.door, d, d.copies, d.teller, day, log).Routes(mux)
 	d.users = mux
 
 	front, err := nw.Listen(set.Front)
@@ -246,7 +246,7 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if d.part.Deaf() && !d.control.Bare() {
+		if d.part.Deaf() && !d.control.NoWorkersOfOwn() {
 			// Another leads and answers the workers meanwhile.
 			d.el.Resign(d.set.Lease(), "workers reach others but not this node")
 		}
--- a/internal/sim/loss_test.go
+++ b/internal/sim/loss_test.go
@@ -378,7 +378,7 @@
 }
 
 // rebuilt asks the controllers what was rebuilt, as an operator does.
-func (d *lossDay) rebuilt() *control.RebuiltView {
+func (d *lossDay) rebuilt() *control.RecoveryStatus {
 	client := &http.Client{Transport: &http.Transport{DialContext: d.w.net.at("user").Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	for n := range nodes {
 		res, err := client.Get("http://" + front(n) + "/operator/status")
@@ -388,8 +388,8 @@
 		var s serve.Status
 		err = json.NewDecoder(res.Body).Decode(&s)
 		res.Body.Close()
-		if err == nil && s.Leading != nil && s.Leading.Rebuilt != nil {
-			return s.Leading.Rebuilt
+		if err == nil && s.Leading != nil && s.Leading.Recovery != nil {
+			return s.Leading.Recovery
 		}
 	}
 	return nil
