--- a/internal/control/leader_test.go
+++ b/internal/control/leader_test.go
@@ -397,7 +397,7 @@
 // Where something urgent is always to be written, the rest still has its turn.
 func TestIdleWritesHaveTheirTurn(t *testing.T) {
 	leader := newTestTerm(t)
-	leader.leadership = &fakeLeadership{lead.Map{Epoch: 1}}
+	leader.leadership = &fakeLeadership{lead.ShardMap{Epoch: 1}}
 	at := now
 	leader.now = func() time.Time { return at }
 	leader.settings.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -103,7 +103,7 @@
 				g, ctx := errgroup.WithContext(ctx)
 				leader := &leaderTerm{
 					Runner:     &Runner{settings: &settings.Settings{Node: "n"}, store: client, replica: copies.New(1<<20, nil), log: slog.New(slog.DiscardHandler), now: time.Now},
-					leadership: &fakeLeadership{lead.Map{Epoch: 2, Leader: "n", Parts: []string{"n"}}}, firstEpoch: 2, group: g, ctx: ctx, workers: make(map[string]*agent.Worker),
+					leadership: &fakeLeadership{lead.ShardMap{Epoch: 2, Leader: "n", Owners: []string{"n"}}}, firstEpoch: 2, group: g, ctx: ctx, workers: make(map[string]*agent.Worker),
 					jobs: ledger.New("v", teams),
 				}
 				if _, err := leader.load(ctx); err != nil {
--- a/internal/control/model_test.go
+++ b/internal/control/model_test.go
@@ -28,20 +28,20 @@
 )
 
 // fakeLeadership stands in for a leadership that nobody contests.
-type fakeLeadership struct{ shards lead.Map }
+type fakeLeadership struct{ shards lead.ShardMap }
 
 func (f *fakeLeadership) Epoch() uint64             { return f.shards.Epoch }
-func (f *fakeLeadership) ShardMap() lead.Map        { return f.shards }
+func (f *fakeLeadership) ShardMap() lead.ShardMap   { return f.shards }
 func (f *fakeLeadership) Compares() []wire.Compare  { return []wire.Compare{{}} }
 func (f *fakeLeadership) Incarnation() history.View { return history.View{Phase: history.Whole} }
 func (f *fakeLeadership) CheckCompares(failed []string) error {
-	if lead.Deposed(failed) {
+	if lead.LeaderCompareFailed(failed) {
 		return lead.ErrDeposed
 	}
 	return nil
 }
 func (f *fakeLeadership) SteppedDown() (time.Time, bool)                    { return time.Time{}, false }
-func (f *fakeLeadership) PreviousMap() lead.Map                             { return lead.Map{} }
+func (f *fakeLeadership) PreviousMap() lead.ShardMap                        { return lead.ShardMap{} }
 func (f *fakeLeadership) AdvancePhase(context.Context, history.Phase) error { return nil }
 func (f *fakeLeadership) LeaseHeld(time.Time) bool                          { return true }
 func (f *fakeLeadership) RaiseEpoch(context.Context, []string) error        { return nil }
@@ -79,8 +79,8 @@
 	now           time.Time
 	revision      uint64
 	workers       []*modelWorker
-	knownShards   lead.Map    // what the second controller knows
-	deposedLeader *leaderTerm // an earlier leader that does not know it is one
+	knownShards   lead.ShardMap // what the second controller knows
+	deposedLeader *leaderTerm   // an earlier leader that does not know it is one
 	store         map[string][]byte
 	jobs          []string
 	completed     map[string]bool // tasks that completed
@@ -93,7 +93,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{t: t, now: now, completed: map[string]bool{}, store: map[string][]byte{}, limit: 5, term: &fakeLeadership{lead.Map{Epoch: 1, Leader: "n", Parts: []string{"m", "n"}, Near: true}}}
+	m := &model{t: t, now: now, completed: map[string]bool{}, store: map[string][]byte{}, limit: 5, term: &fakeLeadership{lead.ShardMap{Epoch: 1, Leader: "n", Owners: []string{"m", "n"}, ZoneFallback: true}}}
 	m.knownShards = m.term.shards
 	m.set = &settings.Settings{Node: "n", Zone: "a", Operator: operator, Members: []settings.Member{{Node: "m", Zone: "b"}}, Facts: settings.Facts{
 		Workers: settings.Workers{ReportS: 3, LeaseS: 30, CancelS: 50},
@@ -173,7 +173,7 @@
 	}
 	m.deposedLeader = m.leader
 	m.deposedLeader.leadership = &fakeLeadership{m.term.shards}
-	m.term = &fakeLeadership{lead.Map{Epoch: m.term.shards.Epoch + 1, Leader: "n", Parts: m.term.shards.Parts, Near: true}}
+	m.term = &fakeLeadership{lead.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: m.term.shards.Owners, ZoneFallback: true}}
 	m.startTerm()
 }
 
@@ -262,7 +262,7 @@
 // noticed that the other is gone, and once it is over it asks the workers.
 func (m *model) partitionZone() {
 	if rapid.Bool().Draw(m.t, "noticed") {
-		m.term.shards = lead.Map{Epoch: m.term.shards.Epoch + 1, Leader: "n", Parts: []string{"n"}, Near: true}
+		m.term.shards = lead.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: []string{"n"}, ZoneFallback: true}
 		for _, view := range m.leader.workers {
 			m.leader.assignOwner(view, m.term.shards)
 		}
@@ -305,7 +305,7 @@
 			answer, err = m.askLeader(heartbeat)
 		}
 	case "cut":
-		owned := m.knownShards.Owner(worker.name) == "m" || m.knownShards.Near && worker.zone == "b" && slices.Contains(m.knownShards.Parts, "m")
+		owned := m.knownShards.Owner(worker.name) == "m" || m.knownShards.ZoneFallback && worker.zone == "b" && slices.Contains(m.knownShards.Owners, "m")
 		if owned && heartbeat.Epoch <= m.knownShards.Epoch {
 			answer, err = wire.CommandBatch{Epoch: m.knownShards.Epoch}, nil
 		}
@@ -423,7 +423,7 @@
 	if rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0 {
 		// The leader dies without knowing that it was applied.
 		m.deposedLeader = nil
-		m.term = &fakeLeadership{lead.Map{Epoch: m.term.shards.Epoch + 1, Leader: "n", Parts: m.term.shards.Parts, Near: true}}
+		m.term = &fakeLeadership{lead.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: m.term.shards.Owners, ZoneFallback: true}}
 		m.startTerm()
 		return
 	}
@@ -442,7 +442,7 @@
 	if rapid.Bool().Draw(m.t, "alone") {
 		owners = owners[1:]
 	}
-	m.term.shards = lead.Map{Epoch: m.term.shards.Epoch + 1, Leader: "n", Parts: owners, Near: true}
+	m.term.shards = lead.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: owners, ZoneFallback: true}
 	for _, view := range m.leader.workers {
 		m.leader.assignOwner(view, m.term.shards)
 	}
--- a/internal/control/monitor.go
+++ b/internal/control/monitor.go
@@ -38,7 +38,7 @@
 		notify(t.scheduleSignal)
 		notify(t.writeSignal)
 		if isolated {
-			t.elector.Resign(t.settings.Lease(), "no worker is heard")
+			t.elector.StepDown(t.settings.Lease(), "no worker is heard")
 		}
 		for _, worker := range pollable {
 			t.group.Go(func() error { t.pollWorker(ctx, worker); return nil })
@@ -630,7 +630,7 @@
 	refusedAt := t.startedAt
 	for sleep(ctx, t.settings.Report()/6) {
 		now := t.now()
-		if shardMap := t.elector.Known(); shardMap.Epoch > t.leadership.Epoch() && shardMap.Leader != t.settings.Node {
+		if shardMap := t.elector.ShardMap(); shardMap.Epoch > t.leadership.Epoch() && shardMap.Leader != t.settings.Node {
 			return fmt.Errorf("%w: %s leads under epoch %d", lead.ErrDeposed, shardMap.Leader, shardMap.Epoch)
 		}
 		if t.shards.StoreRefuses() {
@@ -643,13 +643,13 @@
 			continue
 		}
 		if peer, alone := t.shards.StoreServesPeerOnly(); alone {
-			t.elector.Resign(t.settings.Lease()/4, "the state service serves "+peer+" but not this node")
+			t.elector.StepDown(t.settings.Lease()/4, "the state service serves "+peer+" but not this node")
 			continue
 		}
-		owners := t.leadership.ShardMap().Parts
+		owners := t.leadership.ShardMap().Owners
 		// A raise without an answer may have been carried out late: owners then know
 		// its epoch, and so do workers, whose reports this leader would turn away.
-		if !slices.Equal(owners, t.shards.EligibleOwners(owners)) || t.elector.Known().Epoch > t.leadership.Epoch() {
+		if !slices.Equal(owners, t.shards.EligibleOwners(owners)) || t.elector.ShardMap().Epoch > t.leadership.Epoch() {
 			notify(t.epochSignal)
 		}
 	}
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -70,12 +70,12 @@
 // Leadership is the leadership that a reign rests on.
 type Leadership interface {
 	Epoch() uint64
-	ShardMap() lead.Map
+	ShardMap() lead.ShardMap
 	Compares() []wire.Compare
 	// CheckCompares tells whether failed guards say that the leadership is over.
 	CheckCompares(failed []string) error
 	Incarnation() history.View
-	PreviousMap() lead.Map
+	PreviousMap() lead.ShardMap
 	AdvancePhase(ctx context.Context, p history.Phase) error
 	LeaseHeld(now time.Time) bool
 	// SteppedDown is since when the term only waits for the next one, if it does.
@@ -144,15 +144,15 @@
 func (r *Runner) Serve(ctx context.Context, leadership *lead.Term) error {
 	group, groupCtx := errgroup.WithContext(ctx)
 	t := &leaderTerm{
-		Runner: r, leadership: leadership, firstEpoch: leadership.First, ready: make(chan struct{}), group: group, ctx: groupCtx,
+		Runner: r, leadership: leadership, firstEpoch: leadership.FirstEpoch, ready: make(chan struct{}), group: group, ctx: groupCtx,
 		writeSignal: make(chan struct{}, 1), scheduleSignal: make(chan struct{}, 1), dependencySignal: make(chan struct{}, 1), epochSignal: make(chan struct{}, 1),
-		jobs:      ledger.New(fmt.Sprintf("%s.%d", r.settings.Node, leadership.First), r.settings.Facts.Teams),
+		jobs:      ledger.New(fmt.Sprintf("%s.%d", r.settings.Node, leadership.FirstEpoch), r.settings.Facts.Teams),
 		workers:   make(map[string]*agent.Worker),
 		released:  make(map[string]time.Time),
 		instances: make(map[string]wire.Instance),
 		startedAt: r.now(),
 		latencies: newLatencies(),
-		planner:   fleet.NewPlanner(r.settings, leadership.First), scaledAheadTeams: make(map[string]bool),
+		planner:   fleet.NewPlanner(r.settings, leadership.FirstEpoch), scaledAheadTeams: make(map[string]bool),
 		detector: newFailureDetector(r.settings), orphanedJobs: make(map[string]*orphanedJob), deficits: make(map[string]*deficitCounter),
 	}
 	if r.auditKeys != nil {
@@ -168,7 +168,7 @@
 		return fmt.Errorf("audit record: %w", err)
 	}
 	t.mu.Lock()
-	t.auditLog.enqueue(r.now(), audit.Entry{Act: audit.TookOver, On: r.settings.Node, Why: fmt.Sprintf("epoch %d", leadership.First)})
+	t.auditLog.enqueue(r.now(), audit.Entry{Act: audit.TookOver, On: r.settings.Node, Why: fmt.Sprintf("epoch %d", leadership.FirstEpoch)})
 	if phase := leadership.Incarnation().Phase; phase == history.Whole || phase == history.Open {
 		t.recentCancellations.Inherit("", t.cancelledJobs()...)
 	}
@@ -324,7 +324,7 @@
 			return ctx.Err()
 		case <-t.epochSignal:
 		}
-		err := t.leadership.RaiseEpoch(ctx, t.shards.EligibleOwners(t.leadership.ShardMap().Parts))
+		err := t.leadership.RaiseEpoch(ctx, t.shards.EligibleOwners(t.leadership.ShardMap().Owners))
 		if errors.Is(err, lead.ErrDeposed) {
 			return err
 		}
@@ -347,12 +347,12 @@
 // it owns the host, and no other owner of a part is in the host's zone, where it
 // might stand in while the zone is cut off. Run it again once a host's zone is
 // known.
-func (t *leaderTerm) assignOwner(worker *agent.Worker, shardMap lead.Map) {
+func (t *leaderTerm) assignOwner(worker *agent.Worker, shardMap lead.ShardMap) {
 	if owner := shardMap.Owner(worker.Name); owner != worker.ShardOwner {
 		worker.ShardOwner, worker.ShardOwnerSince = owner, t.now()
 	}
 	switch {
-	case worker.ShardOwner != t.settings.Node || worker.Zone == "" || t.settings.Near(worker.Zone, shardMap.Parts):
+	case worker.ShardOwner != t.settings.Node || worker.Zone == "" || t.settings.Near(worker.Zone, shardMap.Owners):
 		worker.SoleOwnerEpoch = 0
 	case worker.SoleOwnerEpoch == 0:
 		worker.SoleOwnerEpoch = shardMap.Epoch
--- a/internal/control/stalereports_test.go
+++ b/internal/control/stalereports_test.go
@@ -65,7 +65,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			leader.leadership, leader.ready, leader.ctx = &fakeLeadership{lead.Map{Epoch: 7, Parts: []string{"n"}}}, make(chan struct{}), t.Context()
+			leader.leadership, leader.ready, leader.ctx = &fakeLeadership{lead.ShardMap{Epoch: 7, Owners: []string{"n"}}}, make(chan struct{}), t.Context()
 			close(leader.ready)
 			leader.current.Store(leader)
 			worker := leader.workers["h0"]
@@ -102,7 +102,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			leader.latencies, leader.leadership = newLatencies(), &fakeLeadership{lead.Map{Epoch: 7, Parts: []string{"n"}}}
+			leader.latencies, leader.leadership = newLatencies(), &fakeLeadership{lead.ShardMap{Epoch: 7, Owners: []string{"n"}}}
 			leader.settings.Facts.Workers.CancelS = 50
 			job := leader.addTestJob("req-1", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			leader.addTestJob("req-2", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
@@ -151,7 +151,7 @@
 	}{{"seen running", true, 1}, {"kept", false, 0}} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader, n := newTestTerm(t), 0
-			leader.latencies, leader.shards, leader.leadership = newLatencies(), finishCounter{finished: &n}, &fakeLeadership{lead.Map{Epoch: 7, Parts: []string{"n"}}}
+			leader.latencies, leader.shards, leader.leadership = newLatencies(), finishCounter{finished: &n}, &fakeLeadership{lead.ShardMap{Epoch: 7, Owners: []string{"n"}}}
 			job := leader.addTestJob("req-1", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 2, CPUs: 2})
 			claim := leader.runTestTask(t, job, "h0", time.Minute)
 			if !tc.ran {
--- a/internal/lead/lead_test.go
+++ b/internal/lead/elector_test.go
@@ -13,9 +13,9 @@
 )
 
 // When a node goes, only its own hosts move; the parts are of like size.
-func TestOwner(t *testing.T) {
-	all := Map{Parts: []string{"host-0", "host-1", "host-2"}}
-	fewer := Map{Parts: []string{"host-0", "host-2"}}
+func TestShardOwner(t *testing.T) {
+	all := ShardMap{Owners: []string{"host-0", "host-1", "host-2"}}
+	fewer := ShardMap{Owners: []string{"host-0", "host-2"}}
 	size := map[string]int{}
 	for i := range 3000 {
 		h := fmt.Sprintf("i-%06d", i)
@@ -30,17 +30,17 @@
 			t.Errorf("%s owns %d of 3000", n, k)
 		}
 	}
-	if (Map{}).Owner("i-1") != "" {
+	if (ShardMap{}).Owner("i-1") != "" {
 		t.Error("a map without parts has an owner")
 	}
 }
 
 // A leader acts on the cloud only while its grant lasts by its own clock, that
 // may run slow against the state service's.
-func TestSure(t *testing.T) {
+func TestLeaseHeld(t *testing.T) {
 	var term Term
 	t0 := time.Unix(100, 0)
-	term.lasts(t0, 2*time.Second)
+	term.leaseRenewed(t0, 2*time.Second)
 	for _, tc := range []struct {
 		at   time.Duration
 		want bool
@@ -53,8 +53,8 @@
 	if _, ok := term.SteppedDown(); ok {
 		t.Error("resigned from the start")
 	}
-	term.give()
-	term.lasts(t0, 2*time.Second)
+	term.markSteppedDown()
+	term.leaseRenewed(t0, 2*time.Second)
 	if _, ok := term.SteppedDown(); !ok || term.LeaseHeld(t0) {
 		t.Errorf("given up: %v, sure: %v", ok, term.LeaseHeld(t0))
 	}
@@ -62,37 +62,37 @@
 
 // Every write of a leader guards its key and its history; where versions that keep no
 // history wrote all there is, only its key.
-func TestGuards(t *testing.T) {
-	term := &Term{stamp: 3, hist: history.View{Marker: history.Marker{ID: "A", Stamp: 7}}}
+func TestTermCompares(t *testing.T) {
+	term := &Term{leaderRevision: 3, incarnation: history.View{Marker: history.Marker{ID: "A", Stamp: 7}}}
 	want := []wire.Compare{{Key: leaderKey, ModRevision: 3}, {Key: "history/id/A", ModRevision: 7}}
 	if got := term.Compares(); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
-	if got := (&Term{stamp: 3}).Compares(); !slices.Equal(got, want[:1]) {
+	if got := (&Term{leaderRevision: 3}).Compares(); !slices.Equal(got, want[:1]) {
 		t.Errorf("got %v, want %v", got, want[:1])
 	}
 }
 
 // A leader key that came back with a restore is told from one that somebody leads by.
-func TestLeftover(t *testing.T) {
+func TestStaleLeader(t *testing.T) {
 	const life = time.Second
 	for _, tc := range []struct {
 		name    string
-		v       leaderValue
-		known   Map
+		v       leaderRecord
+		known   ShardMap
 		doubted bool
 		since   time.Duration // that the key has been as it is
 		want    bool
 	}{
-		{"another leads", leaderValue{"b", 5}, Map{Epoch: 5, Leader: "b"}, false, time.Hour, false},
-		{"it raised the epoch since", leaderValue{"b", 5}, Map{Epoch: 9, Leader: "b"}, false, time.Hour, false},
-		{"it has just begun", leaderValue{"b", 5}, Map{Epoch: 4, Leader: "c"}, false, time.Hour, false},
-		{"below an epoch of another's", leaderValue{"b", 5}, Map{Epoch: 9, Leader: "c"}, false, 2 * life, true},
-		{"the same, not for long", leaderValue{"b", 5}, Map{Epoch: 9, Leader: "c"}, false, life / 2, false},
-		{"doubted", leaderValue{"b", 5}, Map{Epoch: 5, Leader: "b"}, true, 3 * life, true},
-		{"doubted, not for long", leaderValue{"b", 5}, Map{Epoch: 5, Leader: "b"}, true, life, false},
-		{"left by this node's last run", leaderValue{"a", 5}, Map{Epoch: 5, Leader: "a"}, false, 3 * life, true},
-		{"the same, its grant yet to end", leaderValue{"a", 5}, Map{Epoch: 5, Leader: "a"}, false, life, false},
+		{"another leads", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, false, time.Hour, false},
+		{"it raised the epoch since", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "b"}, false, time.Hour, false},
+		{"it has just begun", leaderRecord{"b", 5}, ShardMap{Epoch: 4, Leader: "c"}, false, time.Hour, false},
+		{"below an epoch of another's", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "c"}, false, 2 * life, true},
+		{"the same, not for long", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "c"}, false, life / 2, false},
+		{"doubted", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, true, 3 * life, true},
+		{"doubted, not for long", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, true, life, false},
+		{"left by this node's last run", leaderRecord{"a", 5}, ShardMap{Epoch: 5, Leader: "a"}, false, 3 * life, true},
+		{"the same, its grant yet to end", leaderRecord{"a", 5}, ShardMap{Epoch: 5, Leader: "a"}, false, life, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			log := slog.New(slog.DiscardHandler)
@@ -101,9 +101,9 @@
 			if tc.doubted {
 				h.Doubt("x")
 			}
-			e := New(Deps{State: st, Node: "a", Life: life, History: h, Log: log})
-			e.known, e.stale, e.doubted, e.since = tc.known, tc.v, tc.doubted, time.Now().Add(-tc.since)
-			if got := e.leftover(tc.v); got != tc.want {
+			e := New(Options{Store: st, Controller: "a", LeaseDuration: life, Detector: h, Log: log})
+			e.shardMap, e.observedLeader, e.observedSuspicion, e.observedSince = tc.known, tc.v, tc.doubted, time.Now().Add(-tc.since)
+			if got := e.isStaleLeader(tc.v); got != tc.want {
 				t.Errorf("leftover: %v", got)
 			}
 		})
--- a/internal/lead/golden_test.go
+++ b/internal/lead/golden_test.go
@@ -10,8 +10,8 @@
 // The keys of leadership and the epoch with its part map are stored as they are today.
 func TestGoldenStored(t *testing.T) {
 	goldentest.Check(t, "stored.txt", strings.Join([]string{
-		leaderKey + "\t" + goldentest.JSON(t, goldentest.Filled[leaderValue]()),
-		epochKey + "\t" + goldentest.JSON(t, goldentest.Filled[Map]()),
-		epochKey + "\t" + goldentest.JSON(t, Map{Epoch: 7, Leader: "n", Parts: []string{"n", "m"}}),
+		leaderKey + "\t" + goldentest.JSON(t, goldentest.Filled[leaderRecord]()),
+		epochKey + "\t" + goldentest.JSON(t, goldentest.Filled[ShardMap]()),
+		epochKey + "\t" + goldentest.JSON(t, ShardMap{Epoch: 7, Leader: "n", Owners: []string{"n", "m"}}),
 	}, "\n")+"\n")
 }
--- a/internal/part/deaf.go
+++ b/internal/part/deaf.go
@@ -49,7 +49,7 @@
 // well before the workers' leases are over, and then cannot tell whether it would.
 func (p *Part) Hearing() peer.Hearing {
 	now, report := p.now(), float64(p.set.Report())
-	owner := slices.Contains(p.known().Parts, p.set.Node)
+	owner := slices.Contains(p.known().Owners, p.set.Node)
 	e := &p.ears
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/part/deaf_test.go
+++ b/internal/part/deaf_test.go
@@ -33,9 +33,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			at := now
-			m := lead.Map{Epoch: 3, Leader: "a", Parts: []string{"a"}}
+			m := lead.ShardMap{Epoch: 3, Leader: "a", Owners: []string{"a"}}
 			if tc.owner {
-				m.Parts = append(m.Parts, "me")
+				m.Owners = append(m.Owners, "me")
 			}
 			p := part(t, m, 0, &links{peers: map[string]peer.Status{"a": {Live: tc.live, HearingKnown: true, Hearing: tc.peer}}})
 			p.now = func() time.Time { return at }
@@ -75,12 +75,12 @@
 // A node behind the same cut as a zone's workers answers those of owners that are
 // out of reach, under a map whose leader reckons with it and not otherwise.
 func TestStandsIn(t *testing.T) {
-	near := lead.Map{Epoch: 7, Leader: "other", Parts: []string{"me", "other"}, Near: true}
+	near := lead.ShardMap{Epoch: 7, Leader: "other", Owners: []string{"me", "other"}, ZoneFallback: true}
 	old, without := near, near
-	old.Near, without.Parts = false, []string{"other"}
+	old.ZoneFallback, without.Owners = false, []string{"other"}
 	for _, tc := range []struct {
 		name  string
-		m     lead.Map
+		m     lead.ShardMap
 		zone  string
 		stale time.Duration
 		live  bool
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -35,7 +35,7 @@
 // Part is this node's part.
 type Part struct {
 	set   *settings.Settings
-	known func() lead.Map
+	known func() lead.ShardMap
 	links Links
 	stale func() time.Duration // since the state service answered here
 	gone  *withdrawn.Notices
@@ -51,7 +51,7 @@
 
 // New makes the part. known tells the latest part map, stale since when the
 // state service has not answered, gone what is withdrawn.
-func New(set *settings.Settings, known func() lead.Map, stale func() time.Duration, gone *withdrawn.Notices, now func() time.Time) *Part {
+func New(set *settings.Settings, known func() lead.ShardMap, stale func() time.Duration, gone *withdrawn.Notices, now func() time.Time) *Part {
 	op := set.Operator.Placement
 	return &Part{
 		set: set, known: known, stale: stale, gone: gone, now: now,
@@ -147,8 +147,8 @@
 // the owner is out of reach. The host's tasks then run on for as long as the zone
 // is cut off. Only under a map that lists this node and whose leader reckons with
 // this: no lease of such a host is taken to be over meanwhile.
-func (p *Part) standsIn(m lead.Map, owner, zone string) bool {
-	return m.Near && zone != "" && zone == p.set.Zone && slices.Contains(m.Parts, p.set.Node) &&
+func (p *Part) standsIn(m lead.ShardMap, owner, zone string) bool {
+	return m.ZoneFallback && zone != "" && zone == p.set.Zone && slices.Contains(m.Owners, p.set.Node) &&
 		p.StoreRefuses() && !p.links.Peers()[owner].Live
 }
 
--- a/internal/part/part_test.go
+++ b/internal/part/part_test.go
@@ -44,7 +44,7 @@
 	return wire.CommandBatch{Epoch: 7}, nil, l.err
 }
 
-func part(t *testing.T, m lead.Map, stale time.Duration, l *links) *Part {
+func part(t *testing.T, m lead.ShardMap, stale time.Duration, l *links) *Part {
 	t.Helper()
 	op, err := settings.ParseOperator(nil)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	set := &settings.Settings{Node: "me", Operator: op, Facts: settings.Facts{Workers: settings.Workers{ReportS: 4, LeaseS: 40}}}
 	gone := withdrawn.New(withdrawn.Options{Within: time.Minute, Max: 8, Refused: func() bool { return false }, Now: func() time.Time { return now }})
-	p := New(set, func() lead.Map { return m }, func() time.Duration { return stale }, gone, func() time.Time { return now })
+	p := New(set, func() lead.ShardMap { return m }, func() time.Duration { return stale }, gone, func() time.Time { return now })
 	p.Link(l)
 	return p
 }
@@ -61,21 +61,21 @@
 	mine, theirs := []string{"me"}, []string{"other"}
 	for _, tc := range []struct {
 		name    string
-		m       lead.Map
+		m       lead.ShardMap
 		seen    uint64 // the worker's epoch
 		links   links
 		leader  leader
 		epoch   uint64 // of the answer; 0: refused
 		steward string
 	}{
-		{"the leader's own host", lead.Map{Epoch: 7, Leader: "me", Parts: mine}, 7, links{}, leader{}, 7, ""},
-		{"the term is over", lead.Map{Epoch: 7, Leader: "me", Parts: mine}, 7, links{}, leader{errors.New("no")}, 0, ""},
-		{"another's host", lead.Map{Epoch: 7, Leader: "me", Parts: theirs}, 7, links{}, leader{}, 0, "other"},
-		{"no map yet", lead.Map{}, 0, links{}, leader{}, 0, ""},
-		{"a worker that knows more", lead.Map{Epoch: 7, Leader: "me", Parts: mine}, 8, links{}, leader{}, 0, ""},
-		{"passed on", lead.Map{Epoch: 7, Leader: "boss", Parts: mine}, 7, links{answer: peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}}, leader{}, 9, ""},
-		{"the leader may not answer", lead.Map{Epoch: 7, Leader: "boss", Parts: mine}, 7, links{}, leader{}, 0, ""},
-		{"the leader cannot be asked: the tasks run on", lead.Map{Epoch: 7, Leader: "boss", Parts: mine}, 7, links{err: peer.ErrDown}, leader{}, 7, ""},
+		{"the leader's own host", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, links{}, leader{}, 7, ""},
+		{"the term is over", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, links{}, leader{errors.New("no")}, 0, ""},
+		{"another's host", lead.ShardMap{Epoch: 7, Leader: "me", Owners: theirs}, 7, links{}, leader{}, 0, "other"},
+		{"no map yet", lead.ShardMap{}, 0, links{}, leader{}, 0, ""},
+		{"a worker that knows more", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 8, links{}, leader{}, 0, ""},
+		{"passed on", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, links{answer: peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}}, leader{}, 9, ""},
+		{"the leader may not answer", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, links{}, leader{}, 0, ""},
+		{"the leader cannot be asked: the tasks run on", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, links{err: peer.ErrDown}, leader{}, 7, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := part(t, tc.m, 0, &tc.links)
@@ -116,7 +116,7 @@
 		{"just begun, the leader is out of reach", "boss", false, links{err: peer.ErrDown}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := part(t, lead.Map{Epoch: 7, Leader: tc.leader, Parts: []string{"me"}}, time.Minute, &tc.links)
+			p := part(t, lead.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}, time.Minute, &tc.links)
 			if tc.settled {
 				p.gone.Inherit("")
 			}
@@ -154,7 +154,7 @@
 		{"but not for a first map", 0, map[string]peer.Status{"a": status(0, time.Second, true)}, nil, []string{"a", "me"}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := part(t, lead.Map{}, tc.stale, &links{peers: tc.peers})
+			p := part(t, lead.ShardMap{}, tc.stale, &links{peers: tc.peers})
 			if got := p.EligibleOwners(tc.have); !slices.Equal(got, tc.fit) {
 				t.Errorf("fit %v, want %v", got, tc.fit)
 			}
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -78,12 +78,12 @@
 // shown notes an epoch that a worker has seen. One that the state service has not given
 // out was given out in a history that is lost.
 func (d *daemon) shown(epoch uint64) {
-	d.el.Shown(epoch)
+	d.el.ObserveEpoch(epoch)
 	if v := d.hist.Current(); v.Born == history.Open && epoch > 0 && epoch < v.Epoch {
 		// The history began with nothing, so nobody can have seen an earlier epoch.
 		d.hist.Doubt(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
 	}
-	if epoch > d.el.Known().Epoch {
+	if epoch > d.el.ShardMap().Epoch {
 		select {
 		case d.asks <- epoch:
 		default: // one question at a time is enough
@@ -98,8 +98,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case epoch := <-d.asks:
-			stored, err := d.el.Stored(ctx)
-			if err == nil && stored.Epoch < epoch && epoch > d.el.Known().Epoch {
+			stored, err := d.el.ReadShardMap(ctx)
+			if err == nil && stored.Epoch < epoch && epoch > d.el.ShardMap().Epoch {
 				d.hist.Doubt(fmt.Sprintf("workers have seen epoch %d, and %d is stored", epoch, stored.Epoch))
 			}
 			state.Backoff(ctx, 0, d.set.Report()/8, d.set.Report()/8)
@@ -137,7 +137,7 @@
 
 // counts tells a live job's counts: the leader has them.
 func (d *daemon) counts(ctx context.Context, ref string) (done, running int, ok bool, err error) {
-	leader := d.el.Known().Leader
+	leader := d.el.ShardMap().Leader
 	c, ok, err := d.control.TaskCounts(ref)
 	if ok || leader == d.set.Node {
 		return c.Done, c.Running, ok, err
@@ -150,7 +150,9 @@
 
 // Fence, Doubt, Check, Lost, Fresh, Fed and Young are what users' requests are decided under.
 
-func (d *daemon) Fence() ([]wire.Compare, history.Phase, error) { return d.hist.Fence(d.el.Old()) }
+func (d *daemon) Fence() ([]wire.Compare, history.Phase, error) {
+	return d.hist.Fence(d.el.LegacyLeader())
+}
 
 func (d *daemon) Doubt(why string) { d.hist.Doubt(why) }
 
@@ -166,7 +168,7 @@
 func (d *daemon) Young() bool { return time.Since(d.began) < 2*d.set.Report() && !d.Fed() }
 
 func (d *daemon) Fed() bool {
-	if d.el.Old() {
+	if d.el.LegacyLeader() {
 		return true // such a leader feeds nobody, and nothing better is to be had
 	}
 	return d.copies.Head().History == d.hist.Current().ID && (d.el.Leader() == d.set.Node || d.copies.Fresh(2*d.set.Report()))
@@ -206,8 +208,8 @@
 
 // leads reads from the state service who leads now.
 func (d *daemon) leads(ctx context.Context) (string, error) {
-	m, err := d.el.Stored(ctx)
-	if known := d.el.Known().Epoch; err == nil && m.Epoch != known {
+	m, err := d.el.ReadShardMap(ctx)
+	if known := d.el.ShardMap().Epoch; err == nil && m.Epoch != known {
 		// Another was elected since, or the state service is behind what is known.
 		err = fmt.Errorf("epoch %d is stored, %d is known", m.Epoch, known)
 	}
@@ -217,12 +219,12 @@
 // Ping, Pinged, Beat, Pick, User and Counts are what peers ask of this node.
 
 func (d *daemon) Ping() peer.Ping {
-	m := d.el.Known()
-	return peer.Ping{Node: d.set.Node, Epoch: m.Epoch, Leader: m.Leader, Parts: m.Parts, StateAge: d.st.SinceLastAnswer()}
+	m := d.el.ShardMap()
+	return peer.Ping{Node: d.set.Node, Epoch: m.Epoch, Leader: m.Leader, Parts: m.Owners, StateAge: d.st.SinceLastAnswer()}
 }
 
 func (d *daemon) Pinged(p peer.Ping) {
-	d.el.Learn(lead.Map{Epoch: p.Epoch, Leader: p.Leader, Parts: p.Parts})
+	d.el.LearnShardMap(lead.ShardMap{Epoch: p.Epoch, Leader: p.Leader, Owners: p.Parts})
 }
 
 func (d *daemon) Beat(ctx context.Context, r *wire.Heartbeat) peer.BeatAnswer {
@@ -258,7 +260,7 @@
 type Status struct {
 	Node     string                 `json:"node"`
 	Version  string                 `json:"version"`
-	Map      lead.Map               `json:"map"`
+	Map      lead.ShardMap          `json:"map"`
 	UpS      float64                `json:"up_s"`
 	StateS   float64                `json:"state_silent_s"`
 	Requests int64                  `json:"state_requests"`
@@ -305,7 +307,7 @@
 		return
 	}
 	reply(w, http.StatusOK, Status{
-		Node: d.set.Node, Version: Version, Map: d.el.Known(), UpS: time.Since(d.began).Seconds(),
+		Node: d.set.Node, Version: Version, Map: d.el.ShardMap(), UpS: time.Since(d.began).Seconds(),
 		StateS: d.st.SinceLastAnswer().Seconds(), Requests: d.st.RequestCount(), Lower: d.st.LimitsLowered(), Peers: d.mesh.Peers(),
 		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.Rows(), Leading: d.control.Status(), History: d.histories(),
 	})
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -93,17 +93,17 @@
 	d.memory = pressure.New(uint64(op.Limits.Refuse*facts.Resources.MemoryMB*(1<<20)), set.Report()/16)
 	types := fleet.NewCatalogue(cloud, 2*set.Lease(), log)
 	d.copies = copies.New(int(op.Rebuild.Ends*facts.Resources.MemoryMB*(1<<20)), log)
-	d.hist = history.NewKeeper(d.st, func(why string) { d.el.Distrust(why) }, log)
-	d.el = lead.New(lead.Deps{
-		State: d.st, Node: set.Node, Life: time.Duration(op.Lead.Grant * float64(set.Lease())), Parts: func() []string { return d.part.EligibleOwners(nil) },
-		History: d.hist, Knows: func() bool { return !d.copies.Empty() }, Log: log,
+	d.hist = history.NewKeeper(d.st, func(why string) { d.el.EndTermForDataLoss(why) }, log)
+	d.el = lead.New(lead.Options{
+		Store: d.st, Controller: set.Node, LeaseDuration: time.Duration(op.Lead.Grant * float64(set.Lease())), ShardOwners: func() []string { return d.part.EligibleOwners(nil) },
+		Detector: d.hist, RemembersIncarnation: func() bool { return !d.copies.Empty() }, Log: log,
 	})
 	within := settings.Seconds(facts.Workers.CancelS)
 	d.gone = withdrawn.New(withdrawn.Options{
 		Within: within, Max: withdrawn.Capacity(facts.State.WriteRPS, within), Peers: set.Others(),
 		Refused: func() bool { return d.part.StoreRefuses() }, Now: time.Now,
 	})
-	d.part = part.New(set, d.el.Known, d.st.SinceLastAnswer, d.gone, time.Now)
+	d.part = part.New(set, d.el.ShardMap, d.st.SinceLastAnswer, d.gone, time.Now)
 	var tls *certs.Keeper
 	if op.TLS.On() {
 		var err error
@@ -173,7 +173,7 @@
 	g.Go(func() error { return types.Run(gctx) })
 	g.Go(func() error { return d.hist.Run(gctx, set.Lease()/2) })
 	g.Go(func() error { return d.outdone(gctx) })
-	g.Go(func() error { return d.el.Follow(gctx) })
+	g.Go(func() error { return d.el.WatchShardMap(gctx) })
 	g.Go(func() error { return d.el.Run(gctx, d.control.Serve) })
 	g.Go(func() error { return d.probe(gctx) })
 	g.Go(func() error { return d.door.Run(gctx, set.Report()) })
@@ -198,7 +198,7 @@
 		return
 	}
 	d.log.Info("snapshot", "files", c.Files, "history", c.Last.History, "generation", c.Last.Gen, "keys", c.Tree.Len(), "age_s", time.Since(c.Last.At).Seconds())
-	d.el.Shown(c.Last.Epoch)
+	d.el.ObserveEpoch(c.Last.Epoch)
 	d.copies.Recall(c.Tree)
 }
 
@@ -248,7 +248,7 @@
 		}
 		if d.part.Deaf() && !d.control.NoWorkersOfOwn() {
 			// Another leads and answers the workers meanwhile.
-			d.el.Resign(d.set.Lease(), "workers reach others but not this node")
+			d.el.StepDown(d.set.Lease(), "workers reach others but not this node")
 		}
 		if d.st.SinceLastAnswer() >= every {
 			d.st.Probe(ctx)
--- a/internal/sim/together_test.go
+++ b/internal/sim/together_test.go
@@ -376,7 +376,7 @@
 				epochs = nil
 				m.st.done = func(_ string, c wire.Txn) bool {
 					for _, p := range c.Operations {
-						var e lead.Map
+						var e lead.ShardMap
 						if p.Put == "epoch" && json.Unmarshal(p.Value, &e) == nil {
 							epochs = append(epochs, e.Epoch)
 						}
