--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -51,18 +51,18 @@
 	}
 	view := t.leadership.Incarnation()
 	ended := make(map[string][]byte) // that this node was not told of
-	if view.Phase != history.Rebuild {
+	if view.Phase != history.PhaseRecovering {
 		if ended, err = t.compareWithReplica(ctx, jobs, chunks); err != nil {
 			return 0, err
 		}
 	}
 	var merged rebuild.Result
-	if view.Phase == history.Rebuild || view.Phase == history.Ends {
+	if view.Phase == history.PhaseRecovering || view.Phase == history.PhaseRestoringResults {
 		if merged, err = t.mergeSources(ctx, view.Phase, jobs, chunks); err != nil {
 			return 0, err
 		}
 	}
-	if view.Phase == history.Rebuild {
+	if view.Phase == history.PhaseRecovering {
 		jobs, chunks = toItems(merged.Live), toItems(merged.Chunks)
 	}
 	orphaned, err := t.endingsOfOrphanedClaims(ctx, jobs, chunks, merged.Ends)
@@ -110,7 +110,7 @@
 }
 
 // populate makes the ledger and this node's copy of what was read or put together.
-func (t *leaderTerm) populate(view history.View, revision uint64, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) error {
+func (t *leaderTerm) populate(view history.IncarnationState, revision uint64, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, item := range jobs {
@@ -136,14 +136,14 @@
 		}
 	}
 	t.jobs.Loaded()
-	if view.Phase == history.Rebuild {
+	if view.Phase == history.PhaseRecovering {
 		t.jobs.Doubt(t.baseAttempt())
 	}
 	for _, worker := range t.jobs.ClaimedHosts() {
 		t.worker(worker)
 	}
 	t.replica.Lead(view.ID, t.firstEpoch, revision, t.replicaTree(view, jobs, chunks, recovered, endings))
-	if view.Phase == history.Whole {
+	if view.Phase == history.PhaseComplete {
 		t.replica.Settled(view.ID)
 	}
 	t.log.Info("loaded", "epoch", t.firstEpoch, "jobs", len(t.jobs.Jobs()), "claimed_hosts", len(t.workers))
@@ -151,7 +151,7 @@
 }
 
 // replicaTree is what the copies are to hold: what was read, with the ends that are known.
-func (t *leaderTerm) replicaTree(view history.View, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) *copies.Tree {
+func (t *leaderTerm) replicaTree(view history.IncarnationState, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) *copies.Tree {
 	txn := iradix.New[[]byte]().Txn()
 	if known, head := t.replica.Tree(); head.History == view.ID && recovered == nil {
 		known.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool { txn.Insert(key, value); return false })
@@ -238,7 +238,7 @@
 	if err != nil {
 		return rebuild.Result{}, err
 	}
-	full := phase == history.Rebuild
+	full := phase == history.PhaseRecovering
 	head := t.replica.Head()
 	before := t.leadership.PreviousMap()
 	exact := full && before.Leader == t.settings.Node && head.Epoch > 0 && t.replica.Exact()
--- a/internal/control/model_test.go
+++ b/internal/control/model_test.go
@@ -30,10 +30,12 @@
 // fakeLeadership stands in for a leadership that nobody contests.
 type fakeLeadership struct{ shards lead.ShardMap }
 
-func (f *fakeLeadership) Epoch() uint64             { return f.shards.Epoch }
-func (f *fakeLeadership) ShardMap() lead.ShardMap   { return f.shards }
-func (f *fakeLeadership) Compares() []wire.Compare  { return []wire.Compare{{}} }
-func (f *fakeLeadership) Incarnation() history.View { return history.View{Phase: history.Whole} }
+func (f *fakeLeadership) Epoch() uint64            { return f.shards.Epoch }
+func (f *fakeLeadership) ShardMap() lead.ShardMap  { return f.shards }
+func (f *fakeLeadership) Compares() []wire.Compare { return []wire.Compare{{}} }
+func (f *fakeLeadership) Incarnation() history.IncarnationState {
+	return history.IncarnationState{Phase: history.PhaseComplete}
+}
 func (f *fakeLeadership) CheckCompares(failed []string) error {
 	if lead.LeaderCompareFailed(failed) {
 		return lead.ErrDeposed
--- a/internal/control/monitor.go
+++ b/internal/control/monitor.go
@@ -198,7 +198,7 @@
 		var idle []string
 		var plan fleet.Plan
 		// What an earlier leader rented shows within a report interval.
-		if instanceTypes := t.instanceTypes.InstanceTypes(); instanceTypes != nil && (t.leadership.Incarnation().Phase == history.Open || now.Sub(t.startedAt) > t.settings.Report()) {
+		if instanceTypes := t.instanceTypes.InstanceTypes(); instanceTypes != nil && (t.leadership.Incarnation().Phase == history.PhaseProvisional || now.Sub(t.startedAt) > t.settings.Report()) {
 			machines := t.planMachines(now)
 			plan = t.planner.Plan(instanceTypes, machines, t.demand(machines, now), now)
 		}
--- a/internal/control/orphans.go
+++ b/internal/control/orphans.go
@@ -26,7 +26,7 @@
 // isOrphan tells whether a task on a machine is of a job that may have been lost, so that
 // it is to be left alone.
 func (t *leaderTerm) isOrphan(task ledger.Task) bool {
-	if view := t.leadership.Incarnation(); !view.Lost && view.Phase != history.Open || t.jobs.Job(task.Ref) != nil {
+	if view := t.leadership.Incarnation(); !view.DataLost && view.Phase != history.PhaseProvisional || t.jobs.Job(task.Ref) != nil {
 		return false // a history that has just begun may be a loss that is yet to show
 	}
 	orphan := t.orphanedJobs[task.Ref]
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -35,8 +35,8 @@
 // suspectDataLoss notes that what the state service holds contradicts itself or what is known,
 // and ends the term: the next one puts it together anew.
 func (t *leaderTerm) suspectDataLoss(cause error) error {
-	t.dataLoss.Doubt(cause.Error())
-	return fmt.Errorf("%w: %w", history.ErrGone, cause)
+	t.dataLoss.Suspect(cause.Error())
+	return fmt.Errorf("%w: %w", history.ErrIncarnationReplaced, cause)
 }
 
 // dataLossSuspected tells whether data may have been lost, so that nothing is ordered any more.
@@ -44,7 +44,7 @@
 	if t.dataLoss == nil {
 		return false
 	}
-	_, _, suspected := t.dataLoss.Doubted()
+	_, _, suspected := t.dataLoss.Suspected()
 	return suspected
 }
 
@@ -69,7 +69,7 @@
 	t.mu.Lock()
 	t.progress.durableAt = t.now()
 	t.mu.Unlock()
-	return t.advancePhase(ctx, history.Ends)
+	return t.advancePhase(ctx, history.PhaseRestoringResults)
 }
 
 // advancePhase takes the history to a phase, however long that takes.
@@ -186,11 +186,11 @@
 // finishRecovery writes what nothing waits for, and tells when the history is whole.
 func (t *leaderTerm) finishRecovery(ctx context.Context) error {
 	switch t.leadership.Incarnation().Phase {
-	case history.Open:
+	case history.PhaseProvisional:
 		if err := t.awaitEarlierEpochs(ctx); err != nil {
 			return err
 		}
-	case history.Rebuild, history.Ends:
+	case history.PhaseRecovering, history.PhaseRestoringResults:
 		if err := t.writePending(ctx, len(t.progress.pending), idleWriteReserve); err != nil {
 			return err
 		}
@@ -200,7 +200,7 @@
 	default:
 		return nil
 	}
-	if err := t.advancePhase(ctx, history.Whole); err != nil {
+	if err := t.advancePhase(ctx, history.PhaseComplete); err != nil {
 		return err
 	}
 	t.replica.Settled(t.leadership.Incarnation().ID)
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -41,7 +41,7 @@
 	shards              Shards
 	memoryFull          func() bool
 	auditKeys           *keyring.Ring
-	dataLoss            *history.Keeper
+	dataLoss            *history.Detector
 	replica             *copies.Copy
 	replicaPeers        copies.Peers
 	recentCancellations *withdrawn.Notices
@@ -74,7 +74,7 @@
 	Compares() []wire.Compare
 	// CheckCompares tells whether failed guards say that the leadership is over.
 	CheckCompares(failed []string) error
-	Incarnation() history.View
+	Incarnation() history.IncarnationState
 	PreviousMap() lead.ShardMap
 	AdvancePhase(ctx context.Context, p history.Phase) error
 	LeaseHeld(now time.Time) bool
@@ -94,7 +94,7 @@
 	Shards        Shards
 	MemoryFull    func() bool   // whether memory is short
 	AuditKeys     *keyring.Ring // what the audit record is sealed with; nil: none is kept
-	DataLoss      *history.Keeper
+	DataLoss      *history.Detector
 	Replica       *copies.Copy
 	ReplicaPeers  copies.Peers
 	Cancellations *withdrawn.Notices // jobs whose withdrawal was committed lately
@@ -169,7 +169,7 @@
 	}
 	t.mu.Lock()
 	t.auditLog.enqueue(r.now(), audit.Entry{Act: audit.TookOver, On: r.settings.Node, Why: fmt.Sprintf("epoch %d", leadership.FirstEpoch)})
-	if phase := leadership.Incarnation().Phase; phase == history.Whole || phase == history.Open {
+	if phase := leadership.Incarnation().Phase; phase == history.PhaseComplete || phase == history.PhaseProvisional {
 		t.recentCancellations.Inherit("", t.cancelledJobs()...)
 	}
 	t.mu.Unlock()
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -34,7 +34,7 @@
 	job := term.jobs.Job(ref)
 	if job == nil {
 		running, ok := term.runningOrphans(ref)
-		if !ok && term.leadership.Incarnation().Lost && !term.allWorkersReported(term.now()) {
+		if !ok && term.leadership.Incarnation().DataLost && !term.allWorkersReported(term.now()) {
 			return TaskCounts{}, false, ErrWorkersUnreported
 		}
 		return TaskCounts{Running: running}, ok, nil
--- a/internal/control/status_test.go
+++ b/internal/control/status_test.go
@@ -16,8 +16,8 @@
 	lost bool
 }
 
-func (t *termAfterLoss) Incarnation() history.View {
-	return history.View{Marker: history.Marker{Lost: t.lost}}
+func (t *termAfterLoss) Incarnation() history.IncarnationState {
+	return history.IncarnationState{Incarnation: history.Incarnation{DataLost: t.lost}}
 }
 
 // Of a job that is stored nowhere a new leader knows nothing until the machines that have
--- a/internal/history/history_test.go
+++ b/internal/history/detector_test.go
@@ -30,7 +30,7 @@
 )
 
 // What is stored tells which history it is, and how much it holds.
-func TestParse(t *testing.T) {
+func TestParseState(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		items []wire.KeyValue
@@ -40,73 +40,77 @@
 		spare int
 	}{
 		{"none", nil, "", "", false, 0},
-		{"as it began", items("history/id/A", lost2), "A", Rebuild, true, 0},
-		{"gone on", items("history/id/A", lost2, "history/phase", `{"id":"A","phase":"ends"}`), "A", Ends, true, 0},
-		{"a phase of another", items("history/id/B", lost2, "history/phase", `{"id":"A","phase":"whole"}`), "B", Rebuild, true, 0},
-		{"two, the later one", items("history/id/A", whole1, "history/id/B", lost2), "B", Rebuild, true, 1},
-		{"damaged: nothing is sure", items("history/id/A", `"rot"`), "A", Rebuild, true, 0},
-		{"a damaged phase", items("history/id/A", whole1, "history/phase", `7`), "A", Whole, false, 0},
+		{"as it began", items("history/id/A", lost2), "A", PhaseRecovering, true, 0},
+		{"gone on", items("history/id/A", lost2, "history/phase", `{"id":"A","phase":"ends"}`), "A", PhaseRestoringResults, true, 0},
+		{"a phase of another", items("history/id/B", lost2, "history/phase", `{"id":"A","phase":"whole"}`), "B", PhaseRecovering, true, 0},
+		{"two, the later one", items("history/id/A", whole1, "history/id/B", lost2), "B", PhaseRecovering, true, 1},
+		{"damaged: nothing is sure", items("history/id/A", `"rot"`), "A", PhaseRecovering, true, 0},
+		{"a damaged phase", items("history/id/A", whole1, "history/phase", `7`), "A", PhaseComplete, false, 0},
 		{"what is none of it", items("history/else", `1`), "", "", false, 0},
 	} {
-		v := parse(tc.items)
-		if v.ID != tc.id || v.Phase != tc.phase || v.Lost != tc.lost || len(v.Spare) != tc.spare {
+		v := parseState(tc.items)
+		if v.ID != tc.id || v.Phase != tc.phase || v.DataLost != tc.lost || len(v.Superseded) != tc.spare {
 			t.Errorf("%s: %+v", tc.name, v)
 		}
 	}
 }
 
-func keeper() *Keeper {
+func newTestDetector() *Detector {
 	st := state.New(state.Options{Addr: "none:1", RequestsPerSecond: 1, Timeout: time.Second})
-	return NewKeeper(st, nil, slog.New(slog.DiscardHandler))
+	return NewDetector(st, nil, slog.New(slog.DiscardHandler))
 }
 
 // When a doubt begins, when it is over, and what may be done meanwhile.
-func TestDoubt(t *testing.T) {
+func TestDataLossSuspected(t *testing.T) {
 	a, b := items("history/id/A", whole1), items("history/id/B", lost2)
 	for _, tc := range []struct {
 		name    string
-		do      func(k *Keeper)
+		do      func(k *Detector)
 		doubted bool
 		old     bool // the leader keeps no history
 		guards  int
 		err     bool
 	}{
-		{"nothing read yet", func(*Keeper) {}, false, false, 0, true},
-		{"none, and nobody leads", func(k *Keeper) { k.whole(nil, time.Now()) }, false, false, 0, true},
-		{"none, by a leader of an earlier version", func(k *Keeper) { k.whole(nil, time.Now()) }, false, true, 0, false},
-		{"as ever", func(k *Keeper) { k.whole(a, time.Now()) }, false, false, 1, false},
-		{"its key is gone", func(k *Keeper) { k.whole(a, time.Now()); k.whole(nil, time.Now()) }, true, false, 0, true},
-		{"another began", func(k *Keeper) { k.whole(a, time.Now()); k.whole(nil, time.Now()); k.whole(b, time.Now()) }, false, false, 1, false},
-		{"doubted until another begins", func(k *Keeper) { k.whole(a, time.Now()); k.Doubt("x"); k.whole(a, time.Now()) }, true, false, 0, true},
-		{"doubted, and another began", func(k *Keeper) { k.whole(a, time.Now()); k.Doubt("x"); k.whole(b, time.Now()) }, false, false, 1, false},
-		{"an earlier one is back", func(k *Keeper) { k.whole(b, time.Now()); k.whole(a, time.Now()) }, true, false, 0, true},
-		{"an earlier one is back, then a new one", func(k *Keeper) {
-			k.whole(b, time.Now())
-			k.whole(a, time.Now())
-			k.whole(items("history/id/C", `{"phase":"rebuild","lost":true,"epoch":9}`), time.Now())
+		{"nothing read yet", func(*Detector) {}, false, false, 0, true},
+		{"none, and nobody leads", func(k *Detector) { k.replaceAll(nil, time.Now()) }, false, false, 0, true},
+		{"none, by a leader of an earlier version", func(k *Detector) { k.replaceAll(nil, time.Now()) }, false, true, 0, false},
+		{"as ever", func(k *Detector) { k.replaceAll(a, time.Now()) }, false, false, 1, false},
+		{"its key is gone", func(k *Detector) { k.replaceAll(a, time.Now()); k.replaceAll(nil, time.Now()) }, true, false, 0, true},
+		{"another began", func(k *Detector) {
+			k.replaceAll(a, time.Now())
+			k.replaceAll(nil, time.Now())
+			k.replaceAll(b, time.Now())
 		}, false, false, 1, false},
-		{"a peer doubts the same", func(k *Keeper) { k.whole(a, time.Now()); k.Heard("p", "A", "x", true) }, true, false, 0, true},
-		{"a peer doubts another", func(k *Keeper) { k.whole(a, time.Now()); k.Heard("p", "B", "x", true) }, false, false, 1, false},
-		{"an answer was on its way when this node began it", func(k *Keeper) {
+		{"doubted until another begins", func(k *Detector) { k.replaceAll(a, time.Now()); k.Suspect("x"); k.replaceAll(a, time.Now()) }, true, false, 0, true},
+		{"doubted, and another began", func(k *Detector) { k.replaceAll(a, time.Now()); k.Suspect("x"); k.replaceAll(b, time.Now()) }, false, false, 1, false},
+		{"an earlier one is back", func(k *Detector) { k.replaceAll(b, time.Now()); k.replaceAll(a, time.Now()) }, true, false, 0, true},
+		{"an earlier one is back, then a new one", func(k *Detector) {
+			k.replaceAll(b, time.Now())
+			k.replaceAll(a, time.Now())
+			k.replaceAll(items("history/id/C", `{"phase":"rebuild","lost":true,"epoch":9}`), time.Now())
+		}, false, false, 1, false},
+		{"a peer doubts the same", func(k *Detector) { k.replaceAll(a, time.Now()); k.ObservePeer("p", "A", "x", true) }, true, false, 0, true},
+		{"a peer doubts another", func(k *Detector) { k.replaceAll(a, time.Now()); k.ObservePeer("p", "B", "x", true) }, false, false, 1, false},
+		{"an answer was on its way when this node began it", func(k *Detector) {
 			asked := time.Now()
-			k.Replaced(Marker{ID: "A", Stamp: 4, Born: Open, Epoch: 8})
-			k.whole(nil, asked)
+			k.IncarnationBegun(Incarnation{ID: "A", Revision: 4, InitialPhase: PhaseProvisional, Epoch: 8})
+			k.replaceAll(nil, asked)
 		}, false, false, 1, false},
-		{"an answer was on its way when a later one came", func(k *Keeper) {
+		{"an answer was on its way when a later one came", func(k *Detector) {
 			asked := time.Now()
-			k.whole(a, time.Now())
-			k.whole(nil, asked)
+			k.replaceAll(a, time.Now())
+			k.replaceAll(nil, asked)
 		}, false, false, 1, false},
-		{"this node began another itself", func(k *Keeper) {
-			k.whole(a, time.Now())
-			k.Doubt("x")
-			k.Replaced(Marker{ID: "B", Stamp: 4, Born: Rebuild, Epoch: 8})
+		{"this node began another itself", func(k *Detector) {
+			k.replaceAll(a, time.Now())
+			k.Suspect("x")
+			k.IncarnationBegun(Incarnation{ID: "B", Revision: 4, InitialPhase: PhaseRecovering, Epoch: 8})
 		}, false, false, 1, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			k := keeper()
+			k := newTestDetector()
 			tc.do(k)
-			_, _, doubted := k.Doubted()
+			_, _, doubted := k.Suspected()
 			gs, _, err := k.Fence(tc.old)
 			if doubted != tc.doubted || len(gs) != tc.guards || (err != nil) != tc.err {
 				t.Errorf("doubted %v, guards %v, %v", doubted, gs, err)
@@ -117,26 +121,26 @@
 
 // A peer that goes by another history has this node look again: a log that begins after
 // a generation long passed does not tell.
-func TestPeerOfAnotherHistory(t *testing.T) {
-	k := keeper()
-	k.whole(items("history/id/A", whole1), time.Now())
-	k.Heard("p", "B", "", false)
+func TestPeerWithAnotherIncarnation(t *testing.T) {
+	k := newTestDetector()
+	k.replaceAll(items("history/id/A", whole1), time.Now())
+	k.ObservePeer("p", "B", "", false)
 	select {
-	case <-k.kick:
+	case <-k.recheck:
 	default:
 		t.Error("the history is not read again")
 	}
 }
 
-// tiny is a state service that counts as the real one does, so that the same changes
+// fakeStore is a state service that counts as the real one does, so that the same changes
 // give the same stamps in each of its histories.
-type tiny struct {
+type fakeStore struct {
 	mu   sync.Mutex
 	gen  uint64
 	keys map[string]uint64
 }
 
-func (s *tiny) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var t wire.Txn
@@ -173,8 +177,8 @@
 
 // A write of a history that was lost does not apply to the next one though every stamp
 // that it guards has come again, exactly. Without the history's guard it does.
-func TestLateWrite(t *testing.T) {
-	s := &tiny{}
+func TestLateWriteFromLostIncarnation(t *testing.T) {
+	s := &fakeStore{}
 	srv := httptest.NewServer(s)
 	defer srv.Close()
 	var d net.Dialer
@@ -191,14 +195,14 @@
 		s.mu.Lock()
 		s.gen, s.keys = 1, map[string]uint64{}
 		s.mu.Unlock()
-		m := Marker{ID: id, Born: Rebuild, Epoch: 2}
-		p, err := m.Put()
+		m := Incarnation{ID: id, InitialPhase: PhaseRecovering, Epoch: 2}
+		p, err := m.CreateOperation()
 		if err != nil {
 			t.Fatal(err)
 		}
-		m.Stamp, _ = commit(nil, p, wire.Operation{Put: "lead", Value: []byte("1")})
-		g, _ := m.Guard()
-		guards = []wire.Compare{{Key: "lead", ModRevision: m.Stamp}, g}
+		m.Revision, _ = commit(nil, p, wire.Operation{Put: "lead", Value: []byte("1")})
+		g, _ := m.Compare()
+		guards = []wire.Compare{{Key: "lead", ModRevision: m.Revision}, g}
 		claim, failed := commit(guards, wire.Operation{Put: "c/r/0", Value: []byte("1")})
 		if len(failed) > 0 {
 			t.Fatal(failed)
@@ -212,10 +216,10 @@
 			t.Fatalf("the stamps did not come again: %v, %v", before, after)
 		}
 	}
-	if _, failed := commit(before, late); !Failed(failed) {
+	if _, failed := commit(before, late); !CompareFailed(failed) {
 		t.Errorf("a write of the history that was lost was applied: %v", failed)
 	}
-	if _, failed := commit(slices.DeleteFunc(before, func(g wire.Compare) bool { return strings.HasPrefix(g.Key, markers) }), late); len(failed) > 0 {
+	if _, failed := commit(slices.DeleteFunc(before, func(g wire.Compare) bool { return strings.HasPrefix(g.Key, incarnationPrefix) }), late); len(failed) > 0 {
 		t.Errorf("the guards do not come again in this test: %v", failed)
 	}
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -281,7 +281,7 @@
 		var failed []string
 		fence, err := u.fence()
 		if err == nil && u.unstored(job.ID) {
-			err = history.ErrDoubt
+			err = history.ErrDataLossSuspected
 		}
 		if err == nil {
 			gen, failed, err = u.st.Commit(ctx, wire.Txn{
@@ -289,9 +289,9 @@
 				Operations: []wire.Operation{put},
 			})
 		}
-		if err == nil && history.Failed(failed) {
+		if err == nil && history.CompareFailed(failed) {
 			u.past.Check()
-			err = history.ErrDoubt
+			err = history.ErrDataLossSuspected
 		}
 		if err == nil && identity.Touched(failed) && !slices.Contains(failed, ledger.LiveKey(job.ID)) && !slices.Contains(failed, ledger.EndedKey(job.ID)) {
 			// Withdrawn since the token was checked, or only changed: the next
@@ -327,7 +327,7 @@
 		// and a node that has just begun cannot tell whether any was.
 		_, err := u.fence()
 		if err == nil && u.past.Young() {
-			err = history.ErrDoubt
+			err = history.ErrDataLossSuspected
 		}
 		var p known
 		before := u.glance(ref)
@@ -494,7 +494,7 @@
 	rec, err := ledger.DecodeRecord(it.Value)
 	if err != nil {
 		u.past.Doubt(fmt.Sprintf("the record of job %s cannot be read", ref))
-		return known{}, fmt.Errorf("intake: %s: %w: %w", ref, history.ErrDoubt, err)
+		return known{}, fmt.Errorf("intake: %s: %w: %w", ref, history.ErrDataLossSuspected, err)
 	}
 	dec, err := u.may(who, rights.Withdraw, rec.Job.Team, ref)
 	if err != nil {
@@ -517,9 +517,9 @@
 	if err != nil {
 		return known{}, err
 	}
-	if history.Failed(failed) {
+	if history.CompareFailed(failed) {
 		u.past.Check()
-		return known{}, history.ErrDoubt
+		return known{}, history.ErrDataLossSuspected
 	}
 	if slices.Contains(failed, ledger.LiveKey(ref)) {
 		return known{}, errMoved
--- a/internal/intake/past.go
+++ b/internal/intake/past.go
@@ -54,22 +54,22 @@
 	switch {
 	case err != nil:
 		return err
-	case phase == history.Whole && before.known:
+	case phase == history.PhaseComplete && before.known:
 		u.past.Doubt("job " + ref + " is gone without an end")
-		return history.ErrDoubt
+		return history.ErrDataLossSuspected
 	case u.copies.Knows(ref):
-		return history.ErrDoubt // it has come since: asked again, it is there
-	case phase != history.Whole, !u.past.Fed():
+		return history.ErrDataLossSuspected // it has come since: asked again, it is there
+	case phase != history.PhaseComplete, !u.past.Fed():
 		// Not all who may know were heard; and a node that has just begun remembers
 		// nothing yet.
-		return history.ErrDoubt
+		return history.ErrDataLossSuspected
 	}
 	return nil
 }
 
 // recall tells a job's end from memory, while the state service may lack it.
 func (u *Users) recall(ref string) (known, bool) {
-	if _, phase, err := u.past.Fence(); err == nil && phase != history.Ends && phase != history.Rebuild {
+	if _, phase, err := u.past.Fence(); err == nil && phase != history.PhaseRestoringResults && phase != history.PhaseRecovering {
 		return known{}, false
 	}
 	return u.over(ref)
@@ -111,8 +111,8 @@
 // together again.
 func (u *Users) fence() ([]wire.Compare, error) {
 	gs, phase, err := u.past.Fence()
-	if err == nil && phase == history.Rebuild {
-		err = history.ErrDoubt
+	if err == nil && phase == history.PhaseRecovering {
+		err = history.ErrDataLossSuspected
 	}
 	return gs, err
 }
@@ -120,14 +120,14 @@
 // opens waits for the first leader of all to begin a history: until then there is
 // nothing to doubt, and a user's first job is not to be turned away.
 func (u *Users) opens(ctx context.Context, err error, try int) bool {
-	return errors.Is(err, history.ErrDoubt) && !u.down() && u.past.Fresh() && state.Backoff(ctx, try, 20*time.Millisecond, 100*time.Millisecond)
+	return errors.Is(err, history.ErrDataLossSuspected) && !u.down() && u.past.Fresh() && state.Backoff(ctx, try, 20*time.Millisecond, 100*time.Millisecond)
 }
 
 // unstored tells whether the job's end is known but may yet have to be stored again, so
 // that the state service would take the job for new.
 func (u *Users) unstored(ref string) bool {
 	_, phase, err := u.past.Fence()
-	if err != nil || phase != history.Ends {
+	if err != nil || phase != history.PhaseRestoringResults {
 		return err != nil
 	}
 	if _, ok := u.copies.Get(ledger.EndedKey(ref)); ok {
--- a/internal/lead/elector.go
+++ b/internal/lead/elector.go
@@ -74,8 +74,8 @@
 type Term struct {
 	FirstEpoch uint64 // the epoch it began with
 
-	incarnation    history.View // that it belongs to, as it was at the start
-	previousMap    ShardMap     // the latest map known when it began
+	incarnation    history.IncarnationState // that it belongs to, as it was at the start
+	previousMap    ShardMap                 // the latest map known when it began
 	store          *state.Client
 	leaderRevision uint64 // of the leader key
 	leaseID        uint64
@@ -142,7 +142,7 @@
 // lost, since a stamp of the leader's key may come again.
 func (t *Term) Compares() []wire.Compare {
 	gs := []wire.Compare{{Key: leaderKey, ModRevision: t.leaderRevision}}
-	if g, ok := t.incarnation.Guard(); ok {
+	if g, ok := t.incarnation.Compare(); ok {
 		gs = append(gs, g)
 	}
 	return gs
@@ -159,14 +159,14 @@
 }
 
 // Incarnation is the history that the term belongs to, as it was when the term began.
-func (t *Term) Incarnation() history.View { return t.incarnation }
+func (t *Term) Incarnation() history.IncarnationState { return t.incarnation }
 
 // PreviousMap is the latest map that this node knew before the term.
 func (t *Term) PreviousMap() ShardMap { return t.previousMap }
 
 // AdvancePhase takes the term's history to a phase.
 func (t *Term) AdvancePhase(ctx context.Context, p history.Phase) error {
-	c, err := t.incarnation.Step(p)
+	c, err := t.incarnation.PhaseOperation(p)
 	if err != nil {
 		return err
 	}
@@ -180,15 +180,15 @@
 // CheckCompares tells whether failed guards say that the leadership is over: another leads, or
 // the history is another.
 func (t *Term) CheckCompares(failed []string) error {
-	gone := history.Failed(failed)
+	gone := history.CompareFailed(failed)
 	if gone {
-		t.elector.detector.Check()
+		t.elector.detector.Recheck()
 	}
 	switch {
 	case LeaderCompareFailed(failed):
 		return ErrDeposed
 	case gone:
-		return history.ErrGone
+		return history.ErrIncarnationReplaced
 	}
 	return nil
 }
@@ -237,7 +237,7 @@
 	controller           string
 	leaseDuration        time.Duration
 	shardOwners          func() []string // whom to part the hosts among
-	detector             *history.Keeper
+	detector             *history.Detector
 	remembersIncarnation func() bool // whether this node remembers an earlier history
 	log                  *slog.Logger
 
@@ -262,7 +262,7 @@
 	Controller           string
 	LeaseDuration        time.Duration   // of a grant
 	ShardOwners          func() []string // whom a new leader parts the hosts among
-	Detector             *history.Keeper
+	Detector             *history.Detector
 	RemembersIncarnation func() bool // whether this node remembers an earlier history
 	Log                  *slog.Logger
 }
@@ -416,7 +416,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.endTerm != nil {
-		e.endTerm(fmt.Errorf("%w: %s", history.ErrGone, why))
+		e.endTerm(fmt.Errorf("%w: %s", history.ErrIncarnationReplaced, why))
 	}
 }
 
@@ -451,7 +451,7 @@
 		var v leaderRecord
 		if err := json.Unmarshal(it.Value, &v); err != nil {
 			e.log.Error("the leader's key cannot be read", "err", err)
-			e.detector.Doubt("the leader's key cannot be read")
+			e.detector.Suspect("the leader's key cannot be read")
 		}
 		if e.isStaleLeader(v) {
 			return nil, 0, e.removeStaleLeader(ctx, it)
@@ -483,7 +483,7 @@
 // its epoch lies below one that is known, or the history is doubted and for several
 // grants' time it has said the same of a node that does not lead.
 func (e *Elector) isStaleLeader(v leaderRecord) bool {
-	_, _, doubted := e.detector.Doubted()
+	_, _, doubted := e.detector.Suspected()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if v != e.observedLeader || doubted != e.observedSuspicion || e.observedSince.IsZero() {
@@ -512,36 +512,36 @@
 
 // chooseIncarnation reads the history and tells what a new leader makes of it: the one it is to
 // lead in, and the changes that begin it where it is another.
-func (e *Elector) chooseIncarnation(ctx context.Context, stored ShardMap, epoch uint64) (history.View, []wire.Compare, []wire.Operation, error) {
+func (e *Elector) chooseIncarnation(ctx context.Context, stored ShardMap, epoch uint64) (history.IncarnationState, []wire.Compare, []wire.Operation, error) {
 	v, err := history.Read(ctx, e.store)
 	if err != nil {
 		return v, nil, nil, err
 	}
-	id, _, doubted := e.detector.Doubted()
+	id, _, doubted := e.detector.Suspected()
 	doubted = doubted && (v.ID == "" || id == v.ID)
 	if known := e.detector.Current(); v.ID == "" && known.ID != "" || v.ID != known.ID && v.Epoch < known.Epoch {
 		doubted = true
 	}
-	g, has := v.Guard()
+	g, has := v.Compare()
 	if has && !doubted && stored.Epoch >= e.highestEpoch() {
 		return v, []wire.Compare{g}, nil, nil
 	}
-	next := history.View{Marker: history.Marker{ID: rand.Text(), Born: history.Rebuild, Lost: true, Epoch: epoch}}
+	next := history.IncarnationState{Incarnation: history.Incarnation{ID: rand.Text(), InitialPhase: history.PhaseRecovering, DataLost: true, Epoch: epoch}}
 	switch {
 	case has || doubted || stored.Incarnation != "" || e.highestEpoch() > stored.Epoch:
 	case stored.Epoch > 0:
 		// All was written by versions that keep no history.
-		next.Born, next.Lost = history.Whole, false
+		next.InitialPhase, next.DataLost = history.PhaseComplete, false
 	case e.remembersIncarnation():
 	default:
-		next.Born, next.Lost = history.Open, false
+		next.InitialPhase, next.DataLost = history.PhaseProvisional, false
 	}
-	next.Phase = next.Born
-	put, err := next.Put()
+	next.Phase = next.InitialPhase
+	put, err := next.CreateOperation()
 	changes := []wire.Operation{put}
 	var guards []wire.Compare
 	if has {
-		guards, changes = append(guards, g), append(changes, v.Remove())
+		guards, changes = append(guards, g), append(changes, v.DeleteOperation())
 	}
 	return next, guards, changes, err
 }
@@ -554,7 +554,7 @@
 		stamp = it.ModRevision
 		if err := json.Unmarshal(it.Value, &ev); err != nil {
 			e.log.Error("the epoch's key cannot be read", "err", err)
-			e.detector.Doubt("the epoch's key cannot be read")
+			e.detector.Suspect("the epoch's key cannot be read")
 		}
 	}
 	if err != nil && !errors.Is(err, state.ErrNotFound) {
@@ -588,9 +588,9 @@
 	})
 	if err == nil && len(failed) == 0 {
 		if len(changes) > 0 {
-			hist.Stamp = gen
+			hist.Revision = gen
 			e.log.Info("a history begins", "id", hist.ID, "phase", hist.Phase, "epoch", next.Epoch)
-			e.detector.Replaced(hist.Marker)
+			e.detector.IncarnationBegun(hist.Incarnation)
 		}
 		before := e.ShardMap()
 		e.LearnShardMap(next)
--- a/internal/lead/elector_test.go
+++ b/internal/lead/elector_test.go
@@ -63,7 +63,7 @@
 // Every write of a leader guards its key and its history; where versions that keep no
 // history wrote all there is, only its key.
 func TestTermCompares(t *testing.T) {
-	term := &Term{leaderRevision: 3, incarnation: history.View{Marker: history.Marker{ID: "A", Stamp: 7}}}
+	term := &Term{leaderRevision: 3, incarnation: history.IncarnationState{Incarnation: history.Incarnation{ID: "A", Revision: 7}}}
 	want := []wire.Compare{{Key: leaderKey, ModRevision: 3}, {Key: "history/id/A", ModRevision: 7}}
 	if got := term.Compares(); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
@@ -97,9 +97,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			log := slog.New(slog.DiscardHandler)
 			st := state.New(state.Options{Addr: "none:1", RequestsPerSecond: 1, Timeout: time.Second})
-			h := history.NewKeeper(st, nil, log)
+			h := history.NewDetector(st, nil, log)
 			if tc.doubted {
-				h.Doubt("x")
+				h.Suspect("x")
 			}
 			e := New(Options{Store: st, Controller: "a", LeaseDuration: life, Detector: h, Log: log})
 			e.shardMap, e.observedLeader, e.observedSuspicion, e.observedSince = tc.known, tc.v, tc.doubted, time.Now().Add(-tc.since)
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -79,9 +79,9 @@
 // out was given out in a history that is lost.
 func (d *daemon) shown(epoch uint64) {
 	d.el.ObserveEpoch(epoch)
-	if v := d.hist.Current(); v.Born == history.Open && epoch > 0 && epoch < v.Epoch {
+	if v := d.hist.Current(); v.InitialPhase == history.PhaseProvisional && epoch > 0 && epoch < v.Epoch {
 		// The history began with nothing, so nobody can have seen an earlier epoch.
-		d.hist.Doubt(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
+		d.hist.Suspect(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
 	}
 	if epoch > d.el.ShardMap().Epoch {
 		select {
@@ -100,7 +100,7 @@
 		case epoch := <-d.asks:
 			stored, err := d.el.ReadShardMap(ctx)
 			if err == nil && stored.Epoch < epoch && epoch > d.el.ShardMap().Epoch {
-				d.hist.Doubt(fmt.Sprintf("workers have seen epoch %d, and %d is stored", epoch, stored.Epoch))
+				d.hist.Suspect(fmt.Sprintf("workers have seen epoch %d, and %d is stored", epoch, stored.Epoch))
 			}
 			state.Backoff(ctx, 0, d.set.Report()/8, d.set.Report()/8)
 		}
@@ -154,14 +154,14 @@
 	return d.hist.Fence(d.el.LegacyLeader())
 }
 
-func (d *daemon) Doubt(why string) { d.hist.Doubt(why) }
+func (d *daemon) Doubt(why string) { d.hist.Suspect(why) }
 
-func (d *daemon) Check() { d.hist.Check() }
+func (d *daemon) Check() { d.hist.Recheck() }
 
-func (d *daemon) Lost() bool { return d.hist.Current().Lost }
+func (d *daemon) Lost() bool { return d.hist.Current().DataLost }
 
 func (d *daemon) Fresh() bool {
-	_, _, doubted := d.hist.Doubted()
+	_, _, doubted := d.hist.Suspected()
 	return !doubted && d.hist.Current().ID == "" && d.copies.Empty()
 }
 
@@ -177,7 +177,7 @@
 // History, Remembers, Copy and Recall are what peers ask about data that may be lost.
 
 func (d *daemon) History() peer.History {
-	id, why, doubted := d.hist.Doubted()
+	id, why, doubted := d.hist.Suspected()
 	if !doubted {
 		id = d.hist.Current().ID
 	}
@@ -186,8 +186,8 @@
 }
 
 func (d *daemon) Remembers(node string, h peer.History) {
-	d.hist.Heard(node, h.ID, h.Why, h.Doubted)
-	if _, _, doubted := d.hist.Doubted(); !doubted && !h.Doubted && h.ID != "" && h.ID == d.hist.Current().ID {
+	d.hist.ObservePeer(node, h.ID, h.Why, h.Doubted)
+	if _, _, doubted := d.hist.Suspected(); !doubted && !h.Doubted && h.ID != "" && h.ID == d.hist.Current().ID {
 		d.st.ObserveRevision(h.Gen)
 	}
 }
@@ -286,7 +286,7 @@
 
 func (d *daemon) histories() HistoryStatus {
 	v := d.hist.Current()
-	_, why, _ := d.hist.Doubted()
+	_, why, _ := d.hist.Suspected()
 	s := HistoryStatus{ID: v.ID, Phase: v.Phase, Doubted: why, Copy: d.copies.Head()}
 	_, s.Bytes, s.EndsLeft = d.copies.Usage()
 	return s
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -48,7 +48,7 @@
 	memory  *pressure.Gauge
 	users   http.Handler
 	door    *access.Door
-	hist    *history.Keeper
+	hist    *history.Detector
 	copies  *copies.Copy
 	gone    *withdrawn.Notices
 	teller  *withdrawn.Teller
@@ -93,7 +93,7 @@
 	d.memory = pressure.New(uint64(op.Limits.Refuse*facts.Resources.MemoryMB*(1<<20)), set.Report()/16)
 	types := fleet.NewCatalogue(cloud, 2*set.Lease(), log)
 	d.copies = copies.New(int(op.Rebuild.Ends*facts.Resources.MemoryMB*(1<<20)), log)
-	d.hist = history.NewKeeper(d.st, func(why string) { d.el.EndTermForDataLoss(why) }, log)
+	d.hist = history.NewDetector(d.st, func(why string) { d.el.EndTermForDataLoss(why) }, log)
 	d.el = lead.New(lead.Options{
 		Store: d.st, Controller: set.Node, LeaseDuration: time.Duration(op.Lead.Grant * float64(set.Lease())), ShardOwners: func() []string { return d.part.EligibleOwners(nil) },
 		Detector: d.hist, RemembersIncarnation: func() bool { return !d.copies.Empty() }, Log: log,
