--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -164,13 +164,13 @@
 	if c.Offline {
 		return "", 0, nil
 	}
-	for _, under := range []string{ledger.ClaimPrefix, ledger.EndedPrefix} {
+	for _, under := range []string{ledger.ChunkPrefix, ledger.EndedPrefix} {
 		items, _, err := d.st.List(ctx, under)
 		if err != nil {
 			return "", 0, err
 		}
 		for _, it := range items {
-			if n := ledger.BlockOf(it.Value); n > last {
+			if n := ledger.AuditBlockOf(it.Value); n > last {
 				key, last = it.Key, n
 			}
 		}
--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -60,7 +60,7 @@
 		n[string(p)+"/"]++
 		return false
 	})
-	return fmt.Sprintf("%d jobs alive, %d chunks of claims, %d ends", n[ledger.LivePrefix], n[ledger.ClaimPrefix], n[ledger.EndedPrefix])
+	return fmt.Sprintf("%d jobs alive, %d chunks of claims, %d ends", n[ledger.LivePrefix], n[ledger.ChunkPrefix], n[ledger.EndedPrefix])
 }
 
 type snapshotVerifyCmd struct {
--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -106,18 +106,18 @@
 func (d *Door) Open() bool { return d.rules == nil }
 
 // Enter puts a caller's name on a job that it may submit, under a seal.
-func (d *Door) Enter(rec *ledger.Record, c identity.Caller, dec rights.Decision) error {
+func (d *Door) Enter(rec *ledger.JobRecord, c identity.Caller, dec rights.Decision) error {
 	if d.ring == nil {
 		return nil
 	}
-	rec.Origin = &ledger.Origin{Who: c.Name, Via: d.node, Rule: dec.Rule, Cap: dec.Cap}
+	rec.Origin = &ledger.Origin{Submitter: c.Name, Controller: d.node, Rule: dec.Rule, MaxPriority: dec.Cap}
 	return rec.Sign(d.ring)
 }
 
 // Leave is what tells of a withdrawal in the transaction that makes it; nil where no
 // record is kept. The slip has the acceptance too: a job that never had a claim is in
 // no other entry yet.
-func (d *Door) Leave(rec ledger.Record, c identity.Caller, dec rights.Decision) ([]wire.Operation, error) {
+func (d *Door) Leave(rec ledger.JobRecord, c identity.Caller, dec rights.Decision) ([]wire.Operation, error) {
 	if !d.told {
 		return nil, nil
 	}
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -72,7 +72,7 @@
 	if err != nil || !d.May(c, rights.Request{Do: rights.Submit}).Allowed || !d.Open() {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if told, err := d.Leave(ledger.Record{}, c, rights.Decision{}); told != nil || err != nil {
+	if told, err := d.Leave(ledger.JobRecord{}, c, rights.Decision{}); told != nil || err != nil {
 		t.Errorf("%v, %v", told, err)
 	}
 }
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -134,30 +134,30 @@
 // Commands are the commands that bring a host from what it reported to what the
 // claims say. A reap is given only in answer to a beat: a worker has one beat
 // in flight, so no launch given in an earlier answer can come after it.
-func (worker *Worker) Commands(claims map[ledger.Task]*ledger.Held, epoch uint64, inAnswer bool) []wire.Command {
+func (worker *Worker) Commands(claims map[ledger.Task]*ledger.Claim, epoch uint64, inAnswer bool) []wire.Command {
 	var starts, stops, forgets []wire.Command
 	for task, claim := range claims {
 		reported, present := worker.Tasks[task]
-		present = present && reported.Attempt == claim.Try
+		present = present && reported.Attempt == claim.Attempt
 		switch {
-		case claim.Over || claim.Tenure != worker.Incarnation:
-		case claim.Job.Withdrawn || claim.Stopping:
+		case claim.Finished || claim.Incarnation != worker.Incarnation:
+		case claim.Job.Cancelled || claim.Stopping:
 			if reported.Phase != wire.TaskExited {
-				command := wire.Command{Action: wire.ActionStop, Task: task.String(), Attempt: claim.Try}
-				if !claim.Job.Withdrawn && reported.Phase != wire.TaskSaving {
+				command := wire.Command{Action: wire.ActionStop, Task: task.String(), Attempt: claim.Attempt}
+				if !claim.Job.Cancelled && reported.Phase != wire.TaskSaving {
 					command.GraceSeconds = claim.Job.Spec.CheckpointSaveSeconds // it goes on elsewhere: let it save
-				} else if !claim.Job.Withdrawn {
+				} else if !claim.Job.Cancelled {
 					continue
 				}
 				stops = append(stops, command)
 			}
-		case !present && claim.Committed && !claim.Unsure:
-			claim.Sent, claim.SentEpoch = true, epoch
-			starts = append(starts, wire.Command{Action: wire.ActionStart, Task: task.String(), Attempt: claim.Try})
+		case !present && claim.Committed && !claim.Unconfirmed:
+			claim.StartSent, claim.StartEpoch = true, epoch
+			starts = append(starts, wire.Command{Action: wire.ActionStart, Task: task.String(), Attempt: claim.Attempt})
 		}
 	}
 	for task, reported := range worker.Tasks {
-		if claim := claims[task]; claim != nil && claim.Try == reported.Attempt || reported.Orphaned {
+		if claim := claims[task]; claim != nil && claim.Attempt == reported.Attempt || reported.Orphaned {
 			continue
 		}
 		if reported.Phase != wire.TaskExited {
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestCommands(t *testing.T) {
-	live, cancelled := &ledger.Job{Ref: "req-1"}, &ledger.Job{Ref: "req-2", Withdrawn: true}
+	live, cancelled := &ledger.Job{Ref: "req-1"}, &ledger.Job{Ref: "req-2", Cancelled: true}
 	type member struct {
 		task  string
 		try   uint64
@@ -19,38 +19,38 @@
 	}
 	for _, tc := range []struct {
 		name    string
-		claims  []*ledger.Held
+		claims  []*ledger.Claim
 		members []member
 		tweak   func(*Worker)
 		answer  bool
 		want    string
 	}{
-		{"launch what is claimed", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true}}, nil, nil, false, "launch req-1/0 4"},
-		{"never before the claim is durable", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live}}, nil, nil, true, ""},
-		{"not what may be lost with its history", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true, Unsure: true}}, nil, nil, true, ""},
+		{"launch what is claimed", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 1, Attempt: 4}, Job: live, Committed: true}}, nil, nil, false, "launch req-1/0 4"},
+		{"never before the claim is durable", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 1, Attempt: 4}, Job: live}}, nil, nil, true, ""},
+		{"not what may be lost with its history", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 1, Attempt: 4}, Job: live, Committed: true, Unconfirmed: true}}, nil, nil, true, ""},
 		{"what nobody remembers is left alone", nil, []member{{"req-9/1", 2, "running"}}, func(worker *Worker) {
 			for t, m := range worker.Tasks {
 				m.Orphaned = true
 				worker.Tasks[t] = m
 			}
 		}, true, ""},
-		{"not in another tenure", []*ledger.Held{{Claim: ledger.Claim{Tenure: 2, Try: 4}, Job: live, Committed: true}}, nil, nil, true, ""},
-		{"not what it has", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true}}, []member{{"req-1/0", 4, "running"}}, nil, true, ""},
-		{"stop what is withdrawn", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: cancelled, Committed: true}}, []member{{"req-2/0", 4, "running"}}, nil, true, "stop req-2/0 4"},
-		{"stop a launch of it that may be on its way", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: cancelled, Committed: true, Sent: true}}, nil, nil, true, "stop req-2/0 4"},
+		{"not in another tenure", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 2, Attempt: 4}, Job: live, Committed: true}}, nil, nil, true, ""},
+		{"not what it has", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 1, Attempt: 4}, Job: live, Committed: true}}, []member{{"req-1/0", 4, "running"}}, nil, true, ""},
+		{"stop what is withdrawn", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 1, Attempt: 4}, Job: cancelled, Committed: true}}, []member{{"req-2/0", 4, "running"}}, nil, true, "stop req-2/0 4"},
+		{"stop a launch of it that may be on its way", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 1, Attempt: 4}, Job: cancelled, Committed: true, StartSent: true}}, nil, nil, true, "stop req-2/0 4"},
 		{"stop what nobody claimed", nil, []member{{"req-9/1", 2, "running"}}, nil, true, "stop req-9/1 2"},
 		{"reap what has ended", nil, []member{{"req-1/0", 4, "ended"}}, nil, true, "reap req-1/0 4"},
-		{"not while its finish is not durable", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true, Over: true}}, []member{{"req-1/0", 4, "ended"}}, nil, true, ""},
+		{"not while its finish is not durable", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 1, Attempt: 4}, Job: live, Committed: true, Finished: true}}, []member{{"req-1/0", 4, "ended"}}, nil, true, ""},
 		{"reap only in answer to a beat", nil, []member{{"req-1/0", 4, "ended"}}, nil, false, ""},
 		{"not while a command is under way", nil, []member{{"req-1/0", 4, "ended"}}, func(worker *Worker) { worker.CommandInFlight = true }, true, ""},
 		{"not while a lost command may still come", nil, []member{{"req-1/0", 4, "ended"}}, func(worker *Worker) { worker.UnresolvedEpoch = 7 }, true, ""},
 		{"once the worker has seen a later epoch", nil, []member{{"req-1/0", 4, "ended"}}, func(worker *Worker) { worker.UnresolvedEpoch = 6 }, true, "reap req-1/0 4"},
-		{"another try of a claimed task is stopped first", []*ledger.Held{{Claim: ledger.Claim{Tenure: 1, Try: 4}, Job: live, Committed: true}}, []member{{"req-1/0", 3, "running"}}, nil, true, "stop req-1/0 3, launch req-1/0 4"},
+		{"another try of a claimed task is stopped first", []*ledger.Claim{{ClaimRecord: ledger.ClaimRecord{Incarnation: 1, Attempt: 4}, Job: live, Committed: true}}, []member{{"req-1/0", 3, "running"}}, nil, true, "stop req-1/0 3, launch req-1/0 4"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			worker := NewWorker("i-1")
 			worker.Incarnation, worker.SeenEpoch = 1, 7
-			claims := map[ledger.Task]*ledger.Held{}
+			claims := map[ledger.Task]*ledger.Claim{}
 			for _, c := range tc.claims {
 				claims[c.Task()] = c
 			}
@@ -64,7 +64,7 @@
 			var got []string
 			for _, o := range worker.Commands(claims, 7, tc.answer) {
 				got = append(got, fmt.Sprintf("%s %s %d", o.Action, o.Task, o.Attempt))
-				if c := tc.claims; o.Action == wire.ActionStart && (!c[0].Sent || c[0].SentEpoch != 7) {
+				if c := tc.claims; o.Action == wire.ActionStart && (!c[0].StartSent || c[0].StartEpoch != 7) {
 					t.Error("a launch left without being noted")
 				}
 			}
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -202,11 +202,11 @@
 // Accepting is the entry of a submission, as its record has it. A record without a
 // seal that holds was stored by a controller that keeps no audit record, or by nobody
 // who may: the entry says so.
-func Accepting(ring *keyring.Ring, rec ledger.Record) Entry {
+func Accepting(ring *keyring.Ring, rec ledger.JobRecord) Entry {
 	j := &rec.Job
-	e := Entry{At: time.UnixMilli(rec.AtMS), Act: Accepted, On: j.ID, Owner: j.Team, Rank: j.Priority, Tasks: []Task{{Index: j.TaskCount}}}
+	e := Entry{At: time.UnixMilli(rec.SubmittedMS), Act: Accepted, On: j.ID, Owner: j.Team, Rank: j.Priority, Tasks: []Task{{Index: j.TaskCount}}}
 	if o := rec.Origin; o != nil {
-		e.Who, e.Via, e.Why = o.Who, o.Via, o.Rule
+		e.Who, e.Via, e.Why = o.Submitter, o.Controller, o.Rule
 	}
 	if err := rec.Verify(ring); err != nil {
 		e.Act, e.Why = Unsealed, err.Error()
--- a/internal/control/antientropy.go
+++ b/internal/control/antientropy.go
@@ -20,7 +20,7 @@
 func (t *leaderTerm) runAntiEntropy(ctx context.Context) error {
 	// Ends first, and fast: those before this term are known to nobody else if the
 	// leader has just begun.
-	prefixes := []string{ledger.EndedPrefix, ledger.LivePrefix, ledger.ClaimPrefix}
+	prefixes := []string{ledger.EndedPrefix, ledger.LivePrefix, ledger.ChunkPrefix}
 	after, current, interval, limit := "", 0, t.settings.Report()/8, 5*keysPerHeartbeat
 	for sleep(ctx, interval) {
 		before, _ := t.replica.Tree()
@@ -87,7 +87,7 @@
 		if !sleep(ctx, t.settings.Report()/4) {
 			return ctx.Err()
 		}
-		if _, still := t.replica.Get(key); !still || prefix == ledger.ClaimPrefix && t.chunkRemovable(key) {
+		if _, still := t.replica.Get(key); !still || prefix == ledger.ChunkPrefix && t.chunkRemovable(key) {
 			continue
 		}
 		if _, err := t.store.Get(ctx, key); errors.Is(err, state.ErrNotFound) {
@@ -104,11 +104,11 @@
 
 // chunkRemovable tells whether the job of a chunk is over, so that the chunk may go.
 func (t *leaderTerm) chunkRemovable(key string) bool {
-	ref, _ := ledger.ChunkRef(key)
+	ref, _ := ledger.JobOfChunkKey(key)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	job := t.jobs.Job(ref)
-	return job == nil || job.Withdrawn || job.Finished
+	return job == nil || job.Cancelled || job.Finished
 }
 
 // endingPending tells whether an end is yet to be stored again.
--- a/internal/control/auditwriter.go
+++ b/internal/control/auditwriter.go
@@ -154,11 +154,11 @@
 }
 
 // enqueueTask queues an entry on a claim that the record has.
-func (a *auditWriter) enqueueTask(now time.Time, action audit.Act, claim *ledger.Held, why, others string) {
-	if a == nil || !claim.Told {
+func (a *auditWriter) enqueueTask(now time.Time, action audit.Act, claim *ledger.Claim, why, others string) {
+	if a == nil || !claim.Audited {
 		return
 	}
-	a.enqueue(now, audit.Entry{Act: action, On: claim.Job.Ref, Why: why, For: others, Tasks: []audit.Task{{Index: claim.Index, Try: claim.Try, Host: claim.Host}}})
+	a.enqueue(now, audit.Entry{Act: action, On: claim.Job.Ref, Why: why, For: others, Tasks: []audit.Task{{Index: claim.Index, Try: claim.Attempt, Host: claim.Worker}}})
 }
 
 // isDue tells whether what is queued is to be written though nothing else is.
@@ -180,7 +180,7 @@
 	dropped     int      // as told
 	pendingKeys []string // taken in
 	jobs        []*ledger.Job
-	claims      []*ledger.Held
+	claims      []*ledger.Claim
 }
 
 // attach adds to a batch the blocks that tell of it, and of what is queued. ops is
@@ -197,26 +197,26 @@
 		entries = append(entries, audit.Entry{At: now, Act: audit.Missed, Why: strconv.Itoa(a.dropped)})
 	}
 	for _, decision := range batch.Decisions() {
-		if !decision.Job.Told {
+		if !decision.Job.Audited {
 			entries = append(entries, audit.Accepting(a.ring, decision.Job.Record()))
 			batch.jobs = append(batch.jobs, decision.Job)
-			decision.Job.Told = true
+			decision.Job.Audited = true
 		}
 		if len(decision.Claims) > 0 {
 			entry := audit.Entry{At: now, Act: audit.Claimed, On: decision.Job.Ref}
 			for _, claim := range decision.Claims {
-				claim.Told = true
+				claim.Audited = true
 				batch.claims = append(batch.claims, claim)
-				entry.Tasks = append(entry.Tasks, audit.Task{Index: claim.Index, Try: claim.Try, Host: claim.Host})
+				entry.Tasks = append(entry.Tasks, audit.Task{Index: claim.Index, Try: claim.Attempt, Host: claim.Worker})
 			}
 			entries = append(entries, entry)
 		}
-		if decision.Ends {
+		if decision.EndsJob {
 			entries = append(entries, audit.Entry{At: now, Act: audit.Done, On: decision.Job.Ref})
 		}
 	}
 	for key, pending := range a.pending {
-		if len(batch.Apply)+2 > maxOps {
+		if len(batch.Operations)+2 > maxOps {
 			break // a change for the slip, one for its block
 		}
 		if len(entries) > 0 && audit.Size(entries)+audit.Size(pending.entries) > maxValue/2 {
@@ -224,8 +224,8 @@
 		}
 		entries = append(entries, pending.entries...)
 		batch.pendingKeys = append(batch.pendingKeys, key)
-		batch.Guards = append(batch.Guards, wire.Compare{Key: key, ModRevision: pending.revision})
-		batch.Apply = append(batch.Apply, wire.Operation{Delete: key})
+		batch.Compares = append(batch.Compares, wire.Compare{Key: key, ModRevision: pending.revision})
+		batch.Operations = append(batch.Operations, wire.Operation{Delete: key})
 	}
 	return a.sealBlocks(batch, entries, epoch, now, maxOps, maxValue)
 }
@@ -237,10 +237,10 @@
 	}
 	var entries []audit.Entry
 	for _, job := range jobs {
-		if !job.Told {
+		if !job.Audited {
 			entries = append(entries, audit.Accepting(a.ring, job.Record()))
 		}
-		entries = append(entries, audit.Entry{At: now, Act: audit.Withdrawn, On: job.Ref, Why: "needs " + job.Doomed()})
+		entries = append(entries, audit.Entry{At: now, Act: audit.Withdrawn, On: job.Ref, Why: "needs " + job.CancelledUpstream()})
 	}
 	return a.sealBlocks(batch, entries, epoch, now, maxOps, maxValue)
 }
@@ -249,7 +249,7 @@
 func (a *auditWriter) sealBlocks(batch *auditedBatch, entries []audit.Entry, epoch uint64, now time.Time, maxOps, maxValue int) error {
 	head := a.head
 	for _, blockEntries := range audit.Split(entries, maxValue-blockOverhead-len(a.node)) {
-		if len(batch.Apply) >= maxOps {
+		if len(batch.Operations) >= maxOps {
 			// A change more would have the whole transaction refused. This takes
 			// host names of hundreds of bytes.
 			a.dropped += len(blockEntries)
@@ -262,8 +262,8 @@
 		head = block.Head()
 		batch.blocks = append(batch.blocks, block)
 		key := audit.BlockKey(block.Seq)
-		batch.Guards = append(batch.Guards, wire.Compare{Key: key})
-		batch.Apply = append(batch.Apply, wire.Operation{Put: key, Value: audit.Value(block.Raw)})
+		batch.Compares = append(batch.Compares, wire.Compare{Key: key})
+		batch.Operations = append(batch.Operations, wire.Operation{Put: key, Value: audit.Value(block.Raw)})
 	}
 	return nil
 }
@@ -277,10 +277,10 @@
 	a.inFlight = 0
 	if !applied {
 		for _, job := range batch.jobs {
-			job.Told = false
+			job.Audited = false
 		}
 		for _, claim := range batch.claims {
-			claim.Told = false
+			claim.Audited = false
 			a.retract(claim)
 		}
 		return
@@ -299,13 +299,13 @@
 }
 
 // retract takes back what was queued of a claim that was never made.
-func (a *auditWriter) retract(claim *ledger.Held) {
+func (a *auditWriter) retract(claim *ledger.Claim) {
 	a.queue = slices.DeleteFunc(a.queue, func(entry audit.Entry) bool {
-		return entry.On == claim.Job.Ref && len(entry.Tasks) == 1 && entry.Tasks[0].Index == claim.Index && entry.Tasks[0].Try == claim.Try
+		return entry.On == claim.Job.Ref && len(entry.Tasks) == 1 && entry.Tasks[0].Index == claim.Index && entry.Tasks[0].Try == claim.Attempt
 	})
 	for i := range a.queue {
 		if entry := &a.queue[i]; entry.On == claim.Job.Ref && len(entry.Tasks) > 1 {
-			entry.Tasks = slices.DeleteFunc(entry.Tasks, func(task audit.Task) bool { return task.Index == claim.Index && task.Try == claim.Try })
+			entry.Tasks = slices.DeleteFunc(entry.Tasks, func(task audit.Task) bool { return task.Index == claim.Index && task.Try == claim.Attempt })
 		}
 	}
 }
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -51,7 +51,7 @@
 				b.StartTimer()
 				r.schedulingPass(b.Context())
 				b.StopTimer()
-				if n := len(r.jobs.ClaimedHosts()); n < hosts {
+				if n := len(r.jobs.ClaimedWorkers()); n < hosts {
 					b.Fatalf("%d of %d hosts have tasks", n, hosts)
 				}
 				b.StartTimer()
--- a/internal/control/cancellations.go
+++ b/internal/control/cancellations.go
@@ -43,11 +43,11 @@
 	now, suspectAfter := term.now(), time.Duration(term.settings.Operator.Fleet.Silence*float64(term.settings.Report()))
 	for _, ref := range refs {
 		job := term.jobs.Job(ref)
-		if job == nil || !job.Withdrawn || now.Sub(job.WithdrawnAt) > suspectAfter {
+		if job == nil || !job.Cancelled || now.Sub(job.CancelledAt) > suspectAfter {
 			continue
 		}
-		for _, claim := range term.jobs.HeldBy(job) {
-			if claim.Sent && !claim.Over && claim.Running.IsZero() {
+		for _, claim := range term.jobs.ClaimsOfJob(job) {
+			if claim.StartSent && !claim.Finished && claim.RunningSince.IsZero() {
 				return false
 			}
 		}
@@ -71,7 +71,7 @@
 func (t *leaderTerm) cancelledJobs() []string {
 	var refs []string
 	for ref, job := range t.jobs.Jobs() {
-		if job.Withdrawn {
+		if job.Cancelled {
 			refs = append(refs, ref)
 		}
 	}
@@ -85,8 +85,8 @@
 func (t *leaderTerm) hasOverdueTask(worker *agent.Worker, now time.Time) bool {
 	// The time of a withdrawal may be by another node's clock: both may be off.
 	grace := settings.Seconds(t.settings.Facts.Workers.CancelS) - 2*t.settings.Report() - 2*t.settings.ClockError()
-	for _, claim := range t.jobs.OnHost(worker.Name) {
-		if claim.Job.Withdrawn && !claim.Over && now.Sub(claim.Job.WithdrawnAt) > grace {
+	for _, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
+		if claim.Job.Cancelled && !claim.Finished && now.Sub(claim.Job.CancelledAt) > grace {
 			return true
 		}
 	}
--- a/internal/control/claimwriter.go
+++ b/internal/control/claimwriter.go
@@ -85,8 +85,8 @@
 	defer t.mu.Unlock()
 	now := t.now()
 	maxOps, maxValue := t.settings.Facts.State.Least().TxnOps, t.store.MaxValueBytes()
-	auditOnly := t.auditLog.needsOwnBatch(maxValue) || t.jobs.Empty() && t.auditLog.isDue(now, t.settings.Report()/2)
-	if t.jobs.Empty() && !auditOnly {
+	auditOnly := t.auditLog.needsOwnBatch(maxValue) || t.jobs.NothingToWrite() && t.auditLog.isDue(now, t.settings.Report()/2)
+	if t.jobs.NothingToWrite() && !auditOnly {
 		return nil, 0, nil
 	}
 	batch, wait := &ledger.Batch{}, time.Duration(0)
@@ -101,7 +101,7 @@
 	audited := &auditedBatch{Batch: batch}
 	// Plain finishes need no entry: what is queued waits for company until it is due,
 	// for every block is a change of the budget.
-	if auditOnly || len(batch.Apply) > 0 && (len(batch.Decisions()) > 0 || t.auditLog.isDue(now, t.settings.Report()/2)) {
+	if auditOnly || len(batch.Operations) > 0 && (len(batch.Decisions()) > 0 || t.auditLog.isDue(now, t.settings.Report()/2)) {
 		if err := t.auditLog.attach(audited, t.leadership.Epoch(), now, maxOps, maxValue); err != nil {
 			return nil, 0, err
 		}
@@ -111,7 +111,7 @@
 
 // nextBatch are what the ledger has to write.
 func (t *leaderTerm) nextBatch(maxOps, maxValue int, now time.Time) (*ledger.Batch, time.Duration) {
-	reserve, urgent := idleWriteReserve, t.jobs.Urgent()
+	reserve, urgent := idleWriteReserve, t.jobs.HasUrgentWrites()
 	if urgent {
 		reserve = urgentWriteReserve
 	} else {
@@ -121,22 +121,22 @@
 	if wait > 0 {
 		return nil, wait
 	}
-	limits := ledger.Limits{Ops: min(budget, maxOps), Bytes: maxTxnBytes, Value: maxValue, Urgent: urgent}
+	limits := ledger.BatchLimits{MaxOperations: min(budget, maxOps), MaxBytes: maxTxnBytes, MaxValueBytes: maxValue, UrgentOnly: urgent}
 	if t.auditLog != nil {
 		// A change less, for the block that tells of the batch.
-		limits.Ops, limits.Block, limits.Claims = max(limits.Ops-1, minBatchOps), t.auditLog.head.Seq+1, (maxValue-blockOverhead)/bytesPerClaim
+		limits.MaxOperations, limits.AuditBlock, limits.MaxClaims = max(limits.MaxOperations-1, minBatchOps), t.auditLog.head.Seq+1, (maxValue-blockOverhead)/bytesPerClaim
 	}
 	if urgent && now.Sub(t.lastCompaction) > t.settings.Report()/2 {
 		// Where something is always urgent, the rest would never be written,
 		// and what is left of jobs that are over would add up.
 		t.lastCompaction = now
-		limits.Urgent, limits.Idle = false, true
-		if batch := t.jobs.Next(limits, now); batch != nil {
+		limits.UrgentOnly, limits.NonUrgentOnly = false, true
+		if batch := t.jobs.NextBatch(limits, now); batch != nil {
 			return batch, 0
 		}
-		limits.Urgent, limits.Idle = true, false
+		limits.UrgentOnly, limits.NonUrgentOnly = true, false
 	}
-	return t.jobs.Next(limits, now), 0
+	return t.jobs.NextBatch(limits, now), 0
 }
 
 // awaitWriteBudget waits for room, or for something more urgent.
@@ -160,7 +160,7 @@
 	defer timer.Stop()
 	for {
 		t.mu.Lock()
-		urgent := t.jobs.Urgent()
+		urgent := t.jobs.HasUrgentWrites()
 		t.mu.Unlock()
 		if urgent {
 			return nil
@@ -178,11 +178,11 @@
 // commitBatch sees one batch through until its fate is known. A nil error means
 // that the ledger was told; ErrRefused, that the batch is to be made again.
 func (t *leaderTerm) commitBatch(ctx context.Context, batch *auditedBatch) error {
-	if len(batch.Apply) == 0 {
+	if len(batch.Operations) == 0 {
 		t.batchCommitted(batch, 0)
 		return nil
 	}
-	txn := wire.Txn{Compares: append(t.leadership.Compares(), batch.Guards...), Operations: batch.Apply}
+	txn := wire.Txn{Compares: append(t.leadership.Compares(), batch.Compares...), Operations: batch.Operations}
 	uncertain := false
 	for attempt := 0; ; attempt++ {
 		revision, failed, err := t.store.Commit(ctx, txn)
@@ -259,7 +259,7 @@
 	if len(batch.blocks) > 0 {
 		return batch.isStored(ctx, t.store)
 	}
-	for _, op := range batch.Apply {
+	for _, op := range batch.Operations {
 		key := op.Put + op.Delete
 		if strings.HasPrefix(key, ledger.LivePrefix) {
 			continue
@@ -277,7 +277,7 @@
 		case err != nil:
 			return 0, false, nil
 		case strings.HasPrefix(key, ledger.EndedPrefix):
-			var ending ledger.Ending
+			var ending ledger.EndRecord
 			if json.Unmarshal(item.Value, &ending) != nil || ending.Phase != wire.PhaseDone {
 				return 0, false, nil
 			}
@@ -293,7 +293,7 @@
 func (t *leaderTerm) batchFailed(batch *auditedBatch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.jobs.Failed(batch.Batch)
+	t.jobs.BatchFailed(batch.Batch)
 	t.auditLog.resolve(batch, false, t.now())
 }
 
@@ -301,21 +301,21 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.auditLog.resolve(batch, true, t.now())
-	t.replica.Apply(0, batch.Apply...)
-	result := t.jobs.Committed(batch.Batch, revision)
+	t.replica.Apply(0, batch.Operations...)
+	result := t.jobs.BatchCommitted(batch.Batch, revision)
 	for _, claim := range result.Claims {
-		if worker := t.workers[claim.Host]; worker != nil && !claim.Over {
+		if worker := t.workers[claim.Worker]; worker != nil && !claim.Finished {
 			worker.WakeSender()
 		}
 	}
 	for _, job := range result.Ended {
-		t.log.Info("done", "job", job.Ref, "class", job.Spec.Class, "tasks", job.Spec.TaskCount, "took_s", t.now().Sub(job.From).Seconds(), "ready_s", t.now().Sub(job.ReadyAt).Seconds())
+		t.log.Info("done", "job", job.Ref, "class", job.Spec.Class, "tasks", job.Spec.TaskCount, "took_s", t.now().Sub(job.ArrivedAt).Seconds(), "ready_s", t.now().Sub(job.ReadyAt).Seconds())
 	}
-	t.jobsReady(result.Ready)
-	if len(result.Over) > 0 {
+	t.jobsReady(result.Unblocked)
+	if len(result.Finished) > 0 {
 		notify(t.scheduleSignal)
 	}
-	if !t.jobs.Empty() {
+	if !t.jobs.NothingToWrite() {
 		notify(t.writeSignal)
 	}
 }
--- a/internal/control/dependencies.go
+++ b/internal/control/dependencies.go
@@ -44,7 +44,7 @@
 // lookUpEndings asks how needed jobs ended that this leader does not know.
 func (t *leaderTerm) lookUpEndings(ctx context.Context) {
 	t.mu.Lock()
-	refs := t.jobs.Unknown()
+	refs := t.jobs.UnresolvedDependencies()
 	t.mu.Unlock()
 	slots := make(chan struct{}, maxConcurrentLookups)
 	var wg sync.WaitGroup
@@ -64,14 +64,14 @@
 				}
 				return
 			}
-			var ending ledger.Ending
+			var ending ledger.EndRecord
 			if err := json.Unmarshal(item.Value, &ending); err != nil {
 				t.log.Error("ending", "job", ref, "err", err)
 				return
 			}
 			t.mu.Lock()
 			defer t.mu.Unlock()
-			t.jobsReady(t.jobs.Settle(ref, ending.Phase == wire.PhaseDone, time.UnixMilli(ending.AtMS)))
+			t.jobsReady(t.jobs.ResolveDependency(ref, ending.Phase == wire.PhaseDone, time.UnixMilli(ending.EndedMS)))
 		})
 	}
 	wg.Wait()
@@ -80,7 +80,7 @@
 // jobsReady notes jobs that now wait for no other.
 func (t *leaderTerm) jobsReady(jobs []*ledger.Job) {
 	for _, job := range jobs {
-		t.log.Info("ready", "job", job.Ref, "class", job.Spec.Class, "waited_s", job.ReadyAt.Sub(job.From).Seconds())
+		t.log.Info("ready", "job", job.Ref, "class", job.Spec.Class, "waited_s", job.ReadyAt.Sub(job.ArrivedAt).Seconds())
 	}
 	if len(jobs) > 0 {
 		notify(t.scheduleSignal)
@@ -111,7 +111,7 @@
 	if err != nil || len(jobs) == 0 {
 		return false, err
 	}
-	txn := wire.Txn{Compares: append(t.leadership.Compares(), batch.Guards...), Operations: batch.Apply}
+	txn := wire.Txn{Compares: append(t.leadership.Compares(), batch.Compares...), Operations: batch.Operations}
 	for attempt := 0; ; attempt++ {
 		_, failed, err := t.store.Commit(ctx, txn)
 		if err == nil && len(failed) > 0 && len(batch.blocks) > 0 {
@@ -146,15 +146,15 @@
 	if t.auditLog != nil {
 		maxJobs = max(1, (maxOps-1)/2) // a change for the block that tells of them
 	}
-	jobs := t.jobs.ToWithdraw(maxJobs)
+	jobs := t.jobs.JobsToCancel(maxJobs)
 	for _, job := range jobs {
 		record := job.Record()
-		data, err := ledger.Encode(ledger.WithdrawnEnding(&record, now))
+		data, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, now))
 		if err != nil {
 			return nil, nil, fmt.Errorf("control: %s: %w", job.Ref, err)
 		}
-		batch.Guards = append(batch.Guards, wire.Compare{Key: ledger.LiveKey(job.Ref), ModRevision: job.Stamp()})
-		batch.Apply = append(batch.Apply, wire.Operation{Delete: ledger.LiveKey(job.Ref)}, wire.Operation{Put: ledger.EndedKey(job.Ref), Value: data})
+		batch.Compares = append(batch.Compares, wire.Compare{Key: ledger.LiveKey(job.Ref), ModRevision: job.ModRevision()})
+		batch.Operations = append(batch.Operations, wire.Operation{Delete: ledger.LiveKey(job.Ref)}, wire.Operation{Put: ledger.EndedKey(job.Ref), Value: data})
 	}
 	if len(jobs) == 0 {
 		return nil, nil, nil
@@ -170,7 +170,7 @@
 		return err
 	}
 	if len(failed) == 0 {
-		t.replica.Apply(0, batch.Apply...)
+		t.replica.Apply(0, batch.Operations...)
 	}
 	for _, key := range failed {
 		if strings.HasPrefix(key, audit.BlockPrefix) {
@@ -190,37 +190,37 @@
 // inherited is what a job has from those that need it: the highest rank among them,
 // and the time by which it must be done for the last of them to be in time, the
 // steps between counted.
-func (t *leaderTerm) inherited(job *ledger.Job) *ledger.Lift {
-	if job.Lift != nil {
-		return job.Lift
+func (t *leaderTerm) inherited(job *ledger.Job) *ledger.InheritedPriority {
+	if job.Inherited != nil {
+		return job.Inherited
 	}
-	inherited := &ledger.Lift{Rank: priorityLevel(job.Spec.Priority), Due: make([]time.Time, len(t.settings.Facts.Objectives))}
+	inherited := &ledger.InheritedPriority{Priority: priorityLevel(job.Spec.Priority), Deadlines: make([]time.Time, len(t.settings.Facts.Objectives))}
 	for i, objective := range t.settings.Facts.Objectives {
 		if objective.Kind == "deadline" && objective.Class == job.Spec.Class && job.Spec.DeadlineSeconds > 0 {
-			inherited.Due[i] = job.From.Add(time.Duration(job.Spec.DeadlineSeconds * max(objective.Times, 1) * float64(time.Second)))
+			inherited.Deadlines[i] = job.ArrivedAt.Add(time.Duration(job.Spec.DeadlineSeconds * max(objective.Times, 1) * float64(time.Second)))
 		}
 	}
-	for _, dependent := range t.jobs.Needers(job) {
-		if dependent.Withdrawn || dependent.Doomed() != "" {
+	for _, dependent := range t.jobs.Dependents(job) {
+		if dependent.Cancelled || dependent.CancelledUpstream() != "" {
 			continue
 		}
 		fromDependent := t.inherited(dependent)
-		inherited.Rank = min(inherited.Rank, fromDependent.Rank)
-		for i, due := range fromDependent.Due {
+		inherited.Priority = min(inherited.Priority, fromDependent.Priority)
+		for i, due := range fromDependent.Deadlines {
 			if due.IsZero() {
 				continue
 			}
-			if due = due.Add(-t.stepDuration(dependent)); inherited.Due[i].IsZero() || due.Before(inherited.Due[i]) {
-				inherited.Due[i] = due
+			if due = due.Add(-t.stepDuration(dependent)); inherited.Deadlines[i].IsZero() || due.Before(inherited.Deadlines[i]) {
+				inherited.Deadlines[i] = due
 			}
 		}
 	}
-	if objective := job.Origin; objective != nil && objective.Cap != "" {
+	if objective := job.Origin; objective != nil && objective.MaxPriority != "" {
 		// However high those that need it: not above what whoever submitted it may
 		// have. That is at least what was asked for, or it was not accepted.
-		inherited.Rank = max(inherited.Rank, priorityLevel(objective.Cap))
+		inherited.Priority = max(inherited.Priority, priorityLevel(objective.MaxPriority))
 	}
-	job.Lift = inherited
+	job.Inherited = inherited
 	return inherited
 }
 
@@ -234,4 +234,4 @@
 const longestTaskRatio = 1.5
 
 // effectivePriority is the rank that a job goes by.
-func (t *leaderTerm) effectivePriority(job *ledger.Job) int { return t.inherited(job).Rank }
+func (t *leaderTerm) effectivePriority(job *ledger.Job) int { return t.inherited(job).Priority }
--- a/internal/control/dependencies_test.go
+++ b/internal/control/dependencies_test.go
@@ -42,11 +42,11 @@
 			tc.job.TaskCount, tc.job.CPUs, tc.job.AllowSpot = 2, 1, true
 			claim := leader.runTestTask(t, leader.addTestJob("req-1", tc.job), "h0", tc.ran)
 			if tc.ran == 0 {
-				claim.Running = time.Time{}
+				claim.RunningSince = time.Time{}
 			}
 			for _, seconds := range tc.others {
-				claim.Job.Ran.Sum += seconds
-				claim.Job.Ran.N++
+				claim.Job.RunSeconds.Sum += seconds
+				claim.Job.RunSeconds.Count++
 			}
 			if tc.left > 0 {
 				leader.workers["h0"].ReclaimAt = now.Add(tc.left)
@@ -63,7 +63,7 @@
 func TestInheritedPriorityAndDeadline(t *testing.T) {
 	leader := newTestTerm(t)
 	due := func(ref string) float64 {
-		at := leader.inherited(leader.jobs.Job(ref)).Due[2]
+		at := leader.inherited(leader.jobs.Job(ref)).Deadlines[2]
 		if at.IsZero() {
 			return 0
 		}
@@ -103,9 +103,9 @@
 	sooner.DeadlineSeconds, sooner.DependsOn = 40, []string{"req-2"}
 	leader.addTestJob("req-6", sooner)
 	check("with one that is due sooner", 60-1.5*4-1.5-1.5*20-1.5, 60-1.5*4-1.5, d2, d4)
-	leader.jobs.Withdraw("req-6")
+	leader.jobs.Cancel("req-6")
 	check("that one withdrawn", d1, d2, d2, d4)
-	leader.jobs.Withdraw("req-5")
+	leader.jobs.Cancel("req-5")
 	check("all withdrawn", 0, 0, 0, 0)
 }
 
@@ -139,7 +139,7 @@
 		t.Errorf("need %+v", n)
 	}
 	at := now.Add(time.Minute)
-	leader.jobs.Settle("req-1", true, at)
+	leader.jobs.ResolveDependency("req-1", true, at)
 	if qs := leader.waitingQueues(at); qs[0].unfinished != 51 {
 		t.Errorf("%d unfinished once ready", qs[0].unfinished)
 	}
@@ -153,7 +153,7 @@
 	leader := newTestTerm(t)
 	job := leader.addTestJob("req-2", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 1, DependsOn: []string{"req-1"}})
 	at := now.Add(5 * time.Minute)
-	leader.jobs.Settle("req-1", true, at)
+	leader.jobs.ResolveDependency("req-1", true, at)
 	if w := leader.objectiveDeadline(0, job); !w.Equal(at.Add(time.Minute)) {
 		t.Errorf("wanted %v after it was ready", w.Sub(at))
 	}
@@ -268,7 +268,7 @@
 				continue
 			}
 			k.j = leader.addTestJob(fmt.Sprint("req-", i), spec)
-			k.j.Origin = &ledger.Origin{Cap: decision.Cap}
+			k.j.Origin = &ledger.Origin{MaxPriority: decision.Cap}
 			jobs = append(jobs, k)
 		}
 		// best is the highest rank that curators ask for of what needs a job, or it.
@@ -300,7 +300,7 @@
 		job := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
 		deep := leader.addTestJob("req-0", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
 		leader.addTestJob("req-2", wire.Job{Kind: wire.KindArray, Priority: "production", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1", "req-0"}})
-		job.Origin = &ledger.Origin{Cap: tc.cap}
+		job.Origin = &ledger.Origin{MaxPriority: tc.cap}
 		if got := priorityName(leader.effectivePriority(job)); got != tc.want {
 			t.Errorf("cap %q: goes by %s, want %s", tc.cap, got, tc.want)
 		}
--- a/internal/control/drain.go
+++ b/internal/control/drain.go
@@ -17,8 +17,8 @@
 			continue
 		}
 		secondsLeft := worker.ReclaimAt.Sub(now).Seconds()
-		for _, claim := range t.jobs.OnHost(worker.Name) {
-			if claim.Over || claim.Stopping || !claim.Committed || claim.Job.Withdrawn || claim.Job.Gang() || claim.Job.Spec.Kind == wire.KindService ||
+		for _, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
+			if claim.Finished || claim.Stopping || !claim.Committed || claim.Job.Cancelled || claim.Job.IsGang() || claim.Job.Spec.Kind == wire.KindService ||
 				t.remainingSeconds(claim, now) <= secondsLeft {
 				continue
 			}
@@ -31,10 +31,10 @@
 }
 
 // remainingSeconds is how much longer a task is expected to run, in seconds.
-func (t *leaderTerm) remainingSeconds(claim *ledger.Held, now time.Time) float64 {
+func (t *leaderTerm) remainingSeconds(claim *ledger.Claim, now time.Time) float64 {
 	run := expectedSeconds(claim.Job)
-	if !claim.Running.IsZero() {
-		run -= now.Sub(claim.Running).Seconds()
+	if !claim.RunningSince.IsZero() {
+		run -= now.Sub(claim.RunningSince).Seconds()
 	}
 	return max(run, 0)
 }
@@ -45,5 +45,5 @@
 // expectedSeconds is how long a task of a job runs, in seconds: as its owner expects,
 // corrected by those that are done.
 func expectedSeconds(job *ledger.Job) float64 {
-	return (priorWeight*job.Spec.ExpectedSeconds + job.Ran.Sum) / float64(priorWeight+job.Ran.N)
+	return (priorWeight*job.Spec.ExpectedSeconds + job.RunSeconds.Sum) / float64(priorWeight+job.RunSeconds.Count)
 }
--- a/internal/control/gang.go
+++ b/internal/control/gang.go
@@ -15,7 +15,7 @@
 	var gangs []*ledger.Job
 	for _, queue := range queues {
 		for _, job := range queue.jobs {
-			if job.Gang() && t.jobs.MayAll(job) {
+			if job.IsGang() && t.jobs.CanClaimGang(job) {
 				gangs = append(gangs, job)
 			}
 		}
@@ -87,7 +87,7 @@
 			if now.Sub(job.WaitingSince) < agingThreshold || oldest != nil && !job.WaitingSince.Before(oldest.WaitingSince) {
 				continue
 			}
-			if job.Gang() && t.jobs.MayAll(job) || !job.Gang() && t.lacksCapacity(job, candidates) {
+			if job.IsGang() && t.jobs.CanClaimGang(job) || !job.IsGang() && t.lacksCapacity(job, candidates) {
 				oldest = job
 			}
 		}
@@ -96,11 +96,11 @@
 		return
 	}
 	needed := 1
-	if oldest.Gang() {
+	if oldest.IsGang() {
 		needed = oldest.WaitingTasks()
 	}
 	ordered := slices.DeleteFunc(slices.Clone(candidates), func(target *candidate) bool {
-		return !target.fitsWhenEmpty(oldest) || !oldest.Gang() && t.jobs.May(oldest, target.worker.Zone) != nil
+		return !target.fitsWhenEmpty(oldest) || !oldest.IsGang() && t.jobs.CheckClaim(oldest, target.worker.Zone) != nil
 	})
 	// The freest machines first: they come free soonest.
 	slices.SortStableFunc(ordered, func(a, b *candidate) int { return -cmp.Compare(a.cpus, b.cpus) })
@@ -127,7 +127,7 @@
 func (t *leaderTerm) lacksCapacity(job *ledger.Job, candidates []*candidate) bool {
 	fitsSomewhere := false
 	for _, target := range candidates {
-		if t.jobs.May(job, target.worker.Zone) != nil {
+		if t.jobs.CheckClaim(job, target.worker.Zone) != nil {
 			continue
 		}
 		if target.fits(job) {
--- a/internal/control/heartbeats.go
+++ b/internal/control/heartbeats.go
@@ -57,7 +57,7 @@
 	if worker.Incarnation == heartbeat.Incarnation && worker.Sequence == heartbeat.Sequence {
 		worker.LastHeartbeat, term.lastHeartbeat = now, now
 		if !term.dataLossSuspected() {
-			commands.Commands = append(commands.Commands, worker.Commands(term.jobs.OnHost(worker.Name), epoch, true)...)
+			commands.Commands = append(commands.Commands, worker.Commands(term.jobs.ClaimsOnWorker(worker.Name), epoch, true)...)
 			term.requestFencing(worker)
 		}
 	}
@@ -114,7 +114,7 @@
 	}
 	now := t.now()
 	becameUsable := worker.HasUnclaimedTask || !t.acceptsTasks(worker, now) // it may be of use from now on
-	usedBefore := t.jobs.Used(worker.Name)
+	usedBefore := t.jobs.UsedOnWorker(worker.Name)
 	worker.Address, worker.InstanceType, worker.Spot = heartbeat.Address, heartbeat.InstanceType, heartbeat.Spot
 	t.setZone(worker, heartbeat.Zone)
 	worker.Sequence, worker.LastUpdate = heartbeat.Sequence, now
@@ -132,20 +132,20 @@
 		worker.Incarnation = heartbeat.Incarnation
 		worker.Tasks = make(map[ledger.Task]agent.TaskStatus)
 		worker.UnresolvedEpoch = 0 // commands carry the tenure: none of the old ones is executed now
-		for _, claim := range t.jobs.OnHost(worker.Name) {
-			if claim.Tenure < heartbeat.Incarnation {
+		for _, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
+			if claim.Incarnation < heartbeat.Incarnation {
 				t.dropImageFetch(claim, worker)
 				t.freeClaim(claim, "new tenure")
 			}
 		}
 	}
 	t.reconcileTasks(worker, heartbeat, now)
-	worker.IdleSince = idleSince(worker, len(t.jobs.OnHost(worker.Name)), now)
-	if !t.jobs.Empty() {
+	worker.IdleSince = idleSince(worker, len(t.jobs.ClaimsOnWorker(worker.Name)), now)
+	if !t.jobs.NothingToWrite() {
 		notify(t.writeSignal)
 	}
 	// Most reports free no room: a pass for each would be for nothing.
-	if becameUsable || usedBefore != t.jobs.Used(worker.Name) {
+	if becameUsable || usedBefore != t.jobs.UsedOnWorker(worker.Name) {
 		notify(t.scheduleSignal)
 	}
 	return worker
@@ -163,7 +163,7 @@
 
 // reconcileTasks compares a report's tasks with the claims.
 func (t *leaderTerm) reconcileTasks(worker *agent.Worker, heartbeat *wire.Heartbeat, now time.Time) {
-	claims := t.jobs.OnHost(worker.Name)
+	claims := t.jobs.ClaimsOnWorker(worker.Name)
 	seen := make(map[ledger.Task]agent.TaskStatus, len(heartbeat.Tasks))
 	for _, reported := range heartbeat.Tasks {
 		task, ok := ledger.ParseTask(reported.Task)
@@ -171,23 +171,23 @@
 			continue
 		}
 		t.adoptReported(worker, task, reported)
-		claims = t.jobs.OnHost(worker.Name)
+		claims = t.jobs.ClaimsOnWorker(worker.Name)
 		current := agent.TaskStatus{Attempt: reported.Attempt, Phase: reported.Phase, EndCause: reported.ExitReason, Since: now, Orphaned: t.isOrphan(task)}
 		if previous, ok := worker.Tasks[task]; ok && previous.Attempt == reported.Attempt && previous.Phase == reported.Phase {
 			current.Since = previous.Since
 		}
 		claim := claims[task]
-		if earlier, duplicate := seen[task]; duplicate && claim != nil && earlier.Attempt == claim.Try {
+		if earlier, duplicate := seen[task]; duplicate && claim != nil && earlier.Attempt == claim.Attempt {
 			continue // of two tries on the machine the claimed one counts
 		}
 		seen[task] = current
-		if claim == nil || claim.Try != reported.Attempt || claim.Over {
+		if claim == nil || claim.Attempt != reported.Attempt || claim.Finished {
 			continue
 		}
 		switch reported.Phase {
 		case wire.PhaseRunning:
-			if claim.Running.IsZero() {
-				claim.Running = now
+			if claim.RunningSince.IsZero() {
+				claim.RunningSince = now
 				t.taskStarted(claim, worker, now)
 			}
 		case wire.TaskExited:
@@ -196,7 +196,7 @@
 	}
 	worker.Tasks, worker.HasUnclaimedTask = seen, false
 	for task, reported := range seen {
-		if claim := claims[task]; (claim == nil || claim.Try != reported.Attempt) && reported.Phase != wire.TaskExited {
+		if claim := claims[task]; (claim == nil || claim.Attempt != reported.Attempt) && reported.Phase != wire.TaskExited {
 			worker.HasUnclaimedTask = true
 		}
 	}
@@ -204,14 +204,14 @@
 	// launch can reach the worker any more: it has seen a higher epoch than
 	// any launch carried.
 	for task, claim := range claims {
-		if _, present := seen[task]; !present && (claim.Job.Withdrawn || claim.Stopping || claim.Unsure) && !worker.CommandInFlight && worker.SeenEpoch > claim.SentEpoch {
+		if _, present := seen[task]; !present && (claim.Job.Cancelled || claim.Stopping || claim.Unconfirmed) && !worker.CommandInFlight && worker.SeenEpoch > claim.StartEpoch {
 			t.freeClaim(claim, "no launch can reach the machine")
 		}
 	}
 }
 
 // taskStarted notes that a task runs: its machine has the image.
-func (t *leaderTerm) taskStarted(claim *ledger.Held, worker *agent.Worker, now time.Time) {
+func (t *leaderTerm) taskStarted(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
 	cacheGB := 0.0
 	if instanceType := t.instanceTypes.InstanceTypes()[worker.InstanceType]; instanceType != nil {
 		cacheGB = instanceType.DiskGB
@@ -223,8 +223,8 @@
 
 // dropImageFetch notes that a task went before it ran; with the last that waited for
 // its image the fetch goes too.
-func (t *leaderTerm) dropImageFetch(claim *ledger.Held, worker *agent.Worker) {
-	for _, other := range t.jobs.OnHost(worker.Name) {
+func (t *leaderTerm) dropImageFetch(claim *ledger.Claim, worker *agent.Worker) {
+	for _, other := range t.jobs.ClaimsOnWorker(worker.Name) {
 		if other != claim && other.Job.Spec.Image == claim.Job.Spec.Image {
 			return
 		}
@@ -233,23 +233,23 @@
 }
 
 // taskEnded deals with a claimed task that its worker reports as ended.
-func (t *leaderTerm) taskEnded(claim *ledger.Held, worker *agent.Worker, cause string, now time.Time) {
+func (t *leaderTerm) taskEnded(claim *ledger.Claim, worker *agent.Worker, cause string, now time.Time) {
 	job := claim.Job
-	if claim.Running.IsZero() {
+	if claim.RunningSince.IsZero() {
 		t.dropImageFetch(claim, worker)
 	}
 	t.log.Debug("ended", "task", claim.Task(), "host", worker.Name, "cause", cause)
-	if job.Withdrawn {
+	if job.Cancelled {
 		t.freeClaim(claim, "ended, withdrawn")
 		return
 	}
-	if job.Gang() && cause != wire.ExitDone {
+	if job.IsGang() && cause != wire.ExitDone {
 		// The others cannot go on without it: they start again together.
-		for _, other := range t.jobs.HeldBy(job) {
-			if other != claim && !other.Over {
+		for _, other := range t.jobs.ClaimsOfJob(job) {
+			if other != claim && !other.Finished {
 				other.Stopping = true
 				t.auditLog.enqueueTask(now, audit.Stopped, other, "a member of the gang ended", "")
-				if peer := t.workers[other.Host]; peer != nil {
+				if peer := t.workers[other.Worker]; peer != nil {
 					peer.WakeSender()
 				}
 			}
@@ -262,13 +262,13 @@
 			return
 		}
 		worker.FailedJobs = nil
-		job.Fails = 0
+		job.ConsecutiveFailures = 0
 		// Only tasks that were seen running teach: a result that was kept
 		// from an earlier try comes back at once and says nothing.
-		if !claim.Running.IsZero() {
-			job.Ran.Sum += now.Sub(claim.Running).Seconds()
-			job.Ran.N++
-			finish := agent.RuntimeSample{JobType: t.jobType(job), InstanceType: worker.InstanceType, Duration: now.Sub(claim.Running)}
+		if !claim.RunningSince.IsZero() {
+			job.RunSeconds.Sum += now.Sub(claim.RunningSince).Seconds()
+			job.RunSeconds.Count++
+			finish := agent.RuntimeSample{JobType: t.jobType(job), InstanceType: worker.InstanceType, Duration: now.Sub(claim.RunningSince)}
 			if t.leadership.ShardMap().Owner(worker.Name) == t.settings.Node {
 				t.shards.Learn(finish)
 			} else if len(worker.PendingSamples) < 64 {
@@ -284,8 +284,8 @@
 		worker.StartBackoffUntil = now.Add(t.settings.Report())
 	case wire.ExitDuplicate, wire.ExitUnknownTask:
 		t.freeClaim(claim, "refused: "+cause)
-		job.Fails++
-		job.RetryAt = now.Add(t.retryDelay(job.Fails))
+		job.ConsecutiveFailures++
+		job.RetryAt = now.Add(t.retryDelay(job.ConsecutiveFailures))
 	default: // halted
 		t.freeClaim(claim, "halted")
 	}
@@ -299,13 +299,13 @@
 		job.FailedOn = make(map[string]bool)
 	}
 	job.FailedOn[worker.Name] = true
-	job.Fails++
+	job.ConsecutiveFailures++
 	if worker.LastFailure = now; len(worker.FailedJobs) < 16 {
 		worker.FailedJobs = append(worker.FailedJobs, job.Ref)
 	}
-	t.log.Info("task failed", "job", job.Ref, "host", worker.Name, "job_fails", job.Fails, "host_fails", len(worker.FailedJobs))
+	t.log.Info("task failed", "job", job.Ref, "host", worker.Name, "job_fails", job.ConsecutiveFailures, "host_fails", len(worker.FailedJobs))
 	if t.jobFaulty(job) {
-		job.RetryAt = now.Add(t.retryDelay(job.Fails))
+		job.RetryAt = now.Add(t.retryDelay(job.ConsecutiveFailures))
 	}
 	if len(job.FailedOn) > 16 {
 		clear(job.FailedOn)
@@ -318,7 +318,7 @@
 }
 
 func (t *leaderTerm) jobFaulty(job *ledger.Job) bool {
-	if job.Done() > 0 {
+	if job.DoneTasks() > 0 {
 		return false
 	}
 	healthyWorkers := 0
@@ -335,7 +335,7 @@
 func (t *leaderTerm) workerFaulty(worker *agent.Worker) bool {
 	failures := 0
 	for _, jobID := range worker.FailedJobs {
-		if job := t.jobs.Job(jobID); job == nil || job.Done() > 0 || len(job.FailedOn) < 3 {
+		if job := t.jobs.Job(jobID); job == nil || job.DoneTasks() > 0 || len(job.FailedOn) < 3 {
 			failures++
 		}
 	}
@@ -350,8 +350,8 @@
 }
 
 // freeClaim frees a claim on proof that its task is gone.
-func (t *leaderTerm) freeClaim(claim *ledger.Held, reason string) {
-	t.log.Debug("task lost", "task", claim.Task(), "host", claim.Host, "why", reason)
+func (t *leaderTerm) freeClaim(claim *ledger.Claim, reason string) {
+	t.log.Debug("task lost", "task", claim.Task(), "host", claim.Worker, "why", reason)
 	now := t.now()
 	t.auditLog.enqueueTask(now, audit.Lost, claim, reason, "")
 	t.jobs.Free(claim, now)
@@ -360,9 +360,9 @@
 // requestFencing asks for a higher epoch when a host waits for one.
 func (t *leaderTerm) requestFencing(worker *agent.Worker) {
 	needed := worker.UnresolvedEpoch != 0 && len(worker.Tasks) > 0
-	for task, claim := range t.jobs.OnHost(worker.Name) {
-		if _, present := worker.Tasks[task]; !present && (claim.Job.Withdrawn || claim.Stopping || claim.Unsure) {
-			needed = needed || worker.SeenEpoch <= claim.SentEpoch
+	for task, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
+		if _, present := worker.Tasks[task]; !present && (claim.Job.Cancelled || claim.Stopping || claim.Unconfirmed) {
+			needed = needed || worker.SeenEpoch <= claim.StartEpoch
 		}
 	}
 	if needed && worker.SeenEpoch >= t.leadership.Epoch() {
@@ -388,7 +388,7 @@
 		reachable := worker.Incarnation > 0 && worker.Address != ""
 		var commands []wire.Command
 		if reachable && !t.dataLossSuspected() {
-			commands = worker.Commands(t.jobs.OnHost(worker.Name), epoch, false)
+			commands = worker.Commands(t.jobs.ClaimsOnWorker(worker.Name), epoch, false)
 		}
 		incarnation, address, heardBefore := worker.Incarnation, worker.Address, worker.LastHeartbeat
 		worker.CommandInFlight = reachable && len(commands) > 0
--- a/internal/control/leader_test.go
+++ b/internal/control/leader_test.go
@@ -56,16 +56,16 @@
 	if spec.Team == "" {
 		spec.Team = "t"
 	}
-	return t.jobs.Add(jobID, ledger.Record{Job: spec, AtMS: now.UnixMilli(), Chunk: 8}, 1)
+	return t.jobs.AddJob(jobID, ledger.JobRecord{Job: spec, SubmittedMS: now.UnixMilli(), ChunkTasks: 8}, 1)
 }
 
-func (t *leaderTerm) runTestTask(tb *testing.T, job *ledger.Job, worker string, ran time.Duration) *ledger.Held {
+func (t *leaderTerm) runTestTask(tb *testing.T, job *ledger.Job, worker string, ran time.Duration) *ledger.Claim {
 	tb.Helper()
 	claim, err := t.jobs.Claim(job, worker, 1, t.workers[worker].Zone)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	claim.Committed, claim.Running = true, now.Add(-ran)
+	claim.Committed, claim.RunningSince = true, now.Add(-ran)
 	return claim
 }
 
@@ -292,13 +292,13 @@
 func TestClocksApart(t *testing.T) {
 	for _, off := range []time.Duration{-time.Second, time.Second} {
 		leader := newTestTerm(t)
-		j := leader.jobs.Add("req-1", ledger.Record{Job: wire.Job{Class: "d", Team: "t", TaskCount: 1, CPUs: 1, ExpectedSeconds: 10, DeadlineSeconds: 20}, AtMS: now.Add(off).UnixMilli(), Chunk: 8}, 1)
-		if got := leader.inherited(j).Due[2]; !got.Equal(now.Add(off + 30*time.Second)) {
+		j := leader.jobs.AddJob("req-1", ledger.JobRecord{Job: wire.Job{Class: "d", Team: "t", TaskCount: 1, CPUs: 1, ExpectedSeconds: 10, DeadlineSeconds: 20}, SubmittedMS: now.Add(off).UnixMilli(), ChunkTasks: 8}, 1)
+		if got := leader.inherited(j).Deadlines[2]; !got.Equal(now.Add(off + 30*time.Second)) {
 			t.Errorf("clock off by %v, there before: due %v", off, got.Sub(now))
 		}
-		j.Lift = nil
-		j.Arrive(now)
-		if got := leader.inherited(j).Due[2]; !got.Equal(now.Add(30*time.Second)) || !j.ReadyAt.Equal(now) || !j.WaitingSince.Equal(now) {
+		j.Inherited = nil
+		j.MarkArrived(now)
+		if got := leader.inherited(j).Deadlines[2]; !got.Equal(now.Add(30*time.Second)) || !j.ReadyAt.Equal(now) || !j.WaitingSince.Equal(now) {
 			t.Errorf("clock off by %v, seen to come: due %v, ready %v", off, got.Sub(now), j.ReadyAt.Sub(now))
 		}
 	}
@@ -387,7 +387,7 @@
 			worker := leader.workers["h0"]
 			worker.SoleOwnerEpoch, worker.SeenEpoch, worker.LastHeartbeat, worker.LastAnswered, worker.EpochSeenAt = tc.sole, tc.epoch, now.Add(-tc.silent), now.Add(-tc.silent), now.Add(-tc.shown)
 			leader.expireLeases(now)
-			if got := j.Active() == 0; got != tc.freed {
+			if got := j.ClaimedTasks() == 0; got != tc.freed {
 				t.Errorf("freed: %v, want %v", got, tc.freed)
 			}
 		})
@@ -403,7 +403,7 @@
 	leader.settings.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
 	leader.store = state.New(state.Options{RequestsPerSecond: 1000, Limits: state.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10}})
 	old := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
-	claim := func(j *ledger.Job) *ledger.Held {
+	claim := func(j *ledger.Job) *ledger.Claim {
 		c, err := leader.jobs.Claim(j, "h0", 1, "a")
 		if err != nil {
 			t.Fatal(err)
@@ -416,8 +416,8 @@
 		if wait > 0 || b == nil || err != nil {
 			t.Fatalf("no batch, wait %v, %v", wait, err)
 		}
-		leader.jobs.Committed(b.Batch, 5)
-		return b.Refs()
+		leader.jobs.BatchCommitted(b.Batch, 5)
+		return b.JobRefs()
 	}
 	commit()
 	leader.jobs.Finish(c)
@@ -458,7 +458,7 @@
 				jobs = append(jobs, leader.addTestJob(fmt.Sprint("req-", i), wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: n, CPUs: 10, ExpectedSeconds: tc.expect}))
 			}
 			early := leader.addTestJob("req-9", wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: 1, CPUs: 1, ExpectedSeconds: 20})
-			early.At, early.ReadyAt = at, at
+			early.SubmittedAt, early.ReadyAt = at, at
 			jobs = append(jobs, early)
 			leader.orderJobs(jobs, at)
 			for i, j := range jobs {
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return 0, err
 	}
-	chunks, _, err := t.listAll(ctx, ledger.ClaimPrefix)
+	chunks, _, err := t.listAll(ctx, ledger.ChunkPrefix)
 	if err != nil {
 		return 0, err
 	}
@@ -83,7 +83,7 @@
 		live[item.Key[len(ledger.LivePrefix):]] = true
 	}
 	for _, item := range chunks {
-		ref, ok := ledger.ChunkRef(item.Key)
+		ref, ok := ledger.JobOfChunkKey(item.Key)
 		if _, seen := endings[ref]; !ok || live[ref] || seen {
 			continue
 		}
@@ -119,27 +119,27 @@
 		}
 	}
 	for _, item := range chunks {
-		ref, _ := ledger.ChunkRef(item.Key)
+		ref, _ := ledger.JobOfChunkKey(item.Key)
 		if data := endings[ref]; data != nil && t.jobs.Job(ref) == nil {
-			if err := t.jobs.AddEnded(ref, data); err != nil {
+			if err := t.jobs.AddEndedJob(ref, data); err != nil {
 				return t.suspectDataLoss(err)
 			}
 		}
 	}
 	for _, item := range chunks {
-		if ref, _ := ledger.ChunkRef(item.Key); t.jobs.Job(ref) == nil {
+		if ref, _ := ledger.JobOfChunkKey(item.Key); t.jobs.Job(ref) == nil {
 			t.log.Error("claims without a job", "key", item.Key)
 			continue
 		}
-		if err := t.jobs.Load(item.Key, item.Value, item.ModRevision, t.firstEpoch-1); err != nil {
+		if err := t.jobs.LoadChunk(item.Key, item.Value, item.ModRevision, t.firstEpoch-1); err != nil {
 			return t.suspectDataLoss(err)
 		}
 	}
-	t.jobs.Loaded()
+	t.jobs.FinishLoading()
 	if view.Phase == history.PhaseRecovering {
-		t.jobs.Doubt(t.baseAttempt())
+		t.jobs.MarkClaimsUnconfirmed(t.baseAttempt())
 	}
-	for _, worker := range t.jobs.ClaimedHosts() {
+	for _, worker := range t.jobs.ClaimedWorkers() {
 		t.worker(worker)
 	}
 	t.replica.Lead(view.ID, t.firstEpoch, revision, t.replicaTree(view, jobs, chunks, recovered, endings))
@@ -209,9 +209,9 @@
 		}
 		return len(missing) >= maxEndingLookups
 	})
-	tree.Root().WalkPrefix([]byte(ledger.ClaimPrefix), func(key, _ []byte) bool {
+	tree.Root().WalkPrefix([]byte(ledger.ChunkPrefix), func(key, _ []byte) bool {
 		// Chunks go only once their job is over.
-		if ref, ok := ledger.ChunkRef(string(key)); ok && live[ref] && !stored[string(key)] {
+		if ref, ok := ledger.JobOfChunkKey(string(key)); ok && live[ref] && !stored[string(key)] {
 			lost = string(key)
 		}
 		return lost != ""
--- a/internal/control/load_test.go
+++ b/internal/control/load_test.go
@@ -69,13 +69,13 @@
 			teams := []settings.Team{{Name: "t", CPUs: 1e9, CPUsMax: 1e9}}
 			table := ledger.New("w", teams)
 			for n := range (tasks + size - 1) / size {
-				record := ledger.Record{Job: wire.Job{ID: fmt.Sprintf("req-%06d", n), Team: "t", Class: "tally-sweeps", Kind: wire.KindArray, Priority: "standard", TaskCount: size, CPUs: 1, MemoryGB: 1, Image: "b", ExpectedSeconds: 20}, AtMS: 1, Chunk: 64}
+				record := ledger.JobRecord{Job: wire.Job{ID: fmt.Sprintf("req-%06d", n), Team: "t", Class: "tally-sweeps", Kind: wire.KindArray, Priority: "standard", TaskCount: size, CPUs: 1, MemoryGB: 1, Image: "b", ExpectedSeconds: 20}, SubmittedMS: 1, ChunkTasks: 64}
 				data, err := ledger.Encode(record)
 				if err != nil {
 					b.Fatal(err)
 				}
 				store.data[ledger.LiveKey(record.Job.ID)] = data
-				job := table.Add(record.Job.ID, record, 9)
+				job := table.AddJob(record.Job.ID, record, 9)
 				for i := range size {
 					if _, err := table.Claim(job, fmt.Sprintf("i-%06d", (n*size+i)/8), 1, "zone-a"); err != nil {
 						b.Fatal(err)
@@ -83,14 +83,14 @@
 				}
 			}
 			for {
-				batch := table.Next(ledger.Limits{Ops: 16, Bytes: 40 << 10, Value: 16 << 10}, time.Now())
+				batch := table.NextBatch(ledger.BatchLimits{MaxOperations: 16, MaxBytes: 40 << 10, MaxValueBytes: 16 << 10}, time.Now())
 				if batch == nil {
 					break
 				}
-				for _, op := range batch.Apply {
+				for _, op := range batch.Operations {
 					store.data[op.Put] = op.Value
 				}
-				table.Committed(batch, 9)
+				table.BatchCommitted(batch, 9)
 			}
 			store.keys = slices.Sorted(maps.Keys(store.data))
 			srv := httptest.NewServer(store)
@@ -110,7 +110,7 @@
 					b.Fatal(err)
 				}
 				end()
-				if got := len(leader.jobs.ClaimedHosts()); got != (tasks+size-1)/size*size/8 && got != (tasks+size-1)/size*size/8+1 {
+				if got := len(leader.jobs.ClaimedWorkers()); got != (tasks+size-1)/size*size/8 && got != (tasks+size-1)/size*size/8+1 {
 					b.Fatalf("%d hosts", got)
 				}
 			}
--- a/internal/control/model_test.go
+++ b/internal/control/model_test.go
@@ -108,7 +108,7 @@
 	for i, tasks := range []int{3, 2, 4} {
 		ref := fmt.Sprint("req-", i)
 		m.jobs = append(m.jobs, ref)
-		record := ledger.Record{Job: wire.Job{ID: ref, Team: "t", Kind: wire.KindArray, Priority: "standard", TaskCount: tasks, CPUs: 1, ExpectedSeconds: 5}, Chunk: 2}
+		record := ledger.JobRecord{Job: wire.Job{ID: ref, Team: "t", Kind: wire.KindArray, Priority: "standard", TaskCount: tasks, CPUs: 1, ExpectedSeconds: 5}, ChunkTasks: 2}
 		if i == 1 {
 			record.Job.Kind = wire.KindService
 		}
@@ -145,20 +145,20 @@
 		}
 	}
 	for _, k := range keys {
-		ref, ok := ledger.ChunkRef(k)
-		if !ok || !strings.HasPrefix(k, ledger.ClaimPrefix) {
+		ref, ok := ledger.JobOfChunkKey(k)
+		if !ok || !strings.HasPrefix(k, ledger.ChunkPrefix) {
 			continue
 		}
 		if m.leader.jobs.Job(ref) == nil {
-			if err := m.leader.jobs.AddEnded(ref, m.store[ledger.EndedKey(ref)]); err != nil {
+			if err := m.leader.jobs.AddEndedJob(ref, m.store[ledger.EndedKey(ref)]); err != nil {
 				m.t.Fatal(err)
 			}
 		}
-		if err := m.leader.jobs.Load(k, m.store[k], m.revision, m.leader.firstEpoch-1); err != nil {
+		if err := m.leader.jobs.LoadChunk(k, m.store[k], m.revision, m.leader.firstEpoch-1); err != nil {
 			m.t.Fatal(err)
 		}
 	}
-	m.leader.jobs.Loaded()
+	m.leader.jobs.FinishLoading()
 	for _, worker := range m.workers {
 		view := agent.NewWorker(worker.name) // a late report may come of one that is gone
 		view.InstanceType = "m"
@@ -342,7 +342,7 @@
 		return
 	}
 	epoch := m.term.Epoch()
-	commands := view.Commands(m.leader.jobs.OnHost(worker.name), epoch, false)
+	commands := view.Commands(m.leader.jobs.ClaimsOnWorker(worker.name), epoch, false)
 	if len(commands) == 0 {
 		return
 	}
@@ -401,22 +401,22 @@
 }
 
 func (m *model) write() {
-	batch := m.leader.jobs.Next(ledger.Limits{Ops: rapid.IntRange(3, 16).Draw(m.t, "ops"), Bytes: 1 << 16, Value: 1 << 14}, m.now)
+	batch := m.leader.jobs.NextBatch(ledger.BatchLimits{MaxOperations: rapid.IntRange(3, 16).Draw(m.t, "ops"), MaxBytes: 1 << 16, MaxValueBytes: 1 << 14}, m.now)
 	if batch == nil {
 		return
 	}
-	for _, guard := range batch.Guards { // the live key of a withdrawn job is gone
+	for _, guard := range batch.Compares { // the live key of a withdrawn job is gone
 		if _, ok := m.store[guard.Key]; !ok && strings.HasPrefix(guard.Key, ledger.LivePrefix) {
-			m.leader.jobs.Failed(batch)
+			m.leader.jobs.BatchFailed(batch)
 			return
 		}
 	}
 	if rapid.IntRange(0, 3).Draw(m.t, "fate") == 0 {
-		m.leader.jobs.Failed(batch)
+		m.leader.jobs.BatchFailed(batch)
 		return
 	}
 	m.revision++
-	for _, operation := range batch.Apply {
+	for _, operation := range batch.Operations {
 		if operation.Put != "" {
 			m.store[operation.Put] = operation.Value
 		}
@@ -429,9 +429,9 @@
 		m.startTerm()
 		return
 	}
-	for _, job := range m.leader.jobs.Committed(batch, m.revision+10).Ended {
+	for _, job := range m.leader.jobs.BatchCommitted(batch, m.revision+10).Ended {
 		for i := range job.Spec.TaskCount {
-			if name := (ledger.Task{Ref: job.Ref, Index: i}).String(); !m.completed[name] {
+			if name := (ledger.Task{JobRef: job.Ref, Index: i}).String(); !m.completed[name] {
 				m.t.Fatalf("not_done: %s is over without %s", job.Ref, name)
 			}
 		}
@@ -489,11 +489,11 @@
 	if rapid.IntRange(0, 9).Draw(m.t, "rarely") == 0 {
 		ref := rapid.SampledFrom(m.jobs).Draw(m.t, "job")
 		if data, ok := m.store[ledger.LiveKey(ref)]; ok {
-			record, err := ledger.DecodeRecord(data)
+			record, err := ledger.DecodeJobRecord(data)
 			if err != nil {
 				m.t.Fatal(err)
 			}
-			ending, err := ledger.Encode(ledger.WithdrawnEnding(&record, m.now))
+			ending, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, m.now))
 			if err != nil {
 				m.t.Fatal(err)
 			}
@@ -513,7 +513,7 @@
 			}
 		}
 		m.leader.released[name] = m.now
-		for _, claim := range m.leader.jobs.OnHost(name) {
+		for _, claim := range m.leader.jobs.ClaimsOnWorker(name) {
 			m.leader.freeClaim(claim, "machine returned")
 		}
 		if view := m.leader.workers[name]; view != nil {
--- a/internal/control/monitor.go
+++ b/internal/control/monitor.go
@@ -57,9 +57,9 @@
 		if worker.LastHeartbeat.IsZero() || worker.SoleOwnerEpoch == 0 || worker.SeenEpoch < worker.SoleOwnerEpoch || now.Sub(worker.LastAnswered) < leaseSpan || now.Sub(worker.EpochSeenAt) < leaseSpan {
 			continue
 		}
-		for _, claim := range t.jobs.OnHost(worker.Name) {
+		for _, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
 			// A claim of a tenure not yet heard of cannot be.
-			if claim.Tenure <= worker.Incarnation {
+			if claim.Incarnation <= worker.Incarnation {
 				t.freeClaim(claim, "lease over")
 			}
 		}
@@ -204,7 +204,7 @@
 		}
 		for _, name := range plan.Release {
 			// Not a host that was given a task since it was looked at.
-			if len(t.jobs.OnHost(name)) == 0 {
+			if len(t.jobs.ClaimsOnWorker(name)) == 0 {
 				idle = append(idle, name)
 				t.noteRelease(name, "idle", now)
 			}
@@ -235,7 +235,7 @@
 func (t *leaderTerm) drainWorkers(plan fleet.Plan, now time.Time) {
 	for _, name := range plan.Drain {
 		if worker := t.workers[name]; worker != nil {
-			t.log.Info("draining", "host", name, "claims", len(t.jobs.OnHost(name)))
+			t.log.Info("draining", "host", name, "claims", len(t.jobs.ClaimsOnWorker(name)))
 			worker.Draining = true
 		}
 	}
@@ -254,10 +254,10 @@
 		if candidates == nil {
 			candidates = t.candidates(now)
 		}
-		for _, claim := range t.jobs.OnHost(worker.Name) {
+		for _, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
 			job := claim.Job
 			if len(moved) >= maxMoves || moved[job.Ref] || claim.Stopping || !t.hasRunLongEnough(claim, now) || job.Spec.Kind != wire.KindService ||
-				job.Active() < job.Spec.TaskCount {
+				job.ClaimedTasks() < job.Spec.TaskCount {
 				continue
 			}
 			target := t.findReplacement(claim, candidates, plan.ReuseDrained)
@@ -275,7 +275,7 @@
 
 // hasReplicas tells whether any replica is on a host.
 func (t *leaderTerm) hasReplicas(worker *agent.Worker) bool {
-	for _, claim := range t.jobs.OnHost(worker.Name) {
+	for _, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Job.Spec.Kind == wire.KindService {
 			return true
 		}
@@ -285,27 +285,27 @@
 
 // hasRunLongEnough tells whether a task has run long enough to be moved: one stopped
 // soon after its start was as good as never started to its users.
-func (t *leaderTerm) hasRunLongEnough(claim *ledger.Held, now time.Time) bool {
-	return !claim.Running.IsZero() && now.Sub(claim.Running) > 2*t.settings.Lease()
+func (t *leaderTerm) hasRunLongEnough(claim *ledger.Claim, now time.Time) bool {
+	return !claim.RunningSince.IsZero() && now.Sub(claim.RunningSince) > 2*t.settings.Lease()
 }
 
 // findReplacement finds a replica a place on another machine that has its image, where
 // it is back within some 30 ms. A fetch would take it away for a second.
 //
 // Where it is moved to make room, only a smaller machine will do.
-func (t *leaderTerm) findReplacement(claim *ledger.Held, candidates []*candidate, smaller bool) *candidate {
+func (t *leaderTerm) findReplacement(claim *ledger.Claim, candidates []*candidate, smaller bool) *candidate {
 	job := claim.Job
 	currentCores := 0.0
-	if worker := t.workers[claim.Host]; worker != nil {
+	if worker := t.workers[claim.Worker]; worker != nil {
 		if instanceType := t.instanceTypes.InstanceTypes()[worker.InstanceType]; instanceType != nil {
 			currentCores = instanceType.CPUs
 		}
 	}
 	for _, candidate := range candidates {
-		if candidate.worker.Name == claim.Host || candidate.worker.Draining || !candidate.fits(job) || !candidate.worker.HasImage(job.Spec.Image) || smaller && candidate.instanceType.CPUs >= currentCores {
+		if candidate.worker.Name == claim.Worker || candidate.worker.Draining || !candidate.fits(job) || !candidate.worker.HasImage(job.Spec.Image) || smaller && candidate.instanceType.CPUs >= currentCores {
 			continue
 		}
-		free := t.jobs.ZoneRoom(job, candidate.worker.Zone)
+		free := t.jobs.ZoneHeadroom(job, candidate.worker.Zone)
 		if candidate.worker.Zone == claim.Zone {
 			free++ // its own place comes free
 		}
@@ -338,7 +338,7 @@
 
 // noteRelease tells why a machine is about to be returned.
 func (t *leaderTerm) noteRelease(name, reason string, now time.Time) {
-	t.log.Info("returning", "host", name, "why", reason, "claims", len(t.jobs.OnHost(name)))
+	t.log.Info("returning", "host", name, "why", reason, "claims", len(t.jobs.ClaimsOnWorker(name)))
 	t.auditLog.enqueue(now, audit.Entry{Act: audit.Returned, On: name, Why: reason})
 }
 
@@ -357,7 +357,7 @@
 		if worker := t.workers[name]; worker != nil {
 			t.planner.RecordRelease(fleet.Instance{InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot})
 		}
-		for _, claim := range t.jobs.OnHost(name) {
+		for _, claim := range t.jobs.ClaimsOnWorker(name) {
 			t.freeClaim(claim, "machine returned")
 		}
 		if worker := t.workers[name]; worker != nil {
@@ -414,7 +414,7 @@
 		reason := ""
 		instance, listed := t.instances[worker.Name]
 		instanceType := instanceTypes[worker.InstanceType]
-		claims := t.jobs.OnHost(worker.Name)
+		claims := t.jobs.ClaimsOnWorker(worker.Name)
 		releasedAt, leaving := t.released[worker.Name]
 		switch {
 		case leaving && releasedAt.IsZero():
@@ -438,7 +438,7 @@
 		case t.workerFaulty(worker) && !t.mostWorkersFaulty():
 			reason = "fails tasks"
 			for _, claim := range claims {
-				if claim.Job.Spec.Kind == wire.KindService && !claim.Running.IsZero() && now.Sub(claim.Running) > t.settings.Lease() {
+				if claim.Job.Spec.Kind == wire.KindService && !claim.RunningSince.IsZero() && now.Sub(claim.RunningSince) > t.settings.Lease() {
 					reason = "" // what runs there runs on; only new tasks fail
 				}
 			}
@@ -478,7 +478,7 @@
 		if worker.InstanceType == "" {
 			continue
 		}
-		claims := t.jobs.OnHost(worker.Name)
+		claims := t.jobs.ClaimsOnWorker(worker.Name)
 		machine := fleet.Instance{
 			Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot,
 			Up: !worker.LastHeartbeat.IsZero(), Booting: worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero(), Releasing: leaving || !worker.ReclaimAt.IsZero() || t.workerFaulty(worker),
@@ -508,7 +508,7 @@
 // takes the places from the rooms. What it took is given back if one has none.
 func (t *leaderTerm) replicasMovable(worker *agent.Worker, candidates []*candidate, now time.Time) bool {
 	var undo []func()
-	for _, claim := range t.jobs.OnHost(worker.Name) {
+	for _, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Job.Spec.Kind != wire.KindService {
 			continue
 		}
@@ -537,7 +537,7 @@
 		if !machine.Partitioned {
 			continue
 		}
-		for _, claim := range t.jobs.OnHost(machine.Name) {
+		for _, claim := range t.jobs.ClaimsOnWorker(machine.Name) {
 			// It cannot run elsewhere as yet. A replica that no controller
 			// keeps alive there will have to, so there is to be room for it.
 			if claim.Job.Spec.Kind != wire.KindService || t.settings.Covered(machine.Zone) {
@@ -546,24 +546,24 @@
 		}
 	}
 	for _, job := range t.jobs.Jobs() {
-		if !job.Withdrawn && !job.Finished && job.Ready() && t.settings.Ample(job.Spec.Class) {
+		if !job.Cancelled && !job.Finished && job.DependenciesMet() && t.settings.Ample(job.Spec.Class) {
 			t.scaledAheadTeams[job.Spec.Team] = true
 		}
 	}
 	spotCores, pacedCores := make(map[string]float64), make(map[string]float64)
 	zones := t.instanceTypes.Zones()
 	for _, job := range t.jobs.Jobs() {
-		if job.Withdrawn || job.Finished || !job.Ready() {
+		if job.Cancelled || job.Finished || !job.DependenciesMet() {
 			continue
 		}
 		spec := &job.Spec
-		cores := spec.CPUs * float64(job.Unfinished()-unreachableTasks[job])
+		cores := spec.CPUs * float64(job.UnfinishedTasks()-unreachableTasks[job])
 		switch {
 		case t.scaledAheadTeams[spec.Team]: // up to the team's limit, whatever is on hand
 		case spec.AllowSpot:
 			spotCores[spec.Team] += cores
 			pacedCores[spec.Team] += cores * t.requiredConcurrency(job, now)
-			need.QueuedCores += spec.CPUs * float64(min(job.WaitingTasks(), t.jobs.Headroom(job)))
+			need.QueuedCores += spec.CPUs * float64(min(job.WaitingTasks(), t.jobs.QuotaHeadroom(job)))
 		default:
 			need.OnDemandCores += cores
 			need.OnDemandJobs++
@@ -581,7 +581,7 @@
 			need.TaskShapes = append(need.TaskShapes, fleet.TaskShape{Cores: spec.CPUs, Accel: spec.GPUs, RAM: spec.MemoryGB, InstanceTypes: spec.InstanceTypes, Zone: spec.Zone, SpotAllowed: spec.AllowSpot})
 		}
 		need.TaskShapes[index].Weight += cores
-		if !waitingShapes[index] && spec.AllowSpot && min(job.WaitingTasks(), t.jobs.Headroom(job)) > 0 {
+		if !waitingShapes[index] && spec.AllowSpot && min(job.WaitingTasks(), t.jobs.QuotaHeadroom(job)) > 0 {
 			waitingShapes[index] = true
 			need.WaitingShapes = append(need.WaitingShapes, need.TaskShapes[index])
 		}
@@ -601,13 +601,13 @@
 func (t *leaderTerm) addZoneDemand(need *fleet.Demand, job *ledger.Job, zones []string) {
 	total := 0
 	for _, zone := range zones {
-		total += max(0, t.jobs.ZoneRoom(job, zone))
+		total += max(0, t.jobs.ZoneHeadroom(job, zone))
 	}
 	for _, zone := range zones {
 		// What the others may take, less what waits.
-		others := total - max(0, t.jobs.ZoneRoom(job, zone)) - job.WaitingTasks()
+		others := total - max(0, t.jobs.ZoneHeadroom(job, zone)) - job.WaitingTasks()
 		need.ZoneBoundCores[zone] += job.Spec.CPUs * float64(max(0, -others))
-		need.FailoverCores[zone] += job.Spec.CPUs * float64(min(job.InZone(zone), max(0, others)))
+		need.FailoverCores[zone] += job.Spec.CPUs * float64(min(job.ClaimsInZone(zone), max(0, others)))
 	}
 }
 
--- a/internal/control/orphans.go
+++ b/internal/control/orphans.go
@@ -26,13 +26,13 @@
 // isOrphan tells whether a task on a machine is of a job that may have been lost, so that
 // it is to be left alone.
 func (t *leaderTerm) isOrphan(task ledger.Task) bool {
-	if view := t.leadership.Incarnation(); !view.DataLost && view.Phase != history.PhaseProvisional || t.jobs.Job(task.Ref) != nil {
+	if view := t.leadership.Incarnation(); !view.DataLost && view.Phase != history.PhaseProvisional || t.jobs.Job(task.JobRef) != nil {
 		return false // a history that has just begun may be a loss that is yet to show
 	}
-	orphan := t.orphanedJobs[task.Ref]
+	orphan := t.orphanedJobs[task.JobRef]
 	if orphan == nil && len(t.orphanedJobs) < maxOrphanedJobs {
 		orphan = &orphanedJob{}
-		t.orphanedJobs[task.Ref] = orphan
+		t.orphanedJobs[task.JobRef] = orphan
 	}
 	return orphan == nil || !orphan.ended
 }
@@ -79,7 +79,7 @@
 func (t *leaderTerm) eachTaskOf(ref string, visit func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus)) {
 	for _, worker := range t.workersByName {
 		for task, status := range worker.Tasks {
-			if task.Ref == ref {
+			if task.JobRef == ref {
 				visit(worker, task, status)
 			}
 		}
@@ -95,9 +95,9 @@
 		if instanceType == nil || !t.hasOrphan(worker) {
 			continue
 		}
-		used := t.jobs.Used(worker.Name)
+		used := t.jobs.UsedOnWorker(worker.Name)
 		cores += max(0, instanceType.CPUs-used.Cores)
-		accel += max(0, instanceType.GPUs-used.Accel)
+		accel += max(0, instanceType.GPUs-used.Accelerators)
 	}
 	t.jobs.Reserve(cores, accel)
 }
@@ -128,14 +128,14 @@
 		if status.Phase == wire.TaskExited && status.EndCause != wire.ExitDone {
 			return
 		}
-		claim := t.jobs.Adopt(job, task.Index, ledger.Claim{Host: worker.Name, Tenure: worker.Incarnation, Try: status.Attempt, Zone: worker.Zone}, t.firstEpoch-1)
+		claim := t.jobs.AdoptOrphan(job, task.Index, ledger.ClaimRecord{Worker: worker.Name, Incarnation: worker.Incarnation, Attempt: status.Attempt, Zone: worker.Zone}, t.firstEpoch-1)
 		if claim == nil {
 			return
 		}
 		adopted++
 		switch status.Phase {
 		case wire.PhaseRunning:
-			claim.Running = status.Since
+			claim.RunningSince = status.Since
 		case wire.TaskExited:
 			t.taskEnded(claim, worker, status.EndCause, now)
 		}
--- a/internal/control/placementhold.go
+++ b/internal/control/placementhold.go
@@ -64,7 +64,7 @@
 			continue
 		}
 		instance, listed := t.instances[worker.Name]
-		up := listed && instance.Phase == wire.PhaseRunning || len(t.jobs.OnHost(worker.Name)) > 0
+		up := listed && instance.Phase == wire.PhaseRunning || len(t.jobs.ClaimsOnWorker(worker.Name)) > 0
 		if up && (worker.LastHeartbeat.IsZero() && worker.LastUpdate.IsZero() || worker.SeenEpoch < t.firstEpoch) {
 			names = append(names, worker.Name)
 		}
@@ -102,25 +102,25 @@
 // since data was lost, though nobody remembers them.
 func (t *leaderTerm) jobOnHold(job *ledger.Job) bool {
 	progress := t.progress
-	return progress != nil && progress.full && progress.placementResumedAt.IsZero() && !job.Came
+	return progress != nil && progress.full && progress.placementResumedAt.IsZero() && !job.ArrivalSeen
 }
 
 // adoptReported takes in a report where claims are of a history that was lost: what the
 // machine shows is there, whatever is remembered of it.
 func (t *leaderTerm) adoptReported(worker *agent.Worker, task ledger.Task, status wire.TaskStatus) {
-	job := t.jobs.Job(task.Ref)
+	job := t.jobs.Job(task.JobRef)
 	if job == nil {
 		return
 	}
-	claim := t.jobs.OnHost(worker.Name)[task]
-	if claim != nil && claim.Try == status.Attempt {
-		claim.Unsure = false
+	claim := t.jobs.ClaimsOnWorker(worker.Name)[task]
+	if claim != nil && claim.Attempt == status.Attempt {
+		claim.Unconfirmed = false
 		return
 	}
 	if t.progress == nil || !t.progress.full || status.Phase == wire.TaskExited && status.ExitReason != wire.ExitDone {
 		return
 	}
-	if claim := t.jobs.Adopt(job, task.Index, ledger.Claim{Host: worker.Name, Tenure: worker.Incarnation, Try: status.Attempt, Zone: worker.Zone}, t.firstEpoch-1); claim != nil {
+	if claim := t.jobs.AdoptOrphan(job, task.Index, ledger.ClaimRecord{Worker: worker.Name, Incarnation: worker.Incarnation, Attempt: status.Attempt, Zone: worker.Zone}, t.firstEpoch-1); claim != nil {
 		t.log.Info("known from its machine", "task", task, "try", status.Attempt, "host", worker.Name, "phase", status.Phase)
 	}
 }
--- a/internal/control/placementhold_test.go
+++ b/internal/control/placementhold_test.go
@@ -51,10 +51,10 @@
 			if got := leader.placementOnHold(began.Add(tc.at)); got != tc.holding {
 				t.Errorf("holding: %v", got)
 			}
-			old := leader.jobs.Add("r", ledger.Record{Job: wire.Job{ID: "r", TaskCount: 1}, AtMS: began.Add(time.Second).UnixMilli()}, 1)
+			old := leader.jobs.AddJob("r", ledger.JobRecord{Job: wire.Job{ID: "r", TaskCount: 1}, SubmittedMS: began.Add(time.Second).UnixMilli()}, 1)
 			// Accepted by a node whose clock is behind: what counts is that it was seen to come.
-			late := leader.jobs.Add("s", ledger.Record{Job: wire.Job{ID: "s", TaskCount: 1}, AtMS: began.Add(-time.Second).UnixMilli()}, 1)
-			late.Arrive(began.Add(time.Second))
+			late := leader.jobs.AddJob("s", ledger.JobRecord{Job: wire.Job{ID: "s", TaskCount: 1}, SubmittedMS: began.Add(-time.Second).UnixMilli()}, 1)
+			late.MarkArrived(began.Add(time.Second))
 			if leader.jobOnHold(old) != tc.withheld || leader.jobOnHold(late) {
 				t.Errorf("withheld: %v, %v", leader.jobOnHold(old), leader.jobOnHold(late))
 			}
--- a/internal/control/preemption.go
+++ b/internal/control/preemption.go
@@ -15,18 +15,18 @@
 	var candidates []*candidate
 	for _, queue := range queues {
 		for _, job := range queue.jobs {
-			if t.effectivePriority(job) >= priorityLevel("standard") || job.WaitingTasks() == 0 || job.Gang() ||
-				now.Sub(job.WaitingSince) < t.settings.Report()/16 || now.Before(job.PreemptAt) {
+			if t.effectivePriority(job) >= priorityLevel("standard") || job.WaitingTasks() == 0 || job.IsGang() ||
+				now.Sub(job.WaitingSince) < t.settings.Report()/16 || now.Before(job.NextPreemptionAt) {
 				continue
 			}
 			// Once stopped, the tasks' room comes free within a moment; give
 			// it time to be taken before more are stopped for this job.
-			job.PreemptAt = now.Add(t.settings.Report() / 2)
+			job.NextPreemptionAt = now.Add(t.settings.Report() / 2)
 			if candidates == nil {
 				candidates = t.candidates(now)
 			}
 			preemptedInZone := make(map[string]int)
-			for range min(job.WaitingTasks(), t.jobs.Headroom(job)) {
+			for range min(job.WaitingTasks(), t.jobs.QuotaHeadroom(job)) {
 				target, victim := t.selectVictim(job, candidates, preemptedInZone, now)
 				if victim == nil {
 					break
@@ -43,25 +43,25 @@
 
 // selectVictim finds the task whose stop makes room for a job's task at the least
 // cost: seconds of work lost, and of fetching the image there.
-func (t *leaderTerm) selectVictim(job *ledger.Job, candidates []*candidate, preemptedInZone map[string]int, now time.Time) (*candidate, *ledger.Held) {
+func (t *leaderTerm) selectVictim(job *ledger.Job, candidates []*candidate, preemptedInZone map[string]int, now time.Time) (*candidate, *ledger.Claim) {
 	var bestTarget *candidate
-	var bestClaim *ledger.Held
+	var bestClaim *ledger.Claim
 	lowestCost := 0.0
 	tier := t.tier(job)
 	for _, target := range candidates {
-		if !target.fitsWhenEmpty(job) || t.jobs.ZoneRoom(job, target.worker.Zone) <= preemptedInZone[target.worker.Zone] {
+		if !target.fitsWhenEmpty(job) || t.jobs.ZoneHeadroom(job, target.worker.Zone) <= preemptedInZone[target.worker.Zone] {
 			continue
 		}
-		for _, claim := range t.jobs.OnHost(target.worker.Name) {
+		for _, claim := range t.jobs.ClaimsOnWorker(target.worker.Name) {
 			spec := &claim.Job.Spec
-			if claim.Over || claim.Stopping || !claim.Committed || claim.Job.Withdrawn || claim.Job.Gang() ||
+			if claim.Finished || claim.Stopping || !claim.Committed || claim.Job.Cancelled || claim.Job.IsGang() ||
 				t.effectivePriority(claim.Job) <= t.effectivePriority(job) || t.tier(claim.Job) <= tier ||
 				!fitsWithin(&job.Spec, target.cpus+spec.CPUs, target.gpus+spec.GPUs, target.memoryGB+spec.MemoryGB) {
 				continue
 			}
 			lostSeconds := 0.0
-			if !claim.Running.IsZero() {
-				lostSeconds = now.Sub(claim.Running).Seconds()
+			if !claim.RunningSince.IsZero() {
+				lostSeconds = now.Sub(claim.RunningSince).Seconds()
 			}
 			if spec.ExpectedSeconds > 0 && lostSeconds > spec.ExpectedSeconds-t.settings.Facts.Workers.ReportS && lostSeconds < spec.ExpectedSeconds+t.settings.Facts.Workers.ReportS {
 				continue // about to finish
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -109,7 +109,7 @@
 		t.mu.Lock()
 		for _, write := range writes[:n] {
 			if write.Data != nil {
-				t.jobs.Restamp(write.Key, revision)
+				t.jobs.SetModRevision(write.Key, revision)
 			}
 		}
 		t.progress.written += n
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -122,7 +122,7 @@
 	epochSignal      chan struct{}
 
 	mu               sync.Mutex
-	jobs             *ledger.Ledger
+	jobs             *ledger.Table
 	workers          map[string]*agent.Worker
 	workersByName    []*agent.Worker      // by name, for decisions that repeat
 	released         map[string]time.Time // released, with when
@@ -204,11 +204,11 @@
 }
 
 func (t *leaderTerm) addJob(key string, data []byte, modRevision uint64) error {
-	record, err := ledger.DecodeRecord(data)
+	record, err := ledger.DecodeJobRecord(data)
 	if err != nil {
 		return fmt.Errorf("%s: %w", key, err)
 	}
-	t.jobs.Add(key[len(ledger.LivePrefix):], record, modRevision)
+	t.jobs.AddJob(key[len(ledger.LivePrefix):], record, modRevision)
 	return nil
 }
 
@@ -238,7 +238,7 @@
 					return t.suspectDataLoss(err)
 				}
 				if !known {
-					t.jobs.Job(jobID).Arrive(t.now())
+					t.jobs.Job(jobID).MarkArrived(t.now())
 				}
 				t.adoptOrphans(jobID)
 				changes = append(changes, change)
@@ -292,20 +292,20 @@
 // cancelJob notes that a job left the live keys other than by being done.
 func (t *leaderTerm) cancelJob(jobID string) {
 	job := t.jobs.Job(jobID)
-	if job == nil || job.Withdrawn {
+	if job == nil || job.Cancelled {
 		return
 	}
-	if cause := job.Doomed(); cause != "" {
-		t.log.Info("withdrawn", "job", jobID, "claims", job.Active(), "because_of", cause)
+	if cause := job.CancelledUpstream(); cause != "" {
+		t.log.Info("withdrawn", "job", jobID, "claims", job.ClaimedTasks(), "because_of", cause)
 	} else {
-		t.log.Info("withdrawn", "job", jobID, "claims", job.Active())
+		t.log.Info("withdrawn", "job", jobID, "claims", job.ClaimedTasks())
 	}
 	holders := make(map[string]bool)
-	for _, h := range t.jobs.HeldBy(job) {
-		holders[h.Host] = true
+	for _, h := range t.jobs.ClaimsOfJob(job) {
+		holders[h.Worker] = true
 	}
-	job.WithdrawnAt = t.now()
-	t.jobs.Withdraw(jobID)
+	job.CancelledAt = t.now()
+	t.jobs.Cancel(jobID)
 	for h := range holders {
 		if worker := t.workers[h]; worker != nil {
 			worker.WakeSender()
--- a/internal/control/scheduler.go
+++ b/internal/control/scheduler.go
@@ -167,7 +167,9 @@
 	shards := t.leadership.ShardMap()
 	for _, target := range candidates {
 		if !fitsWithin(&least, target.cpus, target.gpus, target.memoryGB) ||
-			!slices.ContainsFunc(jobs, func(job *ledger.Job) bool { return target.fits(job) && t.jobs.May(job, target.worker.Zone) == nil }) {
+			!slices.ContainsFunc(jobs, func(job *ledger.Job) bool {
+				return target.fits(job) && t.jobs.CheckClaim(job, target.worker.Zone) == nil
+			}) {
 			continue
 		}
 		owner := shards.Owner(target.worker.Name)
@@ -232,7 +234,7 @@
 // take: others wait for it and have a deadline, so that one lost task holds all
 // up, and the users name no price.
 func (t *leaderTerm) prefersOnDemand(job *ledger.Job) bool {
-	return !t.settings.Frugal() && slices.ContainsFunc(t.inherited(job).Due, func(t time.Time) bool { return !t.IsZero() })
+	return !t.settings.Frugal() && slices.ContainsFunc(t.inherited(job).Deadlines, func(t time.Time) bool { return !t.IsZero() })
 }
 
 // cloneQueues copies what picking changes: each owner picks as if alone, and
@@ -274,14 +276,14 @@
 			}
 		}
 	}
-	if job.Gang() {
+	if job.IsGang() {
 		waiting.Tasks = 0 // the leader starts gangs itself, whole
 	}
-	waiting.Tasks = min(waiting.Tasks, t.jobs.Headroom(job))
+	waiting.Tasks = min(waiting.Tasks, t.jobs.QuotaHeadroom(job))
 	if spec.Zone != "" || spec.SpreadZones || spec.SingleZone {
 		waiting.Zones = make(map[string]int)
 		for _, zone := range index.zones {
-			waiting.Zones[zone] = t.jobs.ZoneRoom(job, zone)
+			waiting.Zones[zone] = t.jobs.ZoneHeadroom(job, zone)
 		}
 	}
 	return waiting
@@ -295,7 +297,7 @@
 	}
 	target.worker.IdleSince = time.Time{}
 	target.worker.RecordPull(job.Spec.Image, job.Spec.ImageGB)
-	t.log.Debug("claim", "task", claim.Task(), "try", claim.Try, "host", claim.Host)
+	t.log.Debug("claim", "task", claim.Task(), "try", claim.Attempt, "host", claim.Worker)
 	target.allocate(job)
 	t.recordPlacement(job)
 	return true
@@ -318,18 +320,18 @@
 func (t *leaderTerm) waitingQueues(now time.Time) []*typeQueue {
 	byName := make(map[string]*typeQueue)
 	for _, job := range t.jobs.Jobs() {
-		if job.Withdrawn || job.Finished || !job.Ready() {
+		if job.Cancelled || job.Finished || !job.DependenciesMet() {
 			continue // what waits for another job is no queue's yet
 		}
-		if job.Type == "" {
-			job.Type = t.jobType(job)
+		if job.PlacementType == "" {
+			job.PlacementType = t.jobType(job)
 		}
-		queue := byName[job.Type]
+		queue := byName[job.PlacementType]
 		if queue == nil {
-			queue = &typeQueue{jobType: job.Type}
-			byName[job.Type] = queue
+			queue = &typeQueue{jobType: job.PlacementType}
+			byName[job.PlacementType] = queue
 		}
-		queue.unfinished += job.Unfinished()
+		queue.unfinished += job.UnfinishedTasks()
 		if job.WaitingTasks() > 0 && !now.Before(job.RetryAt) && !t.jobOnHold(job) {
 			queue.jobs = append(queue.jobs, job)
 		}
@@ -440,7 +442,7 @@
 // if it has lost one already: large arrays would otherwise wait for as long as small
 // ones keep coming.
 func (t *leaderTerm) deadlineSlack(job *ledger.Job, now time.Time) deadlineSlack {
-	slack := deadlineSlack{work: float64(job.Unfinished()) * max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)}
+	slack := deadlineSlack{work: float64(job.UnfinishedTasks()) * max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)}
 	runTime := settings.Seconds(job.Spec.ExpectedSeconds)
 	margin, isService := t.settings.Lease()/2, job.Spec.Kind == wire.KindService
 	for k, objective := range t.settings.Facts.Objectives {
@@ -475,7 +477,7 @@
 	if objective.Kind == "finished" && objective.Class == job.Spec.Class {
 		return job.ReadyAt.Add(settings.Seconds(objective.WithinS))
 	}
-	return t.inherited(job).Due[index]
+	return t.inherited(job).Deadlines[index]
 }
 
 // secondsToDeadline is the time until the first that a job can still be done by, in seconds;
@@ -528,8 +530,8 @@
 	if instanceType == nil {
 		return nil
 	}
-	used := t.jobs.Used(worker.Name)
-	return &candidate{worker: worker, instanceType: instanceType, cpus: instanceType.CPUs - used.Cores, gpus: instanceType.GPUs - used.Accel, memoryGB: instanceType.MemoryGB - used.RAM}
+	used := t.jobs.UsedOnWorker(worker.Name)
+	return &candidate{worker: worker, instanceType: instanceType, cpus: instanceType.CPUs - used.Cores, gpus: instanceType.GPUs - used.Accelerators, memoryGB: instanceType.MemoryGB - used.RAMGB}
 }
 
 const roundingTolerance = 1e-6
@@ -558,7 +560,7 @@
 // tier orders jobs: what is within a guarantee before what is borrowed, and in
 // each by rank.
 func (t *leaderTerm) tier(job *ledger.Job) int {
-	if t.jobs.Guaranteed(job) {
+	if t.jobs.WithinGuaranteedQuota(job) {
 		return t.effectivePriority(job)
 	}
 	return priorityLevel("idle") + 1 + t.effectivePriority(job)
--- a/internal/control/silence_test.go
+++ b/internal/control/silence_test.go
@@ -29,12 +29,12 @@
 		{"no controller there, past it: the one with a task", func(i int) bool { return i%3 == 2 }, 11 * report, nil, 1, "h2"},
 		{"everything is kept: this node is cut off", func(int) bool { return true }, 9 * report, nil, 0, ""},
 		{"a withdrawn task must be gone in time", func(i int) bool { return i%3 == 1 }, 20 * report, func(leader *leaderTerm) {
-			leader.jobs.Job("req-2").WithdrawnAt = now.Add(-45 * time.Second)
-			leader.jobs.Withdraw("req-2")
+			leader.jobs.Job("req-2").CancelledAt = now.Add(-45 * time.Second)
+			leader.jobs.Cancel("req-2")
 		}, 1, "h1"},
 		{"and has time still", func(i int) bool { return i%3 == 1 }, 20 * report, func(leader *leaderTerm) {
-			leader.jobs.Job("req-2").WithdrawnAt = now.Add(-43 * time.Second)
-			leader.jobs.Withdraw("req-2")
+			leader.jobs.Job("req-2").CancelledAt = now.Add(-43 * time.Second)
+			leader.jobs.Cancel("req-2")
 		}, 0, ""},
 		{"one that answers commands, within the lease", func(i int) bool { return i == 1 }, 9 * report, answersCommands("h1"), 0, ""},
 		{"one that answers commands, past it", func(i int) bool { return i == 1 }, 11 * report, answersCommands("h1"), 1, "h1"},
--- a/internal/control/stalereports_test.go
+++ b/internal/control/stalereports_test.go
@@ -20,15 +20,15 @@
 	for _, tc := range []struct {
 		name  string
 		tick  uint64
-		tweak func(worker *agent.Worker, claim *ledger.Held)
+		tweak func(worker *agent.Worker, claim *ledger.Claim)
 		freed bool
 	}{
 		{"news, and no launch can arrive any more", 11, nil, true},
 		{"a late copy", 9, nil, false},
 		{"the last one once more", 10, nil, false},
-		{"a command is under way", 11, func(worker *agent.Worker, _ *ledger.Held) { worker.CommandInFlight = true }, false},
-		{"it was launched under the epoch that the worker shows", 11, func(_ *agent.Worker, claim *ledger.Held) { claim.SentEpoch = 7 }, false},
-		{"it was launched under a later one", 11, func(_ *agent.Worker, claim *ledger.Held) { claim.SentEpoch = 8 }, false},
+		{"a command is under way", 11, func(worker *agent.Worker, _ *ledger.Claim) { worker.CommandInFlight = true }, false},
+		{"it was launched under the epoch that the worker shows", 11, func(_ *agent.Worker, claim *ledger.Claim) { claim.StartEpoch = 7 }, false},
+		{"it was launched under a later one", 11, func(_ *agent.Worker, claim *ledger.Claim) { claim.StartEpoch = 8 }, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -37,13 +37,13 @@
 			worker.Sequence, worker.SeenEpoch = 10, 7
 			job := leader.addTestJob("req-1", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			claim := leader.runTestTask(t, job, "h0", time.Second)
-			claim.Sent, claim.SentEpoch = true, 6
-			leader.jobs.Withdraw("req-1")
+			claim.StartSent, claim.StartEpoch = true, 6
+			leader.jobs.Cancel("req-1")
 			if tc.tweak != nil {
 				tc.tweak(worker, claim)
 			}
 			leader.applyHeartbeat(&wire.Heartbeat{Worker: "h0", InstanceType: "m", Zone: worker.Zone, Incarnation: 1, Sequence: tc.tick, Epoch: 7})
-			if freed := len(leader.jobs.OnHost("h0")) == 0; freed != tc.freed {
+			if freed := len(leader.jobs.ClaimsOnWorker("h0")) == 0; freed != tc.freed {
 				t.Errorf("freed: %v", freed)
 			}
 		})
@@ -111,7 +111,7 @@
 			leader.recentCancellations = withdrawn.New(withdrawn.Options{Within: time.Minute, Max: 8, Refused: func() bool { return false }, Now: leader.now})
 			leader.recentCancellations.Add("", "req-1", "req-unknown")
 			leader.applyCancellations()
-			if !job.Withdrawn || leader.jobs.Job("req-2").Withdrawn {
+			if !job.Cancelled || leader.jobs.Job("req-2").Cancelled {
 				t.Fatal("not withdrawn by the notice")
 			}
 			if tc.over {
@@ -155,11 +155,11 @@
 			job := leader.addTestJob("req-1", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 2, CPUs: 2})
 			claim := leader.runTestTask(t, job, "h0", time.Minute)
 			if !tc.ran {
-				claim.Running = time.Time{}
+				claim.RunningSince = time.Time{}
 			}
-			leader.applyHeartbeat(&wire.Heartbeat{Worker: "h0", InstanceType: "m", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: claim.Try, Phase: wire.TaskExited, ExitReason: wire.ExitDone}}})
-			if n != tc.learn || job.Ran.N != tc.learn || job.Done() != 1 {
-				t.Errorf("learned %d, %d; %d done", n, job.Ran.N, job.Done())
+			leader.applyHeartbeat(&wire.Heartbeat{Worker: "h0", InstanceType: "m", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: claim.Attempt, Phase: wire.TaskExited, ExitReason: wire.ExitDone}}})
+			if n != tc.learn || job.RunSeconds.Count != tc.learn || job.DoneTasks() != 1 {
+				t.Errorf("learned %d, %d; %d done", n, job.RunSeconds.Count, job.DoneTasks())
 			}
 		})
 	}
--- a/internal/control/starvation.go
+++ b/internal/control/starvation.go
@@ -27,7 +27,7 @@
 // has a share of its own.
 func (t *leaderTerm) isStarved(job *ledger.Job, now time.Time) bool {
 	waitRatio := float64(now.Sub(job.WaitingSince)) / float64(t.agingThreshold())
-	return job.Spec.Kind != wire.KindService && job.Active() == 0 && job.Done() == 0 && waitRatio > starvedFromRatio && waitRatio < starvedUntilRatio
+	return job.Spec.Kind != wire.KindService && job.ClaimedTasks() == 0 && job.DoneTasks() == 0 && waitRatio > starvedFromRatio && waitRatio < starvedUntilRatio
 }
 
 // deficitCounter is the work, in core-seconds, that starved arrays of a type were given less the
@@ -42,7 +42,7 @@
 	if len(entries) == 0 {
 		return
 	}
-	jobType := entries[0].job.Type
+	jobType := entries[0].job.PlacementType
 	if !slices.ContainsFunc(entries, func(entry orderedJob) bool { return entry.starved }) {
 		delete(t.deficits, jobType)
 		return
@@ -63,7 +63,7 @@
 
 // recordPlacement accounts for a claimed task.
 func (t *leaderTerm) recordPlacement(job *ledger.Job) {
-	deficit := t.deficits[job.Type]
+	deficit := t.deficits[job.PlacementType]
 	if deficit == nil || job.Spec.Kind == wire.KindService {
 		return
 	}
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -39,12 +39,12 @@
 		}
 		return TaskCounts{Running: running}, ok, nil
 	}
-	for _, claim := range term.jobs.HeldBy(job) {
-		if !claim.Running.IsZero() && !claim.Over {
+	for _, claim := range term.jobs.ClaimsOfJob(job) {
+		if !claim.RunningSince.IsZero() && !claim.Finished {
 			counts.Running++
 		}
 	}
-	counts.Done = job.Done()
+	counts.Done = job.DoneTasks()
 	return counts, true, nil
 }
 
@@ -116,7 +116,7 @@
 	now := term.now()
 	status := &Status{Epoch: term.leadership.Epoch(), Jobs: len(term.jobs.Jobs()), Start: map[string]int64{}}
 	for _, worker := range term.workersByName {
-		workerStatus := WorkerStatus{Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot, Claims: len(term.jobs.OnHost(worker.Name)), Quarantined: term.workerFaulty(worker), SilentS: -1}
+		workerStatus := WorkerStatus{Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot, Claims: len(term.jobs.ClaimsOnWorker(worker.Name)), Quarantined: term.workerFaulty(worker), SilentS: -1}
 		if !worker.LastHeartbeat.IsZero() {
 			workerStatus.SilentS = now.Sub(worker.LastHeartbeat).Seconds()
 		}
@@ -130,17 +130,17 @@
 		if byType[name] == nil {
 			byType[name] = &QueueStatus{Type: name}
 		}
-		byType[name].Unfinished += job.Unfinished()
+		byType[name].Unfinished += job.UnfinishedTasks()
 		byType[name].Waiting += job.WaitingTasks()
 	}
 	for _, queue := range byType {
 		status.Queues = append(status.Queues, *queue)
 	}
-	for _, job := range term.jobs.Waiting() {
+	for _, job := range term.jobs.BlockedJobs() {
 		if len(status.Blocked) == maxBlockedJobs {
 			break
 		}
-		status.Blocked = append(status.Blocked, BlockedJob{Job: job.Ref, Class: job.Spec.Class, WaitsOn: job.WaitsOn()})
+		status.Blocked = append(status.Blocked, BlockedJob{Job: job.Ref, Class: job.Spec.Class, WaitsOn: job.UnmetDependencies()})
 	}
 	for _, percentile := range []float64{50, 90, 99} {
 		status.Start[map[float64]string{50: "p50", 90: "p90", 99: "p99"}[percentile]] = term.latencies.start.ValueAtQuantile(percentile)
@@ -179,7 +179,7 @@
 }
 
 // recordStart notes how long a task waited to run.
-func (l *latencies) recordStart(claim *ledger.Held, now time.Time) {
+func (l *latencies) recordStart(claim *ledger.Claim, now time.Time) {
 	// Only a value out of range is refused; such a wait is of no use here.
 	_ = l.start.RecordValue(now.Sub(claim.Job.ReadyAt).Milliseconds())
 }
--- a/internal/copies/copies.go
+++ b/internal/copies/copies.go
@@ -278,7 +278,7 @@
 
 // Held tells whether copies hold a key.
 func Held(key string) bool {
-	for _, p := range []string{ledger.LivePrefix, ledger.ClaimPrefix, ledger.EndedPrefix} {
+	for _, p := range []string{ledger.LivePrefix, ledger.ChunkPrefix, ledger.EndedPrefix} {
 		if strings.HasPrefix(key, p) {
 			return true
 		}
--- a/internal/copies/read.go
+++ b/internal/copies/read.go
@@ -32,7 +32,7 @@
 		return nil, Head{}, fmt.Errorf("epoch: %w", err)
 	}
 	h.Epoch = m.Epoch
-	prefixes := []string{ledger.LivePrefix, ledger.ClaimPrefix, ledger.EndedPrefix}
+	prefixes := []string{ledger.LivePrefix, ledger.ChunkPrefix, ledger.EndedPrefix}
 	stamps := make(map[string]uint64)
 	txn := iradix.New[[]byte]().Txn()
 	var from [3]uint64
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -261,7 +261,7 @@
 // repetition.
 func (u *Users) accept(ctx context.Context, job wire.Job, who identity.Caller, dec rights.Decision) (fresh bool, bad, err error) {
 	now, least := u.set.Facts.State, u.set.Facts.State.Least()
-	rec := ledger.Record{Job: job, AtMS: u.now().UnixMilli(), Chunk: ledger.ChunkTasks(now.ValueKB, least.ValueKB)}
+	rec := ledger.JobRecord{Job: job, SubmittedMS: u.now().UnixMilli(), ChunkTasks: ledger.ChunkTasks(now.ValueKB, least.ValueKB)}
 	if err := u.door.Enter(&rec, who, dec); err != nil {
 		return false, nil, err
 	}
@@ -359,7 +359,7 @@
 		}
 		p := known{JobStatus: wire.JobStatus{ID: ref, Phase: wire.PhaseQueued}}
 		if !u.door.Open() {
-			rec, err := ledger.DecodeRecord(it.Value)
+			rec, err := ledger.DecodeJobRecord(it.Value)
 			if err != nil {
 				return known{}, fmt.Errorf("intake: %s: %w", ref, err)
 			}
@@ -380,16 +380,16 @@
 	if err != nil {
 		return known{}, err
 	}
-	var e ledger.Ending
+	var e ledger.EndRecord
 	if err := json.Unmarshal(it.Value, &e); err != nil {
 		return known{}, fmt.Errorf("intake: %s: %w", ref, err)
 	}
 	return u.remember(ref, e), nil
 }
 
-func (u *Users) remember(ref string, e ledger.Ending) known {
+func (u *Users) remember(ref string, e ledger.EndRecord) known {
 	zero := 0
-	p := known{JobStatus: wire.JobStatus{ID: ref, Phase: e.Phase, Running: &zero}, owner: e.Owner}
+	p := known{JobStatus: wire.JobStatus{ID: ref, Phase: e.Phase, Running: &zero}, owner: e.Team}
 	if e.Phase == wire.PhaseDone {
 		p.Done = &e.Tasks
 	}
@@ -491,7 +491,7 @@
 		_, err := u.may(who, rights.Withdraw, p.owner, ref)
 		return p, err
 	}
-	rec, err := ledger.DecodeRecord(it.Value)
+	rec, err := ledger.DecodeJobRecord(it.Value)
 	if err != nil {
 		u.past.Doubt(fmt.Sprintf("the record of job %s cannot be read", ref))
 		return known{}, fmt.Errorf("intake: %s: %w: %w", ref, history.ErrDataLossSuspected, err)
@@ -500,7 +500,7 @@
 	if err != nil {
 		return known{}, err
 	}
-	e := ledger.WithdrawnEnding(&rec, u.now())
+	e := ledger.NewCancelledEndRecord(&rec, u.now())
 	data, err := ledger.Encode(e)
 	if err != nil {
 		return known{}, err
--- a/internal/intake/needs.go
+++ b/internal/intake/needs.go
@@ -103,7 +103,7 @@
 	before := u.glance(ref)
 	it, err := u.st.Get(ctx, ledger.LiveKey(ref))
 	if err == nil {
-		rec, err := ledger.DecodeRecord(it.Value)
+		rec, err := ledger.DecodeJobRecord(it.Value)
 		if err == nil && rec.Job.Kind == wire.KindService {
 			return false, "", service, nil
 		}
@@ -126,7 +126,7 @@
 	if err != nil {
 		return false, "", nil, err
 	}
-	var e ledger.Ending
+	var e ledger.EndRecord
 	if err := json.Unmarshal(it.Value, &e); err != nil {
 		return false, "", nil, fmt.Errorf("intake: %s: %w", ref, err)
 	}
@@ -134,5 +134,5 @@
 	if e.Job.Kind == wire.KindService {
 		return false, "", service, nil
 	}
-	return e.Phase != wire.PhaseDone, e.Owner, nil, nil
+	return e.Phase != wire.PhaseDone, e.Team, nil, nil
 }
--- a/internal/intake/needs_test.go
+++ b/internal/intake/needs_test.go
@@ -221,7 +221,7 @@
 				}
 				return
 			}
-			r, err := ledger.DecodeRecord([]byte(k.m["j/req-10"]))
+			r, err := ledger.DecodeJobRecord([]byte(k.m["j/req-10"]))
 			if err != nil || !reflect.DeepEqual(r.Job.DependsOn, tc.kept) {
 				t.Errorf("kept %v, %v", r.Job.DependsOn, err)
 			}
--- a/internal/intake/past.go
+++ b/internal/intake/past.go
@@ -100,7 +100,7 @@
 	if !ok {
 		return known{}, false
 	}
-	var e ledger.Ending
+	var e ledger.EndRecord
 	if json.Unmarshal(data, &e) != nil {
 		return known{}, false
 	}
@@ -163,7 +163,7 @@
 	if _, err := u.may(who, rights.Withdraw, "", ref); err != nil {
 		return known{}, err
 	}
-	e := ledger.LostEnding(ref, u.now())
+	e := ledger.NewLostEndRecord(ref, u.now())
 	data, err := ledger.Encode(e)
 	if err != nil {
 		return known{}, err
--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -10,167 +10,167 @@
 
 // Batch is one transaction's worth of changes.
 type Batch struct {
-	Guards []wire.Compare
-	Apply  []wire.Operation
-	Writer string // the mark every chunk in it carries
-	parts  []part
+	Compares   []wire.Compare
+	Operations []wire.Operation
+	Writer     string // the mark every chunk in it carries
+	writes     []chunkWrite
 }
 
-type part struct {
-	job    *Job
-	n      int
-	claims []*Held // claims that become durable
-	over   []*Held // finishes that become durable
-	remove bool
-	ends   bool // the job's end is in this batch
-	at     time.Time
+type chunkWrite struct {
+	job      *Job
+	index    int
+	claims   []*Claim // claims that become durable
+	finished []*Claim // finishes that become durable
+	remove   bool
+	endsJob  bool // the job's end is in this batch
+	at       time.Time
 }
 
-func (c *chunk) flying() bool { return c.write != 0 }
+func (c *taskChunk) inFlight() bool { return c.inFlightWrite != 0 }
 
-// Empty tells whether nothing needs writing.
-func (l *Ledger) Empty() bool { return len(l.dirty) == 0 }
+// NothingToWrite tells whether nothing needs writing.
+func (t *Table) NothingToWrite() bool { return len(t.dirty) == 0 }
 
-// Urgent tells whether a claim waits to be written, or a job's end: tasks, users
+// HasUrgentWrites tells whether a claim waits to be written, or a job's end: tasks, users
 // and later jobs wait for those.
-func (l *Ledger) Urgent() bool {
-	return slices.ContainsFunc(l.dirty, l.urgent)
+func (t *Table) HasUrgentWrites() bool {
+	return slices.ContainsFunc(t.dirty, t.isUrgent)
 }
 
-func (l *Ledger) urgent(d dirtyChunk) bool { return l.rankOf(d) <= rankEnd }
+func (t *Table) isUrgent(dirty dirtyChunk) bool { return t.writePriority(dirty) <= priorityEnd }
 
-// claiming tells whether a chunk has claims to be written, without which their
+// hasNewClaims tells whether a chunk has claims to be written, without which their
 // tasks cannot start.
-func (l *Ledger) claiming(d dirtyChunk) bool {
-	c := d.job.chunks[d.n]
-	return c != nil && c.dirty && c.fresh > 0 && !d.job.Withdrawn
+func (t *Table) hasNewClaims(dirty dirtyChunk) bool {
+	chunk := dirty.job.chunks[dirty.index]
+	return chunk != nil && chunk.dirty && chunk.uncommitted > 0 && !dirty.job.Cancelled
 }
 
-// Limits bound a batch.
-type Limits struct {
-	Ops   int // changes
-	Bytes int // of all values together
-	Value int // bytes of one value
-	// Urgent leaves out what nothing waits for, Idle all else.
-	Urgent, Idle bool
-	// Block is the audit record's that is to tell of the batch's claims and ends,
+// BatchLimits bound a batch.
+type BatchLimits struct {
+	MaxOperations int // changes
+	MaxBytes      int // of all values together
+	MaxValueBytes int // bytes of one value
+	// UrgentOnly leaves out what nothing waits for, Idle all else.
+	UrgentOnly, NonUrgentOnly bool
+	// AuditBlock is the audit record's that is to tell of the batch's claims and ends,
 	// and Claims about how many claims it has room for; 0: no record is kept.
-	Block  uint64
-	Claims int
+	AuditBlock uint64
+	MaxClaims  int
 }
 
-// Next makes a batch, or nil when nothing needs writing. Until Committed or
+// NextBatch makes a batch, or nil when nothing needs writing. Until Committed or
 // Failed is called with it, no other batch may be made. The ends of jobs that
 // others wait for go first, then claims, then other ends, then finishes, then the
 // tidying of jobs that are over.
-func (l *Ledger) Next(lim Limits, now time.Time) *Batch {
-	l.writes++
-	size, claims := lim.Bytes, 0
-	b := &Batch{Writer: fmt.Sprintf("%s.%d", l.writer, l.writes)}
-	slices.SortStableFunc(l.dirty, func(a, c dirtyChunk) int {
-		return l.rankOf(a) - l.rankOf(c)
+func (t *Table) NextBatch(limits BatchLimits, now time.Time) *Batch {
+	t.writeCount++
+	bytesLeft, claimCount := limits.MaxBytes, 0
+	batch := &Batch{Writer: fmt.Sprintf("%s.%d", t.writer, t.writeCount)}
+	slices.SortStableFunc(t.dirty, func(x, chunk dirtyChunk) int {
+		return t.writePriority(x) - t.writePriority(chunk)
 	})
-	var left []dirtyChunk
-	guarded := make(map[string]bool)
-	for _, d := range l.dirty {
-		j, c := d.job, d.job.chunks[d.n]
-		if c == nil || !c.dirty {
+	var deferred []dirtyChunk
+	compared := make(map[string]bool)
+	for _, dirty := range t.dirty {
+		job, chunk := dirty.job, dirty.job.chunks[dirty.index]
+		if chunk == nil || !chunk.dirty {
 			continue
 		}
-		need := 1
-		if j.Finished && !guarded[j.Ref] {
-			need = 3
+		operations := 1
+		if job.Finished && !compared[job.Ref] {
+			operations = 3
 		}
-		full := size <= 0 || lim.Block != 0 && claims > 0 && claims+c.fresh > lim.Claims
-		if len(b.Apply)+need > lim.Ops || full || lim.Urgent && !l.urgent(d) || lim.Idle && l.urgent(d) {
-			left = append(left, d)
+		full := bytesLeft <= 0 || limits.AuditBlock != 0 && claimCount > 0 && claimCount+chunk.uncommitted > limits.MaxClaims
+		if len(batch.Operations)+operations > limits.MaxOperations || full || limits.UrgentOnly && !t.isUrgent(dirty) || limits.NonUrgentOnly && t.isUrgent(dirty) {
+			deferred = append(deferred, dirty)
 			continue
 		}
-		p := part{job: j, n: d.n}
-		key := chunkKey(j.Ref, d.n)
+		write := chunkWrite{job: job, index: dirty.index}
+		key := chunkKey(job.Ref, dirty.index)
 		switch {
-		case j.Withdrawn && len(c.claims) > 0:
-			c.dirty = false // nothing to say until the claims are gone
+		case job.Cancelled && len(chunk.claims) > 0:
+			chunk.dirty = false // nothing to say until the claims are gone
 			continue
-		case j.Withdrawn, j.Finished:
-			p.remove = true
-			if c.stamp != 0 {
-				b.Guards = append(b.Guards, wire.Compare{Key: key, ModRevision: c.stamp})
-				b.Apply = append(b.Apply, wire.Operation{Delete: key})
+		case job.Cancelled, job.Finished:
+			write.remove = true
+			if chunk.modRevision != 0 {
+				batch.Compares = append(batch.Compares, wire.Compare{Key: key, ModRevision: chunk.modRevision})
+				batch.Operations = append(batch.Operations, wire.Operation{Delete: key})
 			}
 		default:
-			if c.fresh > 0 {
-				c.block = lim.Block
-				claims += c.fresh
+			if chunk.uncommitted > 0 {
+				chunk.auditBlock = limits.AuditBlock
+				claimCount += chunk.uncommitted
 			}
-			data, err := c.encode(b.Writer, lim.Value)
+			data, err := chunk.encode(batch.Writer, limits.MaxValueBytes)
 			if err != nil {
 				// Too large even packed, which takes names of hundreds of
 				// bytes: it waits for tasks of it to end, by which it shrinks.
-				left = append(left, d)
+				deferred = append(deferred, dirty)
 				continue
 			}
-			size -= len(data)
-			b.Guards = append(b.Guards, wire.Compare{Key: key, ModRevision: c.stamp})
-			b.Apply = append(b.Apply, wire.Operation{Put: key, Value: data})
+			bytesLeft -= len(data)
+			batch.Compares = append(batch.Compares, wire.Compare{Key: key, ModRevision: chunk.modRevision})
+			batch.Operations = append(batch.Operations, wire.Operation{Put: key, Value: data})
 		}
-		for i := d.n * j.size; i < min((d.n+1)*j.size, j.cursor); i++ {
-			if h := j.claims[i]; h != nil && h.Over {
-				p.over = append(p.over, h)
-			} else if h != nil && !h.Committed {
-				p.claims = append(p.claims, h)
+		for index := dirty.index * job.chunkTasks; index < min((dirty.index+1)*job.chunkTasks, job.nextIndex); index++ {
+			if claim := job.claims[index]; claim != nil && claim.Finished {
+				write.finished = append(write.finished, claim)
+			} else if claim != nil && !claim.Committed {
+				write.claims = append(write.claims, claim)
 			}
 		}
-		if (len(p.claims) > 0 || j.Finished) && !guarded[j.Ref] {
+		if (len(write.claims) > 0 || job.Finished) && !compared[job.Ref] {
 			// A withdrawal changes this key: no claim slips in after it.
-			guarded[j.Ref] = true
-			b.Guards = append(b.Guards, wire.Compare{Key: LiveKey(j.Ref), ModRevision: j.stamp})
-			if j.Finished {
-				p.ends = true
-				p.at = now
-				end, err := Encode(Ending{Phase: wire.PhaseDone, Tasks: j.Spec.TaskCount, Chunk: j.size, AtMS: now.UnixMilli(), Owner: j.owner(), Block: lim.Block})
+			compared[job.Ref] = true
+			batch.Compares = append(batch.Compares, wire.Compare{Key: LiveKey(job.Ref), ModRevision: job.modRevision})
+			if job.Finished {
+				write.endsJob = true
+				write.at = now
+				endRecord, err := Encode(EndRecord{Phase: wire.PhaseDone, Tasks: job.Spec.TaskCount, ChunkTasks: job.chunkTasks, EndedMS: now.UnixMilli(), Team: job.recordedTeam(), AuditBlock: limits.AuditBlock})
 				if err != nil {
 					continue
 				}
-				b.Apply = append(b.Apply, wire.Operation{Delete: LiveKey(j.Ref)}, wire.Operation{Put: EndedKey(j.Ref), Value: end})
+				batch.Operations = append(batch.Operations, wire.Operation{Delete: LiveKey(job.Ref)}, wire.Operation{Put: EndedKey(job.Ref), Value: endRecord})
 			}
 		}
-		c.dirty = false
-		c.write = l.writes
-		b.parts = append(b.parts, p)
+		chunk.dirty = false
+		chunk.inFlightWrite = t.writeCount
+		batch.writes = append(batch.writes, write)
 	}
-	l.dirty = left
-	if len(b.parts) == 0 {
+	t.dirty = deferred
+	if len(batch.writes) == 0 {
 		return nil
 	}
-	return b
+	return batch
 }
 
 // Ranks of what is to be written.
 const (
-	rankNeeded = iota // the end of a job that others wait for
-	rankClaim
-	rankEnd
-	rankFinish
-	rankTidy
+	priorityNeededEnd = iota // the end of a job that others wait for
+	priorityClaim
+	priorityEnd
+	priorityFinish
+	priorityCleanup
 )
 
-func (l *Ledger) rankOf(d dirtyChunk) int {
+func (t *Table) writePriority(dirty dirtyChunk) int {
 	switch {
-	case d.job.Withdrawn:
-		return rankTidy
-	case d.job.Finished && len(l.needers[d.job.Ref]) > 0:
-		return rankNeeded
-	case l.claiming(d):
-		return rankClaim
-	case d.job.Finished:
-		return rankEnd
+	case dirty.job.Cancelled:
+		return priorityCleanup
+	case dirty.job.Finished && len(t.dependents[dirty.job.Ref]) > 0:
+		return priorityNeededEnd
+	case t.hasNewClaims(dirty):
+		return priorityClaim
+	case dirty.job.Finished:
+		return priorityEnd
 	}
-	return rankFinish
+	return priorityFinish
 }
 
-// owner is the job's where identities are on: who may ask about it later.
-func (j *Job) owner() string {
+// recordedTeam is the job's where identities are on: who may ask about it later.
+func (j *Job) recordedTeam() string {
 	if j.Origin == nil {
 		return ""
 	}
@@ -179,138 +179,138 @@
 
 // Decision is what a batch makes durable of a job.
 type Decision struct {
-	Job    *Job
-	Claims []*Held
-	Ends   bool
+	Job     *Job
+	Claims  []*Claim
+	EndsJob bool
 }
 
 // Decisions are the claims and ends in the batch.
 func (b *Batch) Decisions() []Decision {
-	var ds []Decision
-	for _, p := range b.parts {
-		if len(p.claims) > 0 || p.ends {
-			ds = append(ds, Decision{p.job, p.claims, p.ends})
+	var decisions []Decision
+	for _, write := range b.writes {
+		if len(write.claims) > 0 || write.endsJob {
+			decisions = append(decisions, Decision{write.job, write.claims, write.endsJob})
 		}
 	}
-	return ds
+	return decisions
 }
 
-// Keys are the chunk keys the batch writes.
-func (b *Batch) Keys() []string {
-	var ks []string
-	for _, p := range b.parts {
-		ks = append(ks, chunkKey(p.job.Ref, p.n))
+// ChunkKeys are the chunk keys the batch writes.
+func (b *Batch) ChunkKeys() []string {
+	var keys []string
+	for _, write := range b.writes {
+		keys = append(keys, chunkKey(write.job.Ref, write.index))
 	}
-	return ks
+	return keys
 }
 
-// Refs are the jobs in the batch.
-func (b *Batch) Refs() []string {
-	var rs []string
-	for _, p := range b.parts {
-		if !slices.Contains(rs, p.job.Ref) {
-			rs = append(rs, p.job.Ref)
+// JobRefs are the jobs in the batch.
+func (b *Batch) JobRefs() []string {
+	var refs []string
+	for _, write := range b.writes {
+		if !slices.Contains(refs, write.job.Ref) {
+			refs = append(refs, write.job.Ref)
 		}
 	}
-	return rs
+	return refs
 }
 
-// Result is what a committed batch brought.
-type Result struct {
-	Claims []*Held // to be launched
-	Over   []*Held // finishes now durable
-	Ended  []*Job  // jobs now done
-	Ready  []*Job  // jobs that now wait for no other
+// CommitResult is what a committed batch brought.
+type CommitResult struct {
+	Claims    []*Claim // to be launched
+	Finished  []*Claim // finishes now durable
+	Ended     []*Job   // jobs now done
+	Unblocked []*Job   // jobs that now wait for no other
 }
 
-// Committed notes that a batch was applied at a generation.
-func (l *Ledger) Committed(b *Batch, gen uint64) Result {
-	var r Result
-	for _, p := range b.parts {
-		j, c := p.job, p.job.chunks[p.n]
-		c.write = 0
-		if p.remove {
-			c.stamp = 0
+// BatchCommitted notes that a batch was applied at a generation.
+func (t *Table) BatchCommitted(batch *Batch, revision uint64) CommitResult {
+	var result CommitResult
+	for _, write := range batch.writes {
+		job, chunk := write.job, write.job.chunks[write.index]
+		chunk.inFlightWrite = 0
+		if write.remove {
+			chunk.modRevision = 0
 		} else {
-			c.stamp = gen
+			chunk.modRevision = revision
 		}
-		for _, h := range p.over {
-			if j.claims[h.Index] == h {
-				delete(c.claims, h.Index%j.size)
-				was := c.dirty
-				l.unhold(h)
-				if !was {
-					c.dirty = false // the write just made says so already
-					l.undirty(j, p.n)
+		for _, claim := range write.finished {
+			if job.claims[claim.Index] == claim {
+				delete(chunk.claims, claim.Index%job.chunkTasks)
+				wasDirty := chunk.dirty
+				t.removeClaim(claim)
+				if !wasDirty {
+					chunk.dirty = false // the write just made says so already
+					t.unmarkDirty(job, write.index)
 				}
-				r.Over = append(r.Over, h)
+				result.Finished = append(result.Finished, claim)
 			}
 		}
-		for _, h := range p.claims {
-			if j.claims[h.Index] != h {
+		for _, claim := range write.claims {
+			if job.claims[claim.Index] != claim {
 				continue
 			}
-			h.Committed = true
-			c.fresh--
-			if j.Withdrawn && !h.Sent {
-				l.unhold(h) // withdrawn meanwhile, never launched
+			claim.Committed = true
+			chunk.uncommitted--
+			if job.Cancelled && !claim.StartSent {
+				t.removeClaim(claim) // withdrawn meanwhile, never launched
 				continue
 			}
-			r.Claims = append(r.Claims, h)
+			result.Claims = append(result.Claims, claim)
 		}
-		if p.ends {
-			r.Ended = append(r.Ended, j)
-			r.Ready = append(r.Ready, l.satisfy(j.Ref, p.at)...)
+		if write.endsJob {
+			result.Ended = append(result.Ended, job)
+			result.Unblocked = append(result.Unblocked, t.markDependencyDone(job.Ref, write.at)...)
 		}
-		if j.Withdrawn {
-			if c.stamp != 0 && len(c.claims) == 0 {
-				l.touch(j, p.n)
+		if job.Cancelled {
+			if chunk.modRevision != 0 && len(chunk.claims) == 0 {
+				t.markDirty(job, write.index)
 			}
-			l.drop(j)
+			t.forgetIfGone(job)
 		}
 	}
-	for _, j := range r.Ended {
-		l.retire(j)
+	for _, job := range result.Ended {
+		t.removeEnded(job)
 	}
-	return r
+	return result
 }
 
-// retire forgets a job that is done; chunks still stored are tidied as those
+// removeEnded forgets a job that is done; chunks still stored are tidied as those
 // of a withdrawn job are.
-func (l *Ledger) retire(j *Job) {
-	j.Finished = false
-	j.Withdrawn = true
-	for _, h := range j.claims {
-		l.unhold(h)
+func (t *Table) removeEnded(job *Job) {
+	job.Finished = false
+	job.Cancelled = true
+	for _, claim := range job.claims {
+		t.removeClaim(claim)
 	}
-	for n, c := range j.chunks {
-		if c.stamp != 0 {
-			l.touch(j, n)
+	for index, chunk := range job.chunks {
+		if chunk.modRevision != 0 {
+			t.markDirty(job, index)
 		}
 	}
-	l.drop(j)
+	t.forgetIfGone(job)
 }
 
-func (l *Ledger) undirty(j *Job, n int) {
-	l.dirty = slices.DeleteFunc(l.dirty, func(d dirtyChunk) bool { return d.job == j && d.n == n })
+func (t *Table) unmarkDirty(job *Job, index int) {
+	t.dirty = slices.DeleteFunc(t.dirty, func(dirty dirtyChunk) bool { return dirty.job == job && dirty.index == index })
 }
 
-// Failed notes that a batch was surely not applied: all of it is to be written
+// BatchFailed notes that a batch was surely not applied: all of it is to be written
 // again.
-func (l *Ledger) Failed(b *Batch) {
-	for _, p := range b.parts {
-		c := p.job.chunks[p.n]
-		c.write = 0
-		l.touch(p.job, p.n)
+func (t *Table) BatchFailed(batch *Batch) {
+	for _, write := range batch.writes {
+		chunk := write.job.chunks[write.index]
+		chunk.inFlightWrite = 0
+		t.markDirty(write.job, write.index)
 	}
-	for _, p := range b.parts {
-		if j := p.job; j.Withdrawn {
-			for _, h := range j.claims {
-				if !h.Committed && !h.Sent && !j.chunks[h.Index/j.size].flying() {
-					l.unhold(h)
+	for _, write := range batch.writes {
+		if job := write.job; job.Cancelled {
+			for _, claim := range job.claims {
+				if !claim.Committed && !claim.StartSent && !job.chunks[claim.Index/job.chunkTasks].inFlight() {
+					t.removeClaim(claim)
 				}
 			}
-			l.drop(j)
+			t.forgetIfGone(job)
 		}
 	}
 }
--- a/internal/ledger/compat_test.go
+++ b/internal/ledger/compat_test.go
@@ -14,13 +14,13 @@
 
 // testdata/production holds what version 0.1 wrote. It must stay readable, and
 // what that version could have written is still written as it was.
-func golden(t *testing.T, name string) []byte {
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
-	b, err := os.ReadFile(filepath.Join("testdata", "production", name))
+	data, err := os.ReadFile(filepath.Join("testdata", "production", name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return data
 }
 
 var goldenJob = wire.Job{
@@ -28,43 +28,43 @@
 	Image: "img-07", ImageGB: 6.2, InstanceTypes: []string{"g8"}, Zone: "a", SingleZone: true, AllowSpot: true, ExpectedSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900,
 }
 
-func TestReadsProduction(t *testing.T) {
-	rec, err := DecodeRecord(golden(t, "record.json"))
-	want := Record{Job: goldenJob, AtMS: 1790000000123, Chunk: 64}
-	if err != nil || !reflect.DeepEqual(rec, want) {
-		t.Errorf("record %+v, %v", rec, err)
+func TestReadProductionData(t *testing.T) {
+	record, err := DecodeJobRecord(readGolden(t, "record.json"))
+	want := JobRecord{Job: goldenJob, SubmittedMS: 1790000000123, ChunkTasks: 64}
+	if err != nil || !reflect.DeepEqual(record, want) {
+		t.Errorf("record %+v, %v", record, err)
 	}
-	if out, _ := Encode(want); !bytes.Equal(out, golden(t, "record.json")) {
+	if out, _ := Encode(want); !bytes.Equal(out, readGolden(t, "record.json")) {
 		t.Errorf("a job that needs no other is written as %s", out)
 	}
-	l := New("w", teams())
-	j := l.Add("req-000412", rec, 1)
-	for _, n := range []string{"0", "1"} {
-		if err := l.Load("c/req-000412/"+n, golden(t, "chunk-"+n+".json"), 5, 6); err != nil {
+	table := New("w", testTeams())
+	job := table.AddJob("req-000412", record, 1)
+	for _, number := range []string{"0", "1"} {
+		if err := table.LoadChunk("c/req-000412/"+number, readGolden(t, "chunk-"+number+".json"), 5, 6); err != nil {
 			t.Fatal(err)
 		}
 	}
-	l.Loaded()
-	if !j.Ready() || j.Done() != 8 || j.Active() != 58 || j.WaitingTasks() != 4 {
-		t.Errorf("ready %v, %d done, %d active, %d waiting", j.Ready(), j.Done(), j.Active(), j.WaitingTasks())
+	table.FinishLoading()
+	if !job.DependenciesMet() || job.DoneTasks() != 8 || job.ClaimedTasks() != 58 || job.WaitingTasks() != 4 {
+		t.Errorf("ready %v, %d done, %d active, %d waiting", job.DependenciesMet(), job.DoneTasks(), job.ClaimedTasks(), job.WaitingTasks())
 	}
-	if h := l.OnHost("i-000235")[Task{"req-000412", 5}]; h == nil || h.Tenure != 3 || h.Try != 6 || h.Zone != "a" {
-		t.Errorf("claim of task 5: %+v", h)
+	if claim := table.ClaimsOnWorker("i-000235")[Task{"req-000412", 5}]; claim == nil || claim.Incarnation != 3 || claim.Attempt != 6 || claim.Zone != "a" {
+		t.Errorf("claim of task 5: %+v", claim)
 	}
-	c, err := decodeChunk(golden(t, "chunk-0.json"), 1)
+	c, err := decodeChunk(readGolden(t, "chunk-0.json"), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out, err := c.encode(WriterOf(golden(t, "chunk-0.json")), 16<<10); err != nil || !bytes.Equal(out, golden(t, "chunk-0.json")) {
+	if out, err := c.encode(WriterOf(readGolden(t, "chunk-0.json")), 16<<10); err != nil || !bytes.Equal(out, readGolden(t, "chunk-0.json")) {
 		t.Errorf("a chunk is written as %s, %v", out, err)
 	}
-	for name, want := range map[string]Ending{
+	for name, want := range map[string]EndRecord{
 		"done.json":      {Phase: wire.PhaseDone, Tasks: 70},
-		"withdrawn.json": {Phase: wire.PhaseCancelled, Tasks: 70, Job: goldenJob, Chunk: 64},
+		"withdrawn.json": {Phase: wire.PhaseCancelled, Tasks: 70, Job: goldenJob, ChunkTasks: 64},
 	} {
-		var e Ending
-		if err := json.Unmarshal(golden(t, name), &e); err != nil || !reflect.DeepEqual(e, want) {
-			t.Errorf("%s: %+v, %v", name, e, err)
+		var end EndRecord
+		if err := json.Unmarshal(readGolden(t, name), &end); err != nil || !reflect.DeepEqual(end, want) {
+			t.Errorf("%s: %+v, %v", name, end, err)
 		}
 	}
 }
@@ -72,18 +72,18 @@
 // What version 0.1 takes of an ending and of a job's record: its own structures,
 // as far as its ledger goes by them.
 type (
-	oldRecord struct {
-		Job   oldJob `json:"job"`
+	recordV01 struct {
+		Job   jobV01 `json:"job"`
 		AtMS  int64  `json:"at"`
 		Chunk int    `json:"chunk"`
 	}
-	oldEnding struct {
+	endRecordV01 struct {
 		Phase string `json:"phase"`
 		Tasks int    `json:"tasks"`
-		Job   oldJob `json:"job,omitzero"`
+		Job   jobV01 `json:"job,omitzero"`
 		Chunk int    `json:"chunk,omitempty"`
 	}
-	oldJob struct {
+	jobV01 struct {
 		Owner   string  `json:"owner"`
 		Shape   string  `json:"shape"`
 		Members int     `json:"members"`
@@ -93,35 +93,35 @@
 	}
 )
 
-func TestProductionReads(t *testing.T) {
-	job := oldJob{"b", "batch", 70, 8, 1, 64}
-	rec := Record{Job: goldenJob, AtMS: 5, Chunk: 40}
-	rec.Job.DependsOn = []string{"req-1", "req-2"}
-	out, err := Encode(rec)
+func TestProductionReadsRecords(t *testing.T) {
+	job := jobV01{"b", "batch", 70, 8, 1, 64}
+	record := JobRecord{Job: goldenJob, SubmittedMS: 5, ChunkTasks: 40}
+	record.Job.DependsOn = []string{"req-1", "req-2"}
+	out, err := Encode(record)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var r oldRecord
-	if err := json.Unmarshal(out, &r); err != nil || r != (oldRecord{job, 5, 40}) {
-		t.Errorf("record read as %+v, %v", r, err)
+	var decoded recordV01
+	if err := json.Unmarshal(out, &decoded); err != nil || decoded != (recordV01{job, 5, 40}) {
+		t.Errorf("record read as %+v, %v", decoded, err)
 	}
-	if out, err = Encode(WithdrawnEnding(&rec, now)); err != nil {
+	if out, err = Encode(NewCancelledEndRecord(&record, now)); err != nil {
 		t.Fatal(err)
 	}
-	var e oldEnding
-	if err := json.Unmarshal(out, &e); err != nil || e != (oldEnding{wire.PhaseCancelled, 70, job, 40}) {
-		t.Errorf("ending read as %+v, %v", e, err)
+	var end endRecordV01
+	if err := json.Unmarshal(out, &end); err != nil || end != (endRecordV01{wire.PhaseCancelled, 70, job, 40}) {
+		t.Errorf("ending read as %+v, %v", end, err)
 	}
 }
 
 // An ending fits the least value however large the submission was.
-func TestEndingIsSmall(t *testing.T) {
-	rec := Record{Job: goldenJob, Chunk: 64}
-	rec.Job.Class, rec.Job.Image = strings.Repeat("x", 200), strings.Repeat("y", 200)
+func TestEndRecordIsSmall(t *testing.T) {
+	record := JobRecord{Job: goldenJob, ChunkTasks: 64}
+	record.Job.Class, record.Job.Image = strings.Repeat("x", 200), strings.Repeat("y", 200)
 	for range 400 {
-		rec.Job.InstanceTypes = append(rec.Job.InstanceTypes, "a-machine-type")
+		record.Job.InstanceTypes = append(record.Job.InstanceTypes, "a-machine-type")
 	}
-	out, err := Encode(WithdrawnEnding(&rec, now))
+	out, err := Encode(NewCancelledEndRecord(&record, now))
 	if err != nil || len(out) > 512 {
 		t.Errorf("%d bytes, %v", len(out), err)
 	}
@@ -142,46 +142,46 @@
 		{"laid out for the fall", ChunkTasks(16, 2), "i-%06d", true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			rec := job("b", wire.KindArray, 100, 1)
-			rec.Chunk = tc.tasks
-			l := New("host-1.12", teams())
-			j := l.Add("req-1", rec, 1)
+			record := newJobRecord("b", wire.KindArray, 100, 1)
+			record.ChunkTasks = tc.tasks
+			table := New("host-1.12", testTeams())
+			job := table.AddJob("req-1", record, 1)
 			for i := range tc.tasks {
-				if _, err := l.Claim(j, fmtHost(tc.host, i), 1, "daejeon-annex"); err != nil {
+				if _, err := table.Claim(job, workerName(tc.host, i), 1, "daejeon-annex"); err != nil {
 					t.Fatal(err)
 				}
 			}
-			b := l.Next(Limits{Ops: 4, Bytes: 40 << 10, Value: 16 << 10}, now)
-			if big := len(b.Apply[0].Value) > least; big == tc.plain {
-				t.Fatalf("a chunk of %d tasks takes %d bytes: the case shows nothing", tc.tasks, len(b.Apply[0].Value))
+			batch := table.NextBatch(BatchLimits{MaxOperations: 4, MaxBytes: 40 << 10, MaxValueBytes: 16 << 10}, now)
+			if big := len(batch.Operations[0].Value) > least; big == tc.plain {
+				t.Fatalf("a chunk of %d tasks takes %d bytes: the case shows nothing", tc.tasks, len(batch.Operations[0].Value))
 			}
-			l.Committed(b, 2)
-			held := l.HeldBy(j)
-			for _, h := range held[:3] {
-				l.Finish(h)
+			table.BatchCommitted(batch, 2)
+			held := table.ClaimsOfJob(job)
+			for _, claim := range held[:3] {
+				table.Finish(claim)
 			}
-			b = l.Next(Limits{Ops: 4, Bytes: 40 << 10, Value: least}, now)
-			if b == nil || len(b.Apply) != 1 || len(b.Apply[0].Value) > least {
-				t.Fatalf("after the fall: %+v", b)
+			batch = table.NextBatch(BatchLimits{MaxOperations: 4, MaxBytes: 40 << 10, MaxValueBytes: least}, now)
+			if batch == nil || len(batch.Operations) != 1 || len(batch.Operations[0].Value) > least {
+				t.Fatalf("after the fall: %+v", batch)
 			}
-			if n := len(l.Committed(b, 3).Over); n != 3 {
+			if n := len(table.BatchCommitted(batch, 3).Finished); n != 3 {
 				t.Errorf("%d finishes became durable", n)
 			}
-			if w := WriterOf(b.Apply[0].Value); w != b.Writer {
-				t.Errorf("written by %q", w)
+			if writer := WriterOf(batch.Operations[0].Value); writer != batch.Writer {
+				t.Errorf("written by %q", writer)
 			}
-			n := New("n", teams())
-			k := n.Add("req-1", rec, 1)
-			if err := n.Load(b.Apply[0].Put, b.Apply[0].Value, 3, 1); err != nil {
+			n := New("n", testTeams())
+			readBack := n.AddJob("req-1", record, 1)
+			if err := n.LoadChunk(batch.Operations[0].Put, batch.Operations[0].Value, 3, 1); err != nil {
 				t.Fatal(err)
 			}
-			n.Loaded()
-			if k.Done() != 3 || k.Active() != tc.tasks-3 {
-				t.Errorf("read back: %d done, %d active", k.Done(), k.Active())
+			n.FinishLoading()
+			if readBack.DoneTasks() != 3 || readBack.ClaimedTasks() != tc.tasks-3 {
+				t.Errorf("read back: %d done, %d active", readBack.DoneTasks(), readBack.ClaimedTasks())
 			}
-			for _, h := range l.HeldBy(j) {
-				if got := n.OnHost(h.Host)[h.Task()]; got == nil || got.Claim != h.Claim {
-					t.Errorf("claim of %s read back as %+v", h.Task(), got)
+			for _, claim := range table.ClaimsOfJob(job) {
+				if got := n.ClaimsOnWorker(claim.Worker)[claim.Task()]; got == nil || got.ClaimRecord != claim.ClaimRecord {
+					t.Errorf("claim of %s read back as %+v", claim.Task(), got)
 				}
 			}
 		})
@@ -192,62 +192,62 @@
 // that remove its other chunks. The next one finds claims in them, of tasks that
 // are done: it drops them with the chunk. Endings of version 0.1 do not tell the
 // size of the chunks.
-func TestDoneWithChunksLeft(t *testing.T) {
+func TestDoneJobWithStoredChunks(t *testing.T) {
 	for _, ops := range []int{4, 6} {
 		for _, ending := range []string{"", `{"phase":"done","tasks":70}`} {
-			l := New("w", teams())
-			rec := job("b", wire.KindArray, 70, 1)
-			rec.Chunk = 16
-			s := store{}
-			j := l.Add("req-1", rec, 1)
-			gen := uint64(1)
+			table := New("w", testTeams())
+			record := newJobRecord("b", wire.KindArray, 70, 1)
+			record.ChunkTasks = 16
+			store := fakeStore{}
+			job := table.AddJob("req-1", record, 1)
+			revision := uint64(1)
 			write := func() *Batch {
-				b := l.Next(limits(ops), now)
-				if b != nil {
-					gen++
-					s.apply(b)
-					l.Committed(b, gen)
+				batch := table.NextBatch(batchLimits(ops), now)
+				if batch != nil {
+					revision++
+					store.apply(batch)
+					table.BatchCommitted(batch, revision)
 				}
-				return b
+				return batch
 			}
 			for i := range 70 {
-				if _, err := l.Claim(j, fmtHost("h%d", i%5), 1, "x"); err != nil {
+				if _, err := table.Claim(job, workerName("h%d", i%5), 1, "x"); err != nil {
 					t.Fatal(err)
 				}
 			}
 			for write() != nil {
 			}
-			for _, h := range l.HeldBy(j) {
-				l.Finish(h)
+			for _, claim := range table.ClaimsOfJob(job) {
+				table.Finish(claim)
 			}
 			write() // done, and no more
-			if s["d/req-1"] == nil || len(s) < 2 {
+			if store["d/req-1"] == nil || len(store) < 2 {
 				t.Fatalf("with %d changes nothing is left to find", ops)
 			}
 			if ending == "" {
-				ending = string(s["d/req-1"])
+				ending = string(store["d/req-1"])
 			}
-			n := New("n", teams())
-			if err := n.AddEnded("req-1", []byte(ending)); err != nil {
+			successor := New("n", testTeams())
+			if err := successor.AddEndedJob("req-1", []byte(ending)); err != nil {
 				t.Fatal(err)
 			}
-			for key, data := range s {
+			for key, data := range store {
 				if key != "d/req-1" {
-					if err := n.Load(key, data, 9, 1); err != nil {
+					if err := successor.LoadChunk(key, data, 9, 1); err != nil {
 						t.Fatal(err)
 					}
 				}
 			}
-			n.Loaded()
-			if hs := n.ClaimedHosts(); len(hs) != 0 {
-				t.Errorf("claims on %v", hs)
+			successor.FinishLoading()
+			if workers := successor.ClaimedWorkers(); len(workers) != 0 {
+				t.Errorf("claims on %v", workers)
 			}
-			for b := n.Next(limits(ops), now); b != nil; b = n.Next(limits(ops), now) {
-				s.apply(b)
-				n.Committed(b, 10)
+			for batch := successor.NextBatch(batchLimits(ops), now); batch != nil; batch = successor.NextBatch(batchLimits(ops), now) {
+				store.apply(batch)
+				successor.BatchCommitted(batch, 10)
 			}
-			if len(s) != 1 || len(n.Jobs()) != 0 {
-				t.Errorf("%d keys are left", len(s))
+			if len(store) != 1 || len(successor.Jobs()) != 0 {
+				t.Errorf("%d keys are left", len(store))
 			}
 		}
 	}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -14,44 +14,44 @@
 // What is stored of jobs and claims stays as it is written today, key and value.
 // testdata/production has what version 0.1 wrote; here are the fields added since.
 func TestGoldenStored(t *testing.T) {
-	rec := goldentest.Filled[Record]()
-	least := Record{Job: wire.Job{ID: "req-1"}, Chunk: 8}
+	rec := goldentest.Filled[JobRecord]()
+	least := JobRecord{Job: wire.Job{ID: "req-1"}, ChunkTasks: 8}
 	at := time.UnixMilli(1_764_600_000_123)
-	stored := Stored{
-		Seq: 9, Done: map[int]bool{0: true, 9: true}, Block: 77,
-		Claims: map[int]Claim{
-			2:  {Host: "i-000002", Tenure: 3, Try: 7, Zone: "a"},
-			11: {Host: "i-000001", Tenure: 1, Try: 8, Zone: "b c"},
+	stored := ChunkRecord{
+		LastAttempt: 9, Done: map[int]bool{0: true, 9: true}, AuditBlock: 77,
+		Claims: map[int]ClaimRecord{
+			2:  {Worker: "i-000002", Incarnation: 3, Attempt: 7, Zone: "a"},
+			11: {Worker: "i-000001", Incarnation: 1, Attempt: 8, Zone: "b c"},
 		},
 	}
 	chunk, err := stored.Encode("writer.4", 16<<10)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := DecodeStored(chunk); err != nil || !reflect.DeepEqual(back, stored) {
+	if back, err := DecodeChunkRecord(chunk); err != nil || !reflect.DeepEqual(back, stored) {
 		t.Errorf("the chunk reads back as %+v, %v", back, err)
 	}
-	if WriterOf(chunk) != "writer.4" || BlockOf(chunk) != 77 {
-		t.Errorf("writer %q, block %d", WriterOf(chunk), BlockOf(chunk))
+	if WriterOf(chunk) != "writer.4" || AuditBlockOf(chunk) != 77 {
+		t.Errorf("writer %q, block %d", WriterOf(chunk), AuditBlockOf(chunk))
 	}
 	var out strings.Builder
 	line := func(key, value string) { fmt.Fprintf(&out, "%s\t%s\n", key, value) }
 	line(LiveKey("req-1"), goldentest.JSON(t, rec))
 	line(LiveKey("req-1"), goldentest.JSON(t, least))
 	line(ChunkKey("req-1", 3), string(chunk))
-	line(EndedKey("req-1"), goldentest.JSON(t, goldentest.Filled[Ending]()))
-	line(EndedKey("req-1"), goldentest.JSON(t, Ending{Phase: wire.PhaseDone, Tasks: 4}))
-	line(EndedKey("req-1"), goldentest.JSON(t, WithdrawnEnding(&rec, at)))
-	line(EndedKey("req-1"), goldentest.JSON(t, LostEnding("req-1", at)))
+	line(EndedKey("req-1"), goldentest.JSON(t, goldentest.Filled[EndRecord]()))
+	line(EndedKey("req-1"), goldentest.JSON(t, EndRecord{Phase: wire.PhaseDone, Tasks: 4}))
+	line(EndedKey("req-1"), goldentest.JSON(t, NewCancelledEndRecord(&rec, at)))
+	line(EndedKey("req-1"), goldentest.JSON(t, NewLostEndRecord("req-1", at)))
 	goldentest.Check(t, "stored.txt", out.String())
 }
 
 // A packed chunk as written today stays readable. Its bytes are the compressor's affair.
 func TestGoldenPackedChunk(t *testing.T) {
-	want := Stored{Seq: 400, Done: map[int]bool{70: true}, Claims: make(map[int]Claim), Block: 5}
+	want := ChunkRecord{LastAttempt: 400, Done: map[int]bool{70: true}, Claims: make(map[int]ClaimRecord), AuditBlock: 5}
 	for i := range 64 {
 		name := fmt.Sprintf("machine-of-the-annex-%06d", i)
-		want.Claims[i] = Claim{Host: name, Tenure: 1, Try: uint64(300 + i), Zone: "daejeon-annex"}
+		want.Claims[i] = ClaimRecord{Worker: name, Incarnation: 1, Attempt: uint64(300 + i), Zone: "daejeon-annex"}
 	}
 	write := func() []byte {
 		data, err := want.Encode("writer.4", 2<<10)
@@ -64,7 +64,7 @@
 	if !strings.Contains(string(data), `"z":`) || !strings.Contains(string(write()), `"z":`) {
 		t.Fatal("the chunk is not packed: the case shows nothing")
 	}
-	got, err := DecodeStored(data)
+	got, err := DecodeChunkRecord(data)
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("reads as %+v, %v", got, err)
 	}
--- a/internal/rebuild/rebuild.go
+++ b/internal/rebuild/rebuild.go
@@ -60,9 +60,9 @@
 // job is all accounts of one job.
 type job struct {
 	record []byte
-	rec    *ledger.Record
+	rec    *ledger.JobRecord
 	ending []byte
-	end    *ledger.Ending
+	end    *ledger.EndRecord
 	tasks  map[int]task
 	seq    uint64 // last try given out, of any chunk
 	block  uint64
@@ -71,7 +71,7 @@
 // task is what is known of one task.
 type task struct {
 	done  bool
-	claim *ledger.Claim
+	claim *ledger.ClaimRecord
 }
 
 // Merge puts sources together. The first that has an end decides it, so what users
@@ -112,7 +112,7 @@
 			m.store[v.Key] = v
 		}
 		if ref, ok := strings.CutPrefix(v.Key, ledger.LivePrefix); ok {
-			rec, err := ledger.DecodeRecord(v.Data)
+			rec, err := ledger.DecodeJobRecord(v.Data)
 			if err != nil || rec.Job.ID != ref || rec.Job.TaskCount <= 0 {
 				m.bad[v.Key] = true
 				continue
@@ -123,7 +123,7 @@
 			continue
 		}
 		if ref, ok := strings.CutPrefix(v.Key, ledger.EndedPrefix); ok {
-			var e ledger.Ending
+			var e ledger.EndRecord
 			if err := json.Unmarshal(v.Data, &e); err != nil || e.Phase != wire.PhaseDone && e.Phase != wire.PhaseCancelled {
 				m.bad[v.Key] = true
 				continue
@@ -141,8 +141,8 @@
 	switch {
 	case j.rec != nil:
 		return j.rec.ChunkSize()
-	case j.end != nil && j.end.Chunk > 0:
-		return j.end.Chunk
+	case j.end != nil && j.end.ChunkTasks > 0:
+		return j.end.ChunkTasks
 	}
 	return 0
 }
@@ -153,7 +153,7 @@
 	clear(m.size)
 	for _, v := range s.Values {
 		if ref, ok := strings.CutPrefix(v.Key, ledger.LivePrefix); ok {
-			if rec, err := ledger.DecodeRecord(v.Data); err == nil {
+			if rec, err := ledger.DecodeJobRecord(v.Data); err == nil {
 				m.size[ref] = rec.ChunkSize()
 			}
 		}
@@ -163,7 +163,7 @@
 		if !ok {
 			continue
 		}
-		c, err := ledger.DecodeStored(v.Data)
+		c, err := ledger.DecodeChunkRecord(v.Data)
 		if err != nil {
 			m.bad[v.Key] = true
 			continue
@@ -176,7 +176,7 @@
 		if size == 0 {
 			continue // nothing tells which tasks these are: workers do
 		}
-		j.seq, j.block = max(j.seq, c.Seq), max(j.block, c.Block)
+		j.seq, j.block = max(j.seq, c.LastAttempt), max(j.block, c.AuditBlock)
 		for i := range c.Done {
 			t := j.tasks[n*size+i]
 			t.done = true
@@ -184,7 +184,7 @@
 		}
 		for i, cl := range c.Claims {
 			t := j.tasks[n*size+i]
-			if t.claim == nil || cl.Try > t.claim.Try {
+			if t.claim == nil || cl.Attempt > t.claim.Attempt {
 				t.claim = &cl
 			}
 			j.tasks[n*size+i] = t
@@ -259,12 +259,12 @@
 	if size == 0 || j.end != nil && j.end.Phase == wire.PhaseDone {
 		return nil // what is left of a job that is done is tidied as ever
 	}
-	by := make(map[int]ledger.Stored)
+	by := make(map[int]ledger.ChunkRecord)
 	for i, t := range j.tasks {
 		n := i / size
 		c, ok := by[n]
 		if !ok {
-			c = ledger.Stored{Seq: j.seq, Block: j.block, Done: make(map[int]bool), Claims: make(map[int]ledger.Claim)}
+			c = ledger.ChunkRecord{LastAttempt: j.seq, AuditBlock: j.block, Done: make(map[int]bool), Claims: make(map[int]ledger.ClaimRecord)}
 			by[n] = c
 		}
 		switch {
@@ -283,12 +283,12 @@
 		c, key := by[n], ledger.ChunkKey(ref, n)
 		had, ok := m.store[key]
 		if ok {
-			if s, err := ledger.DecodeStored(had.Data); err == nil && same(s, c) {
+			if s, err := ledger.DecodeChunkRecord(had.Data); err == nil && same(s, c) {
 				r.Chunks = append(r.Chunks, had)
 				continue
 			}
 		}
-		c.Seq = max(c.Seq, base)
+		c.LastAttempt = max(c.LastAttempt, base)
 		data, err := c.Encode(writer, limit)
 		if err != nil {
 			return err
@@ -301,7 +301,7 @@
 }
 
 // same tells whether a stored chunk says all that is known of its tasks.
-func same(s, c ledger.Stored) bool {
+func same(s, c ledger.ChunkRecord) bool {
 	if len(s.Done) != len(c.Done) || len(s.Claims) != len(c.Claims) {
 		return false
 	}
--- a/internal/rebuild/rebuild_test.go
+++ b/internal/rebuild/rebuild_test.go
@@ -19,15 +19,15 @@
 const base, limit = 1 << 20, 16 << 10
 
 func record(ref string, members, size int) []byte {
-	b, err := ledger.Encode(ledger.Record{Job: wire.Job{ID: ref, Team: "t", Kind: wire.KindArray, TaskCount: members, CPUs: 1}, AtMS: 1, Chunk: size})
+	b, err := ledger.Encode(ledger.JobRecord{Job: wire.Job{ID: ref, Team: "t", Kind: wire.KindArray, TaskCount: members, CPUs: 1}, SubmittedMS: 1, ChunkTasks: size})
 	if err != nil {
 		panic(err)
 	}
 	return b
 }
 
-func chunk(seq uint64, done []int, claims map[int]ledger.Claim) []byte {
-	s := ledger.Stored{Seq: seq, Done: map[int]bool{}, Claims: claims}
+func chunk(seq uint64, done []int, claims map[int]ledger.ClaimRecord) []byte {
+	s := ledger.ChunkRecord{LastAttempt: seq, Done: map[int]bool{}, Claims: claims}
 	for _, i := range done {
 		s.Done[i] = true
 	}
@@ -38,8 +38,8 @@
 	return b
 }
 
-func at(host string, try uint64) ledger.Claim {
-	return ledger.Claim{Host: host, Tenure: 1, Try: try, Zone: "a"}
+func at(host string, try uint64) ledger.ClaimRecord {
+	return ledger.ClaimRecord{Worker: host, Incarnation: 1, Attempt: try, Zone: "a"}
 }
 
 func source(store bool, kv ...any) Source {
@@ -64,7 +64,9 @@
 func TestMerge(t *testing.T) {
 	const done, gone = `{"phase":"done","tasks":2}`, `{"phase":"withdrawn","tasks":2,"chunk":4}`
 	rec := record("r", 4, 4)
-	c := func(seq uint64, done []int, claims map[int]ledger.Claim) []byte { return chunk(seq, done, claims) }
+	c := func(seq uint64, done []int, claims map[int]ledger.ClaimRecord) []byte {
+		return chunk(seq, done, claims)
+	}
 	for _, tc := range []struct {
 		name    string
 		sources []Source
@@ -76,21 +78,21 @@
 		damaged string
 		orphans string
 	}{
-		{"all is there", []Source{source(true, "j/r", rec, "c/r/0", c(3, nil, map[int]ledger.Claim{0: at("a", 3)}))}, true, "", "0#3@a", 0, "", "", ""},
-		{"all is gone", []Source{source(false, "j/r", rec, "c/r/0", c(3, nil, map[int]ledger.Claim{0: at("a", 3)}))}, true, "", "0#3@a", 0, "j/r c/r/0", "", ""},
+		{"all is there", []Source{source(true, "j/r", rec, "c/r/0", c(3, nil, map[int]ledger.ClaimRecord{0: at("a", 3)}))}, true, "", "0#3@a", 0, "", "", ""},
+		{"all is gone", []Source{source(false, "j/r", rec, "c/r/0", c(3, nil, map[int]ledger.ClaimRecord{0: at("a", 3)}))}, true, "", "0#3@a", 0, "j/r c/r/0", "", ""},
 		{"an end beats a live record", []Source{source(false, "d/r", done), source(true, "j/r", rec)}, false, "done", "", 0, "d/r -j/r", "", ""},
 		{"the end told first stays", []Source{source(false, "d/r", gone), source(true, "d/r", done)}, false, "withdrawn", "", 0, "d/r", "", ""},
-		{"a withdrawal does not say that its tasks are gone", []Source{source(false, "d/r", gone, "c/r/0", c(1, nil, map[int]ledger.Claim{2: at("a", 1)}))}, false, "withdrawn", "2#1@a", 0, "c/r/0 d/r", "", ""},
-		{"the newer try is the one", []Source{source(false, "j/r", rec, "c/r/0", c(2, nil, map[int]ledger.Claim{0: at("b", 2)})), source(true, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.Claim{0: at("a", 1)}))}, true, "", "0#2@b", 0, "c/r/0", "", ""},
-		{"whichever has it", []Source{source(false, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.Claim{0: at("a", 1)})), source(true, "j/r", rec, "c/r/0", c(2, nil, map[int]ledger.Claim{0: at("b", 2)}))}, true, "", "0#2@b", 0, "", "", ""},
-		{"a finish beats a claim", []Source{source(false, "j/r", rec, "c/r/0", c(2, []int{0}, nil)), source(true, "j/r", rec, "c/r/0", c(5, nil, map[int]ledger.Claim{0: at("a", 5)}))}, true, "", "", 1, "c/r/0", "", ""},
-		{"what either knows", []Source{source(false, "j/r", rec, "c/r/0", c(2, []int{1}, nil)), source(true, "j/r", rec, "c/r/0", c(1, []int{2}, map[int]ledger.Claim{0: at("a", 1)}))}, true, "", "0#1@a", 2, "c/r/0", "", ""},
+		{"a withdrawal does not say that its tasks are gone", []Source{source(false, "d/r", gone, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{2: at("a", 1)}))}, false, "withdrawn", "2#1@a", 0, "c/r/0 d/r", "", ""},
+		{"the newer try is the one", []Source{source(false, "j/r", rec, "c/r/0", c(2, nil, map[int]ledger.ClaimRecord{0: at("b", 2)})), source(true, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: at("a", 1)}))}, true, "", "0#2@b", 0, "c/r/0", "", ""},
+		{"whichever has it", []Source{source(false, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: at("a", 1)})), source(true, "j/r", rec, "c/r/0", c(2, nil, map[int]ledger.ClaimRecord{0: at("b", 2)}))}, true, "", "0#2@b", 0, "", "", ""},
+		{"a finish beats a claim", []Source{source(false, "j/r", rec, "c/r/0", c(2, []int{0}, nil)), source(true, "j/r", rec, "c/r/0", c(5, nil, map[int]ledger.ClaimRecord{0: at("a", 5)}))}, true, "", "", 1, "c/r/0", "", ""},
+		{"what either knows", []Source{source(false, "j/r", rec, "c/r/0", c(2, []int{1}, nil)), source(true, "j/r", rec, "c/r/0", c(1, []int{2}, map[int]ledger.ClaimRecord{0: at("a", 1)}))}, true, "", "0#1@a", 2, "c/r/0", "", ""},
 		{"a damaged record, known elsewhere", []Source{source(false, "j/r", rec), source(true, "j/r", `"rot"`)}, true, "", "", 0, "j/r", "", ""},
 		{"a damaged record, known nowhere", []Source{source(true, "j/r", `"rot"`)}, false, "", "", 0, "", "j/r", ""},
 		{"a record under another name", []Source{source(true, "j/x", rec)}, false, "", "", 0, "", "j/x", ""},
 		{"a damaged end is no end", []Source{source(true, "j/r", rec, "d/r", `{"phase":"half"}`)}, true, "", "", 0, "", "d/r", ""},
-		{"a damaged chunk, known elsewhere", []Source{source(false, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.Claim{0: at("a", 1)})), source(true, "j/r", rec, "c/r/0", `"rot"`)}, true, "", "0#1@a", 0, "c/r/0", "", ""},
-		{"claims without a job", []Source{source(true, "c/r/0", c(1, nil, map[int]ledger.Claim{0: at("a", 1)}))}, false, "", "", 0, "-c/r/0", "", "r"},
+		{"a damaged chunk, known elsewhere", []Source{source(false, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: at("a", 1)})), source(true, "j/r", rec, "c/r/0", `"rot"`)}, true, "", "0#1@a", 0, "c/r/0", "", ""},
+		{"claims without a job", []Source{source(true, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: at("a", 1)}))}, false, "", "", 0, "-c/r/0", "", "r"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			r, err := Merge(tc.sources, "w", base, limit)
@@ -105,7 +107,7 @@
 					writes = append(writes, w.Key)
 				}
 			}
-			var end ledger.Ending
+			var end ledger.EndRecord
 			if d := r.Ends["r"]; d != nil {
 				if err := json.Unmarshal(d, &end); err != nil {
 					t.Fatal(err)
@@ -113,16 +115,16 @@
 			}
 			claims, dones := "", 0
 			for _, v := range r.Chunks {
-				s, err := ledger.DecodeStored(v.Data)
+				s, err := ledger.DecodeChunkRecord(v.Data)
 				if err != nil {
 					t.Fatal(err)
 				}
 				dones = len(s.Done)
 				for i, cl := range s.Claims {
-					claims += fmt.Sprintf("%d#%d@%s", i, cl.Try, cl.Host)
+					claims += fmt.Sprintf("%d#%d@%s", i, cl.Attempt, cl.Worker)
 				}
-				if slices.Contains(writes, v.Key) && s.Seq < base {
-					t.Errorf("tries go on from %d", s.Seq)
+				if slices.Contains(writes, v.Key) && s.LastAttempt < base {
+					t.Errorf("tries go on from %d", s.LastAttempt)
 				}
 			}
 			got := fmt.Sprint(len(r.Live) == 1, end.Phase, claims, dones, writes, r.Damaged, r.Orphans)
@@ -137,34 +139,34 @@
 // truth is what really happened, with what the state service held after each step.
 type truth struct {
 	ended  map[string]string
-	done   map[string]bool         // tasks
-	latest map[string]ledger.Claim // by task: the last claim, if it stands
-	states []map[string][]byte     // stored after each step
+	done   map[string]bool               // tasks
+	latest map[string]ledger.ClaimRecord // by task: the last claim, if it stands
+	states []map[string][]byte           // stored after each step
 	jobs   []string
 }
 
 // live a while, by the ledger itself, so that what is stored is what a leader stores.
 func history(t *rapid.T) *truth {
-	tr := &truth{ended: map[string]string{}, done: map[string]bool{}, latest: map[string]ledger.Claim{}}
+	tr := &truth{ended: map[string]string{}, done: map[string]bool{}, latest: map[string]ledger.ClaimRecord{}}
 	stored := map[string][]byte{}
 	led := ledger.New("w", []settings.Team{{Name: "t", CPUsMax: 1e6}})
 	gen := uint64(1)
 	now := time.Unix(1000, 0)
 	flush := func() {
 		for {
-			b := led.Next(ledger.Limits{Ops: 16, Bytes: 1 << 20, Value: limit}, now)
+			b := led.NextBatch(ledger.BatchLimits{MaxOperations: 16, MaxBytes: 1 << 20, MaxValueBytes: limit}, now)
 			if b == nil {
 				return
 			}
 			gen++
-			for _, c := range b.Apply {
+			for _, c := range b.Operations {
 				if c.Put != "" {
 					stored[c.Put] = c.Value
 				} else {
 					delete(stored, c.Delete)
 				}
 			}
-			led.Committed(b, gen)
+			led.BatchCommitted(b, gen)
 		}
 	}
 	for step := range rapid.IntRange(4, 40).Draw(t, "steps") {
@@ -174,31 +176,31 @@
 			data := record(ref, rapid.IntRange(1, 6).Draw(t, "tasks"), 2)
 			gen++
 			stored[ledger.LiveKey(ref)] = data
-			rec, err := ledger.DecodeRecord(data)
+			rec, err := ledger.DecodeJobRecord(data)
 			if err != nil {
 				t.Fatal(err)
 			}
-			led.Add(ref, rec, gen)
+			led.AddJob(ref, rec, gen)
 			tr.jobs = append(tr.jobs, ref)
 		default:
-			held := led.HeldBy(j)
+			held := led.ClaimsOfJob(j)
 			switch do := rapid.IntRange(0, 9).Draw(t, "do"); {
 			case do == 0:
 				rec := j.Record()
-				data, err := ledger.Encode(ledger.WithdrawnEnding(&rec, now))
+				data, err := ledger.Encode(ledger.NewCancelledEndRecord(&rec, now))
 				if err != nil {
 					t.Fatal(err)
 				}
 				delete(stored, ledger.LiveKey(j.Ref))
 				stored[ledger.EndedKey(j.Ref)] = data
 				tr.ended[j.Ref] = wire.PhaseCancelled
-				led.Withdraw(j.Ref)
+				led.Cancel(j.Ref)
 			case do < 6 && j.WaitingTasks() > 0:
 				h, err := claim(led, j, fmt.Sprintf("i-%d", step))
 				if err != nil {
 					t.Fatal(err)
 				}
-				tr.latest[h.Task().String()] = h.Claim
+				tr.latest[h.Task().String()] = h.ClaimRecord
 			case len(held) > 0:
 				h := held[0]
 				delete(tr.latest, h.Task().String())
@@ -220,16 +222,16 @@
 }
 
 // claim claims without a team's limit.
-func claim(l *ledger.Ledger, j *ledger.Job, host string) (*ledger.Held, error) {
+func claim(l *ledger.Table, j *ledger.Job, host string) (*ledger.Claim, error) {
 	return l.Claim(j, host, 1, "a")
 }
 
-func pick(t *rapid.T, tr *truth, led *ledger.Ledger) *ledger.Job {
+func pick(t *rapid.T, tr *truth, led *ledger.Table) *ledger.Job {
 	if len(tr.jobs) == 0 || rapid.IntRange(0, 4).Draw(t, "new") == 0 {
 		return nil
 	}
 	j := led.Job(rapid.SampledFrom(tr.jobs).Draw(t, "job"))
-	if j == nil || j.Withdrawn {
+	if j == nil || j.Cancelled {
 		return nil
 	}
 	return j
@@ -321,18 +323,18 @@
 	for _, v := range r.Live {
 		live[strings.TrimPrefix(v.Key, ledger.LivePrefix)] = true
 	}
-	claims, done := map[string]ledger.Claim{}, map[string]bool{}
+	claims, done := map[string]ledger.ClaimRecord{}, map[string]bool{}
 	for _, v := range r.Chunks {
 		ref, n, _ := ledger.ParseChunkKey(v.Key)
-		s, err := ledger.DecodeStored(v.Data)
+		s, err := ledger.DecodeChunkRecord(v.Data)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, c := range s.Claims {
-			claims[ledger.Task{Ref: ref, Index: n*2 + i}.String()] = c
+			claims[ledger.Task{JobRef: ref, Index: n*2 + i}.String()] = c
 		}
 		for i := range s.Done {
-			done[ledger.Task{Ref: ref, Index: n*2 + i}.String()] = true
+			done[ledger.Task{JobRef: ref, Index: n*2 + i}.String()] = true
 		}
 	}
 	for _, ref := range tr.jobs {
@@ -342,22 +344,22 @@
 			}
 			continue
 		}
-		var e ledger.Ending
+		var e ledger.EndRecord
 		if err := json.Unmarshal(r.Ends[ref], &e); err != nil || e.Phase != tr.ended[ref] || live[ref] {
 			t.Fatalf("%s ended as %q, not %q; alive: %v", ref, tr.ended[ref], e.Phase, live[ref])
 		}
 	}
 	for task := range tr.done {
-		if id, _ := ledger.ParseTask(task); tr.ended[id.Ref] == "" && !done[task] {
+		if id, _ := ledger.ParseTask(task); tr.ended[id.JobRef] == "" && !done[task] {
 			t.Fatalf("%s was done", task)
 		}
 	}
 	for task, c := range tr.latest {
 		id, _ := ledger.ParseTask(task)
-		if tr.ended[id.Ref] == wire.PhaseDone {
+		if tr.ended[id.JobRef] == wire.PhaseDone {
 			continue
 		}
-		if got, ok := claims[task]; !ok || got.Try != c.Try || got.Host != c.Host {
+		if got, ok := claims[task]; !ok || got.Attempt != c.Attempt || got.Worker != c.Worker {
 			t.Fatalf("%s is claimed as %v, not %v", task, got, c)
 		}
 	}
--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -155,7 +155,7 @@
 		for _, e := range s.Entries {
 			for _, c := range e.Tasks {
 				if e.Act == audit.Claimed {
-					claimed[run{ledger.Task{Ref: ref, Index: c.Index}, c.Try, c.Host}] = true
+					claimed[run{ledger.Task{JobRef: ref, Index: c.Index}, c.Try, c.Host}] = true
 				}
 			}
 		}
