--- a/internal/control/cancellations.go
+++ b/internal/control/cancellations.go
@@ -7,10 +7,10 @@
 	"rillflow/internal/settings"
 )
 
-// Heed has the term take in the withdrawals that this node knows of, and tells whether it
+// ApplyCancellations has the term take in the withdrawals that this node knows of, and tells whether it
 // leads and has: its machines are told at once, also while the state service, which would
 // tell it otherwise, refuses it.
-func (r *Runner) Heed() bool {
+func (r *Runner) ApplyCancellations() bool {
 	term := r.current.Load()
 	if term == nil {
 		return false
@@ -29,11 +29,11 @@
 	return true
 }
 
-// Settled tells whether no launch that this leader gave may still start a task of jobs
+// LaunchesResolved tells whether no launch that this leader gave may still start a task of jobs
 // that are withdrawn, as far as it can be seen to soon: a machine that has not said what
 // became of a launch by the time at which it is taken for silent is returned, or is behind a
 // cut, and its user is told then.
-func (r *Runner) Settled(refs ...string) bool {
+func (r *Runner) LaunchesResolved(refs ...string) bool {
 	term := r.current.Load()
 	if term == nil {
 		return true
@@ -57,7 +57,7 @@
 
 // applyCancellations takes in the withdrawals that this node knows of.
 func (t *leaderTerm) applyCancellations() {
-	for _, ref := range t.recentCancellations.All() {
+	for _, ref := range t.recentCancellations.JobIDs() {
 		// Of a job about to be done nothing is left to stop, and its last write fails.
 		if job := t.jobs.Job(ref); job != nil && !job.Finished {
 			t.cancelJob(ref)
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -44,7 +44,7 @@
 	dataLoss            *history.Detector
 	replica             *copies.Copy
 	replicaPeers        copies.Peers
-	recentCancellations *withdrawn.Notices
+	recentCancellations *withdrawn.Set
 	log                 *slog.Logger
 	now                 func() time.Time
 	current             atomic.Pointer[leaderTerm]
@@ -97,7 +97,7 @@
 	DataLoss      *history.Detector
 	Replica       *copies.Copy
 	ReplicaPeers  copies.Peers
-	Cancellations *withdrawn.Notices // jobs whose withdrawal was committed lately
+	Cancellations *withdrawn.Set // jobs whose withdrawal was committed lately
 	Log           *slog.Logger
 }
 
@@ -170,7 +170,7 @@
 	t.mu.Lock()
 	t.auditLog.enqueue(r.now(), audit.Entry{Act: audit.TookOver, On: r.settings.Node, Why: fmt.Sprintf("epoch %d", leadership.FirstEpoch)})
 	if phase := leadership.Incarnation().Phase; phase == history.PhaseComplete || phase == history.PhaseProvisional {
-		t.recentCancellations.Inherit("", t.cancelledJobs()...)
+		t.recentCancellations.AddComplete("", t.cancelledJobs()...)
 	}
 	t.mu.Unlock()
 	close(t.ready)
--- a/internal/control/stalereports_test.go
+++ b/internal/control/stalereports_test.go
@@ -108,7 +108,7 @@
 			leader.addTestJob("req-2", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			leader.runTestTask(t, job, "h0", time.Minute)
 			leader.runTestTask(t, leader.jobs.Job("req-2"), "h1", time.Minute)
-			leader.recentCancellations = withdrawn.New(withdrawn.Options{Within: time.Minute, Max: 8, Refused: func() bool { return false }, Now: leader.now})
+			leader.recentCancellations = withdrawn.New(withdrawn.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: leader.now})
 			leader.recentCancellations.Add("", "req-1", "req-unknown")
 			leader.applyCancellations()
 			if !job.Cancelled || leader.jobs.Job("req-2").Cancelled {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -49,7 +49,7 @@
 
 // Herald has a committed withdrawal known to whoever must know before a user is told.
 type Herald interface {
-	Tell(ctx context.Context, ref string) error
+	Broadcast(ctx context.Context, ref string) error
 }
 
 // known is what is told of a job, with whose it is where identities are on.
@@ -219,7 +219,7 @@
 // it is said only once those know that must keep it; until then the user comes back.
 func (u *Users) say(ctx context.Context, w http.ResponseWriter, p known) {
 	if p.JobStatus.Phase == wire.PhaseCancelled && !p.herald {
-		if err := u.herald.Tell(ctx, p.ID); err != nil {
+		if err := u.herald.Broadcast(ctx, p.ID); err != nil {
 			u.log.Info("withdrawn, and not told yet", "job", p.ID, "err", err)
 			busy(w, "withdrawn, to be known to all controllers")
 			return
--- a/internal/intake/needs_test.go
+++ b/internal/intake/needs_test.go
@@ -104,7 +104,7 @@
 	told []string
 }
 
-func (h *herald) Tell(_ context.Context, ref string) error {
+func (h *herald) Broadcast(_ context.Context, ref string) error {
 	h.told = append(h.told, ref)
 	return h.err
 }
--- a/internal/part/deaf_test.go
+++ b/internal/part/deaf_test.go
@@ -101,7 +101,7 @@
 			p := part(t, tc.m, tc.stale, &links{err: peer.ErrDown, peers: map[string]peer.Status{"other": {Live: tc.live}}})
 			p.set.Zone = "a"
 			if !tc.fresh {
-				p.gone.Inherit("")
+				p.gone.AddComplete("")
 			}
 			host := "i-1"
 			for i := 0; tc.m.Owner(host) != "other"; i++ {
--- a/internal/part/part.go
+++ b/internal/part/part.go
@@ -38,7 +38,7 @@
 	known func() lead.ShardMap
 	links Links
 	stale func() time.Duration // since the state service answered here
-	gone  *withdrawn.Notices
+	gone  *withdrawn.Set
 	now   func() time.Time
 	tune  placement.Tuning
 
@@ -51,7 +51,7 @@
 
 // New makes the part. known tells the latest part map, stale since when the
 // state service has not answered, gone what is withdrawn.
-func New(set *settings.Settings, known func() lead.ShardMap, stale func() time.Duration, gone *withdrawn.Notices, now func() time.Time) *Part {
+func New(set *settings.Settings, known func() lead.ShardMap, stale func() time.Duration, gone *withdrawn.Set, now func() time.Time) *Part {
 	op := set.Operator.Placement
 	return &Part{
 		set: set, known: known, stale: stale, gone: gone, now: now,
@@ -81,7 +81,7 @@
 func (p *Part) Beat(ctx context.Context, r *wire.Heartbeat, leader Leader) (wire.CommandBatch, error) {
 	out, err := p.answer(ctx, r, leader)
 	if err == nil {
-		out.Commands = p.gone.Stops(r, out.Commands)
+		out.Commands = p.gone.AmendCommands(r, out.Commands)
 	}
 	return out, err
 }
@@ -105,7 +105,7 @@
 	// The worker's tasks run on, under the epoch that stands: a leader that could hear
 	// this host has the map without this node, and its epoch shows in the worker's next
 	// report. But for a node that has forgotten what users were told.
-	if ctx.Err() != nil || asked && !p.outage() || p.StoreRefuses() && !p.gone.Settled() {
+	if ctx.Err() != nil || asked && !p.outage() || p.StoreRefuses() && !p.gone.Synced() {
 		return wire.CommandBatch{}, ErrNotOwner{}
 	}
 	if now := p.known(); now.Epoch != m.Epoch {
--- a/internal/part/part_test.go
+++ b/internal/part/part_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	set := &settings.Settings{Node: "me", Operator: op, Facts: settings.Facts{Workers: settings.Workers{ReportS: 4, LeaseS: 40}}}
-	gone := withdrawn.New(withdrawn.Options{Within: time.Minute, Max: 8, Refused: func() bool { return false }, Now: func() time.Time { return now }})
+	gone := withdrawn.New(withdrawn.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: func() time.Time { return now }})
 	p := New(set, func() lead.ShardMap { return m }, func() time.Duration { return stale }, gone, func() time.Time { return now })
 	p.Link(l)
 	return p
@@ -118,7 +118,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			p := part(t, lead.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}, time.Minute, &tc.links)
 			if tc.settled {
-				p.gone.Inherit("")
+				p.gone.AddComplete("")
 			}
 			p.gone.Add("", "req-1")
 			out, err := p.Beat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: 7, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-2/0", Attempt: 1, Phase: wire.PhaseRunning}}}, leader{no})
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -88,7 +88,7 @@
 func (n *node) Remembers(string, History)                        { n.told.Store(true) }
 func (n *node) Copy(*copies.Push) copies.Ack                     { return copies.Ack{} }
 func (n *node) Recall(copies.Ask) copies.Page                    { return copies.Page{} }
-func (n *node) Withdrawn(*withdrawn.Note) withdrawn.Ack          { return withdrawn.Ack{Taken: true} }
+func (n *node) Withdrawn(*withdrawn.Message) withdrawn.Ack       { return withdrawn.Ack{Accepted: true} }
 func (n *node) Reached(context.Context, string)                  {}
 func (n *node) Linked(context.Context, string)                   {}
 
@@ -148,12 +148,12 @@
 				}
 				// Notes of withdrawals go to those that know of them; of the others it is known
 				// that they do not, which is not the same as not reaching them.
-				if a, err := m.Note(ctx, "n", &withdrawn.Note{Refs: []string{"req-1"}}); a.Taken != tc.notes || errors.Is(err, withdrawn.ErrOld) == tc.notes {
+				if a, err := m.SendCancellations(ctx, "n", &withdrawn.Message{JobIDs: []string{"req-1"}}); a.Accepted != tc.notes || errors.Is(err, withdrawn.ErrUnsupported) == tc.notes {
 					t.Errorf("a note: %+v, %v", a, err)
 				}
 				cancel()
 				<-done
-				if _, err := m.Note(context.Background(), "n", &withdrawn.Note{}); !errors.Is(err, ErrDown) {
+				if _, err := m.SendCancellations(context.Background(), "n", &withdrawn.Message{}); !errors.Is(err, ErrDown) {
 					t.Errorf("a note without a link: %v", err)
 				}
 			})
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -26,7 +26,7 @@
 	anonymous.Auth = ""
 	push, ca := goldentest.Filled[copies.Push](), goldentest.Filled[copies.Ack]()
 	ask, page := goldentest.Filled[copies.Ask](), goldentest.Filled[copies.Page]()
-	note, wa := goldentest.Filled[withdrawn.Note](), goldentest.Filled[withdrawn.Ack]()
+	note, wa := goldentest.Filled[withdrawn.Message](), goldentest.Filled[withdrawn.Ack]()
 	text := func(b []byte) (string, error) { return string(b), nil }
 	var out strings.Builder
 	for _, f := range []struct {
@@ -55,7 +55,7 @@
 		{"copy answer", kindAnswer, ca.Encode(), ca, copies.DecodeAck},
 		{"recall", kindRecall, ask.Encode(), ask, copies.DecodeAsk},
 		{"recall answer", kindAnswer, page.Encode(), page, copies.DecodePage},
-		{"withdrawn", kindWithdrawn, note.Encode(), note, withdrawn.DecodeNote},
+		{"withdrawn", kindWithdrawn, note.Encode(), note, withdrawn.DecodeMessage},
 		{"withdrawn answer", kindAnswer, wa.Encode(), wa, withdrawn.DecodeAck},
 	} {
 		var buf bytes.Buffer
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -39,7 +39,7 @@
 	// Withdrawn takes a peer's note in. Reached is run on each new connection to a peer
 	// ahead of anything else, and Linked after each round of pings: both see to it that
 	// it knows of withdrawals.
-	Withdrawn(n *withdrawn.Note) withdrawn.Ack
+	Withdrawn(n *withdrawn.Message) withdrawn.Ack
 	Reached(ctx context.Context, node string)
 	Linked(ctx context.Context, node string)
 }
@@ -284,7 +284,7 @@
 		p := m.h.Recall(a)
 		return p.Encode(), nil
 	case kindWithdrawn:
-		n, err := withdrawn.DecodeNote(f.body)
+		n, err := withdrawn.DecodeMessage(f.body)
 		if err != nil {
 			return nil, err
 		}
@@ -400,14 +400,14 @@
 	withdraws   = "v0.6.0"
 )
 
-// Note tells a peer of withdrawals.
-func (m *Mesh) Note(ctx context.Context, node string, n *withdrawn.Note) (withdrawn.Ack, error) {
+// SendCancellations tells a peer of withdrawals.
+func (m *Mesh) SendCancellations(ctx context.Context, node string, n *withdrawn.Message) (withdrawn.Ack, error) {
 	l := m.links[node]
 	if l == nil || !l.settled() {
 		return withdrawn.Ack{}, fmt.Errorf("%w: %q", ErrDown, node)
 	}
 	if !l.reached(withdraws) {
-		return withdrawn.Ack{}, withdrawn.ErrOld
+		return withdrawn.Ack{}, withdrawn.ErrUnsupported
 	}
 	b, err := l.prompt(ctx, kindWithdrawn, n.Encode())
 	if err != nil {
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -198,13 +198,13 @@
 
 // Withdrawn, Reached and Linked have withdrawals known to all controllers.
 
-func (d *daemon) Withdrawn(n *withdrawn.Note) withdrawn.Ack {
-	return d.gone.Take(n, d.control)
+func (d *daemon) Withdrawn(n *withdrawn.Message) withdrawn.Ack {
+	return d.gone.Receive(n, d.control)
 }
 
-func (d *daemon) Reached(ctx context.Context, node string) { d.teller.Reached(ctx, node) }
+func (d *daemon) Reached(ctx context.Context, node string) { d.teller.PeerConnected(ctx, node) }
 
-func (d *daemon) Linked(ctx context.Context, node string) { d.teller.Linked(ctx, node) }
+func (d *daemon) Linked(ctx context.Context, node string) { d.teller.SyncPeer(ctx, node) }
 
 // leads reads from the state service who leads now.
 func (d *daemon) leads(ctx context.Context) (string, error) {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -50,8 +50,8 @@
 	door    *access.Door
 	hist    *history.Detector
 	copies  *copies.Copy
-	gone    *withdrawn.Notices
-	teller  *withdrawn.Teller
+	gone    *withdrawn.Set
+	teller  *withdrawn.Broadcaster
 	crowd   *crowd
 	asks    chan uint64 // epochs that workers show and nobody knows
 	log     *slog.Logger
@@ -100,8 +100,8 @@
 	})
 	within := settings.Seconds(facts.Workers.CancelS)
 	d.gone = withdrawn.New(withdrawn.Options{
-		Within: within, Max: withdrawn.Capacity(facts.State.WriteRPS, within), Peers: set.Others(),
-		Refused: func() bool { return d.part.StoreRefuses() }, Now: time.Now,
+		StopDeadline: within, Capacity: withdrawn.Capacity(facts.State.WriteRPS, within), Peers: set.Others(),
+		StoreUnavailable: func() bool { return d.part.StoreRefuses() }, Now: time.Now,
 	})
 	d.part = part.New(set, d.el.ShardMap, d.st.SinceLastAnswer, d.gone, time.Now)
 	var tls *certs.Keeper
@@ -129,7 +129,7 @@
 		Settings: set, Store: d.st, Cloud: cloud, WorkerClient: agent.NewCommandClient(set.Report(), int(idleWorkers*float64(facts.Resources.Sockets)), nw.Dial), Elector: d.el,
 		InstanceTypes: types, Shards: d.part, MemoryFull: d.memory.High, AuditKeys: kept, DataLoss: d.hist, Replica: d.copies, ReplicaPeers: d.mesh, Cancellations: d.gone, Log: log,
 	})
-	d.teller = &withdrawn.Teller{Node: set.Node, Notices: d.gone, Link: d.mesh, Own: d.control, Pause: set.Report() / 256, Leader: d.leads}
+	d.teller = &withdrawn.Broadcaster{Controller: set.Node, Cancellations: d.gone, Link: d.mesh, LocalLeader: d.control, InitialBackoff: set.Report() / 256, CurrentLeader: d.leads}
 	mux := http.NewServeMux()
 	intake.New(set, d.st, types, d.counts, d.part.StoreRefuses, d.memory.High, d.door, d, d.copies, d.teller, day, log).Routes(mux)
 	d.users = mux
