--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -132,7 +132,7 @@
 	startedAt        time.Time
 	lastHeartbeat    time.Time // last beat of any host
 	latencies        *latencies
-	detector         *silence.Watch
+	detector         *silence.Detector
 	auditLog         *auditWriter               // nil: no audit record is kept
 	lastCompaction   time.Time                  // when what nothing waits for was last written, or could have been
 	deficits         map[string]*deficitCounter // of starved arrays, by type
--- a/internal/control/silence.go
+++ b/internal/control/silence.go
@@ -14,8 +14,8 @@
 // to the interval, which varies by a quarter.
 const missedHeartbeatRatio = 1.3
 
-func newFailureDetector(config *settings.Settings) *silence.Watch {
-	return silence.NewWatch(time.Duration(missedHeartbeatRatio*float64(config.Report())), config.Lease())
+func newFailureDetector(config *settings.Settings) *silence.Detector {
+	return silence.New(time.Duration(missedHeartbeatRatio*float64(config.Report())), config.Lease())
 }
 
 // silentFor is for how long a host that should be heard was not. It has had no way
@@ -38,24 +38,24 @@
 
 // observeSilence judges who is at fault for what is not heard.
 func (t *leaderTerm) observeSilence(now time.Time) {
-	observations := make([]silence.Host, 0, len(t.workersByName))
+	observations := make([]silence.Observation, 0, len(t.workersByName))
 	for _, worker := range t.workersByName {
 		if _, leaving := t.released[worker.Name]; leaving || t.instances[worker.Name].Phase == wire.InstanceFailed || worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero() {
 			continue
 		}
 		observations = append(observations, t.observation(worker, now))
 	}
-	before := len(t.detector.Groups())
-	t.detector.Look(observations, now)
-	if groups := t.detector.Groups(); len(groups) != before {
+	before := len(t.detector.Outages())
+	t.detector.Observe(observations, now)
+	if groups := t.detector.Outages(); len(groups) != before {
 		for _, group := range groups {
-			t.log.Info("silence", "fault", group.Fault, "name", group.Name, "since_s", now.Sub(group.Since).Seconds(), "still", group.Silent)
+			t.log.Info("silence", "fault", group.Fault, "name", group.Name, "since_s", now.Sub(group.Since).Seconds(), "still", group.Active)
 		}
 	}
 }
 
-func (t *leaderTerm) observation(worker *agent.Worker, now time.Time) silence.Host {
-	return silence.Host{Zone: worker.Zone, Owner: worker.ShardOwner, Loaners: worker.Spot, Quiet: t.silentFor(worker, now)}
+func (t *leaderTerm) observation(worker *agent.Worker, now time.Time) silence.Observation {
+	return silence.Observation{Zone: worker.Zone, ShardOwner: worker.ShardOwner, Spot: worker.Spot, SilentFor: t.silentFor(worker, now)}
 }
 
 // NoWorkersOfOwn tells whether this controller leads, and no machine of its own part is up: that it
@@ -77,11 +77,11 @@
 // neither returned nor counted on until that has lasted for longer than cuts do.
 func (t *leaderTerm) unreachable(worker *agent.Worker, now time.Time) bool {
 	observation := t.observation(worker, now)
-	if !t.detector.Silent(observation) {
+	if !t.detector.Suspected(observation) {
 		return false
 	}
-	fault, since := t.detector.Fault(observation)
-	return fault >= silence.Part && now.Sub(since) < time.Duration(t.settings.Operator.Fleet.Patience*float64(t.settings.Lease()))
+	fault, since := t.detector.FaultOf(observation)
+	return fault >= silence.FaultShardOwner && now.Sub(since) < time.Duration(t.settings.Operator.Fleet.Patience*float64(t.settings.Lease()))
 }
 
 // leaseOverAfter is after which time without an answer a lease is over by any clock.
