--- a/internal/part/deaf_test.go
+++ b/internal/part/isolation_test.go
@@ -11,7 +11,7 @@
 
 // A node that workers no longer reach finds out by its peers, and only if it
 // should be reached; it is believed for a lease, twice as long the next time.
-func TestDeaf(t *testing.T) {
+func TestIsolation(t *testing.T) {
 	const report, lease = 4 * time.Second, 40 * time.Second
 	for _, tc := range []struct {
 		name    string
@@ -32,19 +32,19 @@
 		{"too few to tell", 8, 2 * report, true, peer.Hearing{}, true, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			at := now
+			at := testTime
 			m := lead.ShardMap{Epoch: 3, Leader: "a", Owners: []string{"a"}}
 			if tc.owner {
 				m.Owners = append(m.Owners, "me")
 			}
-			p := part(t, m, 0, &links{peers: map[string]peer.Status{"a": {Live: tc.live, HearingKnown: true, Hearing: tc.peer}}})
+			p := newTestOwner(t, m, 0, &fakeLinks{peers: map[string]peer.Status{"a": {Live: tc.live, HearingKnown: true, Hearing: tc.peer}}})
 			p.now = func() time.Time { return at }
 			p.Hearing()
 			for range tc.beats {
-				p.Heard()
+				p.RecordRequest()
 			}
 			at = at.Add(tc.quiet)
-			if got := p.Deaf(); got != tc.want {
+			if got := p.IsIsolated(); got != tc.want {
 				t.Fatalf("deaf: %v", got)
 			}
 			if got, want := p.PeersHearNoWorkers(), tc.live && (tc.peer.Age > report || tc.quiet > 4*report || tc.quiet < 7*report/4); got != want {
@@ -54,18 +54,18 @@
 				return
 			}
 			at = at.Add(lease - time.Second)
-			if !p.Deaf() {
+			if !p.IsIsolated() {
 				t.Error("not believed for a lease")
 			}
 			m.Epoch++ // its part is given back
 			at = at.Add(2 * time.Second)
 			p.Hearing()
 			at = at.Add(2 * report)
-			if got := p.Deaf(); got != tc.relapse {
+			if got := p.IsIsolated(); got != tc.relapse {
 				t.Errorf("deaf again: %v", got)
 			}
 			at = at.Add(2*lease - time.Second)
-			if !p.Deaf() {
+			if !p.IsIsolated() {
 				t.Error("not believed for longer the second time")
 			}
 		})
@@ -74,7 +74,7 @@
 
 // A node behind the same cut as a zone's workers answers those of owners that are
 // out of reach, under a map whose leader reckons with it and not otherwise.
-func TestStandsIn(t *testing.T) {
+func TestSubstituteInOwnZone(t *testing.T) {
 	near := lead.ShardMap{Epoch: 7, Leader: "other", Owners: []string{"me", "other"}, ZoneFallback: true}
 	old, without := near, near
 	old.ZoneFallback, without.Owners = false, []string{"other"}
@@ -98,16 +98,16 @@
 		{"the worker knows a later map", near, "a", time.Minute, false, 8, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := part(t, tc.m, tc.stale, &links{err: peer.ErrDown, peers: map[string]peer.Status{"other": {Live: tc.live}}})
-			p.set.Zone = "a"
+			p := newTestOwner(t, tc.m, tc.stale, &fakeLinks{err: peer.ErrDown, peers: map[string]peer.Status{"other": {Live: tc.live}}})
+			p.config.Zone = "a"
 			if !tc.fresh {
-				p.gone.AddComplete("")
+				p.cancellations.AddComplete("")
 			}
 			host := "i-1"
 			for i := 0; tc.m.Owner(host) != "other"; i++ {
 				host += "x"
 			}
-			out, err := p.Beat(t.Context(), &wire.Heartbeat{Worker: host, Zone: tc.zone, Epoch: tc.seen}, leader{})
+			out, err := p.Heartbeat(t.Context(), &wire.Heartbeat{Worker: host, Zone: tc.zone, Epoch: tc.seen}, fakeLeader{})
 			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) || len(out.Commands) > 0 {
 				t.Errorf("%+v, %v", out, err)
 			}
--- a/internal/part/part_test.go
+++ b/internal/part/owner_test.go
@@ -16,74 +16,74 @@
 	"rillflow/internal/withdrawn"
 )
 
-var now = time.Unix(500, 0)
+var testTime = time.Unix(500, 0)
 
-// links stands in for the links to other nodes.
-type links struct {
-	answer peer.BeatAnswer
-	err    error
-	peers  map[string]peer.Status
-	asked  string
+// fakeLinks stands in for the links to other nodes.
+type fakeLinks struct {
+	answer          peer.BeatAnswer
+	err             error
+	peers           map[string]peer.Status
+	askedController string
 }
 
-func (l *links) Beat(_ context.Context, node string, _ *wire.Heartbeat) (peer.BeatAnswer, error) {
-	l.asked = node
+func (l *fakeLinks) Beat(_ context.Context, node string, _ *wire.Heartbeat) (peer.BeatAnswer, error) {
+	l.askedController = node
 	return l.answer, l.err
 }
 
-func (l *links) Pick(context.Context, string, *placement.Offer) ([]placement.Picked, error) {
+func (l *fakeLinks) Pick(context.Context, string, *placement.Offer) ([]placement.Picked, error) {
 	return nil, errors.New("not asked for")
 }
 
-func (l *links) Peers() map[string]peer.Status { return l.peers }
+func (l *fakeLinks) Peers() map[string]peer.Status { return l.peers }
 
-// leader stands in for this node's own term.
-type leader struct{ err error }
+// fakeLeader stands in for this node's own term.
+type fakeLeader struct{ err error }
 
-func (l leader) Heartbeat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
+func (l fakeLeader) Heartbeat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
 	return wire.CommandBatch{Epoch: 7}, nil, l.err
 }
 
-func part(t *testing.T, m lead.ShardMap, stale time.Duration, l *links) *Part {
+func newTestOwner(t *testing.T, shardMap lead.ShardMap, sinceStoreAnswer time.Duration, l *fakeLinks) *Owner {
 	t.Helper()
-	op, err := settings.ParseOperator(nil)
+	operator, err := settings.ParseOperator(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	set := &settings.Settings{Node: "me", Operator: op, Facts: settings.Facts{Workers: settings.Workers{ReportS: 4, LeaseS: 40}}}
-	gone := withdrawn.New(withdrawn.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: func() time.Time { return now }})
-	p := New(set, func() lead.ShardMap { return m }, func() time.Duration { return stale }, gone, func() time.Time { return now })
-	p.Link(l)
+	config := &settings.Settings{Node: "me", Operator: operator, Facts: settings.Facts{Workers: settings.Workers{ReportS: 4, LeaseS: 40}}}
+	cancellations := withdrawn.New(withdrawn.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: func() time.Time { return testTime }})
+	p := New(config, func() lead.ShardMap { return shardMap }, func() time.Duration { return sinceStoreAnswer }, cancellations, func() time.Time { return testTime })
+	p.SetPeerLinks(l)
 	return p
 }
 
-func TestBeat(t *testing.T) {
+func TestHeartbeat(t *testing.T) {
 	mine, theirs := []string{"me"}, []string{"other"}
 	for _, tc := range []struct {
 		name    string
 		m       lead.ShardMap
 		seen    uint64 // the worker's epoch
-		links   links
-		leader  leader
+		links   fakeLinks
+		leader  fakeLeader
 		epoch   uint64 // of the answer; 0: refused
 		steward string
 	}{
-		{"the leader's own host", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, links{}, leader{}, 7, ""},
-		{"the term is over", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, links{}, leader{errors.New("no")}, 0, ""},
-		{"another's host", lead.ShardMap{Epoch: 7, Leader: "me", Owners: theirs}, 7, links{}, leader{}, 0, "other"},
-		{"no map yet", lead.ShardMap{}, 0, links{}, leader{}, 0, ""},
-		{"a worker that knows more", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 8, links{}, leader{}, 0, ""},
-		{"passed on", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, links{answer: peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}}, leader{}, 9, ""},
-		{"the leader may not answer", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, links{}, leader{}, 0, ""},
-		{"the leader cannot be asked: the tasks run on", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, links{err: peer.ErrDown}, leader{}, 7, ""},
+		{"the leader's own host", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, fakeLinks{}, fakeLeader{}, 7, ""},
+		{"the term is over", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, fakeLinks{}, fakeLeader{errors.New("no")}, 0, ""},
+		{"another's host", lead.ShardMap{Epoch: 7, Leader: "me", Owners: theirs}, 7, fakeLinks{}, fakeLeader{}, 0, "other"},
+		{"no map yet", lead.ShardMap{}, 0, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"a worker that knows more", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 8, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"passed on", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{answer: peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}}, fakeLeader{}, 9, ""},
+		{"the leader may not answer", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"the leader cannot be asked: the tasks run on", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{err: peer.ErrDown}, fakeLeader{}, 7, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := part(t, tc.m, 0, &tc.links)
-			out, err := p.Beat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: tc.seen}, tc.leader)
+			p := newTestOwner(t, tc.m, 0, &tc.links)
+			out, err := p.Heartbeat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: tc.seen}, tc.leader)
 			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
 				t.Errorf("epoch %d, %v", out.Epoch, err)
 			}
-			if e, ok := AsNotOwner(err); err != nil && (!ok || e.Steward != tc.steward) {
+			if e, ok := AsNotOwner(err); err != nil && (!ok || e.RedirectTarget != tc.steward) {
 				t.Errorf("sent to %v, want %q", err, tc.steward)
 			}
 			if len(out.Commands) > 0 {
@@ -95,7 +95,7 @@
 
 // In an outage of the state service tasks run on though nobody can lead; but a node that
 // forgot what users were told of, or is refused alone, answers nothing by itself.
-func TestBeatInOutage(t *testing.T) {
+func TestHeartbeatDuringStoreOutage(t *testing.T) {
 	no, yes := errors.New("no"), peer.Status{Live: true}
 	served := map[string]peer.Status{"boss": {Live: true, Ping: peer.Ping{StateAge: 0}}}
 	yes.StateAge = time.Minute
@@ -104,24 +104,24 @@
 		name    string
 		leader  string
 		settled bool
-		links   links
+		links   fakeLinks
 		epoch   uint64
 	}{
-		{"the leader gave up", "boss", true, links{peers: down}, 7},
-		{"this node led, and gave up", "me", true, links{peers: down}, 7},
-		{"the leader is out of reach", "boss", true, links{err: peer.ErrDown}, 7},
-		{"refused alone", "boss", true, links{peers: served}, 0},
-		{"refused alone, and led", "me", true, links{peers: served}, 0},
-		{"just begun, the leader gave up", "boss", false, links{peers: down}, 0},
-		{"just begun, the leader is out of reach", "boss", false, links{err: peer.ErrDown}, 0},
+		{"the leader gave up", "boss", true, fakeLinks{peers: down}, 7},
+		{"this node led, and gave up", "me", true, fakeLinks{peers: down}, 7},
+		{"the leader is out of reach", "boss", true, fakeLinks{err: peer.ErrDown}, 7},
+		{"refused alone", "boss", true, fakeLinks{peers: served}, 0},
+		{"refused alone, and led", "me", true, fakeLinks{peers: served}, 0},
+		{"just begun, the leader gave up", "boss", false, fakeLinks{peers: down}, 0},
+		{"just begun, the leader is out of reach", "boss", false, fakeLinks{err: peer.ErrDown}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := part(t, lead.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}, time.Minute, &tc.links)
+			p := newTestOwner(t, lead.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}, time.Minute, &tc.links)
 			if tc.settled {
-				p.gone.AddComplete("")
+				p.cancellations.AddComplete("")
 			}
-			p.gone.Add("", "req-1")
-			out, err := p.Beat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: 7, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-2/0", Attempt: 1, Phase: wire.PhaseRunning}}}, leader{no})
+			p.cancellations.Add("", "req-1")
+			out, err := p.Heartbeat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: 7, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-2/0", Attempt: 1, Phase: wire.PhaseRunning}}}, fakeLeader{no})
 			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
 				t.Fatalf("epoch %d, %v", out.Epoch, err)
 			}
@@ -133,9 +133,9 @@
 }
 
 // One node refused by the state service hands over; all refused sit it out.
-func TestRefusals(t *testing.T) {
+func TestEligibleOwners(t *testing.T) {
 	status := func(age, since time.Duration, live bool) peer.Status {
-		return peer.Status{Ping: peer.Ping{StateAge: age}, Live: live, Since: now.Add(-since)}
+		return peer.Status{Ping: peer.Ping{StateAge: age}, Live: live, Since: testTime.Add(-since)}
 	}
 	for _, tc := range []struct {
 		name  string
@@ -154,7 +154,7 @@
 		{"but not for a first map", 0, map[string]peer.Status{"a": status(0, time.Second, true)}, nil, []string{"a", "me"}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := part(t, lead.ShardMap{}, tc.stale, &links{peers: tc.peers})
+			p := newTestOwner(t, lead.ShardMap{}, tc.stale, &fakeLinks{peers: tc.peers})
 			if got := p.EligibleOwners(tc.have); !slices.Equal(got, tc.fit) {
 				t.Errorf("fit %v, want %v", got, tc.fit)
 			}
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -42,7 +42,7 @@
 // cut off, and others serve better. When all are refused it is an outage: to
 // leave the balancer then would only make coming back slower.
 func (d *daemon) health(w http.ResponseWriter, _ *http.Request) {
-	if d.part.StoreRefuses() && len(d.set.Members) > 0 && !d.part.Linked() {
+	if d.part.StoreRefuses() && len(d.set.Members) > 0 && !d.part.HasLivePeer() {
 		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "cut off"})
 		return
 	}
@@ -51,7 +51,7 @@
 
 // beat answers a worker's report, or says who may.
 func (d *daemon) beat(w http.ResponseWriter, r *http.Request) {
-	d.part.Heard()
+	d.part.RecordRequest()
 	d.crowd.ease(w)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, agent.MaxHeartbeatBytes))
 	var rep wire.Heartbeat
@@ -63,13 +63,13 @@
 		return
 	}
 	d.shown(rep.Epoch)
-	out, err := d.part.Beat(r.Context(), &rep, d.control)
+	out, err := d.part.Heartbeat(r.Context(), &rep, d.control)
 	if err == nil {
 		reply(w, http.StatusOK, out)
 		return
 	}
-	if e, ok := part.AsNotOwner(err); ok && e.Steward != "" && e.Steward != d.set.Node {
-		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: e.Steward})
+	if e, ok := part.AsNotOwner(err); ok && e.RedirectTarget != "" && e.RedirectTarget != d.set.Node {
+		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: e.RedirectTarget})
 		return
 	}
 	reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not entitled"})
@@ -232,7 +232,7 @@
 	return peer.BeatAnswer{OK: err == nil, Orders: out, Learned: learned}
 }
 
-func (d *daemon) Pick(o placement.Offer) []placement.Picked { return d.part.Choose(o) }
+func (d *daemon) Pick(o placement.Offer) []placement.Picked { return d.part.PickLocal(o) }
 
 func (d *daemon) Counts(ref string) (peer.Counts, error) {
 	c, ok, err := d.control.TaskCounts(ref)
@@ -309,7 +309,7 @@
 	reply(w, http.StatusOK, Status{
 		Node: d.set.Node, Version: Version, Map: d.el.ShardMap(), UpS: time.Since(d.began).Seconds(),
 		StateS: d.st.SinceLastAnswer().Seconds(), Requests: d.st.RequestCount(), Lower: d.st.LimitsLowered(), Peers: d.mesh.Peers(),
-		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.Rows(), Leading: d.control.Status(), History: d.histories(),
+		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.PlacementRows(), Leading: d.control.Status(), History: d.histories(),
 	})
 }
 
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -43,7 +43,7 @@
 	st      *state.Client
 	el      *lead.Elector
 	control *control.Runner
-	part    *part.Part
+	part    *part.Owner
 	mesh    *peer.Mesh
 	memory  *pressure.Gauge
 	users   http.Handler
@@ -112,7 +112,7 @@
 		}
 	}
 	d.mesh = peer.NewMesh(set.Members, d, set.Report()/6, int(op.Limits.Sockets*float64(facts.Resources.Sockets)/2), dial(set, tls, nw.Dial), log)
-	d.part.Link(d.mesh)
+	d.part.SetPeerLinks(d.mesh)
 	var ring *keyring.Ring
 	if a := &op.Access; a.Identified() || a.Audited() {
 		var err error
@@ -246,7 +246,7 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		if d.part.Deaf() && !d.control.NoWorkersOfOwn() {
+		if d.part.IsIsolated() && !d.control.NoWorkersOfOwn() {
 			// Another leads and answers the workers meanwhile.
 			d.el.StepDown(d.set.Lease(), "workers reach others but not this node")
 		}
