--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -39,7 +39,7 @@
 	st := state.New(state.Options{Addr: set.Services.State, RequestsPerSecond: least.RPS / 8, Limits: state.Limits{WritesPerSecond: 1, MaxValueBytes: int(least.ValueKB * 1024)}, Timeout: 2 * set.Report(), Dial: d.DialContext})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*set.Lease())
 	defer cancel()
-	tree, head, err := copies.Read(ctx, st)
+	tree, head, err := copies.ReadStore(ctx, st)
 	if err != nil {
 		return err
 	}
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -142,9 +142,9 @@
 	for _, worker := range t.jobs.ClaimedWorkers() {
 		t.worker(worker)
 	}
-	t.replica.Lead(view.ID, t.firstEpoch, revision, t.replicaTree(view, jobs, chunks, recovered, endings))
+	t.replica.StartLeading(view.ID, t.firstEpoch, revision, t.replicaTree(view, jobs, chunks, recovered, endings))
 	if view.Phase == history.PhaseComplete {
-		t.replica.Settled(view.ID)
+		t.replica.MarkComplete(view.ID)
 	}
 	t.log.Info("loaded", "epoch", t.firstEpoch, "jobs", len(t.jobs.Jobs()), "claimed_hosts", len(t.workers))
 	return nil
@@ -241,7 +241,7 @@
 	full := phase == history.PhaseRecovering
 	head := t.replica.Head()
 	before := t.leadership.PreviousMap()
-	exact := full && before.Leader == t.settings.Node && head.Epoch > 0 && t.replica.Exact()
+	exact := full && before.Leader == t.settings.Node && head.Epoch > 0 && t.replica.HoldsAllLaunches()
 	collectCtx, cancel := context.WithTimeout(ctx, t.settings.Report())
 	trees, missing := copies.Collect(collectCtx, t.replicaPeers, t.replicaPeers.Followers())
 	cancel()
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -203,7 +203,7 @@
 	if err := t.advancePhase(ctx, history.PhaseComplete); err != nil {
 		return err
 	}
-	t.replica.Settled(t.leadership.Incarnation().ID)
+	t.replica.MarkComplete(t.leadership.Incarnation().ID)
 	return nil
 }
 
@@ -217,7 +217,7 @@
 				feedCtx, cancel := context.WithCancel(ctx)
 				cancels[follower] = cancel
 				t.group.Go(func() error {
-					t.replica.Feed(feedCtx, t.replicaPeers, follower, t.settings.Report()/time.Duration(pushesPerHeartbeat))
+					t.replica.Replicate(feedCtx, t.replicaPeers, follower, t.settings.Report()/time.Duration(pushesPerHeartbeat))
 					return nil
 				})
 			}
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -42,7 +42,7 @@
 	memoryFull          func() bool
 	auditKeys           *keyring.Ring
 	dataLoss            *history.Detector
-	replica             *copies.Copy
+	replica             *copies.Replica
 	replicaPeers        copies.Peers
 	recentCancellations *withdrawn.Set
 	log                 *slog.Logger
@@ -95,7 +95,7 @@
 	MemoryFull    func() bool   // whether memory is short
 	AuditKeys     *keyring.Ring // what the audit record is sealed with; nil: none is kept
 	DataLoss      *history.Detector
-	Replica       *copies.Copy
+	Replica       *copies.Replica
 	ReplicaPeers  copies.Peers
 	Cancellations *withdrawn.Set // jobs whose withdrawal was committed lately
 	Log           *slog.Logger
--- a/internal/copies/messages.go
+++ b/internal/copies/messages.go
@@ -26,8 +26,8 @@
 	Source  int
 }
 
-// Ask asks for a page.
-type Ask struct {
+// PageRequest asks for a page.
+type PageRequest struct {
 	After  string
 	Source int // 0: the present copy, 1: the earlier one
 }
@@ -47,27 +47,27 @@
 	return Head{History: d.Str(), Epoch: d.Uint(), Seq: d.Uint(), Gen: d.Uint(), Keys: int(d.Uint())}
 }
 
-func encodeEntries(e *codec.Encoder, es []Entry) {
-	e.Uint(uint64(len(es)))
-	for _, x := range es {
-		e.Str(x.Key)
-		e.Bool(x.Data != nil)
-		if x.Data != nil {
-			e.Bytes(x.Data)
+func encodeEntries(e *codec.Encoder, entries []Entry) {
+	e.Uint(uint64(len(entries)))
+	for _, entry := range entries {
+		e.Str(entry.Key)
+		e.Bool(entry.Data != nil)
+		if entry.Data != nil {
+			e.Bytes(entry.Data)
 		}
 	}
 }
 
 func decodeEntries(d *codec.Decoder) []Entry {
-	var es []Entry
+	var entries []Entry
 	for range d.Items() {
-		x := Entry{Key: d.Str()}
+		entry := Entry{Key: d.Str()}
 		if d.Bool() {
-			x.Data = append([]byte{}, d.Bytes()...) // the payload is not kept
+			entry.Data = append([]byte{}, d.Bytes()...) // the payload is not kept
 		}
-		es = append(es, x)
+		entries = append(entries, entry)
 	}
-	return es
+	return entries
 }
 
 // Encode gives the binary form.
@@ -83,10 +83,10 @@
 }
 
 // DecodePush reads the binary form.
-func DecodePush(b []byte) (p Push, err error) {
-	d := codec.Decoder{B: b}
-	p = Push{Head: decodeHead(&d), Whole: d.Bool(), First: d.Bool(), Last: d.Bool(), From: d.Uint(), Entries: decodeEntries(&d)}
-	return p, d.Done()
+func DecodePush(body []byte) (push Push, err error) {
+	d := codec.Decoder{B: body}
+	push = Push{Head: decodeHead(&d), Whole: d.Bool(), First: d.Bool(), Last: d.Bool(), From: d.Uint(), Entries: decodeEntries(&d)}
+	return push, d.Done()
 }
 
 // Encode gives the binary form.
@@ -97,10 +97,10 @@
 }
 
 // DecodeAck reads the binary form.
-func DecodeAck(b []byte) (a Ack, err error) {
-	d := codec.Decoder{B: b}
-	a = Ack{decodeHead(&d)}
-	return a, d.Done()
+func DecodeAck(body []byte) (ack Ack, err error) {
+	d := codec.Decoder{B: body}
+	ack = Ack{decodeHead(&d)}
+	return ack, d.Done()
 }
 
 // Encode gives the binary form.
@@ -113,38 +113,38 @@
 }
 
 // DecodePage reads the binary form.
-func DecodePage(b []byte) (p Page, err error) {
-	d := codec.Decoder{B: b}
-	p = Page{After: d.Str(), Source: int(d.Uint()), Entries: decodeEntries(&d)}
-	return p, d.Done()
+func DecodePage(body []byte) (page Page, err error) {
+	d := codec.Decoder{B: body}
+	page = Page{After: d.Str(), Source: int(d.Uint()), Entries: decodeEntries(&d)}
+	return page, d.Done()
 }
 
 // Encode gives the binary form.
-func (a *Ask) Encode() []byte {
+func (r *PageRequest) Encode() []byte {
 	var e codec.Encoder
-	e.Str(a.After)
-	e.Uint(uint64(a.Source))
+	e.Str(r.After)
+	e.Uint(uint64(r.Source))
 	return e.B
 }
 
-// DecodeAsk reads the binary form.
-func DecodeAsk(b []byte) (a Ask, err error) {
-	d := codec.Decoder{B: b}
-	a = Ask{After: d.Str(), Source: int(d.Uint())}
-	return a, d.Done()
+// DecodePageRequest reads the binary form.
+func DecodePageRequest(body []byte) (request PageRequest, err error) {
+	d := codec.Decoder{B: body}
+	request = PageRequest{After: d.Str(), Source: int(d.Uint())}
+	return request, d.Done()
 }
 
-// Page gives the next page of what this node remembers.
-func (c *Copy) Page(a Ask) Page {
-	src := c.Sources()
-	p := Page{Source: a.Source}
-	if a.Source < 0 || a.Source >= len(src) {
-		return p
+// ReadPage gives the next page of what this node remembers.
+func (r *Replica) ReadPage(request PageRequest) Page {
+	sources := r.Sources()
+	page := Page{Source: request.Source}
+	if request.Source < 0 || request.Source >= len(sources) {
+		return page
 	}
-	p.Entries, p.After = page(src[a.Source], a.After)
-	if p.After == "" && a.Source+1 < len(src) {
-		p.Source++
-		p.After = "\x00"
+	page.Entries, page.After = readPage(sources[request.Source], request.After)
+	if page.After == "" && request.Source+1 < len(sources) {
+		page.Source++
+		page.After = "\x00"
 	}
-	return p
+	return page
 }
--- a/internal/copies/read.go
+++ b/internal/copies/read_store.go
@@ -13,15 +13,15 @@
 	"rillflow/internal/state"
 )
 
-// Read reads all that copies hold from the state service, as it was at one generation:
+// ReadStore reads all that copies hold from the state service, as it was at one generation:
 // what changed while it was read is taken from the log.
-func Read(ctx context.Context, st *state.Client) (*Tree, Head, error) {
-	v, err := history.Read(ctx, st)
+func ReadStore(ctx context.Context, store *state.Client) (*Tree, Head, error) {
+	v, err := history.Read(ctx, store)
 	if err != nil {
 		return nil, Head{}, err
 	}
-	h := Head{History: v.ID}
-	it, err := st.Get(ctx, "epoch")
+	head := Head{History: v.ID}
+	it, err := store.Get(ctx, "epoch")
 	var m struct {
 		Epoch uint64 `json:"n"`
 	}
@@ -31,42 +31,42 @@
 	if err != nil && !errors.Is(err, state.ErrNotFound) {
 		return nil, Head{}, fmt.Errorf("epoch: %w", err)
 	}
-	h.Epoch = m.Epoch
+	head.Epoch = m.Epoch
 	prefixes := []string{ledger.LivePrefix, ledger.ChunkPrefix, ledger.EndedPrefix}
-	stamps := make(map[string]uint64)
+	revisions := make(map[string]uint64)
 	txn := iradix.New[[]byte]().Txn()
 	var from [3]uint64
 	for i, p := range prefixes {
-		items, gen, err := st.List(ctx, p)
+		items, revision, err := store.List(ctx, p)
 		if err != nil {
 			return nil, Head{}, err
 		}
-		from[i] = gen
+		from[i] = revision
 		for _, it := range items {
-			stamps[it.Key] = it.ModRevision
+			revisions[it.Key] = it.ModRevision
 			txn.Insert([]byte(it.Key), it.Value)
 		}
 	}
 	// All up to the generation of the last list's answer, or later: a watch's answer
 	// holds all changes up to the generation that it tells.
 	last := max(from[0], from[1], from[2])
-	for key, stamp := range stamps {
-		if stamp > last {
+	for key, revision := range revisions {
+		if revision > last {
 			txn.Delete([]byte(key)) // an end that came while ends were read
 		}
 	}
 	for i, p := range prefixes {
 		for at := from[i]; at < last; {
-			log, err := st.Watch(ctx, p, at, 0)
+			log, err := store.Watch(ctx, p, at, 0)
 			if err != nil {
 				return nil, Head{}, err
 			}
 			for _, c := range log.Events {
 				key := c.Put + c.Delete
-				if c.ModRevision > last || c.ModRevision <= stamps[key] {
+				if c.ModRevision > last || c.ModRevision <= revisions[key] {
 					continue
 				}
-				stamps[key] = c.ModRevision
+				revisions[key] = c.ModRevision
 				if c.Put != "" {
 					txn.Insert([]byte(key), c.Value)
 				} else {
@@ -79,8 +79,8 @@
 			at = log.Revision
 		}
 	}
-	h.Gen = last
+	head.Gen = last
 	t := txn.Commit()
-	h.Keys = t.Len()
-	return t, h, nil
+	head.Keys = t.Len()
+	return t, head, nil
 }
--- a/internal/copies/copies_test.go
+++ b/internal/copies/replica_test.go
@@ -19,19 +19,19 @@
 	return s
 }
 
-// lossy is a link to one follower that loses messages, or their answers, and sends all
+// lossyPeer is a link to one follower that loses messages, or their answers, and sends all
 // through the binary form.
-type lossy struct {
+type lossyPeer struct {
 	t    *rapid.T
-	to   *Copy
+	to   *Replica
 	lose func() int // 0: neither, 1: the message, 2: the answer
 }
 
 var errLost = errors.New("lost")
 
-func (l *lossy) Followers() []string { return []string{"f"} }
+func (l *lossyPeer) Followers() []string { return []string{"f"} }
 
-func (l *lossy) Push(_ context.Context, _ string, p *Push) (Ack, error) {
+func (l *lossyPeer) Push(_ context.Context, _ string, p *Push) (Ack, error) {
 	lost := l.lose()
 	if lost == 1 {
 		return Ack{}, errLost
@@ -40,45 +40,45 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	a := l.to.Take(&got)
+	a := l.to.Receive(&got)
 	if lost == 2 {
 		return Ack{}, errLost
 	}
 	return DecodeAck(a.Encode())
 }
 
-func (l *lossy) Recall(_ context.Context, _ string, a Ask) (Page, error) {
-	ask, err := DecodeAsk(a.Encode())
+func (l *lossyPeer) FetchPage(_ context.Context, _ string, a PageRequest) (Page, error) {
+	ask, err := DecodePageRequest(a.Encode())
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	p := l.to.Page(ask)
+	p := l.to.ReadPage(ask)
 	return DecodePage(p.Encode())
 }
 
-// turn is what a feed does at a tick.
-func turn(c *Copy, l *lossy, has *Head) {
-	p, whole := c.next(*has)
+// replicateOnce is what a feed does at a tick.
+func replicateOnce(leader *Replica, peer *lossyPeer, acknowledged *Head) {
+	p, whole := leader.nextPush(*acknowledged)
 	var a Ack
 	var err error
 	if whole {
-		a, err = c.all(context.Background(), l, "f")
+		a, err = leader.pushWhole(context.Background(), peer, "f")
 	} else {
-		a, err = l.Push(context.Background(), "f", &p)
+		a, err = peer.Push(context.Background(), "f", &p)
 	}
-	if *has = a.Head; err != nil {
-		*has = Head{}
+	if *acknowledged = a.Head; err != nil {
+		*acknowledged = Head{}
 	}
 }
 
 // A follower holds what the leader held at some moment, and after two messages that come
 // through, what it holds; an end that was told once is never untold, by whatever leader
 // of the same history.
-func TestFollower(t *testing.T) {
+func TestFollowerReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := New(1<<20, nil), New(1<<20, nil)
-		leader.Lead("h", 1, 1, New(0, nil).tree)
-		l := &lossy{t: t, to: follower, lose: func() int { return rapid.IntRange(0, 3).Draw(t, "lose") }}
+		leader.StartLeading("h", 1, 1, New(0, nil).tree)
+		l := &lossyPeer{t: t, to: follower, lose: func() int { return rapid.IntRange(0, 3).Draw(t, "lose") }}
 		var has Head
 		moments := map[string]bool{"": true}
 		ends := map[string]bool{}
@@ -96,9 +96,9 @@
 			case 3:
 				epoch++
 				tree, _ := leader.Tree()
-				leader.Lead("h", epoch, uint64(i), tree)
+				leader.StartLeading("h", epoch, uint64(i), tree)
 			default:
-				turn(leader, l, &has)
+				replicateOnce(leader, l, &has)
 			}
 			note()
 			if tree, _ := follower.Tree(); !moments[show(tree)] {
@@ -106,8 +106,8 @@
 			}
 		}
 		l.lose = func() int { return 0 }
-		turn(leader, l, &has)
-		turn(leader, l, &has)
+		replicateOnce(leader, l, &has)
+		replicateOnce(leader, l, &has)
 		want, _ := leader.Tree()
 		if got, _ := follower.Tree(); show(got) != show(want) {
 			t.Fatalf("got %s, want %s", show(got), show(want))
@@ -122,27 +122,27 @@
 
 // What a node remembers beside the leader's copy: what it stored itself until the leader
 // tells of it, ends until they are told, and an earlier history until this one is whole.
-func TestMemory(t *testing.T) {
+func TestReplicaMemory(t *testing.T) {
 	leader, c := New(1<<20, nil), New(1<<20, nil)
-	leader.Lead("h1", 1, 1, New(0, nil).tree)
-	l := &lossy{to: c, lose: func() int { return 0 }}
+	leader.StartLeading("h1", 1, 1, New(0, nil).tree)
+	l := &lossyPeer{to: c, lose: func() int { return 0 }}
 	var has Head
-	turn(leader, l, &has)
-	c.Own(5, put("j/a", "1"))
-	c.Own(6, put("d/b", "end"), wire.Operation{Delete: "j/b"})
-	if !c.Knows("a") || !c.Knows("b") || c.Knows("x") {
+	replicateOnce(leader, l, &has)
+	c.RecordOwnWrites(5, put("j/a", "1"))
+	c.RecordOwnWrites(6, put("d/b", "end"), wire.Operation{Delete: "j/b"})
+	if !c.KnowsJob("a") || !c.KnowsJob("b") || c.KnowsJob("x") {
 		t.Error("what the node stored itself")
 	}
 	leader.Apply(5, put("j/a", "1"))
 	leader.Apply(9)
-	turn(leader, l, &has)
-	if len(c.own) != 1 || !c.Knows("b") {
-		t.Errorf("an end that was not told: %v", c.own)
+	replicateOnce(leader, l, &has)
+	if len(c.ownWrites) != 1 || !c.KnowsJob("b") {
+		t.Errorf("an end that was not told: %v", c.ownWrites)
 	}
 	leader.Apply(9, put("d/b", "other"))
-	turn(leader, l, &has)
-	if len(c.own) != 0 {
-		t.Errorf("told ends are kept twice: %v", c.own)
+	replicateOnce(leader, l, &has)
+	if len(c.ownWrites) != 0 {
+		t.Errorf("told ends are kept twice: %v", c.ownWrites)
 	}
 	leader.Apply(10, put("d/b", "third"))
 	if v, _ := leader.Get("d/b"); string(v) != "other" {
@@ -150,18 +150,18 @@
 	}
 	// The next leader of the same history has just begun, and knows of no end yet.
 	next := New(1<<20, nil)
-	next.Lead("h1", 2, 10, New(0, nil).tree)
+	next.StartLeading("h1", 2, 10, New(0, nil).tree)
 	has = Head{}
-	turn(next, l, &has)
+	replicateOnce(next, l, &has)
 	if v, ok := c.Get("d/b"); !ok || string(v) != "other" {
 		t.Errorf("an end that was told is forgotten: %s", v)
 	}
 	// Another leader puts another history together, from less.
 	later := New(1<<20, nil)
-	later.Lead("h2", 3, 1, New(0, nil).tree)
+	later.StartLeading("h2", 3, 1, New(0, nil).tree)
 	has = Head{}
-	turn(later, l, &has)
-	if !c.Knows("b") || c.Head().History != "h2" || len(c.Sources()) != 2 {
+	replicateOnce(later, l, &has)
+	if !c.KnowsJob("b") || c.Head().History != "h2" || len(c.Sources()) != 2 {
 		t.Error("the earlier history is forgotten before this one is whole")
 	}
 	got, missing := Collect(t.Context(), l, []string{"f"})
@@ -174,40 +174,40 @@
 	// An earlier leader is not followed any more.
 	leader.Apply(12, put("j/late", "1"))
 	has = Head{}
-	turn(leader, l, &has)
-	if c.Knows("late") {
+	replicateOnce(leader, l, &has)
+	if c.KnowsJob("late") {
 		t.Error("a leader that was replaced is followed")
 	}
-	c.Settled("h2")
-	if c.Knows("b") || len(c.Sources()) != 1 {
+	c.MarkComplete("h2")
+	if c.KnowsJob("b") || len(c.Sources()) != 1 {
 		t.Error("the earlier history is kept for ever")
 	}
 }
 
 // Ends have a bound in bytes, what is alive has none.
-func TestBound(t *testing.T) {
+func TestEndsAreBounded(t *testing.T) {
 	c := New(100, nil)
 	for i := range 50 {
 		c.Apply(1, put(fmt.Sprintf("d/%02d", i), "0123456789"), put(fmt.Sprintf("j/%02d", i), "x"))
 	}
 	keys, bytes, short := c.Usage()
-	if keys-50 > 20 || short == 0 || !c.Knows("49") {
+	if keys-50 > 20 || short == 0 || !c.KnowsJob("49") {
 		t.Errorf("%d keys, %d bytes, %d without room", keys, bytes, short)
 	}
 }
 
 // A large copy goes in pages, and comes whole.
-func TestPages(t *testing.T) {
+func TestWholeReplicaInPages(t *testing.T) {
 	c, f := New(1<<30, nil), New(1<<30, nil)
 	big := string(make([]byte, 40<<10))
-	c.Lead("h", 1, 1, New(0, nil).tree)
+	c.StartLeading("h", 1, 1, New(0, nil).tree)
 	for i := range 30 {
 		c.Apply(1, put(fmt.Sprintf("j/%02d", i), big))
 	}
 	pushes := 0
-	l := &lossy{to: f, lose: func() int { pushes++; return 0 }}
+	l := &lossyPeer{to: f, lose: func() int { pushes++; return 0 }}
 	var has Head
-	turn(c, l, &has)
+	replicateOnce(c, l, &has)
 	got, missing := Collect(t.Context(), l, []string{"f"})
 	if a, _ := f.Tree(); pushes < 4 || a.Len() != 30 || len(missing) != 0 || got[0].Len() != 30 {
 		t.Errorf("%d messages, %d keys, missing %v", pushes, a.Len(), missing)
@@ -218,14 +218,14 @@
 func FuzzMessages(f *testing.F) {
 	p := Push{Head: Head{History: "h", Epoch: 1, Seq: 2}, Whole: true, First: true, Entries: []Entry{{"j/a", []byte("1")}, {Key: "j/b"}}}
 	f.Add(p.Encode())
-	a := Ask{After: "j/", Source: 1}
+	a := PageRequest{After: "j/", Source: 1}
 	f.Add(a.Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
 		if p, err := DecodePush(b); err == nil {
-			New(1<<20, nil).Take(&p)
+			New(1<<20, nil).Receive(&p)
 		}
-		if a, err := DecodeAsk(b); err == nil {
-			New(1<<20, nil).Page(a)
+		if a, err := DecodePageRequest(b); err == nil {
+			New(1<<20, nil).ReadPage(a)
 		}
 		DecodeAck(b)
 		DecodePage(b)
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -43,7 +43,7 @@
 	ended  *memory
 	batch  *memory // jobs seen accepted that are no services
 	past   Past
-	copies *copies.Copy
+	copies *copies.Replica
 	herald Herald
 }
 
@@ -66,7 +66,7 @@
 // whether the state service has not answered for long; full whether memory is
 // short; door who may do what; past whether data may have been lost, and kept what this
 // node remembers of it.
-func New(set *settings.Settings, st *state.Client, types *fleet.Catalogue, counts Counts, down, full func() bool, door *access.Door, past Past, kept *copies.Copy, herald Herald, now func() time.Time, log *slog.Logger) *Users {
+func New(set *settings.Settings, st *state.Client, types *fleet.Catalogue, counts Counts, down, full func() bool, door *access.Door, past Past, kept *copies.Replica, herald Herald, now func() time.Time, log *slog.Logger) *Users {
 	return &Users{set: set, st: st, types: types, counts: counts, down: down, full: full, door: door, past: past, copies: kept, herald: herald, log: log, now: now, ended: newMemory(4096), batch: newMemory(4096)}
 }
 
@@ -300,7 +300,7 @@
 		}
 		if err == nil {
 			if len(failed) == 0 {
-				u.copies.Own(gen, put)
+				u.copies.RecordOwnWrites(gen, put)
 			}
 			if len(failed) == 0 && job.Kind != wire.KindService {
 				u.batch.put(job.ID, known{owner: job.Team})
@@ -527,7 +527,7 @@
 	if len(failed) > 0 {
 		return known{}, identity.ErrToken
 	}
-	u.copies.Own(gen, changes...)
+	u.copies.RecordOwnWrites(gen, changes...)
 	return u.remember(ref, e), nil
 }
 
--- a/internal/intake/past.go
+++ b/internal/intake/past.go
@@ -43,7 +43,7 @@
 
 func (u *Users) glance(ref string) glance {
 	_, ended := u.copies.Get(ledger.EndedKey(ref))
-	return glance{known: u.copies.Knows(ref), ended: ended}
+	return glance{known: u.copies.KnowsJob(ref), ended: ended}
 }
 
 // sure tells whether a job that is not stored never was accepted, as far as can be
@@ -57,7 +57,7 @@
 	case phase == history.PhaseComplete && before.known:
 		u.past.Doubt("job " + ref + " is gone without an end")
 		return history.ErrDataLossSuspected
-	case u.copies.Knows(ref):
+	case u.copies.KnowsJob(ref):
 		return history.ErrDataLossSuspected // it has come since: asked again, it is there
 	case phase != history.PhaseComplete, !u.past.Fed():
 		// Not all who may know were heard; and a node that has just begun remembers
@@ -180,6 +180,6 @@
 		u.past.Check()
 		return known{}, errMoved
 	}
-	u.copies.Own(gen, put)
+	u.copies.RecordOwnWrites(gen, put)
 	return u.remember(ref, e), nil
 }
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -87,7 +87,7 @@
 func (n *node) History() History                                 { return History{} }
 func (n *node) Remembers(string, History)                        { n.told.Store(true) }
 func (n *node) Copy(*copies.Push) copies.Ack                     { return copies.Ack{} }
-func (n *node) Recall(copies.Ask) copies.Page                    { return copies.Page{} }
+func (n *node) Recall(copies.PageRequest) copies.Page            { return copies.Page{} }
 func (n *node) Withdrawn(*withdrawn.Message) withdrawn.Ack       { return withdrawn.Ack{Accepted: true} }
 func (n *node) Reached(context.Context, string)                  {}
 func (n *node) Linked(context.Context, string)                   {}
@@ -142,7 +142,7 @@
 				}
 				// Copies, and what is made of the history, go to those that know of them.
 				_, err := m.Push(ctx, "n", &copies.Push{})
-				_, err2 := m.Recall(ctx, "n", copies.Ask{})
+				_, err2 := m.FetchPage(ctx, "n", copies.PageRequest{})
 				if (err == nil) != tc.copies || (err2 == nil) != tc.copies || (len(m.Followers()) == 1) != tc.copies || h.told.Load() != tc.copies {
 					t.Errorf("a copy: %v, %v; followers %v, told of the history: %v", err, err2, m.Followers(), h.told.Load())
 				}
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -25,7 +25,7 @@
 	anonymous := ur
 	anonymous.Auth = ""
 	push, ca := goldentest.Filled[copies.Push](), goldentest.Filled[copies.Ack]()
-	ask, page := goldentest.Filled[copies.Ask](), goldentest.Filled[copies.Page]()
+	ask, page := goldentest.Filled[copies.PageRequest](), goldentest.Filled[copies.Page]()
 	note, wa := goldentest.Filled[withdrawn.Message](), goldentest.Filled[withdrawn.Ack]()
 	text := func(b []byte) (string, error) { return string(b), nil }
 	var out strings.Builder
@@ -53,7 +53,7 @@
 		{"history", kindHistory, past.encode(), past, decodeHistory},
 		{"copy", kindCopy, push.Encode(), push, copies.DecodePush},
 		{"copy answer", kindAnswer, ca.Encode(), ca, copies.DecodeAck},
-		{"recall", kindRecall, ask.Encode(), ask, copies.DecodeAsk},
+		{"recall", kindRecall, ask.Encode(), ask, copies.DecodePageRequest},
 		{"recall answer", kindAnswer, page.Encode(), page, copies.DecodePage},
 		{"withdrawn", kindWithdrawn, note.Encode(), note, withdrawn.DecodeMessage},
 		{"withdrawn answer", kindAnswer, wa.Encode(), wa, withdrawn.DecodeAck},
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -35,7 +35,7 @@
 	History() History
 	Remembers(node string, h History)
 	Copy(p *copies.Push) copies.Ack
-	Recall(a copies.Ask) copies.Page
+	Recall(a copies.PageRequest) copies.Page
 	// Withdrawn takes a peer's note in. Reached is run on each new connection to a peer
 	// ahead of anything else, and Linked after each round of pings: both see to it that
 	// it knows of withdrawals.
@@ -277,7 +277,7 @@
 		a := m.h.Copy(&p)
 		return a.Encode(), nil
 	case kindRecall:
-		a, err := copies.DecodeAsk(f.body)
+		a, err := copies.DecodePageRequest(f.body)
 		if err != nil {
 			return nil, err
 		}
@@ -444,8 +444,8 @@
 	return copies.DecodeAck(b)
 }
 
-// Recall asks a peer for a page of what it remembers.
-func (m *Mesh) Recall(ctx context.Context, node string, a copies.Ask) (copies.Page, error) {
+// FetchPage asks a peer for a page of what it remembers.
+func (m *Mesh) FetchPage(ctx context.Context, node string, a copies.PageRequest) (copies.Page, error) {
 	b, err := m.recount(ctx, node, kindRecall, a.Encode())
 	if err != nil {
 		return copies.Page{}, err
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -171,7 +171,7 @@
 	if d.el.LegacyLeader() {
 		return true // such a leader feeds nobody, and nothing better is to be had
 	}
-	return d.copies.Head().History == d.hist.Current().ID && (d.el.Leader() == d.set.Node || d.copies.Fresh(2*d.set.Report()))
+	return d.copies.Head().History == d.hist.Current().ID && (d.el.Leader() == d.set.Node || d.copies.HeardLeaderWithin(2*d.set.Report()))
 }
 
 // History, Remembers, Copy and Recall are what peers ask about data that may be lost.
@@ -192,9 +192,9 @@
 	}
 }
 
-func (d *daemon) Copy(p *copies.Push) copies.Ack { return d.copies.Take(p) }
+func (d *daemon) Copy(p *copies.Push) copies.Ack { return d.copies.Receive(p) }
 
-func (d *daemon) Recall(a copies.Ask) copies.Page { return d.copies.Page(a) }
+func (d *daemon) Recall(a copies.PageRequest) copies.Page { return d.copies.ReadPage(a) }
 
 // Withdrawn, Reached and Linked have withdrawals known to all controllers.
 
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -49,7 +49,7 @@
 	users   http.Handler
 	door    *access.Door
 	hist    *history.Detector
-	copies  *copies.Copy
+	copies  *copies.Replica
 	gone    *withdrawn.Set
 	teller  *withdrawn.Broadcaster
 	crowd   *crowd
@@ -199,7 +199,7 @@
 	}
 	d.log.Info("snapshot", "files", c.Files, "history", c.Last.History, "generation", c.Last.Gen, "keys", c.Tree.Len(), "age_s", time.Since(c.Last.At).Seconds())
 	d.el.ObserveEpoch(c.Last.Epoch)
-	d.copies.Recall(c.Tree)
+	d.copies.LoadPrevious(c.Tree)
 }
 
 // dialer makes connections.
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -209,7 +209,7 @@
 
 // Keep saves a copy every so often until ctx ends. A folder that cannot be written is
 // told of and tried again: serving goes on.
-func (f *Folder) Keep(ctx context.Context, c *copies.Copy, every time.Duration, log *slog.Logger) error {
+func (f *Folder) Keep(ctx context.Context, c *copies.Replica, every time.Duration, log *slog.Logger) error {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -130,7 +130,7 @@
 		if d.Bool() {
 			x.Data = d.Bytes()
 		}
-		if x.Key <= last || !copies.Held(x.Key) {
+		if x.Key <= last || !copies.IsReplicated(x.Key) {
 			return nil, fmt.Errorf("%w: key %q", ErrDamaged, x.Key)
 		}
 		last = x.Key
