--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if view.Phase == history.PhaseRecovering {
-		jobs, chunks = toItems(merged.Live), toItems(merged.Chunks)
+		jobs, chunks = toItems(merged.LiveJobs), toItems(merged.Chunks)
 	}
 	orphaned, err := t.endingsOfOrphanedClaims(ctx, jobs, chunks, merged.Ends)
 	if err != nil {
@@ -104,7 +104,7 @@
 func toItems(values []rebuild.Value) []wire.KeyValue {
 	items := make([]wire.KeyValue, len(values))
 	for i, value := range values {
-		items[i] = wire.KeyValue{Key: value.Key, Value: value.Data, ModRevision: value.Stamp}
+		items[i] = wire.KeyValue{Key: value.Key, Value: value.Data, ModRevision: value.ModRevision}
 	}
 	return items
 }
@@ -257,18 +257,18 @@
 		})
 		sources = append(sources, source)
 	}
-	store := rebuild.Source{Store: true}
+	store := rebuild.Source{FromStore: true}
 	for _, items := range [][]wire.KeyValue{jobs, chunks, ended} {
 		for _, item := range items {
-			store.Values = append(store.Values, rebuild.Value{Key: item.Key, Data: item.Value, Stamp: item.ModRevision})
+			store.Values = append(store.Values, rebuild.Value{Key: item.Key, Data: item.Value, ModRevision: item.ModRevision})
 		}
 	}
 	merged, err := rebuild.Merge(append(sources, store), fmt.Sprintf("%s.%d.r", t.settings.Node, t.firstEpoch), t.baseAttempt(), t.store.MaxValueBytes())
 	if err != nil {
 		return merged, err
 	}
-	t.progress = &recoveryProgress{pending: merged.Writes, recovered: merged.Regained, exact: exact, full: full, missingPeers: missing, damagedKeys: merged.Damaged, orphanedClaims: merged.Orphans}
-	t.log.Warn("rebuilding", "phase", phase, "sources", len(sources)+1, "missing", missing, "jobs", merged.Regained.Jobs, "ends", merged.Regained.Ends,
-		"claims", merged.Regained.Claims, "writes", len(merged.Writes), "exact", exact, "damaged", merged.Damaged, "orphans", merged.Orphans)
+	t.progress = &recoveryProgress{pending: merged.Writes, recovered: merged.Recovered, exact: exact, full: full, missingPeers: missing, damagedKeys: merged.Damaged, orphanedClaims: merged.OrphanedJobs}
+	t.log.Warn("rebuilding", "phase", phase, "sources", len(sources)+1, "missing", missing, "jobs", merged.Recovered.Jobs, "ends", merged.Recovered.Ends,
+		"claims", merged.Recovered.Claims, "writes", len(merged.Writes), "exact", exact, "damaged", merged.Damaged, "orphans", merged.OrphanedJobs)
 	return merged, nil
 }
--- a/internal/control/recovery.go
+++ b/internal/control/recovery.go
@@ -18,7 +18,7 @@
 // recoveryProgress is what a leader does about data that the state service has lost.
 type recoveryProgress struct {
 	pending   []rebuild.Write
-	recovered rebuild.Count
+	recovered rebuild.Counts
 	written   int
 	// exact: this node led when the data was lost, so that what it remembers is all
 	// that was ever launched.
@@ -58,7 +58,7 @@
 		return nil
 	}
 	n, _ := slices.BinarySearchFunc(t.progress.pending, false, func(write rebuild.Write, _ bool) int {
-		if write.Task {
+		if write.IsLive {
 			return -1
 		}
 		return 1
@@ -124,7 +124,7 @@
 func (t *leaderTerm) commitWrites(ctx context.Context, writes []rebuild.Write) (uint64, error) {
 	txn := wire.Txn{Compares: t.leadership.Compares()}
 	for _, write := range writes {
-		txn.Compares = append(txn.Compares, wire.Compare{Key: write.Key, ModRevision: write.Stamp})
+		txn.Compares = append(txn.Compares, wire.Compare{Key: write.Key, ModRevision: write.ModRevision})
 		op := wire.Operation{Put: write.Key, Value: write.Data}
 		if write.Data == nil {
 			op = wire.Operation{Delete: write.Key}
--- a/internal/rebuild/rebuild_test.go
+++ b/internal/rebuild/merge_test.go
@@ -16,9 +16,9 @@
 	"rillflow/internal/wire"
 )
 
-const base, limit = 1 << 20, 16 << 10
+const testAttemptBase, testMaxValueBytes = 1 << 20, 16 << 10
 
-func record(ref string, members, size int) []byte {
+func encodedRecord(ref string, members, size int) []byte {
 	b, err := ledger.Encode(ledger.JobRecord{Job: wire.Job{ID: ref, Team: "t", Kind: wire.KindArray, TaskCount: members, CPUs: 1}, SubmittedMS: 1, ChunkTasks: size})
 	if err != nil {
 		panic(err)
@@ -26,24 +26,24 @@
 	return b
 }
 
-func chunk(seq uint64, done []int, claims map[int]ledger.ClaimRecord) []byte {
+func encodedChunk(seq uint64, done []int, claims map[int]ledger.ClaimRecord) []byte {
 	s := ledger.ChunkRecord{LastAttempt: seq, Done: map[int]bool{}, Claims: claims}
 	for _, i := range done {
 		s.Done[i] = true
 	}
-	b, err := s.Encode("w", limit)
+	b, err := s.Encode("w", testMaxValueBytes)
 	if err != nil {
 		panic(err)
 	}
 	return b
 }
 
-func at(host string, try uint64) ledger.ClaimRecord {
+func claimOn(host string, try uint64) ledger.ClaimRecord {
 	return ledger.ClaimRecord{Worker: host, Incarnation: 1, Attempt: try, Zone: "a"}
 }
 
-func source(store bool, kv ...any) Source {
-	s := Source{Store: store}
+func newSource(store bool, kv ...any) Source {
+	s := Source{FromStore: store}
 	for i := 0; i < len(kv); i += 2 {
 		v := Value{Key: kv[i].(string)}
 		switch d := kv[i+1].(type) {
@@ -53,7 +53,7 @@
 			v.Data = d
 		}
 		if store {
-			v.Stamp = uint64(i + 7)
+			v.ModRevision = uint64(i + 7)
 		}
 		s.Values = append(s.Values, v)
 	}
@@ -63,9 +63,9 @@
 // What each source proves, and which of two wins.
 func TestMerge(t *testing.T) {
 	const done, gone = `{"phase":"done","tasks":2}`, `{"phase":"withdrawn","tasks":2,"chunk":4}`
-	rec := record("r", 4, 4)
+	rec := encodedRecord("r", 4, 4)
 	c := func(seq uint64, done []int, claims map[int]ledger.ClaimRecord) []byte {
-		return chunk(seq, done, claims)
+		return encodedChunk(seq, done, claims)
 	}
 	for _, tc := range []struct {
 		name    string
@@ -78,24 +78,24 @@
 		damaged string
 		orphans string
 	}{
-		{"all is there", []Source{source(true, "j/r", rec, "c/r/0", c(3, nil, map[int]ledger.ClaimRecord{0: at("a", 3)}))}, true, "", "0#3@a", 0, "", "", ""},
-		{"all is gone", []Source{source(false, "j/r", rec, "c/r/0", c(3, nil, map[int]ledger.ClaimRecord{0: at("a", 3)}))}, true, "", "0#3@a", 0, "j/r c/r/0", "", ""},
-		{"an end beats a live record", []Source{source(false, "d/r", done), source(true, "j/r", rec)}, false, "done", "", 0, "d/r -j/r", "", ""},
-		{"the end told first stays", []Source{source(false, "d/r", gone), source(true, "d/r", done)}, false, "withdrawn", "", 0, "d/r", "", ""},
-		{"a withdrawal does not say that its tasks are gone", []Source{source(false, "d/r", gone, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{2: at("a", 1)}))}, false, "withdrawn", "2#1@a", 0, "c/r/0 d/r", "", ""},
-		{"the newer try is the one", []Source{source(false, "j/r", rec, "c/r/0", c(2, nil, map[int]ledger.ClaimRecord{0: at("b", 2)})), source(true, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: at("a", 1)}))}, true, "", "0#2@b", 0, "c/r/0", "", ""},
-		{"whichever has it", []Source{source(false, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: at("a", 1)})), source(true, "j/r", rec, "c/r/0", c(2, nil, map[int]ledger.ClaimRecord{0: at("b", 2)}))}, true, "", "0#2@b", 0, "", "", ""},
-		{"a finish beats a claim", []Source{source(false, "j/r", rec, "c/r/0", c(2, []int{0}, nil)), source(true, "j/r", rec, "c/r/0", c(5, nil, map[int]ledger.ClaimRecord{0: at("a", 5)}))}, true, "", "", 1, "c/r/0", "", ""},
-		{"what either knows", []Source{source(false, "j/r", rec, "c/r/0", c(2, []int{1}, nil)), source(true, "j/r", rec, "c/r/0", c(1, []int{2}, map[int]ledger.ClaimRecord{0: at("a", 1)}))}, true, "", "0#1@a", 2, "c/r/0", "", ""},
-		{"a damaged record, known elsewhere", []Source{source(false, "j/r", rec), source(true, "j/r", `"rot"`)}, true, "", "", 0, "j/r", "", ""},
-		{"a damaged record, known nowhere", []Source{source(true, "j/r", `"rot"`)}, false, "", "", 0, "", "j/r", ""},
-		{"a record under another name", []Source{source(true, "j/x", rec)}, false, "", "", 0, "", "j/x", ""},
-		{"a damaged end is no end", []Source{source(true, "j/r", rec, "d/r", `{"phase":"half"}`)}, true, "", "", 0, "", "d/r", ""},
-		{"a damaged chunk, known elsewhere", []Source{source(false, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: at("a", 1)})), source(true, "j/r", rec, "c/r/0", `"rot"`)}, true, "", "0#1@a", 0, "c/r/0", "", ""},
-		{"claims without a job", []Source{source(true, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: at("a", 1)}))}, false, "", "", 0, "-c/r/0", "", "r"},
+		{"all is there", []Source{newSource(true, "j/r", rec, "c/r/0", c(3, nil, map[int]ledger.ClaimRecord{0: claimOn("a", 3)}))}, true, "", "0#3@a", 0, "", "", ""},
+		{"all is gone", []Source{newSource(false, "j/r", rec, "c/r/0", c(3, nil, map[int]ledger.ClaimRecord{0: claimOn("a", 3)}))}, true, "", "0#3@a", 0, "j/r c/r/0", "", ""},
+		{"an end beats a live record", []Source{newSource(false, "d/r", done), newSource(true, "j/r", rec)}, false, "done", "", 0, "d/r -j/r", "", ""},
+		{"the end told first stays", []Source{newSource(false, "d/r", gone), newSource(true, "d/r", done)}, false, "withdrawn", "", 0, "d/r", "", ""},
+		{"a withdrawal does not say that its tasks are gone", []Source{newSource(false, "d/r", gone, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{2: claimOn("a", 1)}))}, false, "withdrawn", "2#1@a", 0, "c/r/0 d/r", "", ""},
+		{"the newer try is the one", []Source{newSource(false, "j/r", rec, "c/r/0", c(2, nil, map[int]ledger.ClaimRecord{0: claimOn("b", 2)})), newSource(true, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: claimOn("a", 1)}))}, true, "", "0#2@b", 0, "c/r/0", "", ""},
+		{"whichever has it", []Source{newSource(false, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: claimOn("a", 1)})), newSource(true, "j/r", rec, "c/r/0", c(2, nil, map[int]ledger.ClaimRecord{0: claimOn("b", 2)}))}, true, "", "0#2@b", 0, "", "", ""},
+		{"a finish beats a claim", []Source{newSource(false, "j/r", rec, "c/r/0", c(2, []int{0}, nil)), newSource(true, "j/r", rec, "c/r/0", c(5, nil, map[int]ledger.ClaimRecord{0: claimOn("a", 5)}))}, true, "", "", 1, "c/r/0", "", ""},
+		{"what either knows", []Source{newSource(false, "j/r", rec, "c/r/0", c(2, []int{1}, nil)), newSource(true, "j/r", rec, "c/r/0", c(1, []int{2}, map[int]ledger.ClaimRecord{0: claimOn("a", 1)}))}, true, "", "0#1@a", 2, "c/r/0", "", ""},
+		{"a damaged record, known elsewhere", []Source{newSource(false, "j/r", rec), newSource(true, "j/r", `"rot"`)}, true, "", "", 0, "j/r", "", ""},
+		{"a damaged record, known nowhere", []Source{newSource(true, "j/r", `"rot"`)}, false, "", "", 0, "", "j/r", ""},
+		{"a record under another name", []Source{newSource(true, "j/x", rec)}, false, "", "", 0, "", "j/x", ""},
+		{"a damaged end is no end", []Source{newSource(true, "j/r", rec, "d/r", `{"phase":"half"}`)}, true, "", "", 0, "", "d/r", ""},
+		{"a damaged chunk, known elsewhere", []Source{newSource(false, "j/r", rec, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: claimOn("a", 1)})), newSource(true, "j/r", rec, "c/r/0", `"rot"`)}, true, "", "0#1@a", 0, "c/r/0", "", ""},
+		{"claims without a job", []Source{newSource(true, "c/r/0", c(1, nil, map[int]ledger.ClaimRecord{0: claimOn("a", 1)}))}, false, "", "", 0, "-c/r/0", "", "r"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			r, err := Merge(tc.sources, "w", base, limit)
+			r, err := Merge(tc.sources, "w", testAttemptBase, testMaxValueBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -123,11 +123,11 @@
 				for i, cl := range s.Claims {
 					claims += fmt.Sprintf("%d#%d@%s", i, cl.Attempt, cl.Worker)
 				}
-				if slices.Contains(writes, v.Key) && s.LastAttempt < base {
+				if slices.Contains(writes, v.Key) && s.LastAttempt < testAttemptBase {
 					t.Errorf("tries go on from %d", s.LastAttempt)
 				}
 			}
-			got := fmt.Sprint(len(r.Live) == 1, end.Phase, claims, dones, writes, r.Damaged, r.Orphans)
+			got := fmt.Sprint(len(r.LiveJobs) == 1, end.Phase, claims, dones, writes, r.Damaged, r.OrphanedJobs)
 			want := fmt.Sprint(tc.live, tc.end, tc.claims, tc.dones, strings.Fields(tc.writes), strings.Fields(tc.damaged), strings.Fields(tc.orphans))
 			if got != want {
 				t.Errorf("got  %s\nwant %s", got, want)
@@ -136,8 +136,8 @@
 	}
 }
 
-// truth is what really happened, with what the state service held after each step.
-type truth struct {
+// groundTruth is what really happened, with what the state service held after each step.
+type groundTruth struct {
 	ended  map[string]string
 	done   map[string]bool               // tasks
 	latest map[string]ledger.ClaimRecord // by task: the last claim, if it stands
@@ -146,15 +146,15 @@
 }
 
 // live a while, by the ledger itself, so that what is stored is what a leader stores.
-func history(t *rapid.T) *truth {
-	tr := &truth{ended: map[string]string{}, done: map[string]bool{}, latest: map[string]ledger.ClaimRecord{}}
+func simulateHistory(t *rapid.T) *groundTruth {
+	tr := &groundTruth{ended: map[string]string{}, done: map[string]bool{}, latest: map[string]ledger.ClaimRecord{}}
 	stored := map[string][]byte{}
 	led := ledger.New("w", []settings.Team{{Name: "t", CPUsMax: 1e6}})
 	gen := uint64(1)
 	now := time.Unix(1000, 0)
 	flush := func() {
 		for {
-			b := led.NextBatch(ledger.BatchLimits{MaxOperations: 16, MaxBytes: 1 << 20, MaxValueBytes: limit}, now)
+			b := led.NextBatch(ledger.BatchLimits{MaxOperations: 16, MaxBytes: 1 << 20, MaxValueBytes: testMaxValueBytes}, now)
 			if b == nil {
 				return
 			}
@@ -170,10 +170,10 @@
 		}
 	}
 	for step := range rapid.IntRange(4, 40).Draw(t, "steps") {
-		switch j := pick(t, tr, led); {
+		switch j := drawJob(t, tr, led); {
 		case j == nil:
 			ref := fmt.Sprintf("req-%d", step)
-			data := record(ref, rapid.IntRange(1, 6).Draw(t, "tasks"), 2)
+			data := encodedRecord(ref, rapid.IntRange(1, 6).Draw(t, "tasks"), 2)
 			gen++
 			stored[ledger.LiveKey(ref)] = data
 			rec, err := ledger.DecodeJobRecord(data)
@@ -196,7 +196,7 @@
 				tr.ended[j.Ref] = wire.PhaseCancelled
 				led.Cancel(j.Ref)
 			case do < 6 && j.WaitingTasks() > 0:
-				h, err := claim(led, j, fmt.Sprintf("i-%d", step))
+				h, err := claimTask(led, j, fmt.Sprintf("i-%d", step))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -221,12 +221,12 @@
 	return tr
 }
 
-// claim claims without a team's limit.
-func claim(l *ledger.Table, j *ledger.Job, host string) (*ledger.Claim, error) {
+// claimTask claims without a team's limit.
+func claimTask(l *ledger.Table, j *ledger.Job, host string) (*ledger.Claim, error) {
 	return l.Claim(j, host, 1, "a")
 }
 
-func pick(t *rapid.T, tr *truth, led *ledger.Table) *ledger.Job {
+func drawJob(t *rapid.T, tr *groundTruth, led *ledger.Table) *ledger.Job {
 	if len(tr.jobs) == 0 || rapid.IntRange(0, 4).Draw(t, "new") == 0 {
 		return nil
 	}
@@ -238,11 +238,11 @@
 }
 
 func sourceOf(state map[string][]byte, store bool) Source {
-	s := Source{Store: store}
+	s := Source{FromStore: store}
 	for i, k := range slices.Sorted(maps.Keys(state)) {
 		v := Value{Key: k, Data: state[k]}
 		if store {
-			v.Stamp = uint64(i + 1)
+			v.ModRevision = uint64(i + 1)
 		}
 		s.Values = append(s.Values, v)
 	}
@@ -253,12 +253,12 @@
 func apply(t *rapid.T, store map[string][]byte, r Result, n int) map[string][]byte {
 	stamps := map[string]uint64{}
 	for _, v := range sourceOf(store, true).Values {
-		stamps[v.Key] = v.Stamp
+		stamps[v.Key] = v.ModRevision
 	}
 	out := maps.Clone(store)
 	for _, w := range r.Writes[:n] {
-		if stamps[w.Key] != w.Stamp {
-			t.Fatalf("%s is guarded by %d, is %d", w.Key, w.Stamp, stamps[w.Key])
+		if stamps[w.Key] != w.ModRevision {
+			t.Fatalf("%s is guarded by %d, is %d", w.Key, w.ModRevision, stamps[w.Key])
 		}
 		if w.Data == nil {
 			delete(out, w.Key)
@@ -272,9 +272,9 @@
 // From one full copy, whatever the state service has lost or gone back to and however old
 // the other copies are, all that matters comes back; it comes back the same from a
 // rebuild that was cut short after any of its writes; and what is whole needs no writes.
-func TestRebuild(t *testing.T) {
+func TestMergeRecoversEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		tr := history(t)
+		tr := simulateHistory(t)
 		last := len(tr.states) - 1
 		store := maps.Clone(tr.states[rapid.IntRange(0, last).Draw(t, "back to")])
 		if rapid.Bool().Draw(t, "holes") {
@@ -291,36 +291,36 @@
 			sourceOf(tr.states[last], false),
 			sourceOf(tr.states[rapid.IntRange(0, last).Draw(t, "old copy")], false),
 		}
-		r, err := Merge(append(slices.Clone(copies), sourceOf(store, true)), "w", base, limit)
+		r, err := Merge(append(slices.Clone(copies), sourceOf(store, true)), "w", testAttemptBase, testMaxValueBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		check(t, tr, r)
+		checkAgainstTruth(t, tr, r)
 		whole := apply(t, store, r, len(r.Writes))
-		again, err := Merge([]Source{sourceOf(whole, true)}, "w", 2*base, limit)
+		again, err := Merge([]Source{sourceOf(whole, true)}, "w", 2*testAttemptBase, testMaxValueBytes)
 		if err != nil {
 			t.Fatal(err)
 		}
-		check(t, tr, again)
+		checkAgainstTruth(t, tr, again)
 		for _, w := range again.Writes {
 			// Chunks of jobs that are done are left to be tidied; nothing else is.
 			t.Fatalf("%s is written though nothing is lost", w.Key)
 		}
 		for n := range r.Writes {
 			part := apply(t, store, r, n)
-			later, err := Merge(append(slices.Clone(copies), sourceOf(part, true)), "w", base, limit)
+			later, err := Merge(append(slices.Clone(copies), sourceOf(part, true)), "w", testAttemptBase, testMaxValueBytes)
 			if err != nil {
 				t.Fatal(err)
 			}
-			check(t, tr, later)
+			checkAgainstTruth(t, tr, later)
 		}
 	})
 }
 
-// check holds a result against the truth.
-func check(t *rapid.T, tr *truth, r Result) {
+// checkAgainstTruth holds a result against the truth.
+func checkAgainstTruth(t *rapid.T, tr *groundTruth, r Result) {
 	live := map[string]bool{}
-	for _, v := range r.Live {
+	for _, v := range r.LiveJobs {
 		live[strings.TrimPrefix(v.Key, ledger.LivePrefix)] = true
 	}
 	claims, done := map[string]ledger.ClaimRecord{}, map[string]bool{}
@@ -363,7 +363,7 @@
 			t.Fatalf("%s is claimed as %v, not %v", task, got, c)
 		}
 	}
-	if len(r.Orphans) > 0 {
-		t.Fatalf("orphans %v", r.Orphans)
+	if len(r.OrphanedJobs) > 0 {
+		t.Fatalf("orphans %v", r.OrphanedJobs)
 	}
 }
