--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -19,8 +19,8 @@
 	table *placement.Table
 }
 
-func (c chooser) Pick(_ context.Context, _ string, o placement.Offer) ([]placement.Picked, error) {
-	return c.table.Choose(o, placement.Tuning{Aged: 2 * time.Minute, NearTie: 0.1}, now), nil
+func (c chooser) Pick(_ context.Context, _ string, o placement.Offer) ([]placement.Pick, error) {
+	return c.table.Choose(o, placement.Tuning{AgingThreshold: 2 * time.Minute, NearTie: 0.1}, now), nil
 }
 
 // BenchmarkSchedulingPass is one pass of a leader over free hosts of 8 cores and twice
--- a/internal/control/dependencies_test.go
+++ b/internal/control/dependencies_test.go
@@ -193,8 +193,8 @@
 			}
 			leader.addTestJob("req-2", last)
 			look := newCandidateIndex(leader.candidates(now))
-			if w := leader.describeJob(job, look, now); w.Loaners == tc.firm || w.Tasks != tc.now || look.moreWaiting != (tc.now < tc.tasks) {
-				t.Errorf("%d tasks, spot machines allowed: %v, more: %v", w.Tasks, w.Loaners, look.moreWaiting)
+			if w := leader.describeJob(job, look, now); w.AllowSpot == tc.firm || w.Tasks != tc.now || look.moreWaiting != (tc.now < tc.tasks) {
+				t.Errorf("%d tasks, spot machines allowed: %v, more: %v", w.Tasks, w.AllowSpot, look.moreWaiting)
 			}
 		})
 	}
--- a/internal/control/model_test.go
+++ b/internal/control/model_test.go
@@ -52,7 +52,7 @@
 type idleOwners struct{}
 
 func (idleOwners) Learn(agent.RuntimeSample) {}
-func (idleOwners) Pick(context.Context, string, placement.Offer) ([]placement.Picked, error) {
+func (idleOwners) Pick(context.Context, string, placement.Offer) ([]placement.Pick, error) {
 	return nil, nil
 }
 func (idleOwners) EligibleOwners(have []string) []string { return have }
--- a/internal/control/offer_test.go
+++ b/internal/control/offer_test.go
@@ -15,14 +15,14 @@
 	asked       []string
 }
 
-func (p *partitionedOwners) Pick(_ context.Context, node string, offer placement.Offer) ([]placement.Picked, error) {
+func (p *partitionedOwners) Pick(_ context.Context, node string, offer placement.Offer) ([]placement.Pick, error) {
 	p.asked = append(p.asked, node)
 	if node == p.unreachable {
 		return nil, errors.New("not connected")
 	}
-	var picks []placement.Picked
-	for _, target := range offer.Rooms {
-		picks = append(picks, placement.Picked{Host: target.Host, Ref: "req-1"})
+	var picks []placement.Pick
+	for _, target := range offer.Candidates {
+		picks = append(picks, placement.Pick{Worker: target.Worker, Ref: "req-1"})
 	}
 	return picks, nil
 }
@@ -33,7 +33,7 @@
 	leader := newTestTerm(t)
 	owners := &partitionedOwners{unreachable: "far"}
 	leader.shards = owners
-	picks := leader.requestPicks(t.Context(), map[string]*placement.Offer{"far": {Rooms: []placement.Room{{Host: "h0"}, {Host: "h1"}}}})
+	picks := leader.requestPicks(t.Context(), map[string]*placement.Offer{"far": {Candidates: []placement.Candidate{{Worker: "h0"}, {Worker: "h1"}}}})
 	if len(picks) != 2 || len(owners.asked) != 2 || owners.asked[1] != leader.settings.Node {
 		t.Errorf("%d picks, asked %v", len(picks), owners.asked)
 	}
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -53,7 +53,7 @@
 // Shards are the owners among whom the hosts are parted, this node included.
 type Shards interface {
 	// Pick has a part's owner pick for its rooms.
-	Pick(ctx context.Context, node string, o placement.Offer) ([]placement.Picked, error)
+	Pick(ctx context.Context, node string, o placement.Offer) ([]placement.Pick, error)
 	// Learn takes a finish on a host of this node's own part.
 	Learn(f agent.RuntimeSample)
 	// EligibleOwners are the nodes that may own a part now, given those that do.
--- a/internal/control/scheduler.go
+++ b/internal/control/scheduler.go
@@ -80,10 +80,10 @@
 	now = t.now()
 	fresh := make(map[string]*candidate) // reports came in meanwhile
 	for _, pick := range picks {
-		job, target := t.jobs.Job(pick.Ref), fresh[pick.Host]
+		job, target := t.jobs.Job(pick.Ref), fresh[pick.Worker]
 		if target == nil {
-			target = t.candidate(t.workers[pick.Host], now)
-			fresh[pick.Host] = target
+			target = t.candidate(t.workers[pick.Worker], now)
+			fresh[pick.Worker] = target
 		}
 		if job == nil || target == nil || !target.fits(job) {
 			continue
@@ -107,11 +107,11 @@
 
 // requestPicks has the owners pick, all at once. For an owner that does not answer soon the
 // leader picks, by the rates that it learned itself.
-func (t *leaderTerm) requestPicks(ctx context.Context, offers map[string]*placement.Offer) []placement.Picked {
+func (t *leaderTerm) requestPicks(ctx context.Context, offers map[string]*placement.Offer) []placement.Pick {
 	ctx, cancel := context.WithTimeout(ctx, t.settings.Report()/12)
 	defer cancel()
 	var mu sync.Mutex
-	var all []placement.Picked
+	var all []placement.Pick
 	var wg sync.WaitGroup
 	for owner, offer := range offers {
 		wg.Go(func() {
@@ -131,7 +131,7 @@
 		})
 	}
 	wg.Wait()
-	slices.SortStableFunc(all, placement.Picked.Before)
+	slices.SortStableFunc(all, placement.Pick.Before)
 	return all
 }
 
@@ -141,7 +141,7 @@
 	var offered []placement.Queue
 	var jobs []*ledger.Job
 	for _, queue := range queues {
-		offeredQueue := placement.Queue{Type: queue.jobType, Count: queue.unfinished}
+		offeredQueue := placement.Queue{Type: queue.jobType, Unfinished: queue.unfinished}
 		for _, job := range queue.jobs {
 			if len(offeredQueue.Jobs) == maxOfferedJobs {
 				break
@@ -176,22 +176,22 @@
 		if offers[owner] == nil {
 			offers[owner] = &placement.Offer{Queues: cloneQueues(offered)}
 		}
-		offeredCandidate := placement.Room{
-			Host: target.worker.Name, Flavor: target.worker.InstanceType, Zone: target.worker.Zone, Loaners: target.worker.Spot,
-			Cores: target.cpus, Accel: target.gpus, RAM: target.memoryGB, Total: target.instanceType.CPUs, Pull: target.instanceType.ImagePullGBPerSecond,
+		offeredCandidate := placement.Candidate{
+			Worker: target.worker.Name, InstanceType: target.worker.InstanceType, Zone: target.worker.Zone, Spot: target.worker.Spot,
+			CPUs: target.cpus, GPUs: target.gpus, MemoryGB: target.memoryGB, TotalCPUs: target.instanceType.CPUs, PullGBPerSecond: target.instanceType.ImagePullGBPerSecond,
 		}
 		for _, image := range target.worker.Images {
 			if image.Pulling {
-				offeredCandidate.Coming = append(offeredCandidate.Coming, image.Name)
-				offeredCandidate.ComingGB += image.SizeGB
+				offeredCandidate.PullingImages = append(offeredCandidate.PullingImages, image.Name)
+				offeredCandidate.PullingGB += image.SizeGB
 			} else {
 				offeredCandidate.Images = append(offeredCandidate.Images, image.Name)
 			}
 		}
 		if target.reservedFor != nil {
-			offeredCandidate.Held, offeredCandidate.HeldTier = target.reservedFor.Ref, t.tier(target.reservedFor)
+			offeredCandidate.ReservedFor, offeredCandidate.ReservedTier = target.reservedFor.Ref, t.tier(target.reservedFor)
 		}
-		offers[owner].Rooms = append(offers[owner].Rooms, offeredCandidate)
+		offers[owner].Candidates = append(offers[owner].Candidates, offeredCandidate)
 	}
 	return offers
 }
@@ -244,35 +244,35 @@
 	for i := range clones {
 		clones[i].Jobs = slices.Clone(clones[i].Jobs)
 		for k := range clones[i].Jobs {
-			clones[i].Jobs[k].Zones = maps.Clone(clones[i].Jobs[k].Zones)
+			clones[i].Jobs[k].ZoneSlots = maps.Clone(clones[i].Jobs[k].ZoneSlots)
 		}
 	}
 	return clones
 }
 
 // describeJob describes a job to the owners.
-func (t *leaderTerm) describeJob(job *ledger.Job, index *candidateIndex, now time.Time) placement.Waiting {
+func (t *leaderTerm) describeJob(job *ledger.Job, index *candidateIndex, now time.Time) placement.WaitingJob {
 	spec := &job.Spec
-	waiting := placement.Waiting{
+	waiting := placement.WaitingJob{
 		Ref: job.Ref, Tasks: job.WaitingTasks(), Tier: t.tier(job), Age: now.Sub(job.WaitingSince),
-		Cores: spec.CPUs, Accel: spec.GPUs, RAM: spec.MemoryGB, Bundle: spec.Image, SizeGB: spec.ImageGB,
-		Standing: spec.Kind == wire.KindService, Loaners: spec.AllowSpot, Flavors: spec.InstanceTypes,
-		Avoid: slices.Sorted(maps.Keys(job.FailedOn)),
+		CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, Image: spec.Image, ImageGB: spec.ImageGB,
+		Service: spec.Kind == wire.KindService, AllowSpot: spec.AllowSpot, InstanceTypes: spec.InstanceTypes,
+		ExcludedWorkers: slices.Sorted(maps.Keys(job.FailedOn)),
 	}
-	waiting.Within = t.startWithinSeconds(job)
+	waiting.StartWithinSeconds = t.startWithinSeconds(job)
 	if spec.AllowSpot && t.prefersOnDemand(job) {
 		// As many as half the firm room holds go there; what is left is
 		// offered anew, until that is too few to be worth a pass.
 		if slots := index.onDemandSlots(job) / 2; slots > waiting.Tasks/8 {
-			waiting.Loaners = false
+			waiting.AllowSpot = false
 			index.moreWaiting = index.moreWaiting || slots < waiting.Tasks
 			waiting.Tasks = min(waiting.Tasks, slots)
 		}
 	}
-	if waiting.Standing {
+	if waiting.Service {
 		for _, target := range index.withImage[spec.Image] {
-			if !slices.Contains(waiting.Warm, target.worker.Zone) && target.fits(job) {
-				waiting.Warm = append(waiting.Warm, target.worker.Zone)
+			if !slices.Contains(waiting.WarmZones, target.worker.Zone) && target.fits(job) {
+				waiting.WarmZones = append(waiting.WarmZones, target.worker.Zone)
 			}
 		}
 	}
@@ -281,9 +281,9 @@
 	}
 	waiting.Tasks = min(waiting.Tasks, t.jobs.QuotaHeadroom(job))
 	if spec.Zone != "" || spec.SpreadZones || spec.SingleZone {
-		waiting.Zones = make(map[string]int)
+		waiting.ZoneSlots = make(map[string]int)
 		for _, zone := range index.zones {
-			waiting.Zones[zone] = t.jobs.ZoneHeadroom(job, zone)
+			waiting.ZoneSlots[zone] = t.jobs.ZoneHeadroom(job, zone)
 		}
 	}
 	return waiting
--- a/internal/part/owner.go
+++ b/internal/part/owner.go
@@ -28,7 +28,7 @@
 // PeerLinks are the links to the other nodes.
 type PeerLinks interface {
 	Beat(ctx context.Context, node string, r *wire.Heartbeat) (peer.BeatAnswer, error)
-	Pick(ctx context.Context, node string, o *placement.Offer) ([]placement.Picked, error)
+	Pick(ctx context.Context, node string, o *placement.Offer) ([]placement.Pick, error)
 	Peers() map[string]peer.Status
 }
 
@@ -56,9 +56,9 @@
 	return &Owner{
 		config: config, shardMap: shardMap, sinceStoreAnswer: sinceStoreAnswer, cancellations: cancellations, now: now,
 		tuning: placement.Tuning{
-			Aged:    time.Duration(placementConfig.WaitAge * float64(config.Lease())),
-			NearTie: placementConfig.NearTie,
-			Firm:    config.Facts.Workers.ReportS,
+			AgingThreshold:  time.Duration(placementConfig.WaitAge * float64(config.Lease())),
+			NearTie:         placementConfig.NearTie,
+			OnDemandPenalty: config.Facts.Workers.ReportS,
 		},
 		table: placement.NewTable(placement.Params{
 			Horizon: placementConfig.Horizon, Bonus: placementConfig.Bonus, RunBound: placementConfig.RunBound,
@@ -156,28 +156,28 @@
 func (o *Owner) Learn(finish agent.RuntimeSample) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.table.Finish(placement.Arm{Type: finish.JobType, Machine: finish.InstanceType}, finish.Duration, o.now())
+	o.table.Finish(placement.Arm{JobType: finish.JobType, InstanceType: finish.InstanceType}, finish.Duration, o.now())
 	if o.finishes++; o.finishes%256 == 0 {
 		o.table.Trim(o.now())
 	}
 }
 
 // PickLocal picks for rooms of this part.
-func (o *Owner) PickLocal(offer placement.Offer) []placement.Picked {
+func (o *Owner) PickLocal(offer placement.Offer) []placement.Pick {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.table.Choose(offer, o.tuning, o.now())
 }
 
 // PlacementRows shows what was learned.
-func (o *Owner) PlacementRows() []placement.Row {
+func (o *Owner) PlacementRows() []placement.RateRow {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.table.Rows(o.now())
+	return o.table.Rates(o.now())
 }
 
 // Pick has a part's owner pick: this node itself, or a peer.
-func (o *Owner) Pick(ctx context.Context, controller string, offer placement.Offer) ([]placement.Picked, error) {
+func (o *Owner) Pick(ctx context.Context, controller string, offer placement.Offer) ([]placement.Pick, error) {
 	if controller == o.config.Node {
 		return o.PickLocal(offer), nil
 	}
--- a/internal/part/owner_test.go
+++ b/internal/part/owner_test.go
@@ -31,7 +31,7 @@
 	return l.answer, l.err
 }
 
-func (l *fakeLinks) Pick(context.Context, string, *placement.Offer) ([]placement.Picked, error) {
+func (l *fakeLinks) Pick(context.Context, string, *placement.Offer) ([]placement.Pick, error) {
 	return nil, errors.New("not asked for")
 }
 
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -20,13 +20,13 @@
 }
 
 var offer = placement.Offer{
-	Rooms: []placement.Room{{
-		Host: "i-1", Flavor: "big", Zone: "a", Cores: 3.5, Accel: 1, RAM: 7, Total: 32, Pull: 0.2,
-		Images: []string{"x"}, Coming: []string{"y", "z"}, ComingGB: 2.5, Held: "req-9", HeldTier: 3,
+	Candidates: []placement.Candidate{{
+		Worker: "i-1", InstanceType: "big", Zone: "a", CPUs: 3.5, GPUs: 1, MemoryGB: 7, TotalCPUs: 32, PullGBPerSecond: 0.2,
+		Images: []string{"x"}, PullingImages: []string{"y", "z"}, PullingGB: 2.5, ReservedFor: "req-9", ReservedTier: 3,
 	}},
-	Queues: []placement.Queue{{Type: "t", Count: 40, Jobs: []placement.Waiting{{
-		Ref: "req-1", Tasks: 2, Tier: 6, Age: time.Second, Cores: 1, RAM: 2, Bundle: "x", SizeGB: 1.5, Standing: true,
-		Flavors: []string{"big"}, Zones: map[string]int{"a": 1, "b": -1}, Avoid: []string{"i-3"}, Within: 1, Warm: []string{"a"},
+	Queues: []placement.Queue{{Type: "t", Unfinished: 40, Jobs: []placement.WaitingJob{{
+		Ref: "req-1", Tasks: 2, Tier: 6, Age: time.Second, CPUs: 1, MemoryGB: 2, Image: "x", ImageGB: 1.5, Service: true,
+		InstanceTypes: []string{"big"}, ZoneSlots: map[string]int{"a": 1, "b": -1}, ExcludedWorkers: []string{"i-3"}, StartWithinSeconds: 1, WarmZones: []string{"a"},
 	}}}},
 }
 
@@ -36,7 +36,7 @@
 		OK: true, Orders: wire.CommandBatch{Epoch: 4, Commands: []wire.Command{{Action: "stop", Task: "req-1/0", Attempt: 2, GraceSeconds: 1.5}}},
 		Learned: []agent.RuntimeSample{{JobType: "t", InstanceType: "big", Duration: time.Hour}},
 	}
-	picks      = []placement.Picked{{Host: "i-1", Ref: "req-1", Tier: 2, Cost: -0.5, Weight: 8}}
+	picks      = []placement.Pick{{Worker: "i-1", Ref: "req-1", Tier: 2, Cost: -0.5, Weight: 8}}
 	user       = UserRequest{Method: "POST", Path: "/v1/jobs", Body: []byte("{}")}
 	userAs     = UserRequest{Method: "POST", Path: "/v1/jobs", Body: []byte("{}"), Auth: "Bearer x"}
 	useranswer = UserAnswer{Status: 503, RetryAfter: "1", Body: []byte("x")}
@@ -112,7 +112,7 @@
 	f.Add(hearing.encode())
 	wide := placement.Offer{Queues: offer.Queues}
 	for range 700 { // a part of a fleet of 2,000
-		wide.Rooms = append(wide.Rooms, offer.Rooms[0])
+		wide.Candidates = append(wide.Candidates, offer.Candidates[0])
 	}
 	f.Add(encodeOffer(&wide))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -122,7 +122,7 @@
 			}
 		}
 		if o, err := decodeOffer(b); err == nil {
-			if again, err := decodeOffer(encodeOffer(&o)); err != nil || len(again.Rooms) != len(o.Rooms) || len(again.Queues) != len(o.Queues) {
+			if again, err := decodeOffer(encodeOffer(&o)); err != nil || len(again.Candidates) != len(o.Candidates) || len(again.Queues) != len(o.Queues) {
 				t.Fatalf("offer changed: %v", err)
 			}
 		}
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -28,8 +28,8 @@
 func TestFramesOfProduction(t *testing.T) {
 	one := offer
 	q := one.Queues[0]
-	q.Jobs = append([]placement.Waiting(nil), q.Jobs...)
-	q.Jobs[0].Zones = map[string]int{"a": 1} // a map has no order to compare
+	q.Jobs = append([]placement.WaitingJob(nil), q.Jobs...)
+	q.Jobs[0].ZoneSlots = map[string]int{"a": 1} // a map has no order to compare
 	one.Queues = []placement.Queue{q}
 	for _, tc := range []struct {
 		name   string
@@ -73,13 +73,13 @@
 type node struct {
 	told    atomic.Bool // a peer said how it takes the history
 	version string
-	pick    func(placement.Offer) []placement.Picked
+	pick    func(placement.Offer) []placement.Pick
 }
 
 func (n *node) Ping() Ping                                       { return Ping{Node: "n"} }
 func (n *node) Pinged(Ping)                                      {}
 func (n *node) Beat(context.Context, *wire.Heartbeat) BeatAnswer { return BeatAnswer{} }
-func (n *node) Pick(o placement.Offer) []placement.Picked        { return n.pick(o) }
+func (n *node) Pick(o placement.Offer) []placement.Pick          { return n.pick(o) }
 func (n *node) User(context.Context, UserRequest) UserAnswer     { return UserAnswer{} }
 func (n *node) Counts(string) (Counts, error)                    { return Counts{}, nil }
 func (n *node) Hearing() Hearing                                 { return Hearing{Age: time.Second, Deaf: true} }
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -20,7 +20,7 @@
 	p, h, past := goldentest.Filled[Ping](), goldentest.Filled[Hearing](), goldentest.Filled[History]()
 	rep, ba := goldentest.Filled[wire.Heartbeat](), goldentest.Filled[BeatAnswer]()
 	ba.Orders.Incarnation = 0 // an answer has none
-	o, ps := goldentest.Filled[placement.Offer](), goldentest.Filled[[]placement.Picked]()
+	o, ps := goldentest.Filled[placement.Offer](), goldentest.Filled[[]placement.Pick]()
 	ur, ua, c := goldentest.Filled[UserRequest](), goldentest.Filled[UserAnswer](), goldentest.Filled[Counts]()
 	anonymous := ur
 	anonymous.Auth = ""
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -27,7 +27,7 @@
 	Ping() Ping
 	Pinged(Ping)
 	Beat(ctx context.Context, r *wire.Heartbeat) BeatAnswer
-	Pick(o placement.Offer) []placement.Picked
+	Pick(o placement.Offer) []placement.Pick
 	User(ctx context.Context, r UserRequest) UserAnswer
 	Counts(ref string) (Counts, error)
 	Hearing() Hearing
@@ -126,14 +126,14 @@
 // Pick asks a part's owner to pick. An offer too large for a frame goes in
 // parts, each with some of the rooms: the owner then picks for each as if alone,
 // and the ledger confirms the best of all, as it does over several owners.
-func (m *Mesh) Pick(ctx context.Context, node string, o *placement.Offer) ([]placement.Picked, error) {
+func (m *Mesh) Pick(ctx context.Context, node string, o *placement.Offer) ([]placement.Pick, error) {
 	body := encodeOffer(o)
-	if half := len(o.Rooms) / 2; len(body) > maxPayload && half > 0 {
-		one, err := m.Pick(ctx, node, &placement.Offer{Rooms: o.Rooms[:half], Queues: o.Queues})
+	if half := len(o.Candidates) / 2; len(body) > maxPayload && half > 0 {
+		one, err := m.Pick(ctx, node, &placement.Offer{Candidates: o.Candidates[:half], Queues: o.Queues})
 		if err != nil {
 			return nil, err
 		}
-		two, err := m.Pick(ctx, node, &placement.Offer{Rooms: o.Rooms[half:], Queues: o.Queues})
+		two, err := m.Pick(ctx, node, &placement.Offer{Candidates: o.Candidates[half:], Queues: o.Queues})
 		return append(one, two...), err
 	}
 	b, err := m.ask(ctx, node, kindOffer, body)
@@ -304,10 +304,10 @@
 
 // bound leaves out the last picks where all do not fit a frame; their rooms are
 // offered again with the next pass.
-func bound(ps []placement.Picked) []placement.Picked {
+func bound(ps []placement.Pick) []placement.Pick {
 	size := 0
 	for i := range ps {
-		if size += maxPick + len(ps[i].Host) + len(ps[i].Ref); size > maxPayload-headerLen {
+		if size += maxPick + len(ps[i].Worker) + len(ps[i].Ref); size > maxPayload-headerLen {
 			return ps[:i]
 		}
 	}
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -161,27 +161,27 @@
 
 func encodeOffer(o *placement.Offer) []byte {
 	var e codec.Encoder
-	e.Uint(uint64(len(o.Rooms)))
-	for i := range o.Rooms {
-		r := &o.Rooms[i]
-		e.Str(r.Host)
-		e.Str(r.Flavor)
+	e.Uint(uint64(len(o.Candidates)))
+	for i := range o.Candidates {
+		r := &o.Candidates[i]
+		e.Str(r.Worker)
+		e.Str(r.InstanceType)
 		e.Str(r.Zone)
-		e.Bool(r.Loaners)
-		for _, f := range []float64{r.Cores, r.Accel, r.RAM, r.Total, r.Pull} {
+		e.Bool(r.Spot)
+		for _, f := range []float64{r.CPUs, r.GPUs, r.MemoryGB, r.TotalCPUs, r.PullGBPerSecond} {
 			e.Float(f)
 		}
 		e.Strs(r.Images)
-		e.Strs(r.Coming)
-		e.Float(r.ComingGB)
-		e.Str(r.Held)
-		e.Int(int64(r.HeldTier))
+		e.Strs(r.PullingImages)
+		e.Float(r.PullingGB)
+		e.Str(r.ReservedFor)
+		e.Int(int64(r.ReservedTier))
 	}
 	e.Uint(uint64(len(o.Queues)))
 	for i := range o.Queues {
 		q := &o.Queues[i]
 		e.Str(q.Type)
-		e.Int(int64(q.Count))
+		e.Int(int64(q.Unfinished))
 		e.Uint(uint64(len(q.Jobs)))
 		for k := range q.Jobs {
 			w := &q.Jobs[k]
@@ -189,22 +189,22 @@
 			e.Int(int64(w.Tasks))
 			e.Int(int64(w.Tier))
 			e.Int(int64(w.Age))
-			for _, f := range []float64{w.Cores, w.Accel, w.RAM, w.SizeGB} {
+			for _, f := range []float64{w.CPUs, w.GPUs, w.MemoryGB, w.ImageGB} {
 				e.Float(f)
 			}
-			e.Str(w.Bundle)
-			e.Bool(w.Standing)
-			e.Bool(w.Loaners)
-			e.Strs(w.Flavors)
-			e.Bool(w.Zones != nil)
-			e.Uint(uint64(len(w.Zones)))
-			for z, n := range w.Zones {
+			e.Str(w.Image)
+			e.Bool(w.Service)
+			e.Bool(w.AllowSpot)
+			e.Strs(w.InstanceTypes)
+			e.Bool(w.ZoneSlots != nil)
+			e.Uint(uint64(len(w.ZoneSlots)))
+			for z, n := range w.ZoneSlots {
 				e.Str(z)
 				e.Int(int64(n))
 			}
-			e.Strs(w.Avoid)
-			e.Float(w.Within)
-			e.Strs(w.Warm)
+			e.Strs(w.ExcludedWorkers)
+			e.Float(w.StartWithinSeconds)
+			e.Strs(w.WarmZones)
 		}
 	}
 	return e.B
@@ -213,34 +213,34 @@
 func decodeOffer(b []byte) (o placement.Offer, err error) {
 	d := codec.Decoder{B: b}
 	for range d.Items() {
-		r := placement.Room{Host: d.Str(), Flavor: d.Str(), Zone: d.Str(), Loaners: d.Bool()}
-		for _, f := range []*float64{&r.Cores, &r.Accel, &r.RAM, &r.Total, &r.Pull} {
+		r := placement.Candidate{Worker: d.Str(), InstanceType: d.Str(), Zone: d.Str(), Spot: d.Bool()}
+		for _, f := range []*float64{&r.CPUs, &r.GPUs, &r.MemoryGB, &r.TotalCPUs, &r.PullGBPerSecond} {
 			*f = d.Float()
 		}
-		r.Images, r.Coming, r.ComingGB = d.Strs(), d.Strs(), d.Float()
-		r.Held, r.HeldTier = d.Str(), int(d.Int())
-		o.Rooms = append(o.Rooms, r)
+		r.Images, r.PullingImages, r.PullingGB = d.Strs(), d.Strs(), d.Float()
+		r.ReservedFor, r.ReservedTier = d.Str(), int(d.Int())
+		o.Candidates = append(o.Candidates, r)
 	}
 	for range d.Items() {
-		q := placement.Queue{Type: d.Str(), Count: int(d.Int())}
+		q := placement.Queue{Type: d.Str(), Unfinished: int(d.Int())}
 		for range d.Items() {
-			w := placement.Waiting{Ref: d.Str(), Tasks: int(d.Int()), Tier: int(d.Int()), Age: time.Duration(d.Int())}
-			for _, f := range []*float64{&w.Cores, &w.Accel, &w.RAM, &w.SizeGB} {
+			w := placement.WaitingJob{Ref: d.Str(), Tasks: int(d.Int()), Tier: int(d.Int()), Age: time.Duration(d.Int())}
+			for _, f := range []*float64{&w.CPUs, &w.GPUs, &w.MemoryGB, &w.ImageGB} {
 				*f = d.Float()
 			}
-			w.Bundle, w.Standing, w.Loaners, w.Flavors = d.Str(), d.Bool(), d.Bool(), d.Strs()
+			w.Image, w.Service, w.AllowSpot, w.InstanceTypes = d.Str(), d.Bool(), d.Bool(), d.Strs()
 			zoned := d.Bool()
 			n := d.Count()
 			if zoned {
-				w.Zones = make(map[string]int)
+				w.ZoneSlots = make(map[string]int)
 			}
 			for range n {
 				z, k := d.Str(), int(d.Int())
 				if zoned {
-					w.Zones[z] = k
+					w.ZoneSlots[z] = k
 				}
 			}
-			w.Avoid, w.Within, w.Warm = d.Strs(), d.Float(), d.Strs()
+			w.ExcludedWorkers, w.StartWithinSeconds, w.WarmZones = d.Strs(), d.Float(), d.Strs()
 			q.Jobs = append(q.Jobs, w)
 		}
 		o.Queues = append(o.Queues, q)
@@ -248,11 +248,11 @@
 	return o, d.Done()
 }
 
-func encodePicks(ps []placement.Picked) []byte {
+func encodePicks(ps []placement.Pick) []byte {
 	var e codec.Encoder
 	e.Uint(uint64(len(ps)))
 	for _, p := range ps {
-		e.Str(p.Host)
+		e.Str(p.Worker)
 		e.Str(p.Ref)
 		e.Int(int64(p.Tier))
 		e.Float(p.Cost)
@@ -261,10 +261,10 @@
 	return e.B
 }
 
-func decodePicks(b []byte) (ps []placement.Picked, err error) {
+func decodePicks(b []byte) (ps []placement.Pick, err error) {
 	d := codec.Decoder{B: b}
 	for range d.Items() {
-		ps = append(ps, placement.Picked{Host: d.Str(), Ref: d.Str(), Tier: int(d.Int()), Cost: d.Float(), Weight: d.Float()})
+		ps = append(ps, placement.Pick{Worker: d.Str(), Ref: d.Str(), Tier: int(d.Int()), Cost: d.Float(), Weight: d.Float()})
 	}
 	return ps, d.Done()
 }
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -17,16 +17,16 @@
 // bound; picks that do not fit an answer are left for the next pass.
 func TestOfferAtTheBound(t *testing.T) {
 	long := strings.Repeat("x", 400)
-	rooms := func(n int) []placement.Room {
-		rs := make([]placement.Room, n)
+	rooms := func(n int) []placement.Candidate {
+		rs := make([]placement.Candidate, n)
 		for i := range rs {
-			rs[i] = placement.Room{Host: fmt.Sprintf("i-%06d", i), Flavor: long}
+			rs[i] = placement.Candidate{Worker: fmt.Sprintf("i-%06d", i), InstanceType: long}
 		}
 		return rs
 	}
-	one := len(encodeOffer(&placement.Offer{Rooms: rooms(2)})) - len(encodeOffer(&placement.Offer{Rooms: rooms(1)}))
+	one := len(encodeOffer(&placement.Offer{Candidates: rooms(2)})) - len(encodeOffer(&placement.Offer{Candidates: rooms(1)}))
 	fit := (maxPayload - 8) / one
-	if len(encodeOffer(&placement.Offer{Rooms: rooms(fit)})) > maxPayload || len(encodeOffer(&placement.Offer{Rooms: rooms(fit + 1)})) <= maxPayload {
+	if len(encodeOffer(&placement.Offer{Candidates: rooms(fit)})) > maxPayload || len(encodeOffer(&placement.Offer{Candidates: rooms(fit + 1)})) <= maxPayload {
 		t.Fatalf("%d rooms are not the most that fit", fit)
 	}
 	for _, tc := range []struct {
@@ -46,11 +46,11 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				frames := 0
-				h := &node{pick: func(o placement.Offer) []placement.Picked {
+				h := &node{pick: func(o placement.Offer) []placement.Pick {
 					frames++
-					var ps []placement.Picked
-					for _, r := range o.Rooms {
-						ps = append(ps, placement.Picked{Host: r.Host, Ref: tc.ref})
+					var ps []placement.Pick
+					for _, r := range o.Candidates {
+						ps = append(ps, placement.Pick{Worker: r.Worker, Ref: tc.ref})
 					}
 					return ps
 				}}
@@ -65,13 +65,13 @@
 				done := make(chan struct{})
 				go func() { defer close(done); m.links["n"].run(ctx, h) }()
 				time.Sleep(5 * time.Second)
-				ps, err := m.Pick(ctx, "n", &placement.Offer{Rooms: rooms(tc.rooms)})
+				ps, err := m.Pick(ctx, "n", &placement.Offer{Candidates: rooms(tc.rooms)})
 				if err != nil {
 					t.Fatal(err)
 				}
 				seen := make(map[string]bool)
 				for _, p := range ps {
-					seen[p.Host] = true
+					seen[p.Worker] = true
 				}
 				if all := len(seen) == tc.rooms; all != tc.all || len(seen) == 0 || frames != tc.frames {
 					t.Errorf("%d of %d rooms picked for, in %d frames", len(seen), tc.rooms, frames)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -21,157 +21,157 @@
 
 // Arm is a job type on a machine type.
 type Arm struct {
-	Type    string `json:"Type"`
-	Machine string `json:"Machine"`
+	JobType      string `json:"Type"`
+	InstanceType string `json:"Machine"`
 }
 
-type cell struct {
-	n, phi float64
-	at     int64 // the tick n and phi were last discounted to
+type armStats struct {
+	n, phi       float64
+	discountedAt int64 // the tick n and phi were last discounted to
 }
 
 // Table holds what was learned from reported finishes.
 type Table struct {
-	p     Params
-	gamma float64
-	start time.Time
-	cells map[Arm]*cell
+	params Params
+	gamma  float64
+	start  time.Time
+	arms   map[Arm]*armStats
 }
 
 // NewTable makes an empty table whose ticks count from start.
 func NewTable(p Params, start time.Time) *Table {
-	return &Table{p: p, gamma: p.Gamma(), start: start, cells: make(map[Arm]*cell)}
+	return &Table{params: p, gamma: p.Gamma(), start: start, arms: make(map[Arm]*armStats)}
 }
 
 // ticks converts a time to the table's tick count.
 func (t *Table) ticks(now time.Time) int64 {
-	return max(0, int64(now.Sub(t.start)/t.p.Tick))
+	return max(0, int64(now.Sub(t.start)/t.params.Tick))
 }
 
 // discount brings a cell up to now. Both figures shrink by γ each tick; doing
 // it on use gives the same figures as doing it on every tick.
-func (t *Table) discount(c *cell, now time.Time) {
-	if at := t.ticks(now); at > c.at {
-		f := math.Pow(t.gamma, float64(at-c.at))
-		c.n *= f
-		c.phi *= f
-		c.at = at
+func (t *Table) discount(stats *armStats, now time.Time) {
+	if tick := t.ticks(now); tick > stats.discountedAt {
+		factor := math.Pow(t.gamma, float64(tick-stats.discountedAt))
+		stats.n *= factor
+		stats.phi *= factor
+		stats.discountedAt = tick
 	}
 }
 
 // Finish learns from one finished task. M, its run time in ticks, is at least
 // one as in the paper, which keeps the estimate at 1 or below.
-func (t *Table) Finish(a Arm, run time.Duration, now time.Time) {
-	c := t.cells[a]
-	if c == nil {
-		c = &cell{at: t.ticks(now)}
-		t.cells[a] = c
+func (t *Table) Finish(arm Arm, run time.Duration, now time.Time) {
+	stats := t.arms[arm]
+	if stats == nil {
+		stats = &armStats{discountedAt: t.ticks(now)}
+		t.arms[arm] = stats
 	}
-	t.discount(c, now)
-	m := max(1, float64(run)/float64(t.p.Tick))
-	w := math.Pow(t.gamma, m-1)
-	c.n += w
-	c.phi += w * m
+	t.discount(stats, now)
+	ticks := max(1, float64(run)/float64(t.params.Tick))
+	weight := math.Pow(t.gamma, ticks-1)
+	stats.n += weight
+	stats.phi += weight * ticks
 }
 
 // Estimate is N over φ, with 0/0 as 0.
-func (t *Table) Estimate(a Arm, now time.Time) float64 {
-	c := t.cells[a]
-	if c == nil || c.phi == 0 {
+func (t *Table) Estimate(arm Arm, now time.Time) float64 {
+	stats := t.arms[arm]
+	if stats == nil || stats.phi == 0 {
 		return 0
 	}
-	return c.n / c.phi // both are discounted alike
+	return stats.n / stats.phi // both are discounted alike
 }
 
 // Explore is the bonus, min(1, c1 U sqrt(ln g / N)); it is 1 for N = 0.
-func (t *Table) Explore(a Arm, now time.Time) float64 {
-	c := t.cells[a]
-	if c == nil {
+func (t *Table) Explore(arm Arm, now time.Time) float64 {
+	stats := t.arms[arm]
+	if stats == nil {
 		return 1
 	}
-	t.discount(c, now)
-	if c.n == 0 {
+	t.discount(stats, now)
+	if stats.n == 0 {
 		return 1
 	}
-	return min(1, t.p.Bonus*t.p.RunBound*math.Sqrt(math.Log(t.p.Horizon)/c.n))
+	return min(1, t.params.Bonus*t.params.RunBound*math.Sqrt(math.Log(t.params.Horizon)/stats.n))
 }
 
 // Weight is the product the rule maximises: unfinished count times the
 // optimistic rate.
-func (t *Table) Weight(unfinished int, a Arm, now time.Time) float64 {
-	return float64(unfinished) * (t.Estimate(a, now) + t.Explore(a, now))
+func (t *Table) Weight(unfinished int, arm Arm, now time.Time) float64 {
+	return float64(unfinished) * (t.Estimate(arm, now) + t.Explore(arm, now))
 }
 
 // Trim forgets arms of which nothing worth keeping is left, so that the table
 // stays bounded however many types come and go.
 func (t *Table) Trim(now time.Time) {
-	for a, c := range t.cells {
-		t.discount(c, now)
-		if c.n < 1e-3 {
-			delete(t.cells, a)
+	for arm, stats := range t.arms {
+		t.discount(stats, now)
+		if stats.n < 1e-3 {
+			delete(t.arms, arm)
 		}
 	}
 }
 
-// Row is one arm as an operator sees it.
-type Row struct {
+// RateRow is one arm as an operator sees it.
+type RateRow struct {
 	Arm      Arm     `json:"Arm"`
 	N        float64 `json:"N"`
 	Estimate float64 `json:"Estimate"`
 	Bonus    float64 `json:"Bonus"`
 }
 
-// Rows lists the table.
-func (t *Table) Rows(now time.Time) []Row {
-	var rows []Row
-	for a, c := range t.cells {
-		t.discount(c, now)
-		rows = append(rows, Row{a, c.n, t.Estimate(a, now), t.Explore(a, now)})
+// Rates lists the table.
+func (t *Table) Rates(now time.Time) []RateRow {
+	var rows []RateRow
+	for arm, stats := range t.arms {
+		t.discount(stats, now)
+		rows = append(rows, RateRow{arm, stats.n, t.Estimate(arm, now), t.Explore(arm, now)})
 	}
 	return rows
 }
 
-// Candidate is a waiting type whose next task fits a room.
-type Candidate struct {
-	Type   string
-	Tier   int           // lower goes first: guarantee, then rank
-	Age    time.Duration // how long its oldest task waits
-	Weight float64
-	Image  bool // the host has the image
+// QueueHead is a waiting type whose next task fits a room.
+type QueueHead struct {
+	Type     string
+	Tier     int           // lower goes first: guarantee, then rank
+	Age      time.Duration // how long its oldest task waits
+	Weight   float64
+	HasImage bool // the host has the image
 }
 
-// Pick chooses among candidates: the lowest tier; in it aged ones, oldest
+// SelectQueue chooses among candidates: the lowest tier; in it aged ones, oldest
 // first; else the greatest weight, an image on the host deciding among
 // weights within nearTie of the greatest. It returns -1 for no candidates.
-func Pick(cs []Candidate, aged time.Duration, nearTie float64) int {
+func SelectQueue(heads []QueueHead, agingThreshold time.Duration, nearTie float64) int {
 	best := -1
-	for i, c := range cs {
-		if best < 0 || before(c, cs[best], aged) {
+	for i, head := range heads {
+		if best < 0 || precedes(head, heads[best], agingThreshold) {
 			best = i
 		}
 	}
-	if best < 0 || cs[best].Image || cs[best].Age >= aged {
+	if best < 0 || heads[best].HasImage || heads[best].Age >= agingThreshold {
 		return best
 	}
-	top := cs[best]
-	for i, c := range cs {
-		if c.Tier == top.Tier && c.Image && c.Weight >= top.Weight*(1-nearTie) &&
-			(!cs[best].Image || c.Weight > cs[best].Weight) {
+	top := heads[best]
+	for i, head := range heads {
+		if head.Tier == top.Tier && head.HasImage && head.Weight >= top.Weight*(1-nearTie) &&
+			(!heads[best].HasImage || head.Weight > heads[best].Weight) {
 			best = i
 		}
 	}
 	return best
 }
 
-func before(a, b Candidate, aged time.Duration) bool {
+func precedes(a, b QueueHead, agingThreshold time.Duration) bool {
 	if a.Tier != b.Tier {
 		return a.Tier < b.Tier
 	}
-	oldA, oldB := a.Age >= aged, b.Age >= aged
-	if oldA != oldB {
-		return oldA
+	agedA, agedB := a.Age >= agingThreshold, b.Age >= agingThreshold
+	if agedA != agedB {
+		return agedA
 	}
-	if oldA {
+	if agedA {
 		return a.Age > b.Age
 	}
 	if a.Weight != b.Weight {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -37,22 +37,22 @@
 			gamma*gamma + gamma, (gamma*gamma + gamma) / (gamma*gamma + 2*gamma)},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			tab := NewTable(params(), t0)
+			table := NewTable(params(), t0)
 			for _, f := range tc.finishes {
-				tab.Finish(a, f.run, t0.Add(f.at))
+				table.Finish(a, f.run, t0.Add(f.at))
 			}
 			now := t0.Add(tc.at)
 			bonus := 1.0
 			if tc.n > 0 {
 				bonus = min(1, 0.05*8*math.Sqrt(ln512/tc.n))
 			}
-			if got := tab.Explore(a, now); !near(got, bonus) {
+			if got := table.Explore(a, now); !near(got, bonus) {
 				t.Errorf("bonus %v, want %v", got, bonus)
 			}
-			if got := tab.Estimate(a, now); !near(got, tc.est) {
+			if got := table.Estimate(a, now); !near(got, tc.est) {
 				t.Errorf("estimate %v, want %v", got, tc.est)
 			}
-			if got, want := tab.Weight(7, a, now), 7*(tc.est+bonus); !near(got, want) {
+			if got, want := table.Weight(7, a, now), 7*(tc.est+bonus); !near(got, want) {
 				t.Errorf("weight %v, want %v", got, want)
 			}
 		})
@@ -64,58 +64,58 @@
 func TestPaperBonusSaturates(t *testing.T) {
 	p := params()
 	p.Bonus = 4
-	tab := NewTable(p, t0)
+	table := NewTable(p, t0)
 	a := Arm{"sweep", "big"}
 	for range 100 {
-		tab.Finish(a, 10*time.Second, t0)
+		table.Finish(a, 10*time.Second, t0)
 	}
-	if got := tab.Explore(a, t0); got != 1 {
+	if got := table.Explore(a, t0); got != 1 {
 		t.Errorf("bonus %v, want the cap", got)
 	}
 }
 
 // A type that finishes fast draws rooms against one of equal count.
 func TestFastTypeWins(t *testing.T) {
-	tab := NewTable(params(), t0)
+	table := NewTable(params(), t0)
 	for range 20 {
-		tab.Finish(Arm{"fast", "big"}, 10*time.Second, t0)
-		tab.Finish(Arm{"slow", "big"}, 80*time.Second, t0)
+		table.Finish(Arm{"fast", "big"}, 10*time.Second, t0)
+		table.Finish(Arm{"slow", "big"}, 80*time.Second, t0)
 	}
-	f, s := tab.Weight(10, Arm{"fast", "big"}, t0), tab.Weight(10, Arm{"slow", "big"}, t0)
+	f, s := table.Weight(10, Arm{"fast", "big"}, t0), table.Weight(10, Arm{"slow", "big"}, t0)
 	if f <= s {
 		t.Errorf("fast %v, slow %v", f, s)
 	}
 }
 
 func TestTrim(t *testing.T) {
-	tab := NewTable(params(), t0)
-	tab.Finish(Arm{"a", "b"}, 10*time.Second, t0)
-	tab.Trim(t0.Add(time.Hour))
-	if n := len(tab.Rows(t0.Add(time.Hour))); n != 0 {
+	table := NewTable(params(), t0)
+	table.Finish(Arm{"a", "b"}, 10*time.Second, t0)
+	table.Trim(t0.Add(time.Hour))
+	if n := len(table.Rates(t0.Add(time.Hour))); n != 0 {
 		t.Errorf("%d arms left of a type long gone", n)
 	}
 }
 
-func TestPick(t *testing.T) {
+func TestSelectQueue(t *testing.T) {
 	const aged = 30 * time.Second
 	for _, tc := range []struct {
 		name string
-		cs   []Candidate
+		cs   []QueueHead
 		want int
 	}{
 		{"nothing", nil, -1},
-		{"greatest product", []Candidate{{Type: "a", Weight: 1}, {Type: "b", Weight: 2}}, 1},
-		{"equal products: by name, so that it repeats", []Candidate{{Type: "b", Weight: 1}, {Type: "a", Weight: 1}}, 1},
-		{"tier before product", []Candidate{{Type: "a", Tier: 1, Weight: 9}, {Type: "b", Tier: 0, Weight: 1}}, 1},
-		{"aged first", []Candidate{{Type: "a", Weight: 9}, {Type: "b", Weight: 1, Age: aged}}, 1},
-		{"oldest of the aged", []Candidate{{Type: "a", Weight: 9, Age: aged}, {Type: "b", Age: 2 * aged}}, 1},
-		{"age does not lift a tier", []Candidate{{Type: "a", Tier: 1, Age: 9 * aged}, {Type: "b"}}, 1},
-		{"image breaks a near tie", []Candidate{{Type: "a", Weight: 10}, {Type: "b", Weight: 9.5, Image: true}}, 1},
-		{"image does not outweigh the rule", []Candidate{{Type: "a", Weight: 10}, {Type: "b", Weight: 8, Image: true}}, 0},
-		{"image does not cross tiers", []Candidate{{Type: "a", Weight: 10}, {Type: "b", Tier: 1, Weight: 10, Image: true}}, 0},
+		{"greatest product", []QueueHead{{Type: "a", Weight: 1}, {Type: "b", Weight: 2}}, 1},
+		{"equal products: by name, so that it repeats", []QueueHead{{Type: "b", Weight: 1}, {Type: "a", Weight: 1}}, 1},
+		{"tier before product", []QueueHead{{Type: "a", Tier: 1, Weight: 9}, {Type: "b", Tier: 0, Weight: 1}}, 1},
+		{"aged first", []QueueHead{{Type: "a", Weight: 9}, {Type: "b", Weight: 1, Age: aged}}, 1},
+		{"oldest of the aged", []QueueHead{{Type: "a", Weight: 9, Age: aged}, {Type: "b", Age: 2 * aged}}, 1},
+		{"age does not lift a tier", []QueueHead{{Type: "a", Tier: 1, Age: 9 * aged}, {Type: "b"}}, 1},
+		{"image breaks a near tie", []QueueHead{{Type: "a", Weight: 10}, {Type: "b", Weight: 9.5, HasImage: true}}, 1},
+		{"image does not outweigh the rule", []QueueHead{{Type: "a", Weight: 10}, {Type: "b", Weight: 8, HasImage: true}}, 0},
+		{"image does not cross tiers", []QueueHead{{Type: "a", Weight: 10}, {Type: "b", Tier: 1, Weight: 10, HasImage: true}}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := Pick(tc.cs, aged, 0.1); got != tc.want {
+			if got := SelectQueue(tc.cs, aged, 0.1); got != tc.want {
 				t.Errorf("got %d, want %d", got, tc.want)
 			}
 		})
@@ -123,35 +123,35 @@
 }
 
 func TestChoose(t *testing.T) {
-	room := func(h, zone string, cores float64, images ...string) Room {
-		return Room{Host: h, Flavor: "big", Zone: zone, Cores: cores, Total: 8, RAM: 64, Pull: 1, Images: images}
+	candidate := func(h, zone string, cores float64, images ...string) Candidate {
+		return Candidate{Worker: h, InstanceType: "big", Zone: zone, CPUs: cores, TotalCPUs: 8, MemoryGB: 64, PullGBPerSecond: 1, Images: images}
 	}
-	spot := func(r Room) Room { r.Loaners = true; return r }
-	queue := func(typ string, count int, jobs ...Waiting) Queue { return Queue{typ, count, jobs} }
+	spot := func(r Candidate) Candidate { r.Spot = true; return r }
+	queue := func(typ string, count int, jobs ...WaitingJob) Queue { return Queue{typ, count, jobs} }
 	for _, tc := range []struct {
 		name  string
 		offer Offer
 		want  string
 	}{
-		{"nothing fits", Offer{[]Room{room("h", "a", 1)}, []Queue{queue("t", 1, Waiting{Ref: "x", Tasks: 1, Cores: 2})}}, ""},
-		{"until the room is full", Offer{[]Room{room("h", "a", 5)}, []Queue{queue("t", 9, Waiting{Ref: "x", Tasks: 9, Cores: 2})}}, "h:x h:x"},
-		{"until no task waits", Offer{[]Room{room("h", "a", 8)}, []Queue{queue("t", 1, Waiting{Ref: "x", Tasks: 1, Cores: 2})}}, "h:x"},
-		{"the greater count", Offer{[]Room{room("h", "a", 2)}, []Queue{queue("t", 2, Waiting{Ref: "x", Tasks: 2, Cores: 2}), queue("u", 3, Waiting{Ref: "y", Tasks: 3, Cores: 2})}}, "h:y"},
-		{"the machine with the image", Offer{[]Room{room("h", "a", 2), room("i", "a", 2, "img")}, []Queue{queue("t", 1, Waiting{Ref: "x", Tasks: 1, Cores: 2, Bundle: "img", SizeGB: 2})}}, "i:x"},
-		{"no spot machine for what may not", Offer{[]Room{spot(room("h", "a", 2))}, []Queue{queue("t", 1, Waiting{Ref: "x", Tasks: 1, Cores: 2})}}, ""},
-		{"spot before firm", Offer{[]Room{room("h", "a", 2), spot(room("i", "a", 2))}, []Queue{queue("t", 1, Waiting{Ref: "x", Tasks: 1, Cores: 2, Loaners: true})}}, "i:x"},
-		{"zones fill up", Offer{[]Room{room("h", "a", 8), room("i", "b", 8)}, []Queue{queue("t", 4, Waiting{Ref: "x", Tasks: 4, Cores: 2, Zones: map[string]int{"a": 1, "b": 2}})}}, "h:x i:x i:x"},
-		{"not where it failed", Offer{[]Room{room("h", "a", 2)}, []Queue{queue("t", 1, Waiting{Ref: "x", Tasks: 1, Cores: 2, Avoid: []string{"h"}})}}, ""},
-		{"a held room is for its holder", Offer{[]Room{{Host: "h", Cores: 2, Held: "y"}}, []Queue{queue("t", 1, Waiting{Ref: "x", Tasks: 1, Cores: 1})}}, ""},
-		{"or for what comes before it", Offer{[]Room{{Host: "h", Cores: 2, Held: "y", HeldTier: 3}}, []Queue{queue("t", 1, Waiting{Ref: "x", Tasks: 1, Cores: 1, Tier: 2})}}, "h:x"},
+		{"nothing fits", Offer{[]Candidate{candidate("h", "a", 1)}, []Queue{queue("t", 1, WaitingJob{Ref: "x", Tasks: 1, CPUs: 2})}}, ""},
+		{"until the room is full", Offer{[]Candidate{candidate("h", "a", 5)}, []Queue{queue("t", 9, WaitingJob{Ref: "x", Tasks: 9, CPUs: 2})}}, "h:x h:x"},
+		{"until no task waits", Offer{[]Candidate{candidate("h", "a", 8)}, []Queue{queue("t", 1, WaitingJob{Ref: "x", Tasks: 1, CPUs: 2})}}, "h:x"},
+		{"the greater count", Offer{[]Candidate{candidate("h", "a", 2)}, []Queue{queue("t", 2, WaitingJob{Ref: "x", Tasks: 2, CPUs: 2}), queue("u", 3, WaitingJob{Ref: "y", Tasks: 3, CPUs: 2})}}, "h:y"},
+		{"the machine with the image", Offer{[]Candidate{candidate("h", "a", 2), candidate("i", "a", 2, "img")}, []Queue{queue("t", 1, WaitingJob{Ref: "x", Tasks: 1, CPUs: 2, Image: "img", ImageGB: 2})}}, "i:x"},
+		{"no spot machine for what may not", Offer{[]Candidate{spot(candidate("h", "a", 2))}, []Queue{queue("t", 1, WaitingJob{Ref: "x", Tasks: 1, CPUs: 2})}}, ""},
+		{"spot before firm", Offer{[]Candidate{candidate("h", "a", 2), spot(candidate("i", "a", 2))}, []Queue{queue("t", 1, WaitingJob{Ref: "x", Tasks: 1, CPUs: 2, AllowSpot: true})}}, "i:x"},
+		{"zones fill up", Offer{[]Candidate{candidate("h", "a", 8), candidate("i", "b", 8)}, []Queue{queue("t", 4, WaitingJob{Ref: "x", Tasks: 4, CPUs: 2, ZoneSlots: map[string]int{"a": 1, "b": 2}})}}, "h:x i:x i:x"},
+		{"not where it failed", Offer{[]Candidate{candidate("h", "a", 2)}, []Queue{queue("t", 1, WaitingJob{Ref: "x", Tasks: 1, CPUs: 2, ExcludedWorkers: []string{"h"}})}}, ""},
+		{"a held room is for its holder", Offer{[]Candidate{{Worker: "h", CPUs: 2, ReservedFor: "y"}}, []Queue{queue("t", 1, WaitingJob{Ref: "x", Tasks: 1, CPUs: 1})}}, ""},
+		{"or for what comes before it", Offer{[]Candidate{{Worker: "h", CPUs: 2, ReservedFor: "y", ReservedTier: 3}}, []Queue{queue("t", 1, WaitingJob{Ref: "x", Tasks: 1, CPUs: 1, Tier: 2})}}, "h:x"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := ""
-			tab := NewTable(params(), t0)
-			tune := Tuning{Aged: time.Minute, NearTie: 0.1, Firm: 3}
+			table := NewTable(params(), t0)
+			tune := Tuning{AgingThreshold: time.Minute, NearTie: 0.1, OnDemandPenalty: 3}
 			counts := map[string]int{}
-			for _, p := range tab.Choose(tc.offer, tune, t0) {
-				counts[p.Host+":"+p.Ref]++
+			for _, p := range table.Choose(tc.offer, tune, t0) {
+				counts[p.Worker+":"+p.Ref]++
 			}
 			for _, h := range []string{"h", "i"} {
 				for _, j := range []string{"x", "y"} {
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -232,7 +232,7 @@
 	return peer.BeatAnswer{OK: err == nil, Orders: out, Learned: learned}
 }
 
-func (d *daemon) Pick(o placement.Offer) []placement.Picked { return d.part.PickLocal(o) }
+func (d *daemon) Pick(o placement.Offer) []placement.Pick { return d.part.PickLocal(o) }
 
 func (d *daemon) Counts(ref string) (peer.Counts, error) {
 	c, ok, err := d.control.TaskCounts(ref)
@@ -268,7 +268,7 @@
 	Peers    map[string]peer.Status `json:"peers"`
 	MemoryMB float64                `json:"memory_mb"`
 	Full     bool                   `json:"memory_short"` // new jobs and machines are turned away
-	Rates    []placement.Row        `json:"rates"`
+	Rates    []placement.RateRow    `json:"rates"`
 	Leading  *control.Status        `json:"leading,omitempty"`
 	History  HistoryStatus          `json:"history"`
 }
