--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"rillflow/internal/copies"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
 	"rillflow/internal/snapshot"
-	"rillflow/internal/state"
 )
 
 type snapshotCmd struct {
@@ -36,10 +36,10 @@
 	}
 	d := net.Dialer{Timeout: set.Report()}
 	least := set.Facts.State
-	st := state.New(state.Options{Addr: set.Services.State, RequestsPerSecond: least.RPS / 8, Limits: state.Limits{WritesPerSecond: 1, MaxValueBytes: int(least.ValueKB * 1024)}, Timeout: 2 * set.Report(), Dial: d.DialContext})
+	st := kvstore.New(kvstore.Options{Addr: set.Services.State, RequestsPerSecond: least.RPS / 8, Limits: kvstore.Limits{WritesPerSecond: 1, MaxValueBytes: int(least.ValueKB * 1024)}, Timeout: 2 * set.Report(), Dial: d.DialContext})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*set.Lease())
 	defer cancel()
-	tree, head, err := copies.ReadStore(ctx, st)
+	tree, head, err := replica.ReadStore(ctx, st)
 	if err != nil {
 		return err
 	}
@@ -53,7 +53,7 @@
 }
 
 // counts tells how much a tree holds.
-func counts(t *copies.Tree) string {
+func counts(t *replica.Tree) string {
 	n := map[string]int{}
 	t.Root().Walk(func(k, _ []byte) bool {
 		p, _, _ := bytes.Cut(k, []byte("/"))
--- a/cmd/rillflow/tools.go
+++ b/cmd/rillflow/tools.go
@@ -14,9 +14,9 @@
 	"rillflow/internal/certs"
 	"rillflow/internal/identity"
 	"rillflow/internal/keyring"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/rights"
 	"rillflow/internal/settings"
-	"rillflow/internal/state"
 )
 
 // toolShare is the part of the state service's budget that a tool takes beside the
@@ -26,7 +26,7 @@
 // desk is what the tools work with that go to the state service themselves.
 type desk struct {
 	set  *settings.Settings
-	st   *state.Client
+	st   *kvstore.Client
 	ring *keyring.Ring
 }
 
@@ -44,9 +44,9 @@
 	}
 	least := set.Facts.State.Least()
 	d := net.Dialer{Timeout: set.Report()}
-	st := state.New(state.Options{
+	st := kvstore.New(kvstore.Options{
 		Addr: set.Services.State, RequestsPerSecond: least.RPS * toolShare, Timeout: 2 * set.Report(), Dial: d.DialContext,
-		Limits: state.Limits{WritesPerSecond: least.WriteRPS * toolShare, MaxValueBytes: int(least.ValueKB * 1024)},
+		Limits: kvstore.Limits{WritesPerSecond: least.WriteRPS * toolShare, MaxValueBytes: int(least.ValueKB * 1024)},
 	})
 	return &desk{set, st, ring}, nil
 }
--- a/internal/access/access.go
+++ b/internal/access/access.go
@@ -18,10 +18,10 @@
 	"rillflow/internal/audit"
 	"rillflow/internal/identity"
 	"rillflow/internal/keyring"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
 	"rillflow/internal/rights"
 	"rillflow/internal/settings"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -33,7 +33,7 @@
 	ring  *keyring.Ring // nil: neither identities nor the record are on
 	who   *identity.Registry
 	told  bool // the record is kept
-	st    *state.Client
+	st    *kvstore.Client
 	log   *slog.Logger
 	now   func() time.Time
 
@@ -47,7 +47,7 @@
 }
 
 // New makes a door. ring may be nil where neither identities nor the record are on.
-func New(set *settings.Settings, st *state.Client, ring *keyring.Ring, log *slog.Logger) *Door {
+func New(set *settings.Settings, st *kvstore.Client, ring *keyring.Ring, log *slog.Logger) *Door {
 	a := &set.Operator.Access
 	d := &Door{node: set.Node, every: set.Lease() / 4, ring: ring, told: a.Audited(), st: st, log: log, now: time.Now, began: time.Now().UnixNano()}
 	if a.Identified() {
@@ -192,7 +192,7 @@
 		d.out = out
 	}
 	_, _, err := d.st.Commit(ctx, wire.Txn{Compares: []wire.Compare{{Key: d.out.place}}, Operations: d.out.apply})
-	if errors.Is(err, state.ErrTooLarge) {
+	if errors.Is(err, kvstore.ErrTooLarge) {
 		d.out = nil // made again, for the limits in force
 	}
 	if err != nil {
--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -12,10 +12,10 @@
 
 	"rillflow/internal/identity"
 	"rillflow/internal/keyring"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
 	"rillflow/internal/rights"
 	"rillflow/internal/settings"
-	"rillflow/internal/state"
 )
 
 // Being refused, however often, makes one slip of bounded size at a time; what it had
@@ -32,7 +32,7 @@
 	}))
 	defer srv.Close()
 	var dial net.Dialer
-	st := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e3, Limits: state.Limits{WritesPerSecond: 1e3, MaxValueBytes: 2 << 10}, Timeout: time.Second, Dial: dial.DialContext})
+	st := kvstore.New(kvstore.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e3, Limits: kvstore.Limits{WritesPerSecond: 1e3, MaxValueBytes: 2 << 10}, Timeout: time.Second, Dial: dial.DialContext})
 	set := &settings.Settings{Node: "host-0"}
 	set.Operator.Access = settings.Access{Identities: "on", Audit: "on", Trust: 1, Rules: rights.Rules{}}
 	d := New(set, st, keyring.Fresh(), slog.New(slog.DiscardHandler))
--- a/internal/audit/archive.go
+++ b/internal/audit/archive.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"rillflow/internal/keyring"
-	"rillflow/internal/state"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/wire"
 )
 
@@ -39,7 +39,7 @@
 			a.Found = append(a.Found, fmt.Errorf("the mark of what was trimmed: %w", err))
 		}
 		a.mark = it
-	} else if !errors.Is(err, state.ErrNotFound) {
+	} else if !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, err
 	}
 	if a.keys, _, err = st.List(ctx, BlockPrefix); err != nil {
--- a/internal/withdrawn/broadcast.go
+++ b/internal/cancellation/broadcast.go
@@ -1,4 +1,4 @@
-package withdrawn
+package cancellation
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"rillflow/internal/codec"
-	"rillflow/internal/state"
+	"rillflow/internal/kvstore"
 )
 
 // Message tells a peer of withdrawals.
@@ -173,7 +173,7 @@
 	}
 	for attempt := 0; ; attempt++ {
 		err := b.broadcastOnce(ctx, jobID)
-		if !errors.Is(err, errLaunchesUnresolved) || !state.Backoff(ctx, attempt, b.InitialBackoff, 16*b.InitialBackoff) {
+		if !errors.Is(err, errLaunchesUnresolved) || !kvstore.Backoff(ctx, attempt, b.InitialBackoff, 16*b.InitialBackoff) {
 			return err
 		}
 	}
--- a/internal/withdrawn/set.go
+++ b/internal/cancellation/set.go
@@ -1,8 +1,8 @@
-// Package withdrawn keeps a promise: once a user was told that a job is withdrawn, its
+// Package cancellation keeps a promise: once a user was told that a job is withdrawn, its
 // tasks are gone in time, whatever becomes of the state service. So before a user is told,
 // every controller that may still answer a worker knows of it, or one that leads has taken
 // it upon itself. To stop a task of a withdrawn job harms nobody and needs no leadership.
-package withdrawn
+package cancellation
 
 import (
 	"slices"
--- a/internal/withdrawn/set_test.go
+++ b/internal/cancellation/set_test.go
@@ -1,4 +1,4 @@
-package withdrawn
+package cancellation
 
 import (
 	"context"
--- a/internal/history/detector.go
+++ b/internal/dataloss/detector.go
@@ -1,8 +1,8 @@
-// Package history tells one history of the state service from another. Each has a key
+// Package dataloss tells one history of the state service from another. Each has a key
 // of its own under a name that is never used twice. Whatever a controller writes
 // guards that key, so what was sent to a history that is lost can never apply to the
 // one that came after, though generations and stamps come again.
-package history
+package dataloss
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"rillflow/internal/state"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/wire"
 )
 
@@ -103,7 +103,7 @@
 
 // ErrDataLossSuspected says that the state service may have lost data, so that nothing it holds,
 // or does not hold, can be relied on yet.
-var ErrDataLossSuspected = fmt.Errorf("history: the state service may have lost data: %w", state.ErrRefused)
+var ErrDataLossSuspected = fmt.Errorf("history: the state service may have lost data: %w", kvstore.ErrRefused)
 
 // IncarnationState is a history as it is stored.
 type IncarnationState struct {
@@ -114,7 +114,7 @@
 }
 
 // Read reads the history from the state service; the zero view if it has none.
-func Read(ctx context.Context, st *state.Client) (IncarnationState, error) {
+func Read(ctx context.Context, st *kvstore.Client) (IncarnationState, error) {
 	items, _, err := st.List(ctx, keyPrefix)
 	if err != nil {
 		return IncarnationState{}, err
@@ -160,7 +160,7 @@
 
 // Detector keeps to the present history of this node.
 type Detector struct {
-	store *state.Client
+	store *kvstore.Client
 	log   *slog.Logger
 
 	mu          sync.Mutex
@@ -177,7 +177,7 @@
 
 // NewDetector makes a keeper. From its first doubt of a history on, onDoubt is called,
 // once for each.
-func NewDetector(st *state.Client, onDoubt func(why string), log *slog.Logger) *Detector {
+func NewDetector(st *kvstore.Client, onDoubt func(why string), log *slog.Logger) *Detector {
 	k := &Detector{store: st, log: log, items: make(map[string]wire.KeyValue), onSuspect: onDoubt, recheck: make(chan struct{}, 1)}
 	st.OnRollback(func(seen, got uint64) {
 		// At once: the very answer may name the history that came after, which is not
@@ -190,7 +190,7 @@
 // Run keeps to the history until ctx ends.
 func (d *Detector) Run(ctx context.Context, wait time.Duration) error {
 	go d.reloadOnRequest(ctx, wait)
-	return d.store.WatchPrefix(ctx, state.Watcher{
+	return d.store.WatchPrefix(ctx, kvstore.Watcher{
 		Prefix: keyPrefix, PollWait: wait, BackoffBase: wait / 64, BackoffLimit: wait / 8,
 		OnSnapshot: d.replaceAll,
 		OnChanges: func(log []wire.Operation, _ time.Time) {
@@ -224,7 +224,7 @@
 		asked := time.Now()
 		items, _, err := d.store.List(ctx, keyPrefix)
 		if err != nil {
-			state.Backoff(ctx, try, wait/64, wait/8)
+			kvstore.Backoff(ctx, try, wait/64, wait/8)
 			try++
 			d.Recheck()
 			continue
--- a/internal/history/detector_test.go
+++ b/internal/dataloss/detector_test.go
@@ -1,4 +1,4 @@
-package history
+package dataloss
 
 import (
 	"encoding/json"
@@ -12,7 +12,7 @@
 	"testing"
 	"time"
 
-	"rillflow/internal/state"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/wire"
 )
 
@@ -56,7 +56,7 @@
 }
 
 func newTestDetector() *Detector {
-	st := state.New(state.Options{Addr: "none:1", RequestsPerSecond: 1, Timeout: time.Second})
+	st := kvstore.New(kvstore.Options{Addr: "none:1", RequestsPerSecond: 1, Timeout: time.Second})
 	return NewDetector(st, nil, slog.New(slog.DiscardHandler))
 }
 
@@ -182,7 +182,7 @@
 	srv := httptest.NewServer(s)
 	defer srv.Close()
 	var d net.Dialer
-	st := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e5, Limits: state.Limits{WritesPerSecond: 1e5, MaxValueBytes: 1 << 10}, Timeout: time.Minute, Dial: d.DialContext})
+	st := kvstore.New(kvstore.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e5, Limits: kvstore.Limits{WritesPerSecond: 1e5, MaxValueBytes: 1 << 10}, Timeout: time.Minute, Dial: d.DialContext})
 	commit := func(gs []wire.Compare, cs ...wire.Operation) (uint64, []string) {
 		gen, failed, err := st.Commit(t.Context(), wire.Txn{Compares: gs, Operations: cs})
 		if err != nil {
--- a/internal/history/golden_test.go
+++ b/internal/dataloss/golden_test.go
@@ -1,4 +1,4 @@
-package history
+package dataloss
 
 import (
 	"fmt"
--- a/internal/lead/elector.go
+++ b/internal/election/elector.go
@@ -1,8 +1,8 @@
-// Package lead elects the leader. The leader holds a key on a grant of the
+// Package election elects the leader. The leader holds a key on a grant of the
 // state service; each leadership has an epoch above all earlier ones, which
 // fences the commands of those before it, and every write of a leader guards
 // its key.
-package lead
+package election
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"sync"
 	"time"
 
-	"rillflow/internal/history"
-	"rillflow/internal/state"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/wire"
 )
 
@@ -74,9 +74,9 @@
 type Term struct {
 	FirstEpoch uint64 // the epoch it began with
 
-	incarnation    history.IncarnationState // that it belongs to, as it was at the start
-	previousMap    ShardMap                 // the latest map known when it began
-	store          *state.Client
+	incarnation    dataloss.IncarnationState // that it belongs to, as it was at the start
+	previousMap    ShardMap                  // the latest map known when it began
+	store          *kvstore.Client
 	leaderRevision uint64 // of the leader key
 	leaseID        uint64
 
@@ -159,13 +159,13 @@
 }
 
 // Incarnation is the history that the term belongs to, as it was when the term began.
-func (t *Term) Incarnation() history.IncarnationState { return t.incarnation }
+func (t *Term) Incarnation() dataloss.IncarnationState { return t.incarnation }
 
 // PreviousMap is the latest map that this node knew before the term.
 func (t *Term) PreviousMap() ShardMap { return t.previousMap }
 
 // AdvancePhase takes the term's history to a phase.
-func (t *Term) AdvancePhase(ctx context.Context, p history.Phase) error {
+func (t *Term) AdvancePhase(ctx context.Context, p dataloss.Phase) error {
 	c, err := t.incarnation.PhaseOperation(p)
 	if err != nil {
 		return err
@@ -180,7 +180,7 @@
 // CheckCompares tells whether failed guards say that the leadership is over: another leads, or
 // the history is another.
 func (t *Term) CheckCompares(failed []string) error {
-	gone := history.CompareFailed(failed)
+	gone := dataloss.CompareFailed(failed)
 	if gone {
 		t.elector.detector.Recheck()
 	}
@@ -188,7 +188,7 @@
 	case LeaderCompareFailed(failed):
 		return ErrDeposed
 	case gone:
-		return history.ErrIncarnationReplaced
+		return dataloss.ErrIncarnationReplaced
 	}
 	return nil
 }
@@ -233,11 +233,11 @@
 
 // Elector runs for leader and follows who leads.
 type Elector struct {
-	store                *state.Client
+	store                *kvstore.Client
 	controller           string
 	leaseDuration        time.Duration
 	shardOwners          func() []string // whom to part the hosts among
-	detector             *history.Detector
+	detector             *dataloss.Detector
 	remembersIncarnation func() bool // whether this node remembers an earlier history
 	log                  *slog.Logger
 
@@ -258,11 +258,11 @@
 
 // Options are what an Elector works with.
 type Options struct {
-	Store                *state.Client
+	Store                *kvstore.Client
 	Controller           string
 	LeaseDuration        time.Duration   // of a grant
 	ShardOwners          func() []string // whom a new leader parts the hosts among
-	Detector             *history.Detector
+	Detector             *dataloss.Detector
 	RemembersIncarnation func() bool // whether this node remembers an earlier history
 	Log                  *slog.Logger
 }
@@ -341,12 +341,12 @@
 						err = errors.Join(err, bad)
 					}
 				}
-			} else if errors.Is(err, state.ErrCompacted) {
+			} else if errors.Is(err, kvstore.ErrCompacted) {
 				after = 0
 			}
 		}
 		if err != nil {
-			state.Backoff(ctx, try, e.leaseDuration/16, e.leaseDuration/2)
+			kvstore.Backoff(ctx, try, e.leaseDuration/16, e.leaseDuration/2)
 			try++
 			continue
 		}
@@ -371,7 +371,7 @@
 func (e *Elector) ReadShardMap(ctx context.Context) (ShardMap, error) {
 	it, err := e.store.Get(ctx, epochKey)
 	switch {
-	case errors.Is(err, state.ErrNotFound):
+	case errors.Is(err, kvstore.ErrNotFound):
 		return ShardMap{}, nil
 	case err != nil:
 		return ShardMap{}, err
@@ -416,7 +416,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.endTerm != nil {
-		e.endTerm(fmt.Errorf("%w: %s", history.ErrIncarnationReplaced, why))
+		e.endTerm(fmt.Errorf("%w: %s", dataloss.ErrIncarnationReplaced, why))
 	}
 }
 
@@ -428,7 +428,7 @@
 		switch {
 		case err != nil:
 			e.log.Debug("election", "err", err)
-			state.Backoff(ctx, try, e.leaseDuration/16, e.leaseDuration/2)
+			kvstore.Backoff(ctx, try, e.leaseDuration/16, e.leaseDuration/2)
 			try++
 		case term != nil:
 			try = 0
@@ -437,7 +437,7 @@
 			try = 0
 			// The key goes when its grant ends: watch for that.
 			if _, err := e.store.Watch(ctx, leaderKey, after, e.leaseDuration); err != nil {
-				state.Backoff(ctx, 0, e.leaseDuration/16, e.leaseDuration/2)
+				kvstore.Backoff(ctx, 0, e.leaseDuration/16, e.leaseDuration/2)
 			}
 		}
 	}
@@ -464,7 +464,7 @@
 		}
 		return nil, it.ModRevision, nil
 	}
-	if !errors.Is(err, state.ErrNotFound) {
+	if !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, err
 	}
 	e.setLeader("")
@@ -472,7 +472,7 @@
 	rest := time.Until(e.campaignAfter)
 	e.mu.Unlock()
 	if rest > 0 {
-		state.Backoff(ctx, 0, min(rest, e.leaseDuration/4), e.leaseDuration)
+		kvstore.Backoff(ctx, 0, min(rest, e.leaseDuration/4), e.leaseDuration)
 		return nil, 0, errors.New("resting")
 	}
 	return e.campaign(ctx)
@@ -512,8 +512,8 @@
 
 // chooseIncarnation reads the history and tells what a new leader makes of it: the one it is to
 // lead in, and the changes that begin it where it is another.
-func (e *Elector) chooseIncarnation(ctx context.Context, stored ShardMap, epoch uint64) (history.IncarnationState, []wire.Compare, []wire.Operation, error) {
-	v, err := history.Read(ctx, e.store)
+func (e *Elector) chooseIncarnation(ctx context.Context, stored ShardMap, epoch uint64) (dataloss.IncarnationState, []wire.Compare, []wire.Operation, error) {
+	v, err := dataloss.Read(ctx, e.store)
 	if err != nil {
 		return v, nil, nil, err
 	}
@@ -526,15 +526,15 @@
 	if has && !doubted && stored.Epoch >= e.highestEpoch() {
 		return v, []wire.Compare{g}, nil, nil
 	}
-	next := history.IncarnationState{Incarnation: history.Incarnation{ID: rand.Text(), InitialPhase: history.PhaseRecovering, DataLost: true, Epoch: epoch}}
+	next := dataloss.IncarnationState{Incarnation: dataloss.Incarnation{ID: rand.Text(), InitialPhase: dataloss.PhaseRecovering, DataLost: true, Epoch: epoch}}
 	switch {
 	case has || doubted || stored.Incarnation != "" || e.highestEpoch() > stored.Epoch:
 	case stored.Epoch > 0:
 		// All was written by versions that keep no history.
-		next.InitialPhase, next.DataLost = history.PhaseComplete, false
+		next.InitialPhase, next.DataLost = dataloss.PhaseComplete, false
 	case e.remembersIncarnation():
 	default:
-		next.InitialPhase, next.DataLost = history.PhaseProvisional, false
+		next.InitialPhase, next.DataLost = dataloss.PhaseProvisional, false
 	}
 	next.Phase = next.InitialPhase
 	put, err := next.CreateOperation()
@@ -557,7 +557,7 @@
 			e.detector.Suspect("the epoch's key cannot be read")
 		}
 	}
-	if err != nil && !errors.Is(err, state.ErrNotFound) {
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, 0, err
 	}
 	epoch := max(ev.Epoch, e.highestEpoch()) + 1
@@ -661,7 +661,7 @@
 		}
 		sent := time.Now()
 		err := e.store.RenewLease(ctx, t.leaseID)
-		if errors.Is(err, state.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			cancel(fmt.Errorf("%w: the grant ended", ErrDeposed))
 			return
 		}
--- a/internal/lead/elector_test.go
+++ b/internal/election/elector_test.go
@@ -1,4 +1,4 @@
-package lead
+package election
 
 import (
 	"fmt"
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"rillflow/internal/history"
-	"rillflow/internal/state"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/wire"
 )
 
@@ -63,7 +63,7 @@
 // Every write of a leader guards its key and its history; where versions that keep no
 // history wrote all there is, only its key.
 func TestTermCompares(t *testing.T) {
-	term := &Term{leaderRevision: 3, incarnation: history.IncarnationState{Incarnation: history.Incarnation{ID: "A", Revision: 7}}}
+	term := &Term{leaderRevision: 3, incarnation: dataloss.IncarnationState{Incarnation: dataloss.Incarnation{ID: "A", Revision: 7}}}
 	want := []wire.Compare{{Key: leaderKey, ModRevision: 3}, {Key: "history/id/A", ModRevision: 7}}
 	if got := term.Compares(); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
@@ -96,8 +96,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			log := slog.New(slog.DiscardHandler)
-			st := state.New(state.Options{Addr: "none:1", RequestsPerSecond: 1, Timeout: time.Second})
-			h := history.NewDetector(st, nil, log)
+			st := kvstore.New(kvstore.Options{Addr: "none:1", RequestsPerSecond: 1, Timeout: time.Second})
+			h := dataloss.NewDetector(st, nil, log)
 			if tc.doubted {
 				h.Suspect("x")
 			}
--- a/internal/lead/golden_test.go
+++ b/internal/election/golden_test.go
@@ -1,4 +1,4 @@
-package lead
+package election
 
 import (
 	"strings"
--- a/internal/silence/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,8 +1,8 @@
-// Package silence tells who is at fault when machines are not heard: a machine
+// Package failuredetector tells who is at fault when machines are not heard: a machine
 // that is silent alone has most likely stopped, but when a zone, or all that one
 // controller answers, or everything falls silent together, it is the way to them
 // that is cut, and what runs there runs on. It is pure.
-package silence
+package failuredetector
 
 import "time"
 
--- a/internal/silence/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -1,4 +1,4 @@
-package silence
+package failuredetector
 
 import (
 	"flag"
--- a/internal/fleet/catalogue.go
+++ b/internal/fleet/catalogue.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"rillflow/internal/state"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/wire"
 )
 
@@ -57,7 +57,7 @@
 		types, err := c.cloud.InstanceTypes(ctx)
 		if err != nil || len(types) == 0 {
 			c.log.Debug("machine types", "err", err)
-			state.Backoff(ctx, attempt, c.refreshInterval/64, c.refreshInterval/8)
+			kvstore.Backoff(ctx, attempt, c.refreshInterval/64, c.refreshInterval/8)
 			attempt++
 			continue
 		}
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -12,8 +12,8 @@
 
 	"rillflow/internal/audit"
 	"rillflow/internal/keyring"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/rights"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -84,12 +84,12 @@
 			}
 		case err == nil:
 			return ErrChanged
-		case errors.Is(err, state.ErrOutcomeUnknown):
+		case errors.Is(err, kvstore.ErrOutcomeUnknown):
 			unsure = true
-		case errors.Is(err, state.ErrTooLarge):
+		case errors.Is(err, kvstore.ErrTooLarge):
 			return err
 		}
-		if try == tries || !state.Backoff(ctx, try, 100*time.Millisecond, 2*time.Second) {
+		if try == tries || !kvstore.Backoff(ctx, try, 100*time.Millisecond, 2*time.Second) {
 			return fmt.Errorf("identity: whether this was done is not known, see token list: %w", err)
 		}
 	}
@@ -108,7 +108,7 @@
 
 func (a *Admin) read(ctx context.Context, key string, v any) (uint64, error) {
 	it, err := a.Store.Get(ctx, key)
-	if errors.Is(err, state.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return 0, nil
 	}
 	if err != nil {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -19,8 +19,8 @@
 	"time"
 
 	"rillflow/internal/keyring"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/rights"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -171,8 +171,8 @@
 
 // Follow keeps the copy until ctx ends. every is how long a watch lasts: the copy is
 // known to be whole at least that often.
-func (r *Registry) Follow(ctx context.Context, st *state.Client, every time.Duration) error {
-	return st.WatchPrefix(ctx, state.Watcher{Prefix: Prefix, PollWait: every, BackoffBase: every / 16, BackoffLimit: every, OnSnapshot: r.replace, OnChanges: r.apply})
+func (r *Registry) Follow(ctx context.Context, st *kvstore.Client, every time.Duration) error {
+	return st.WatchPrefix(ctx, kvstore.Watcher{Prefix: Prefix, PollWait: every, BackoffBase: every / 16, BackoffLimit: every, OnSnapshot: r.replace, OnChanges: r.apply})
 }
 
 func (r *Registry) replace(items []wire.KeyValue, at time.Time) {
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"rillflow/internal/keyring"
-	"rillflow/internal/state"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 func (s *shelf) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	it, ok := s.m[key]
 	if !ok {
-		return it, state.ErrNotFound
+		return it, kvstore.ErrNotFound
 	}
 	return it, nil
 }
@@ -50,7 +50,7 @@
 	}
 	if s.lose > 0 {
 		s.lose--
-		return 0, nil, fmt.Errorf("%w: lost", state.ErrOutcomeUnknown)
+		return 0, nil, fmt.Errorf("%w: lost", kvstore.ErrOutcomeUnknown)
 	}
 	return s.rev, nil, nil
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -15,14 +15,14 @@
 	"time"
 
 	"rillflow/internal/access"
-	"rillflow/internal/copies"
+	"rillflow/internal/dataloss"
 	"rillflow/internal/fleet"
-	"rillflow/internal/history"
 	"rillflow/internal/identity"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
+	"rillflow/internal/replica"
 	"rillflow/internal/rights"
 	"rillflow/internal/settings"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -32,7 +32,7 @@
 // Users answers users.
 type Users struct {
 	set    *settings.Settings
-	st     *state.Client
+	st     *kvstore.Client
 	types  *fleet.Catalogue
 	counts Counts
 	down   func() bool
@@ -43,7 +43,7 @@
 	ended  *memory
 	batch  *memory // jobs seen accepted that are no services
 	past   Past
-	copies *copies.Replica
+	copies *replica.Replica
 	herald Herald
 }
 
@@ -66,7 +66,7 @@
 // whether the state service has not answered for long; full whether memory is
 // short; door who may do what; past whether data may have been lost, and kept what this
 // node remembers of it.
-func New(set *settings.Settings, st *state.Client, types *fleet.Catalogue, counts Counts, down, full func() bool, door *access.Door, past Past, kept *copies.Replica, herald Herald, now func() time.Time, log *slog.Logger) *Users {
+func New(set *settings.Settings, st *kvstore.Client, types *fleet.Catalogue, counts Counts, down, full func() bool, door *access.Door, past Past, kept *replica.Replica, herald Herald, now func() time.Time, log *slog.Logger) *Users {
 	return &Users{set: set, st: st, types: types, counts: counts, down: down, full: full, door: door, past: past, copies: kept, herald: herald, log: log, now: now, ended: newMemory(4096), batch: newMemory(4096)}
 }
 
@@ -75,10 +75,10 @@
 // kept waiting for what cannot be decided now. What got no answer, or came at a
 // busy moment, may well be settled within the user's patience.
 func (u *Users) again(ctx context.Context, err error, try int) bool {
-	if errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrRateLimited) || u.down() {
+	if errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited) || u.down() {
 		return false
 	}
-	return state.Backoff(ctx, try, 20*time.Millisecond, 200*time.Millisecond)
+	return kvstore.Backoff(ctx, try, 20*time.Millisecond, 200*time.Millisecond)
 }
 
 // Routes adds the users' requests to a mux.
@@ -239,7 +239,7 @@
 			u.tell(ctx, w, who, p)
 			return
 		}
-		if !errors.Is(err, state.ErrNotFound) {
+		if !errors.Is(err, kvstore.ErrNotFound) {
 			busy(w, "state service")
 			return
 		}
@@ -273,7 +273,7 @@
 		return false, errLarge, nil
 	}
 	if u.down() {
-		return false, nil, state.ErrRefused
+		return false, nil, kvstore.ErrRefused
 	}
 	put := wire.Operation{Put: ledger.LiveKey(job.ID), Value: data}
 	for try := 0; ; try++ {
@@ -281,7 +281,7 @@
 		var failed []string
 		fence, err := u.fence()
 		if err == nil && u.unstored(job.ID) {
-			err = history.ErrDataLossSuspected
+			err = dataloss.ErrDataLossSuspected
 		}
 		if err == nil {
 			gen, failed, err = u.st.Commit(ctx, wire.Txn{
@@ -289,9 +289,9 @@
 				Operations: []wire.Operation{put},
 			})
 		}
-		if err == nil && history.CompareFailed(failed) {
+		if err == nil && dataloss.CompareFailed(failed) {
 			u.past.Check()
-			err = history.ErrDataLossSuspected
+			err = dataloss.ErrDataLossSuspected
 		}
 		if err == nil && identity.Touched(failed) && !slices.Contains(failed, ledger.LiveKey(job.ID)) && !slices.Contains(failed, ledger.EndedKey(job.ID)) {
 			// Withdrawn since the token was checked, or only changed: the next
@@ -320,24 +320,24 @@
 		return p, nil
 	}
 	if u.down() {
-		return known{}, state.ErrRefused
+		return known{}, kvstore.ErrRefused
 	}
 	for try := 0; ; try++ {
 		// What is stored while data may have been lost may be older than what was told,
 		// and a node that has just begun cannot tell whether any was.
 		_, err := u.fence()
 		if err == nil && u.past.Young() {
-			err = history.ErrDataLossSuspected
+			err = dataloss.ErrDataLossSuspected
 		}
 		var p known
 		before := u.glance(ref)
 		if err == nil {
 			p, err = u.read(ctx, ref, before)
 		}
-		if errors.Is(err, state.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			p, err = u.absent(ctx, ref, before)
 		}
-		if err == nil || errors.Is(err, state.ErrNotFound) {
+		if err == nil || errors.Is(err, kvstore.ErrNotFound) {
 			return p, err
 		}
 		if !u.again(ctx, err, try) {
@@ -373,7 +373,7 @@
 		}
 		return p, nil
 	}
-	if !errors.Is(err, state.ErrNotFound) {
+	if !errors.Is(err, kvstore.ErrNotFound) {
 		return known{}, err
 	}
 	it, err = u.st.Get(ctx, ledger.EndedKey(ref))
@@ -416,7 +416,7 @@
 	switch {
 	case err == nil:
 		u.tell(ctx, w, who, p)
-	case errors.Is(err, state.ErrNotFound):
+	case errors.Is(err, kvstore.ErrNotFound):
 		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 	default:
 		busy(w, "state service")
@@ -446,7 +446,7 @@
 			return
 		case u.unauthorized(w, err):
 			return
-		case errors.Is(err, state.ErrNotFound):
+		case errors.Is(err, kvstore.ErrNotFound):
 			reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 			return
 		case !u.again(ctx, err, try):
@@ -466,7 +466,7 @@
 		return p, err
 	}
 	if u.down() {
-		return known{}, state.ErrRefused
+		return known{}, kvstore.ErrRefused
 	}
 	fence, err := u.fence()
 	if err != nil {
@@ -474,9 +474,9 @@
 	}
 	before := u.glance(ref)
 	it, err := u.st.Get(ctx, ledger.LiveKey(ref))
-	if errors.Is(err, state.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		p, err := u.read(ctx, ref, before)
-		if errors.Is(err, state.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			return u.endLost(ctx, who, ref, fence, before)
 		}
 		if err == nil {
@@ -494,7 +494,7 @@
 	rec, err := ledger.DecodeJobRecord(it.Value)
 	if err != nil {
 		u.past.Doubt(fmt.Sprintf("the record of job %s cannot be read", ref))
-		return known{}, fmt.Errorf("intake: %s: %w: %w", ref, history.ErrDataLossSuspected, err)
+		return known{}, fmt.Errorf("intake: %s: %w: %w", ref, dataloss.ErrDataLossSuspected, err)
 	}
 	dec, err := u.may(who, rights.Withdraw, rec.Job.Team, ref)
 	if err != nil {
@@ -517,9 +517,9 @@
 	if err != nil {
 		return known{}, err
 	}
-	if history.CompareFailed(failed) {
+	if dataloss.CompareFailed(failed) {
 		u.past.Check()
-		return known{}, history.ErrDataLossSuspected
+		return known{}, dataloss.ErrDataLossSuspected
 	}
 	if slices.Contains(failed, ledger.LiveKey(ref)) {
 		return known{}, errMoved
--- a/internal/intake/needs.go
+++ b/internal/intake/needs.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sync/errgroup"
 
 	"rillflow/internal/identity"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
 	"rillflow/internal/rights"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -88,7 +88,7 @@
 		return true, p.owner, nil, nil // that it was accepted stays true; whether it is over, the leader sees
 	}
 	if u.down() {
-		return false, "", nil, state.ErrRefused
+		return false, "", nil, kvstore.ErrRefused
 	}
 	for try := 0; ; try++ {
 		open, owner, bad, err = u.find(ctx, ref)
@@ -112,12 +112,12 @@
 		}
 		return true, rec.Job.Team, nil, err
 	}
-	if !errors.Is(err, state.ErrNotFound) {
+	if !errors.Is(err, kvstore.ErrNotFound) {
 		return false, "", nil, err
 	}
 	// A job goes from live to ended, so what is neither was never accepted.
 	it, err = u.st.Get(ctx, ledger.EndedKey(ref))
-	if errors.Is(err, state.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		if err := u.sure(ref, before); err != nil {
 			return false, "", nil, err
 		}
--- a/internal/intake/needs_test.go
+++ b/internal/intake/needs_test.go
@@ -15,12 +15,12 @@
 	"time"
 
 	"rillflow/internal/access"
-	"rillflow/internal/copies"
+	"rillflow/internal/dataloss"
 	"rillflow/internal/fleet"
-	"rillflow/internal/history"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -84,19 +84,19 @@
 
 // past is a history that is as it says.
 type past struct {
-	phase            history.Phase
+	phase            dataloss.Phase
 	err              error
 	lost, fresh, fed bool
 	doubted          string
 }
 
-func (p *past) Fence() ([]wire.Compare, history.Phase, error) { return nil, p.phase, p.err }
-func (p *past) Doubt(why string)                              { p.doubted = why }
-func (p *past) Check()                                        {}
-func (p *past) Lost() bool                                    { return p.lost }
-func (p *past) Fresh() bool                                   { return p.fresh }
-func (p *past) Young() bool                                   { return false }
-func (p *past) Fed() bool                                     { return p.fed }
+func (p *past) Fence() ([]wire.Compare, dataloss.Phase, error) { return nil, p.phase, p.err }
+func (p *past) Doubt(why string)                               { p.doubted = why }
+func (p *past) Check()                                         {}
+func (p *past) Lost() bool                                     { return p.lost }
+func (p *past) Fresh() bool                                    { return p.fresh }
+func (p *past) Young() bool                                    { return false }
+func (p *past) Fed() bool                                      { return p.fed }
 
 // herald stands in for those who must know of a withdrawal before a user does.
 type herald struct {
@@ -117,10 +117,10 @@
 		State: settings.State{RPS: 1e4, WriteRPS: 1e4, ValueKB: 16, TxnOps: 16, Next: &settings.NextState{ValueKB: 2, TxnOps: 4}},
 	}}
 	var d net.Dialer
-	st := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e4, Limits: state.Limits{WritesPerSecond: 1e4}, Timeout: 5 * time.Second, Dial: d.DialContext})
+	st := kvstore.New(kvstore.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e4, Limits: kvstore.Limits{WritesPerSecond: 1e4}, Timeout: 5 * time.Second, Dial: d.DialContext})
 	types := fleet.NewCatalogue(nil, time.Minute, nil)
 	types.Set([]wire.InstanceType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}})
-	u := New(set, st, types, func(context.Context, string) (int, int, bool, error) { return 0, 0, false, nil }, func() bool { return false }, func() bool { return false }, access.New(set, st, nil, slog.New(slog.DiscardHandler)), &past{phase: history.PhaseComplete, fed: true}, copies.New(1<<20, nil), &herald{}, time.Now, slog.New(slog.DiscardHandler))
+	u := New(set, st, types, func(context.Context, string) (int, int, bool, error) { return 0, 0, false, nil }, func() bool { return false }, func() bool { return false }, access.New(set, st, nil, slog.New(slog.DiscardHandler)), &past{phase: dataloss.PhaseComplete, fed: true}, replica.New(1<<20, nil), &herald{}, time.Now, slog.New(slog.DiscardHandler))
 	mux := http.NewServeMux()
 	u.Routes(mux)
 	return u, mux
--- a/internal/intake/past.go
+++ b/internal/intake/past.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"rillflow/internal/history"
+	"rillflow/internal/dataloss"
 	"rillflow/internal/identity"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
 	"rillflow/internal/rights"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -20,7 +20,7 @@
 type Past interface {
 	// Fence is the present history's guard and phase; an error while data may have
 	// been lost.
-	Fence() ([]wire.Compare, history.Phase, error)
+	Fence() ([]wire.Compare, dataloss.Phase, error)
 	// Doubt notes that a key is gone that nobody removed.
 	Doubt(why string)
 	// Check has the history read anew: a guard on it did not hold.
@@ -54,22 +54,22 @@
 	switch {
 	case err != nil:
 		return err
-	case phase == history.PhaseComplete && before.known:
+	case phase == dataloss.PhaseComplete && before.known:
 		u.past.Doubt("job " + ref + " is gone without an end")
-		return history.ErrDataLossSuspected
+		return dataloss.ErrDataLossSuspected
 	case u.copies.KnowsJob(ref):
-		return history.ErrDataLossSuspected // it has come since: asked again, it is there
-	case phase != history.PhaseComplete, !u.past.Fed():
+		return dataloss.ErrDataLossSuspected // it has come since: asked again, it is there
+	case phase != dataloss.PhaseComplete, !u.past.Fed():
 		// Not all who may know were heard; and a node that has just begun remembers
 		// nothing yet.
-		return history.ErrDataLossSuspected
+		return dataloss.ErrDataLossSuspected
 	}
 	return nil
 }
 
 // recall tells a job's end from memory, while the state service may lack it.
 func (u *Users) recall(ref string) (known, bool) {
-	if _, phase, err := u.past.Fence(); err == nil && phase != history.PhaseRestoringResults && phase != history.PhaseRecovering {
+	if _, phase, err := u.past.Fence(); err == nil && phase != dataloss.PhaseRestoringResults && phase != dataloss.PhaseRecovering {
 		return known{}, false
 	}
 	return u.over(ref)
@@ -111,8 +111,8 @@
 // together again.
 func (u *Users) fence() ([]wire.Compare, error) {
 	gs, phase, err := u.past.Fence()
-	if err == nil && phase == history.PhaseRecovering {
-		err = history.ErrDataLossSuspected
+	if err == nil && phase == dataloss.PhaseRecovering {
+		err = dataloss.ErrDataLossSuspected
 	}
 	return gs, err
 }
@@ -120,14 +120,14 @@
 // opens waits for the first leader of all to begin a history: until then there is
 // nothing to doubt, and a user's first job is not to be turned away.
 func (u *Users) opens(ctx context.Context, err error, try int) bool {
-	return errors.Is(err, history.ErrDataLossSuspected) && !u.down() && u.past.Fresh() && state.Backoff(ctx, try, 20*time.Millisecond, 100*time.Millisecond)
+	return errors.Is(err, dataloss.ErrDataLossSuspected) && !u.down() && u.past.Fresh() && kvstore.Backoff(ctx, try, 20*time.Millisecond, 100*time.Millisecond)
 }
 
 // unstored tells whether the job's end is known but may yet have to be stored again, so
 // that the state service would take the job for new.
 func (u *Users) unstored(ref string) bool {
 	_, phase, err := u.past.Fence()
-	if err != nil || phase != history.PhaseRestoringResults {
+	if err != nil || phase != dataloss.PhaseRestoringResults {
 		return err != nil
 	}
 	if _, ok := u.copies.Get(ledger.EndedKey(ref)); ok {
@@ -143,14 +143,14 @@
 		return known{}, err
 	}
 	if !u.past.Lost() {
-		return known{}, state.ErrNotFound
+		return known{}, kvstore.ErrNotFound
 	}
 	_, running, ok, err := u.counts(ctx, ref)
 	if err != nil {
-		return known{}, fmt.Errorf("%w: the leader cannot be asked: %w", state.ErrRefused, err)
+		return known{}, fmt.Errorf("%w: the leader cannot be asked: %w", kvstore.ErrRefused, err)
 	}
 	if !ok {
-		return known{}, state.ErrNotFound
+		return known{}, kvstore.ErrNotFound
 	}
 	return known{JobStatus: wire.JobStatus{ID: ref, Phase: wire.PhaseRunning, Running: &running}}, nil
 }
--- a/internal/intake/past_test.go
+++ b/internal/intake/past_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"rillflow/internal/history"
+	"rillflow/internal/dataloss"
 	"rillflow/internal/wire"
 )
 
@@ -14,9 +14,9 @@
 // again, or contradicts what this node remembers.
 func TestLostData(t *testing.T) {
 	const live, done = `{"job":{"ref":"req-1","members":1},"at":1,"chunk":8}`, `{"phase":"done","tasks":4}`
-	whole := past{phase: history.PhaseComplete, fed: true}
-	ends := past{phase: history.PhaseRestoringResults, fed: true}
-	lost := past{phase: history.PhaseComplete, fed: true, lost: true}
+	whole := past{phase: dataloss.PhaseComplete, fed: true}
+	ends := past{phase: dataloss.PhaseRestoringResults, fed: true}
+	lost := past{phase: dataloss.PhaseComplete, fed: true, lost: true}
 	for _, tc := range []struct {
 		name    string
 		past    past
@@ -27,23 +27,23 @@
 		phase   string
 		doubted bool
 	}{
-		{"doubt, nothing known", past{err: history.ErrDataLossSuspected}, nil, nil, "GET req-1", 503, "", false},
-		{"doubt, alive as stored: it may be older than what was told", past{err: history.ErrDataLossSuspected}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
-		{"doubt, an end in memory", past{err: history.ErrDataLossSuspected}, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, false},
-		{"doubt, a new job", past{err: history.ErrDataLossSuspected}, nil, nil, "POST req-1", 503, "", false},
-		{"doubt, a withdrawal", past{err: history.ErrDataLossSuspected}, map[string]string{"j/req-1": live}, nil, "END req-1", 503, "", false},
-		{"doubt, a withdrawal of what is over", past{err: history.ErrDataLossSuspected}, nil, map[string]string{"d/req-1": done}, "END req-1", 200, wire.PhaseDone, false},
-		{"rebuild, a new job", past{phase: history.PhaseRecovering, fed: true}, nil, nil, "POST req-1", 503, "", false},
-		{"rebuild, alive", past{phase: history.PhaseRecovering, fed: true}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
-		{"open, nothing known yet", past{phase: history.PhaseProvisional, fed: true}, nil, nil, "GET req-1", 503, "", false},
-		{"open, a new job", past{phase: history.PhaseProvisional, fed: true}, nil, nil, "POST req-1", 201, wire.PhaseQueued, false},
+		{"doubt, nothing known", past{err: dataloss.ErrDataLossSuspected}, nil, nil, "GET req-1", 503, "", false},
+		{"doubt, alive as stored: it may be older than what was told", past{err: dataloss.ErrDataLossSuspected}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
+		{"doubt, an end in memory", past{err: dataloss.ErrDataLossSuspected}, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, false},
+		{"doubt, a new job", past{err: dataloss.ErrDataLossSuspected}, nil, nil, "POST req-1", 503, "", false},
+		{"doubt, a withdrawal", past{err: dataloss.ErrDataLossSuspected}, map[string]string{"j/req-1": live}, nil, "END req-1", 503, "", false},
+		{"doubt, a withdrawal of what is over", past{err: dataloss.ErrDataLossSuspected}, nil, map[string]string{"d/req-1": done}, "END req-1", 200, wire.PhaseDone, false},
+		{"rebuild, a new job", past{phase: dataloss.PhaseRecovering, fed: true}, nil, nil, "POST req-1", 503, "", false},
+		{"rebuild, alive", past{phase: dataloss.PhaseRecovering, fed: true}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
+		{"open, nothing known yet", past{phase: dataloss.PhaseProvisional, fed: true}, nil, nil, "GET req-1", 503, "", false},
+		{"open, a new job", past{phase: dataloss.PhaseProvisional, fed: true}, nil, nil, "POST req-1", 201, wire.PhaseQueued, false},
 		{"ends, nothing known: not all were heard", ends, nil, nil, "GET req-1", 503, "", false},
 		{"ends, a new job", ends, nil, nil, "POST req-1", 201, wire.PhaseQueued, false},
-		{"ends, no copy yet", past{phase: history.PhaseRestoringResults}, nil, nil, "GET req-1", 503, "", false},
+		{"ends, no copy yet", past{phase: dataloss.PhaseRestoringResults}, nil, nil, "GET req-1", 503, "", false},
 		{"ends, an end to be stored", ends, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, false},
 		{"ends, the same submitted again", ends, nil, map[string]string{"d/req-1": done}, "POST req-1", 200, wire.PhaseDone, false},
 		{"whole, never there", whole, nil, nil, "GET req-1", 404, "", false},
-		{"whole, a node that has just begun", past{phase: history.PhaseComplete}, nil, nil, "GET req-1", 503, "", false},
+		{"whole, a node that has just begun", past{phase: dataloss.PhaseComplete}, nil, nil, "GET req-1", 503, "", false},
 		{"whole, gone without an end", whole, nil, map[string]string{"j/req-1": live}, "GET req-1", 503, "", true},
 		{"whole, an end is gone", whole, nil, map[string]string{"d/req-1": done}, "GET req-1", 503, "", true},
 		{"whole, alive again", whole, map[string]string{"j/req-1": live}, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, true},
@@ -115,11 +115,11 @@
 				k.m[key] = v
 			}
 			u, mux := users(t, k)
-			p := &past{phase: history.PhaseComplete, fed: true}
+			p := &past{phase: dataloss.PhaseComplete, fed: true}
 			u.past = p
 			k.late = func() {
 				if tc.meanwhile.Put == "" {
-					p.err = history.ErrDataLossSuspected
+					p.err = dataloss.ErrDataLossSuspected
 				}
 				u.copies.Apply(1, tc.meanwhile)
 			}
--- a/internal/state/client.go
+++ b/internal/kvstore/client.go
@@ -1,7 +1,7 @@
-// Package state is the client of the state service, the only place where
+// Package kvstore is the client of the state service, the only place where
 // controllers keep anything. It keeps to a share of the service's budget and
 // tells a request that was refused from one whose fate is unknown.
-package state
+package kvstore
 
 import (
 	"bytes"
--- a/internal/state/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"net"
--- a/internal/control/antientropy.go
+++ b/internal/leader/antientropy.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -8,10 +8,10 @@
 	"slices"
 	"strings"
 
-	"rillflow/internal/copies"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/rebuild"
-	"rillflow/internal/state"
+	"rillflow/internal/recovery"
+	"rillflow/internal/replica"
 	"rillflow/internal/wire"
 )
 
@@ -57,7 +57,7 @@
 }
 
 // checkPage finds what was remembered before a page was read, still is, and is not in it.
-func (t *leaderTerm) checkPage(ctx context.Context, before *copies.Tree, prefix, after, next string, page []wire.KeyValue) error {
+func (t *leaderTerm) checkPage(ctx context.Context, before *replica.Tree, prefix, after, next string, page []wire.KeyValue) error {
 	present := make(map[string]bool, len(page))
 	for _, it := range page {
 		present[it.Key] = true
@@ -80,7 +80,7 @@
 		if prefix == ledger.EndedPrefix && t.endingPending(key) {
 			continue
 		}
-		if _, err := t.store.Get(ctx, key); !errors.Is(err, state.ErrNotFound) {
+		if _, err := t.store.Get(ctx, key); !errors.Is(err, kvstore.ErrNotFound) {
 			continue
 		}
 		// Removed by somebody meanwhile, and the copy is yet to be told?
@@ -90,9 +90,9 @@
 		if _, still := t.replica.Get(key); !still || prefix == ledger.ChunkPrefix && t.chunkRemovable(key) {
 			continue
 		}
-		if _, err := t.store.Get(ctx, key); errors.Is(err, state.ErrNotFound) {
+		if _, err := t.store.Get(ctx, key); errors.Is(err, kvstore.ErrNotFound) {
 			if ref, ok := strings.CutPrefix(key, ledger.LivePrefix); ok {
-				if _, err := t.readEnding(ctx, ref); !errors.Is(err, state.ErrNotFound) {
+				if _, err := t.readEnding(ctx, ref); !errors.Is(err, kvstore.ErrNotFound) {
 					continue
 				}
 			}
@@ -115,5 +115,5 @@
 func (t *leaderTerm) endingPending(key string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.progress != nil && slices.ContainsFunc(t.progress.pending, func(write rebuild.Write) bool { return write.Key == key })
+	return t.progress != nil && slices.ContainsFunc(t.progress.pending, func(write recovery.Write) bool { return write.Key == key })
 }
--- a/internal/control/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -13,8 +13,8 @@
 
 	"rillflow/internal/audit"
 	"rillflow/internal/keyring"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -85,7 +85,7 @@
 }
 
 // open finds the end of the chain, and has the record tell who leads now.
-func (a *auditWriter) open(ctx context.Context, store *state.Client, heartbeatInterval time.Duration) error {
+func (a *auditWriter) open(ctx context.Context, store *kvstore.Client, heartbeatInterval time.Duration) error {
 	if a == nil {
 		return nil
 	}
@@ -95,13 +95,13 @@
 	defer a.release()
 	for attempt := 0; ; attempt++ {
 		item, err := store.First(ctx, audit.BlockPrefix)
-		if errors.Is(err, state.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			return nil
 		}
 		if err == nil {
 			return a.resume(item)
 		}
-		if !state.Backoff(ctx, attempt, heartbeatInterval/32, heartbeatInterval/4) {
+		if !kvstore.Backoff(ctx, attempt, heartbeatInterval/32, heartbeatInterval/4) {
 			return ctx.Err()
 		}
 	}
@@ -312,9 +312,9 @@
 
 // isStored tells whether the first block of a transaction is the one that is stored
 // under its number: nobody else can have sealed it.
-func (b *auditedBatch) isStored(ctx context.Context, store *state.Client) (revision uint64, stored bool, err error) {
+func (b *auditedBatch) isStored(ctx context.Context, store *kvstore.Client) (revision uint64, stored bool, err error) {
 	item, err := store.Get(ctx, audit.BlockKey(b.blocks[0].Seq))
-	if errors.Is(err, state.ErrNotFound) {
+	if errors.Is(err, kvstore.ErrNotFound) {
 		return 0, false, nil
 	}
 	return item.ModRevision, err == nil && b.blocks[0].Same(item.Value), err
@@ -346,7 +346,7 @@
 	if t.auditLog == nil {
 		return nil
 	}
-	return t.store.WatchPrefix(ctx, state.Watcher{
+	return t.store.WatchPrefix(ctx, kvstore.Watcher{
 		Prefix: audit.SlipPrefix, PollWait: t.settings.Lease() / 2, BackoffBase: t.settings.Report() / 32, BackoffLimit: t.settings.Report() / 4,
 		OnSnapshot: func(items []wire.KeyValue, _ time.Time) {
 			t.mu.Lock()
--- a/internal/control/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"time"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/lead"
+	"rillflow/internal/election"
 	"rillflow/internal/ledger"
 	"rillflow/internal/placement"
 	"rillflow/internal/wire"
@@ -33,7 +33,7 @@
 				b.StopTimer()
 				r := newTestTerm(b)
 				table := placement.NewTable(placement.Params{Horizon: 512, Bonus: 0.05, RunBound: 8, Tick: 12 * time.Second}, now)
-				r.leadership, r.shards = &fakeLeadership{lead.ShardMap{Epoch: 1, Leader: "n", Owners: []string{"n"}}}, chooser{table: table}
+				r.leadership, r.shards = &fakeLeadership{election.ShardMap{Epoch: 1, Leader: "n", Owners: []string{"n"}}}, chooser{table: table}
 				r.writeSignal, r.latencies = make(chan struct{}, 1), newLatencies()
 				r.settings.Facts.Teams[0].CPUs, r.settings.Facts.Teams[0].CPUsMax = 1e6, 1e6
 				r.jobs = ledger.New("w", r.settings.Facts.Teams)
--- a/internal/control/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"time"
--- a/internal/control/claimwriter.go
+++ b/internal/leader/claimwriter.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -50,8 +50,8 @@
 			if batch == nil && err == nil {
 				break
 			}
-			if errors.Is(err, state.ErrRefused) {
-				if !state.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
+			if errors.Is(err, kvstore.ErrRefused) {
+				if !kvstore.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
 					return ctx.Err()
 				}
 				attempt++
@@ -204,16 +204,16 @@
 			return t.compareFailed(ctx, batch, failed)
 		case err == nil:
 			return t.compareFailed(ctx, batch, failed)
-		case errors.Is(err, state.ErrRefused) && !uncertain, errors.Is(err, state.ErrTooLarge):
+		case errors.Is(err, kvstore.ErrRefused) && !uncertain, errors.Is(err, kvstore.ErrTooLarge):
 			// What is too large is never to be sent again as it is, not even
 			// to learn whether it was applied before the limits fell: the
 			// batch made instead has the same guards and tells.
 			t.batchFailed(batch)
 			return err
-		case errors.Is(err, state.ErrOutcomeUnknown):
+		case errors.Is(err, kvstore.ErrOutcomeUnknown):
 			uncertain = true
 		}
-		if !state.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
+		if !kvstore.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
 			return ctx.Err()
 		}
 	}
@@ -229,7 +229,7 @@
 		// A job goes from the live keys to an end. One that is neither was lost.
 		if ref, ok := strings.CutPrefix(key, ledger.LivePrefix); ok {
 			data, err := t.readEnding(ctx, ref)
-			if errors.Is(err, state.ErrNotFound) {
+			if errors.Is(err, kvstore.ErrNotFound) {
 				return t.suspectDataLoss(fmt.Errorf("job %s is gone without an end", ref))
 			}
 			if err != nil {
@@ -265,7 +265,7 @@
 			continue
 		}
 		item, err := t.store.Get(ctx, key)
-		if err != nil && !errors.Is(err, state.ErrNotFound) {
+		if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 			return 0, false, err
 		}
 		switch {
--- a/internal/control/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 	"time"
 
 	"rillflow/internal/audit"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -59,7 +59,7 @@
 			item, err := t.store.Get(ctx, ledger.EndedKey(ref))
 			if err != nil {
 				// Not found: it is live, and the watch has yet to tell.
-				if !errors.Is(err, state.ErrNotFound) {
+				if !errors.Is(err, kvstore.ErrNotFound) {
 					refused.Store(true)
 				}
 				return
@@ -124,7 +124,7 @@
 		if err == nil {
 			return true, t.dependentsCancelled(jobs, batch, failed)
 		}
-		if errors.Is(err, state.ErrTooLarge) {
+		if errors.Is(err, kvstore.ErrTooLarge) {
 			t.mu.Lock()
 			t.auditLog.resolve(batch, false, t.now())
 			t.mu.Unlock()
@@ -132,7 +132,7 @@
 		}
 		// Of unknown fate or not, the same is asked for again: a job that
 		// was withdrawn by it fails its guard then, which is as good.
-		if !state.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
+		if !kvstore.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
 			return false, ctx.Err()
 		}
 	}
--- a/internal/control/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -9,8 +9,8 @@
 
 	"rillflow/internal/agent"
 	"rillflow/internal/audit"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -414,7 +414,7 @@
 		// A host that does not take commands gets them with its next beat.
 		t.log.Debug("direct command", "host", worker.Name, "refused", refused, "err", err)
 		if unheard {
-			state.Backoff(ctx, attempt, t.settings.Report()/8, t.settings.Report())
+			kvstore.Backoff(ctx, attempt, t.settings.Report()/8, t.settings.Report())
 			attempt = min(attempt+1, 8)
 		}
 	}
--- a/internal/control/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"fmt"
@@ -9,12 +9,12 @@
 	"time"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/copies"
+	"rillflow/internal/election"
 	"rillflow/internal/fleet"
-	"rillflow/internal/lead"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -37,7 +37,7 @@
 	instanceTypes := fleet.NewCatalogue(nil, time.Minute, nil)
 	instanceTypes.Set([]wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
 	leader := &leaderTerm{
-		Runner: &Runner{settings: config, instanceTypes: instanceTypes, replica: copies.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return now }},
+		Runner: &Runner{settings: config, instanceTypes: instanceTypes, replica: replica.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return now }},
 		jobs:   ledger.New("w", config.Facts.Teams), workers: map[string]*agent.Worker{}, released: map[string]time.Time{}, detector: newFailureDetector(config), scaledAheadTeams: map[string]bool{}, deficits: map[string]*deficitCounter{},
 	}
 	for i, zone := range []string{"a", "b", "a", "b"} {
@@ -397,11 +397,11 @@
 // Where something urgent is always to be written, the rest still has its turn.
 func TestIdleWritesHaveTheirTurn(t *testing.T) {
 	leader := newTestTerm(t)
-	leader.leadership = &fakeLeadership{lead.ShardMap{Epoch: 1}}
+	leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 1}}
 	at := now
 	leader.now = func() time.Time { return at }
 	leader.settings.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
-	leader.store = state.New(state.Options{RequestsPerSecond: 1000, Limits: state.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10}})
+	leader.store = kvstore.New(kvstore.Options{RequestsPerSecond: 1000, Limits: kvstore.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10}})
 	old := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
 	claim := func(j *ledger.Job) *ledger.Claim {
 		c, err := leader.jobs.Claim(j, "h0", 1, "a")
--- a/internal/control/load.go
+++ b/internal/leader/load.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -9,11 +9,11 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"rillflow/internal/copies"
-	"rillflow/internal/history"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/rebuild"
-	"rillflow/internal/state"
+	"rillflow/internal/recovery"
+	"rillflow/internal/replica"
 	"rillflow/internal/wire"
 )
 
@@ -32,7 +32,7 @@
 		if settled, err := ask(); settled {
 			return err
 		}
-		if !state.Backoff(ctx, attempt, t.settings.Report()/32, t.settings.Report()/4) {
+		if !kvstore.Backoff(ctx, attempt, t.settings.Report()/32, t.settings.Report()/4) {
 			return ctx.Err()
 		}
 	}
@@ -51,18 +51,18 @@
 	}
 	view := t.leadership.Incarnation()
 	ended := make(map[string][]byte) // that this node was not told of
-	if view.Phase != history.PhaseRecovering {
+	if view.Phase != dataloss.PhaseRecovering {
 		if ended, err = t.compareWithReplica(ctx, jobs, chunks); err != nil {
 			return 0, err
 		}
 	}
-	var merged rebuild.Result
-	if view.Phase == history.PhaseRecovering || view.Phase == history.PhaseRestoringResults {
+	var merged recovery.Result
+	if view.Phase == dataloss.PhaseRecovering || view.Phase == dataloss.PhaseRestoringResults {
 		if merged, err = t.mergeSources(ctx, view.Phase, jobs, chunks); err != nil {
 			return 0, err
 		}
 	}
-	if view.Phase == history.PhaseRecovering {
+	if view.Phase == dataloss.PhaseRecovering {
 		jobs, chunks = toItems(merged.LiveJobs), toItems(merged.Chunks)
 	}
 	orphaned, err := t.endingsOfOrphanedClaims(ctx, jobs, chunks, merged.Ends)
@@ -91,7 +91,7 @@
 		if data == nil {
 			data, err = t.readEnding(ctx, ref)
 		}
-		if errors.Is(err, state.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			return nil, t.suspectDataLoss(fmt.Errorf("claims of job %s without its record", ref))
 		} else if err != nil {
 			return nil, err
@@ -101,7 +101,7 @@
 	return endings, nil
 }
 
-func toItems(values []rebuild.Value) []wire.KeyValue {
+func toItems(values []recovery.Value) []wire.KeyValue {
 	items := make([]wire.KeyValue, len(values))
 	for i, value := range values {
 		items[i] = wire.KeyValue{Key: value.Key, Value: value.Data, ModRevision: value.ModRevision}
@@ -110,7 +110,7 @@
 }
 
 // populate makes the ledger and this node's copy of what was read or put together.
-func (t *leaderTerm) populate(view history.IncarnationState, revision uint64, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) error {
+func (t *leaderTerm) populate(view dataloss.IncarnationState, revision uint64, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) error {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, item := range jobs {
@@ -136,14 +136,14 @@
 		}
 	}
 	t.jobs.FinishLoading()
-	if view.Phase == history.PhaseRecovering {
+	if view.Phase == dataloss.PhaseRecovering {
 		t.jobs.MarkClaimsUnconfirmed(t.baseAttempt())
 	}
 	for _, worker := range t.jobs.ClaimedWorkers() {
 		t.worker(worker)
 	}
 	t.replica.StartLeading(view.ID, t.firstEpoch, revision, t.replicaTree(view, jobs, chunks, recovered, endings))
-	if view.Phase == history.PhaseComplete {
+	if view.Phase == dataloss.PhaseComplete {
 		t.replica.MarkComplete(view.ID)
 	}
 	t.log.Info("loaded", "epoch", t.firstEpoch, "jobs", len(t.jobs.Jobs()), "claimed_hosts", len(t.workers))
@@ -151,7 +151,7 @@
 }
 
 // replicaTree is what the copies are to hold: what was read, with the ends that are known.
-func (t *leaderTerm) replicaTree(view history.IncarnationState, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) *copies.Tree {
+func (t *leaderTerm) replicaTree(view dataloss.IncarnationState, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) *replica.Tree {
 	txn := iradix.New[[]byte]().Txn()
 	if known, head := t.replica.Tree(); head.History == view.ID && recovered == nil {
 		known.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool { txn.Insert(key, value); return false })
@@ -177,7 +177,7 @@
 	err := t.retry(ctx, func() (bool, error) {
 		var err error
 		item, err = t.store.Get(ctx, ledger.EndedKey(ref))
-		return err == nil || errors.Is(err, state.ErrNotFound), err
+		return err == nil || errors.Is(err, kvstore.ErrNotFound), err
 	})
 	return item.Value, err
 }
@@ -221,7 +221,7 @@
 	}
 	for _, ref := range missing {
 		data, err := t.readEnding(ctx, ref)
-		if errors.Is(err, state.ErrNotFound) {
+		if errors.Is(err, kvstore.ErrNotFound) {
 			return nil, t.suspectDataLoss(fmt.Errorf("job %s is gone without an end", ref))
 		}
 		if err != nil {
@@ -233,37 +233,37 @@
 }
 
 // mergeSources puts the history together from the state service and all that is remembered.
-func (t *leaderTerm) mergeSources(ctx context.Context, phase history.Phase, jobs, chunks []wire.KeyValue) (rebuild.Result, error) {
+func (t *leaderTerm) mergeSources(ctx context.Context, phase dataloss.Phase, jobs, chunks []wire.KeyValue) (recovery.Result, error) {
 	ended, _, err := t.listAll(ctx, ledger.EndedPrefix)
 	if err != nil {
-		return rebuild.Result{}, err
+		return recovery.Result{}, err
 	}
-	full := phase == history.PhaseRecovering
+	full := phase == dataloss.PhaseRecovering
 	head := t.replica.Head()
 	before := t.leadership.PreviousMap()
 	exact := full && before.Leader == t.settings.Node && head.Epoch > 0 && t.replica.HoldsAllLaunches()
 	collectCtx, cancel := context.WithTimeout(ctx, t.settings.Report())
-	trees, missing := copies.Collect(collectCtx, t.replicaPeers, t.replicaPeers.Followers())
+	trees, missing := replica.Collect(collectCtx, t.replicaPeers, t.replicaPeers.Followers())
 	cancel()
-	var sources []rebuild.Source
+	var sources []recovery.Source
 	for _, tree := range append(t.replica.Sources(), trees...) {
-		var source rebuild.Source
+		var source recovery.Source
 		tree.Root().Walk(func(key, value []byte) bool {
 			// While ends are still to be written, all that is alive is stored.
 			if full || strings.HasPrefix(string(key), ledger.EndedPrefix) {
-				source.Values = append(source.Values, rebuild.Value{Key: string(key), Data: value})
+				source.Values = append(source.Values, recovery.Value{Key: string(key), Data: value})
 			}
 			return false
 		})
 		sources = append(sources, source)
 	}
-	store := rebuild.Source{FromStore: true}
+	store := recovery.Source{FromStore: true}
 	for _, items := range [][]wire.KeyValue{jobs, chunks, ended} {
 		for _, item := range items {
-			store.Values = append(store.Values, rebuild.Value{Key: item.Key, Data: item.Value, ModRevision: item.ModRevision})
+			store.Values = append(store.Values, recovery.Value{Key: item.Key, Data: item.Value, ModRevision: item.ModRevision})
 		}
 	}
-	merged, err := rebuild.Merge(append(sources, store), fmt.Sprintf("%s.%d.r", t.settings.Node, t.firstEpoch), t.baseAttempt(), t.store.MaxValueBytes())
+	merged, err := recovery.Merge(append(sources, store), fmt.Sprintf("%s.%d.r", t.settings.Node, t.firstEpoch), t.baseAttempt(), t.store.MaxValueBytes())
 	if err != nil {
 		return merged, err
 	}
--- a/internal/control/load_test.go
+++ b/internal/leader/load_test.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -17,11 +17,11 @@
 	"golang.org/x/sync/errgroup"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/copies"
-	"rillflow/internal/lead"
+	"rillflow/internal/election"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -96,14 +96,14 @@
 			srv := httptest.NewServer(store)
 			defer srv.Close()
 			var d net.Dialer
-			client := state.New(state.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e6, Limits: state.Limits{WritesPerSecond: 1e6, MaxValueBytes: 16 << 10}, Timeout: time.Minute, Dial: d.DialContext})
+			client := kvstore.New(kvstore.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e6, Limits: kvstore.Limits{WritesPerSecond: 1e6, MaxValueBytes: 16 << 10}, Timeout: time.Minute, Dial: d.DialContext})
 			b.ReportAllocs()
 			for b.Loop() {
 				ctx, end := context.WithCancel(b.Context())
 				g, ctx := errgroup.WithContext(ctx)
 				leader := &leaderTerm{
-					Runner:     &Runner{settings: &settings.Settings{Node: "n"}, store: client, replica: copies.New(1<<20, nil), log: slog.New(slog.DiscardHandler), now: time.Now},
-					leadership: &fakeLeadership{lead.ShardMap{Epoch: 2, Leader: "n", Owners: []string{"n"}}}, firstEpoch: 2, group: g, ctx: ctx, workers: make(map[string]*agent.Worker),
+					Runner:     &Runner{settings: &settings.Settings{Node: "n"}, store: client, replica: replica.New(1<<20, nil), log: slog.New(slog.DiscardHandler), now: time.Now},
+					leadership: &fakeLeadership{election.ShardMap{Epoch: 2, Leader: "n", Owners: []string{"n"}}}, firstEpoch: 2, group: g, ctx: ctx, workers: make(map[string]*agent.Worker),
 					jobs: ledger.New("v", teams),
 				}
 				if _, err := leader.load(ctx); err != nil {
--- a/internal/control/model_test.go
+++ b/internal/leader/model_test.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -17,36 +17,36 @@
 	"pgregory.net/rapid"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/copies"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
 	"rillflow/internal/fleet"
-	"rillflow/internal/history"
-	"rillflow/internal/lead"
 	"rillflow/internal/ledger"
 	"rillflow/internal/placement"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
 	"rillflow/internal/wire"
 )
 
 // fakeLeadership stands in for a leadership that nobody contests.
-type fakeLeadership struct{ shards lead.ShardMap }
+type fakeLeadership struct{ shards election.ShardMap }
 
-func (f *fakeLeadership) Epoch() uint64            { return f.shards.Epoch }
-func (f *fakeLeadership) ShardMap() lead.ShardMap  { return f.shards }
-func (f *fakeLeadership) Compares() []wire.Compare { return []wire.Compare{{}} }
-func (f *fakeLeadership) Incarnation() history.IncarnationState {
-	return history.IncarnationState{Phase: history.PhaseComplete}
+func (f *fakeLeadership) Epoch() uint64               { return f.shards.Epoch }
+func (f *fakeLeadership) ShardMap() election.ShardMap { return f.shards }
+func (f *fakeLeadership) Compares() []wire.Compare    { return []wire.Compare{{}} }
+func (f *fakeLeadership) Incarnation() dataloss.IncarnationState {
+	return dataloss.IncarnationState{Phase: dataloss.PhaseComplete}
 }
 func (f *fakeLeadership) CheckCompares(failed []string) error {
-	if lead.LeaderCompareFailed(failed) {
-		return lead.ErrDeposed
+	if election.LeaderCompareFailed(failed) {
+		return election.ErrDeposed
 	}
 	return nil
 }
-func (f *fakeLeadership) SteppedDown() (time.Time, bool)                    { return time.Time{}, false }
-func (f *fakeLeadership) PreviousMap() lead.ShardMap                        { return lead.ShardMap{} }
-func (f *fakeLeadership) AdvancePhase(context.Context, history.Phase) error { return nil }
-func (f *fakeLeadership) LeaseHeld(time.Time) bool                          { return true }
-func (f *fakeLeadership) RaiseEpoch(context.Context, []string) error        { return nil }
+func (f *fakeLeadership) SteppedDown() (time.Time, bool)                     { return time.Time{}, false }
+func (f *fakeLeadership) PreviousMap() election.ShardMap                     { return election.ShardMap{} }
+func (f *fakeLeadership) AdvancePhase(context.Context, dataloss.Phase) error { return nil }
+func (f *fakeLeadership) LeaseHeld(time.Time) bool                           { return true }
+func (f *fakeLeadership) RaiseEpoch(context.Context, []string) error         { return nil }
 
 // idleOwners learns nothing and picks nothing.
 type idleOwners struct{}
@@ -81,8 +81,8 @@
 	now           time.Time
 	revision      uint64
 	workers       []*modelWorker
-	knownShards   lead.ShardMap // what the second controller knows
-	deposedLeader *leaderTerm   // an earlier leader that does not know it is one
+	knownShards   election.ShardMap // what the second controller knows
+	deposedLeader *leaderTerm       // an earlier leader that does not know it is one
 	store         map[string][]byte
 	jobs          []string
 	completed     map[string]bool // tasks that completed
@@ -95,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{t: t, now: now, completed: map[string]bool{}, store: map[string][]byte{}, limit: 5, term: &fakeLeadership{lead.ShardMap{Epoch: 1, Leader: "n", Owners: []string{"m", "n"}, ZoneFallback: true}}}
+	m := &model{t: t, now: now, completed: map[string]bool{}, store: map[string][]byte{}, limit: 5, term: &fakeLeadership{election.ShardMap{Epoch: 1, Leader: "n", Owners: []string{"m", "n"}, ZoneFallback: true}}}
 	m.knownShards = m.term.shards
 	m.set = &settings.Settings{Node: "n", Zone: "a", Operator: operator, Members: []settings.Member{{Node: "m", Zone: "b"}}, Facts: settings.Facts{
 		Workers: settings.Workers{ReportS: 3, LeaseS: 30, CancelS: 50},
@@ -131,7 +131,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m.t.Cleanup(cancel)
 	m.leader = &leaderTerm{
-		Runner:     &Runner{settings: m.set, instanceTypes: catalogue, shards: idleOwners{}, replica: copies.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now }},
+		Runner:     &Runner{settings: m.set, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now }},
 		leadership: m.term, firstEpoch: m.term.shards.Epoch, ready: ready, ctx: ctx, jobs: ledger.New("w", m.set.Facts.Teams), workers: map[string]*agent.Worker{}, released: map[string]time.Time{},
 		instances: map[string]wire.Instance{}, detector: newFailureDetector(m.set), scaledAheadTeams: map[string]bool{}, startedAt: m.now, latencies: newLatencies(),
 	}
@@ -175,7 +175,7 @@
 	}
 	m.deposedLeader = m.leader
 	m.deposedLeader.leadership = &fakeLeadership{m.term.shards}
-	m.term = &fakeLeadership{lead.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: m.term.shards.Owners, ZoneFallback: true}}
+	m.term = &fakeLeadership{election.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: m.term.shards.Owners, ZoneFallback: true}}
 	m.startTerm()
 }
 
@@ -264,7 +264,7 @@
 // noticed that the other is gone, and once it is over it asks the workers.
 func (m *model) partitionZone() {
 	if rapid.Bool().Draw(m.t, "noticed") {
-		m.term.shards = lead.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: []string{"n"}, ZoneFallback: true}
+		m.term.shards = election.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: []string{"n"}, ZoneFallback: true}
 		for _, view := range m.leader.workers {
 			m.leader.assignOwner(view, m.term.shards)
 		}
@@ -425,7 +425,7 @@
 	if rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0 {
 		// The leader dies without knowing that it was applied.
 		m.deposedLeader = nil
-		m.term = &fakeLeadership{lead.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: m.term.shards.Owners, ZoneFallback: true}}
+		m.term = &fakeLeadership{election.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: m.term.shards.Owners, ZoneFallback: true}}
 		m.startTerm()
 		return
 	}
@@ -444,7 +444,7 @@
 	if rapid.Bool().Draw(m.t, "alone") {
 		owners = owners[1:]
 	}
-	m.term.shards = lead.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: owners, ZoneFallback: true}
+	m.term.shards = election.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: owners, ZoneFallback: true}
 	for _, view := range m.leader.workers {
 		m.leader.assignOwner(view, m.term.shards)
 	}
--- a/internal/control/monitor.go
+++ b/internal/leader/monitor.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -9,9 +9,9 @@
 
 	"rillflow/internal/agent"
 	"rillflow/internal/audit"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
 	"rillflow/internal/fleet"
-	"rillflow/internal/history"
-	"rillflow/internal/lead"
 	"rillflow/internal/ledger"
 	"rillflow/internal/wire"
 )
@@ -198,7 +198,7 @@
 		var idle []string
 		var plan fleet.Plan
 		// What an earlier leader rented shows within a report interval.
-		if instanceTypes := t.instanceTypes.InstanceTypes(); instanceTypes != nil && (t.leadership.Incarnation().Phase == history.PhaseProvisional || now.Sub(t.startedAt) > t.settings.Report()) {
+		if instanceTypes := t.instanceTypes.InstanceTypes(); instanceTypes != nil && (t.leadership.Incarnation().Phase == dataloss.PhaseProvisional || now.Sub(t.startedAt) > t.settings.Report()) {
 			machines := t.planMachines(now)
 			plan = t.planner.Plan(instanceTypes, machines, t.demand(machines, now), now)
 		}
@@ -631,7 +631,7 @@
 	for sleep(ctx, t.settings.Report()/6) {
 		now := t.now()
 		if shardMap := t.elector.ShardMap(); shardMap.Epoch > t.leadership.Epoch() && shardMap.Leader != t.settings.Node {
-			return fmt.Errorf("%w: %s leads under epoch %d", lead.ErrDeposed, shardMap.Leader, shardMap.Epoch)
+			return fmt.Errorf("%w: %s leads under epoch %d", election.ErrDeposed, shardMap.Leader, shardMap.Epoch)
 		}
 		if t.shards.StoreRefuses() {
 			refusedAt = now
--- a/internal/control/orphans.go
+++ b/internal/leader/orphans.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -6,9 +6,9 @@
 	"slices"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/history"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -26,7 +26,7 @@
 // isOrphan tells whether a task on a machine is of a job that may have been lost, so that
 // it is to be left alone.
 func (t *leaderTerm) isOrphan(task ledger.Task) bool {
-	if view := t.leadership.Incarnation(); !view.DataLost && view.Phase != history.PhaseProvisional || t.jobs.Job(task.JobRef) != nil {
+	if view := t.leadership.Incarnation(); !view.DataLost && view.Phase != dataloss.PhaseProvisional || t.jobs.Job(task.JobRef) != nil {
 		return false // a history that has just begun may be a loss that is yet to show
 	}
 	orphan := t.orphanedJobs[task.JobRef]
@@ -52,7 +52,7 @@
 		slices.Sort(unresolved)
 		for _, ref := range unresolved[:min(len(unresolved), maxEndingLookups)] {
 			_, err := t.store.Get(ctx, ledger.EndedKey(ref))
-			if err != nil && !errors.Is(err, state.ErrNotFound) {
+			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 				break
 			}
 			if err != nil {
--- a/internal/control/recovery.go
+++ b/internal/leader/recovery.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"context"
@@ -8,17 +8,17 @@
 	"slices"
 	"time"
 
-	"rillflow/internal/history"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/rebuild"
-	"rillflow/internal/state"
+	"rillflow/internal/recovery"
 	"rillflow/internal/wire"
 )
 
 // recoveryProgress is what a leader does about data that the state service has lost.
 type recoveryProgress struct {
-	pending   []rebuild.Write
-	recovered rebuild.Counts
+	pending   []recovery.Write
+	recovered recovery.Counts
 	written   int
 	// exact: this node led when the data was lost, so that what it remembers is all
 	// that was ever launched.
@@ -36,7 +36,7 @@
 // and ends the term: the next one puts it together anew.
 func (t *leaderTerm) suspectDataLoss(cause error) error {
 	t.dataLoss.Suspect(cause.Error())
-	return fmt.Errorf("%w: %w", history.ErrIncarnationReplaced, cause)
+	return fmt.Errorf("%w: %w", dataloss.ErrIncarnationReplaced, cause)
 }
 
 // dataLossSuspected tells whether data may have been lost, so that nothing is ordered any more.
@@ -57,7 +57,7 @@
 	if t.progress == nil || !t.progress.full {
 		return nil
 	}
-	n, _ := slices.BinarySearchFunc(t.progress.pending, false, func(write rebuild.Write, _ bool) int {
+	n, _ := slices.BinarySearchFunc(t.progress.pending, false, func(write recovery.Write, _ bool) int {
 		if write.IsLive {
 			return -1
 		}
@@ -69,14 +69,14 @@
 	t.mu.Lock()
 	t.progress.durableAt = t.now()
 	t.mu.Unlock()
-	return t.advancePhase(ctx, history.PhaseRestoringResults)
+	return t.advancePhase(ctx, dataloss.PhaseRestoringResults)
 }
 
 // advancePhase takes the history to a phase, however long that takes.
-func (t *leaderTerm) advancePhase(ctx context.Context, phase history.Phase) error {
+func (t *leaderTerm) advancePhase(ctx context.Context, phase dataloss.Phase) error {
 	err := t.retry(ctx, func() (bool, error) {
 		err := t.leadership.AdvancePhase(ctx, phase)
-		return !errors.Is(err, state.ErrRefused) && !errors.Is(err, state.ErrOutcomeUnknown), err
+		return !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown), err
 	})
 	if err == nil {
 		t.log.Info("history", "phase", phase)
@@ -121,7 +121,7 @@
 }
 
 // commitWrites commits one transaction of a rebuild until its fate is known.
-func (t *leaderTerm) commitWrites(ctx context.Context, writes []rebuild.Write) (uint64, error) {
+func (t *leaderTerm) commitWrites(ctx context.Context, writes []recovery.Write) (uint64, error) {
 	txn := wire.Txn{Compares: t.leadership.Compares()}
 	for _, write := range writes {
 		txn.Compares = append(txn.Compares, wire.Compare{Key: write.Key, ModRevision: write.ModRevision})
@@ -149,10 +149,10 @@
 				return 0, t.suspectDataLoss(fmt.Errorf("%s was written by another", writes[0].Key))
 			}
 		}
-		if errors.Is(err, state.ErrTooLarge) {
+		if errors.Is(err, kvstore.ErrTooLarge) {
 			return 0, err
 		}
-		if !state.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
+		if !kvstore.Backoff(ctx, attempt, t.settings.Report()/64, t.settings.Report()/4) {
 			return 0, ctx.Err()
 		}
 	}
@@ -161,12 +161,12 @@
 var errDifferentValue = errors.New("another value")
 
 // storedRevision tells at which generation a value was written, if it is what is stored.
-func (t *leaderTerm) storedRevision(ctx context.Context, value rebuild.Value) (uint64, error) {
+func (t *leaderTerm) storedRevision(ctx context.Context, value recovery.Value) (uint64, error) {
 	item, err := t.store.Get(ctx, value.Key)
 	switch {
-	case errors.Is(err, state.ErrNotFound) && value.Data == nil:
+	case errors.Is(err, kvstore.ErrNotFound) && value.Data == nil:
 		return 0, nil
-	case errors.Is(err, state.ErrNotFound), err == nil && !sameJSON(item.Value, value.Data):
+	case errors.Is(err, kvstore.ErrNotFound), err == nil && !sameJSON(item.Value, value.Data):
 		return 0, errDifferentValue
 	}
 	return item.ModRevision, err
@@ -186,11 +186,11 @@
 // finishRecovery writes what nothing waits for, and tells when the history is whole.
 func (t *leaderTerm) finishRecovery(ctx context.Context) error {
 	switch t.leadership.Incarnation().Phase {
-	case history.PhaseProvisional:
+	case dataloss.PhaseProvisional:
 		if err := t.awaitEarlierEpochs(ctx); err != nil {
 			return err
 		}
-	case history.PhaseRecovering, history.PhaseRestoringResults:
+	case dataloss.PhaseRecovering, dataloss.PhaseRestoringResults:
 		if err := t.writePending(ctx, len(t.progress.pending), idleWriteReserve); err != nil {
 			return err
 		}
@@ -200,7 +200,7 @@
 	default:
 		return nil
 	}
-	if err := t.advancePhase(ctx, history.PhaseComplete); err != nil {
+	if err := t.advancePhase(ctx, dataloss.PhaseComplete); err != nil {
 		return err
 	}
 	t.replica.MarkComplete(t.leadership.Incarnation().ID)
--- a/internal/control/runner.go
+++ b/internal/leader/runner.go
@@ -1,7 +1,7 @@
-// Package control is the leader's duty: it keeps the ledger and the hosts
+// Package leader is the leader's duty: it keeps the ledger and the hosts
 // together for the length of a term, and runs the loops that write claims,
 // place tasks, command workers and rent machines.
-package control
+package leader
 
 import (
 	"context"
@@ -16,35 +16,35 @@
 
 	"rillflow/internal/agent"
 	"rillflow/internal/audit"
-	"rillflow/internal/copies"
+	"rillflow/internal/cancellation"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
+	"rillflow/internal/failuredetector"
 	"rillflow/internal/fleet"
-	"rillflow/internal/history"
 	"rillflow/internal/keyring"
-	"rillflow/internal/lead"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
 	"rillflow/internal/placement"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
-	"rillflow/internal/silence"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
-	"rillflow/internal/withdrawn"
 )
 
 // Runner serves terms, one at a time.
 type Runner struct {
 	settings            *settings.Settings
-	store               *state.Client
+	store               *kvstore.Client
 	cloud               *fleet.CloudClient
 	workerClient        *agent.CommandClient
-	elector             *lead.Elector
+	elector             *election.Elector
 	instanceTypes       *fleet.Catalogue
 	shards              Shards
 	memoryFull          func() bool
 	auditKeys           *keyring.Ring
-	dataLoss            *history.Detector
-	replica             *copies.Replica
-	replicaPeers        copies.Peers
-	recentCancellations *withdrawn.Set
+	dataLoss            *dataloss.Detector
+	replica             *replica.Replica
+	replicaPeers        replica.Peers
+	recentCancellations *cancellation.Set
 	log                 *slog.Logger
 	now                 func() time.Time
 	current             atomic.Pointer[leaderTerm]
@@ -70,13 +70,13 @@
 // Leadership is the leadership that a reign rests on.
 type Leadership interface {
 	Epoch() uint64
-	ShardMap() lead.ShardMap
+	ShardMap() election.ShardMap
 	Compares() []wire.Compare
 	// CheckCompares tells whether failed guards say that the leadership is over.
 	CheckCompares(failed []string) error
-	Incarnation() history.IncarnationState
-	PreviousMap() lead.ShardMap
-	AdvancePhase(ctx context.Context, p history.Phase) error
+	Incarnation() dataloss.IncarnationState
+	PreviousMap() election.ShardMap
+	AdvancePhase(ctx context.Context, p dataloss.Phase) error
 	LeaseHeld(now time.Time) bool
 	// SteppedDown is since when the term only waits for the next one, if it does.
 	SteppedDown() (since time.Time, ok bool)
@@ -86,18 +86,18 @@
 // Options are what a Control works with.
 type Options struct {
 	Settings      *settings.Settings
-	Store         *state.Client
+	Store         *kvstore.Client
 	Cloud         *fleet.CloudClient
 	WorkerClient  *agent.CommandClient
-	Elector       *lead.Elector
+	Elector       *election.Elector
 	InstanceTypes *fleet.Catalogue
 	Shards        Shards
 	MemoryFull    func() bool   // whether memory is short
 	AuditKeys     *keyring.Ring // what the audit record is sealed with; nil: none is kept
-	DataLoss      *history.Detector
-	Replica       *copies.Replica
-	ReplicaPeers  copies.Peers
-	Cancellations *withdrawn.Set // jobs whose withdrawal was committed lately
+	DataLoss      *dataloss.Detector
+	Replica       *replica.Replica
+	ReplicaPeers  replica.Peers
+	Cancellations *cancellation.Set // jobs whose withdrawal was committed lately
 	Log           *slog.Logger
 }
 
@@ -132,7 +132,7 @@
 	startedAt        time.Time
 	lastHeartbeat    time.Time // last beat of any host
 	latencies        *latencies
-	detector         *silence.Detector
+	detector         *failuredetector.Detector
 	auditLog         *auditWriter               // nil: no audit record is kept
 	lastCompaction   time.Time                  // when what nothing waits for was last written, or could have been
 	deficits         map[string]*deficitCounter // of starved arrays, by type
@@ -141,7 +141,7 @@
 }
 
 // Serve is one term.
-func (r *Runner) Serve(ctx context.Context, leadership *lead.Term) error {
+func (r *Runner) Serve(ctx context.Context, leadership *election.Term) error {
 	group, groupCtx := errgroup.WithContext(ctx)
 	t := &leaderTerm{
 		Runner: r, leadership: leadership, firstEpoch: leadership.FirstEpoch, ready: make(chan struct{}), group: group, ctx: groupCtx,
@@ -169,7 +169,7 @@
 	}
 	t.mu.Lock()
 	t.auditLog.enqueue(r.now(), audit.Entry{Act: audit.TookOver, On: r.settings.Node, Why: fmt.Sprintf("epoch %d", leadership.FirstEpoch)})
-	if phase := leadership.Incarnation().Phase; phase == history.PhaseComplete || phase == history.PhaseProvisional {
+	if phase := leadership.Incarnation().Phase; phase == dataloss.PhaseComplete || phase == dataloss.PhaseProvisional {
 		t.recentCancellations.AddComplete("", t.cancelledJobs()...)
 	}
 	t.mu.Unlock()
@@ -216,11 +216,11 @@
 func (t *leaderTerm) watchJobs(ctx context.Context, revision uint64) error {
 	for attempt := 0; ctx.Err() == nil; {
 		events, err := t.store.Watch(ctx, ledger.LivePrefix, revision, t.settings.Lease()/2)
-		if errors.Is(err, state.ErrCompacted) {
+		if errors.Is(err, kvstore.ErrCompacted) {
 			return err // a new term reads everything afresh
 		}
 		if err != nil {
-			state.Backoff(ctx, attempt, t.settings.Report()/32, t.settings.Report()/4)
+			kvstore.Backoff(ctx, attempt, t.settings.Report()/32, t.settings.Report()/4)
 			attempt++
 			continue
 		}
@@ -259,7 +259,7 @@
 			// Most were withdrawn by their users. But a leader that was cut off may hear
 			// so of what the next one finished.
 			data, err := t.readEnding(ctx, jobID)
-			if errors.Is(err, state.ErrNotFound) {
+			if errors.Is(err, kvstore.ErrNotFound) {
 				return t.suspectDataLoss(fmt.Errorf("job %s is gone without an end", jobID))
 			}
 			if err != nil {
@@ -325,7 +325,7 @@
 		case <-t.epochSignal:
 		}
 		err := t.leadership.RaiseEpoch(ctx, t.shards.EligibleOwners(t.leadership.ShardMap().Owners))
-		if errors.Is(err, lead.ErrDeposed) {
+		if errors.Is(err, election.ErrDeposed) {
 			return err
 		}
 		if err == nil {
@@ -347,7 +347,7 @@
 // it owns the host, and no other owner of a part is in the host's zone, where it
 // might stand in while the zone is cut off. Run it again once a host's zone is
 // known.
-func (t *leaderTerm) assignOwner(worker *agent.Worker, shardMap lead.ShardMap) {
+func (t *leaderTerm) assignOwner(worker *agent.Worker, shardMap election.ShardMap) {
 	if owner := shardMap.Owner(worker.Name); owner != worker.ShardOwner {
 		worker.ShardOwner, worker.ShardOwnerSince = owner, t.now()
 	}
--- a/internal/control/silence.go
+++ b/internal/leader/silence.go
@@ -1,12 +1,12 @@
-package control
+package leader
 
 import (
 	"slices"
 	"time"
 
 	"rillflow/internal/agent"
+	"rillflow/internal/failuredetector"
 	"rillflow/internal/settings"
-	"rillflow/internal/silence"
 	"rillflow/internal/wire"
 )
 
@@ -14,8 +14,8 @@
 // to the interval, which varies by a quarter.
 const missedHeartbeatRatio = 1.3
 
-func newFailureDetector(config *settings.Settings) *silence.Detector {
-	return silence.New(time.Duration(missedHeartbeatRatio*float64(config.Report())), config.Lease())
+func newFailureDetector(config *settings.Settings) *failuredetector.Detector {
+	return failuredetector.New(time.Duration(missedHeartbeatRatio*float64(config.Report())), config.Lease())
 }
 
 // silentFor is for how long a host that should be heard was not. It has had no way
@@ -38,7 +38,7 @@
 
 // observeSilence judges who is at fault for what is not heard.
 func (t *leaderTerm) observeSilence(now time.Time) {
-	observations := make([]silence.Observation, 0, len(t.workersByName))
+	observations := make([]failuredetector.Observation, 0, len(t.workersByName))
 	for _, worker := range t.workersByName {
 		if _, leaving := t.released[worker.Name]; leaving || t.instances[worker.Name].Phase == wire.InstanceFailed || worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero() {
 			continue
@@ -54,8 +54,8 @@
 	}
 }
 
-func (t *leaderTerm) observation(worker *agent.Worker, now time.Time) silence.Observation {
-	return silence.Observation{Zone: worker.Zone, ShardOwner: worker.ShardOwner, Spot: worker.Spot, SilentFor: t.silentFor(worker, now)}
+func (t *leaderTerm) observation(worker *agent.Worker, now time.Time) failuredetector.Observation {
+	return failuredetector.Observation{Zone: worker.Zone, ShardOwner: worker.ShardOwner, Spot: worker.Spot, SilentFor: t.silentFor(worker, now)}
 }
 
 // NoWorkersOfOwn tells whether this controller leads, and no machine of its own part is up: that it
@@ -81,7 +81,7 @@
 		return false
 	}
 	fault, since := t.detector.FaultOf(observation)
-	return fault >= silence.FaultShardOwner && now.Sub(since) < time.Duration(t.settings.Operator.Fleet.Patience*float64(t.settings.Lease()))
+	return fault >= failuredetector.FaultShardOwner && now.Sub(since) < time.Duration(t.settings.Operator.Fleet.Patience*float64(t.settings.Lease()))
 }
 
 // leaseOverAfter is after which time without an answer a lease is over by any clock.
--- a/internal/control/stalereports_test.go
+++ b/internal/leader/stalereports_test.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"slices"
@@ -6,10 +6,10 @@
 	"time"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/lead"
+	"rillflow/internal/cancellation"
+	"rillflow/internal/election"
 	"rillflow/internal/ledger"
 	"rillflow/internal/wire"
-	"rillflow/internal/withdrawn"
 )
 
 // What a report proves of a withdrawn task that it does not name, where messages may come
@@ -65,7 +65,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			leader.leadership, leader.ready, leader.ctx = &fakeLeadership{lead.ShardMap{Epoch: 7, Owners: []string{"n"}}}, make(chan struct{}), t.Context()
+			leader.leadership, leader.ready, leader.ctx = &fakeLeadership{election.ShardMap{Epoch: 7, Owners: []string{"n"}}}, make(chan struct{}), t.Context()
 			close(leader.ready)
 			leader.current.Store(leader)
 			worker := leader.workers["h0"]
@@ -102,13 +102,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			leader.latencies, leader.leadership = newLatencies(), &fakeLeadership{lead.ShardMap{Epoch: 7, Owners: []string{"n"}}}
+			leader.latencies, leader.leadership = newLatencies(), &fakeLeadership{election.ShardMap{Epoch: 7, Owners: []string{"n"}}}
 			leader.settings.Facts.Workers.CancelS = 50
 			job := leader.addTestJob("req-1", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			leader.addTestJob("req-2", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			leader.runTestTask(t, job, "h0", time.Minute)
 			leader.runTestTask(t, leader.jobs.Job("req-2"), "h1", time.Minute)
-			leader.recentCancellations = withdrawn.New(withdrawn.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: leader.now})
+			leader.recentCancellations = cancellation.New(cancellation.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: leader.now})
 			leader.recentCancellations.Add("", "req-1", "req-unknown")
 			leader.applyCancellations()
 			if !job.Cancelled || leader.jobs.Job("req-2").Cancelled {
@@ -151,7 +151,7 @@
 	}{{"seen running", true, 1}, {"kept", false, 0}} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader, n := newTestTerm(t), 0
-			leader.latencies, leader.shards, leader.leadership = newLatencies(), finishCounter{finished: &n}, &fakeLeadership{lead.ShardMap{Epoch: 7, Owners: []string{"n"}}}
+			leader.latencies, leader.shards, leader.leadership = newLatencies(), finishCounter{finished: &n}, &fakeLeadership{election.ShardMap{Epoch: 7, Owners: []string{"n"}}}
 			job := leader.addTestJob("req-1", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 2, CPUs: 2})
 			claim := leader.runTestTask(t, job, "h0", time.Minute)
 			if !tc.ran {
--- a/internal/control/status_test.go
+++ b/internal/leader/status_test.go
@@ -1,4 +1,4 @@
-package control
+package leader
 
 import (
 	"errors"
@@ -6,7 +6,7 @@
 	"time"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/history"
+	"rillflow/internal/dataloss"
 	"rillflow/internal/wire"
 )
 
@@ -16,8 +16,8 @@
 	lost bool
 }
 
-func (t *termAfterLoss) Incarnation() history.IncarnationState {
-	return history.IncarnationState{Incarnation: history.Incarnation{DataLost: t.lost}}
+func (t *termAfterLoss) Incarnation() dataloss.IncarnationState {
+	return dataloss.IncarnationState{Incarnation: dataloss.Incarnation{DataLost: t.lost}}
 }
 
 // Of a job that is stored nowhere a new leader knows nothing until the machines that have
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -15,11 +15,11 @@
 	"testing/synctest"
 	"time"
 
-	"rillflow/internal/copies"
+	"rillflow/internal/cancellation"
 	"rillflow/internal/placement"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
 	"rillflow/internal/wire"
-	"rillflow/internal/withdrawn"
 )
 
 // testdata/production holds frames as version 0.1 sends them. Its decoder takes
@@ -86,11 +86,13 @@
 func (n *node) Version() string                                  { return n.version }
 func (n *node) History() History                                 { return History{} }
 func (n *node) Remembers(string, History)                        { n.told.Store(true) }
-func (n *node) Copy(*copies.Push) copies.Ack                     { return copies.Ack{} }
-func (n *node) Recall(copies.PageRequest) copies.Page            { return copies.Page{} }
-func (n *node) Withdrawn(*withdrawn.Message) withdrawn.Ack       { return withdrawn.Ack{Accepted: true} }
-func (n *node) Reached(context.Context, string)                  {}
-func (n *node) Linked(context.Context, string)                   {}
+func (n *node) Copy(*replica.Push) replica.Ack                   { return replica.Ack{} }
+func (n *node) Recall(replica.PageRequest) replica.Page          { return replica.Page{} }
+func (n *node) Withdrawn(*cancellation.Message) cancellation.Ack {
+	return cancellation.Ack{Accepted: true}
+}
+func (n *node) Reached(context.Context, string) {}
+func (n *node) Linked(context.Context, string)  {}
 
 func refuse(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 
@@ -141,19 +143,19 @@
 					t.Errorf("a request without: %v", err)
 				}
 				// Copies, and what is made of the history, go to those that know of them.
-				_, err := m.Push(ctx, "n", &copies.Push{})
-				_, err2 := m.FetchPage(ctx, "n", copies.PageRequest{})
+				_, err := m.Push(ctx, "n", &replica.Push{})
+				_, err2 := m.FetchPage(ctx, "n", replica.PageRequest{})
 				if (err == nil) != tc.copies || (err2 == nil) != tc.copies || (len(m.Followers()) == 1) != tc.copies || h.told.Load() != tc.copies {
 					t.Errorf("a copy: %v, %v; followers %v, told of the history: %v", err, err2, m.Followers(), h.told.Load())
 				}
 				// Notes of withdrawals go to those that know of them; of the others it is known
 				// that they do not, which is not the same as not reaching them.
-				if a, err := m.SendCancellations(ctx, "n", &withdrawn.Message{JobIDs: []string{"req-1"}}); a.Accepted != tc.notes || errors.Is(err, withdrawn.ErrUnsupported) == tc.notes {
+				if a, err := m.SendCancellations(ctx, "n", &cancellation.Message{JobIDs: []string{"req-1"}}); a.Accepted != tc.notes || errors.Is(err, cancellation.ErrUnsupported) == tc.notes {
 					t.Errorf("a note: %+v, %v", a, err)
 				}
 				cancel()
 				<-done
-				if _, err := m.SendCancellations(context.Background(), "n", &withdrawn.Message{}); !errors.Is(err, ErrDown) {
+				if _, err := m.SendCancellations(context.Background(), "n", &cancellation.Message{}); !errors.Is(err, ErrDown) {
 					t.Errorf("a note without a link: %v", err)
 				}
 			})
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -7,11 +7,11 @@
 	"strings"
 	"testing"
 
-	"rillflow/internal/copies"
+	"rillflow/internal/cancellation"
 	"rillflow/internal/goldentest"
 	"rillflow/internal/placement"
+	"rillflow/internal/replica"
 	"rillflow/internal/wire"
-	"rillflow/internal/withdrawn"
 )
 
 // Every frame between controllers stays as it is sent today, byte for byte, and reads
@@ -24,9 +24,9 @@
 	ur, ua, c := goldentest.Filled[UserRequest](), goldentest.Filled[UserAnswer](), goldentest.Filled[Counts]()
 	anonymous := ur
 	anonymous.Auth = ""
-	push, ca := goldentest.Filled[copies.Push](), goldentest.Filled[copies.Ack]()
-	ask, page := goldentest.Filled[copies.PageRequest](), goldentest.Filled[copies.Page]()
-	note, wa := goldentest.Filled[withdrawn.Message](), goldentest.Filled[withdrawn.Ack]()
+	push, ca := goldentest.Filled[replica.Push](), goldentest.Filled[replica.Ack]()
+	ask, page := goldentest.Filled[replica.PageRequest](), goldentest.Filled[replica.Page]()
+	note, wa := goldentest.Filled[cancellation.Message](), goldentest.Filled[cancellation.Ack]()
 	text := func(b []byte) (string, error) { return string(b), nil }
 	var out strings.Builder
 	for _, f := range []struct {
@@ -51,12 +51,12 @@
 		{"version", kindVersion, []byte("0.6"), "0.6", text},
 		{"hearing", kindHearing, h.encode(), h, decodeHearing},
 		{"history", kindHistory, past.encode(), past, decodeHistory},
-		{"copy", kindCopy, push.Encode(), push, copies.DecodePush},
-		{"copy answer", kindAnswer, ca.Encode(), ca, copies.DecodeAck},
-		{"recall", kindRecall, ask.Encode(), ask, copies.DecodePageRequest},
-		{"recall answer", kindAnswer, page.Encode(), page, copies.DecodePage},
-		{"withdrawn", kindWithdrawn, note.Encode(), note, withdrawn.DecodeMessage},
-		{"withdrawn answer", kindAnswer, wa.Encode(), wa, withdrawn.DecodeAck},
+		{"copy", kindCopy, push.Encode(), push, replica.DecodePush},
+		{"copy answer", kindAnswer, ca.Encode(), ca, replica.DecodeAck},
+		{"recall", kindRecall, ask.Encode(), ask, replica.DecodePageRequest},
+		{"recall answer", kindAnswer, page.Encode(), page, replica.DecodePage},
+		{"withdrawn", kindWithdrawn, note.Encode(), note, cancellation.DecodeMessage},
+		{"withdrawn answer", kindAnswer, wa.Encode(), wa, cancellation.DecodeAck},
 	} {
 		var buf bytes.Buffer
 		if err := writeFrame(&buf, frame{kind: f.kind, id: 77, body: f.body}); err != nil {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -14,12 +14,12 @@
 	"golang.org/x/mod/semver"
 	"golang.org/x/sync/errgroup"
 
-	"rillflow/internal/copies"
+	"rillflow/internal/cancellation"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/placement"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
-	"rillflow/internal/withdrawn"
 )
 
 // Handler serves what peers ask.
@@ -34,12 +34,12 @@
 	Version() string
 	History() History
 	Remembers(node string, h History)
-	Copy(p *copies.Push) copies.Ack
-	Recall(a copies.PageRequest) copies.Page
+	Copy(p *replica.Push) replica.Ack
+	Recall(a replica.PageRequest) replica.Page
 	// Withdrawn takes a peer's note in. Reached is run on each new connection to a peer
 	// ahead of anything else, and Linked after each round of pings: both see to it that
 	// it knows of withdrawals.
-	Withdrawn(n *withdrawn.Message) withdrawn.Ack
+	Withdrawn(n *cancellation.Message) cancellation.Ack
 	Reached(ctx context.Context, node string)
 	Linked(ctx context.Context, node string)
 }
@@ -82,7 +82,7 @@
 				if gctx.Err() != nil {
 					return gctx.Err()
 				}
-				state.Backoff(gctx, 0, m.every, m.every)
+				kvstore.Backoff(gctx, 0, m.every, m.every)
 				continue
 			}
 			g.Go(func() error { m.serve(gctx, c); return nil })
@@ -270,21 +270,21 @@
 		own := m.h.History()
 		return own.encode(), nil
 	case kindCopy:
-		p, err := copies.DecodePush(f.body)
+		p, err := replica.DecodePush(f.body)
 		if err != nil {
 			return nil, err
 		}
 		a := m.h.Copy(&p)
 		return a.Encode(), nil
 	case kindRecall:
-		a, err := copies.DecodePageRequest(f.body)
+		a, err := replica.DecodePageRequest(f.body)
 		if err != nil {
 			return nil, err
 		}
 		p := m.h.Recall(a)
 		return p.Encode(), nil
 	case kindWithdrawn:
-		n, err := withdrawn.DecodeMessage(f.body)
+		n, err := cancellation.DecodeMessage(f.body)
 		if err != nil {
 			return nil, err
 		}
@@ -355,7 +355,7 @@
 		c, err := l.dial(dctx, "tcp", l.addr)
 		done()
 		if err != nil {
-			state.Backoff(ctx, try, l.every, 4*l.every)
+			kvstore.Backoff(ctx, try, l.every, 4*l.every)
 			try++
 			continue
 		}
@@ -401,19 +401,19 @@
 )
 
 // SendCancellations tells a peer of withdrawals.
-func (m *Mesh) SendCancellations(ctx context.Context, node string, n *withdrawn.Message) (withdrawn.Ack, error) {
+func (m *Mesh) SendCancellations(ctx context.Context, node string, n *cancellation.Message) (cancellation.Ack, error) {
 	l := m.links[node]
 	if l == nil || !l.settled() {
-		return withdrawn.Ack{}, fmt.Errorf("%w: %q", ErrDown, node)
+		return cancellation.Ack{}, fmt.Errorf("%w: %q", ErrDown, node)
 	}
 	if !l.reached(withdraws) {
-		return withdrawn.Ack{}, withdrawn.ErrUnsupported
+		return cancellation.Ack{}, cancellation.ErrUnsupported
 	}
 	b, err := l.prompt(ctx, kindWithdrawn, n.Encode())
 	if err != nil {
-		return withdrawn.Ack{}, err
+		return cancellation.Ack{}, err
 	}
-	return withdrawn.DecodeAck(b)
+	return cancellation.DecodeAck(b)
 }
 
 // settled tells whether the peer's version is known, or known to be too old to tell.
@@ -436,21 +436,21 @@
 }
 
 // Push sends a peer a copy of what is stored, or changes of it.
-func (m *Mesh) Push(ctx context.Context, node string, p *copies.Push) (copies.Ack, error) {
+func (m *Mesh) Push(ctx context.Context, node string, p *replica.Push) (replica.Ack, error) {
 	b, err := m.recount(ctx, node, kindCopy, p.Encode())
 	if err != nil {
-		return copies.Ack{}, err
+		return replica.Ack{}, err
 	}
-	return copies.DecodeAck(b)
+	return replica.DecodeAck(b)
 }
 
 // FetchPage asks a peer for a page of what it remembers.
-func (m *Mesh) FetchPage(ctx context.Context, node string, a copies.PageRequest) (copies.Page, error) {
+func (m *Mesh) FetchPage(ctx context.Context, node string, a replica.PageRequest) (replica.Page, error) {
 	b, err := m.recount(ctx, node, kindRecall, a.Encode())
 	if err != nil {
-		return copies.Page{}, err
+		return replica.Page{}, err
 	}
-	return copies.DecodePage(b)
+	return replica.DecodePage(b)
 }
 
 func (m *Mesh) recount(ctx context.Context, node string, k kind, body []byte) ([]byte, error) {
--- a/internal/rebuild/merge.go
+++ b/internal/recovery/merge.go
@@ -1,4 +1,4 @@
-// Package rebuild puts the history of jobs and claims together from what is left of it:
+// Package recovery puts the history of jobs and claims together from what is left of it:
 // what the state service still holds, copies in memory, snapshots. It is pure: it
 // decides by proof, never by hope, and leaves reading and writing to its caller.
 //
@@ -10,7 +10,7 @@
 //	                 no earlier try is anywhere           try was given out
 //	a job's record   it was accepted                      that it is not over
 //	a missing key    nothing                              that it never was
-package rebuild
+package recovery
 
 import (
 	"encoding/json"
--- a/internal/rebuild/merge_test.go
+++ b/internal/recovery/merge_test.go
@@ -1,4 +1,4 @@
-package rebuild
+package recovery
 
 import (
 	"encoding/json"
--- a/internal/copies/read_store.go
+++ b/internal/replica/read_store.go
@@ -1,4 +1,4 @@
-package copies
+package replica
 
 import (
 	"context"
@@ -8,15 +8,15 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"rillflow/internal/history"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/state"
 )
 
 // ReadStore reads all that copies hold from the state service, as it was at one generation:
 // what changed while it was read is taken from the log.
-func ReadStore(ctx context.Context, store *state.Client) (*Tree, Head, error) {
-	v, err := history.Read(ctx, store)
+func ReadStore(ctx context.Context, store *kvstore.Client) (*Tree, Head, error) {
+	v, err := dataloss.Read(ctx, store)
 	if err != nil {
 		return nil, Head{}, err
 	}
@@ -28,7 +28,7 @@
 	if err == nil {
 		err = json.Unmarshal(it.Value, &m)
 	}
-	if err != nil && !errors.Is(err, state.ErrNotFound) {
+	if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, Head{}, fmt.Errorf("epoch: %w", err)
 	}
 	head.Epoch = m.Epoch
--- a/internal/copies/replica.go
+++ b/internal/replica/replica.go
@@ -1,8 +1,8 @@
-// Package copies keeps, in each controller's memory, a copy of what the state service
+// Package replica keeps, in each controller's memory, a copy of what the state service
 // holds of jobs and claims. The leader's is fed by what it reads and commits; those of
 // the others by the leader, over the link. Should the state service lose data, they are
 // what the history is put together from.
-package copies
+package replica
 
 import (
 	"log/slog"
--- a/internal/copies/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -1,4 +1,4 @@
-package copies
+package replica
 
 import (
 	"context"
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -11,19 +11,19 @@
 	"time"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/control"
-	"rillflow/internal/copies"
-	"rillflow/internal/history"
+	"rillflow/internal/cancellation"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
 	"rillflow/internal/identity"
 	"rillflow/internal/intake"
-	"rillflow/internal/lead"
-	"rillflow/internal/part"
+	"rillflow/internal/kvstore"
+	"rillflow/internal/leader"
 	"rillflow/internal/peer"
 	"rillflow/internal/placement"
+	"rillflow/internal/replica"
 	"rillflow/internal/rights"
-	"rillflow/internal/state"
+	"rillflow/internal/shard"
 	"rillflow/internal/wire"
-	"rillflow/internal/withdrawn"
 )
 
 // routes are all requests at the front address.
@@ -68,7 +68,7 @@
 		reply(w, http.StatusOK, out)
 		return
 	}
-	if e, ok := part.AsNotOwner(err); ok && e.RedirectTarget != "" && e.RedirectTarget != d.set.Node {
+	if e, ok := shard.AsNotOwner(err); ok && e.RedirectTarget != "" && e.RedirectTarget != d.set.Node {
 		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: e.RedirectTarget})
 		return
 	}
@@ -79,7 +79,7 @@
 // out was given out in a history that is lost.
 func (d *daemon) shown(epoch uint64) {
 	d.el.ObserveEpoch(epoch)
-	if v := d.hist.Current(); v.InitialPhase == history.PhaseProvisional && epoch > 0 && epoch < v.Epoch {
+	if v := d.hist.Current(); v.InitialPhase == dataloss.PhaseProvisional && epoch > 0 && epoch < v.Epoch {
 		// The history began with nothing, so nobody can have seen an earlier epoch.
 		d.hist.Suspect(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
 	}
@@ -102,7 +102,7 @@
 			if err == nil && stored.Epoch < epoch && epoch > d.el.ShardMap().Epoch {
 				d.hist.Suspect(fmt.Sprintf("workers have seen epoch %d, and %d is stored", epoch, stored.Epoch))
 			}
-			state.Backoff(ctx, 0, d.set.Report()/8, d.set.Report()/8)
+			kvstore.Backoff(ctx, 0, d.set.Report()/8, d.set.Report()/8)
 		}
 	}
 }
@@ -150,7 +150,7 @@
 
 // Fence, Doubt, Check, Lost, Fresh, Fed and Young are what users' requests are decided under.
 
-func (d *daemon) Fence() ([]wire.Compare, history.Phase, error) {
+func (d *daemon) Fence() ([]wire.Compare, dataloss.Phase, error) {
 	return d.hist.Fence(d.el.LegacyLeader())
 }
 
@@ -192,13 +192,13 @@
 	}
 }
 
-func (d *daemon) Copy(p *copies.Push) copies.Ack { return d.copies.Receive(p) }
+func (d *daemon) Copy(p *replica.Push) replica.Ack { return d.copies.Receive(p) }
 
-func (d *daemon) Recall(a copies.PageRequest) copies.Page { return d.copies.ReadPage(a) }
+func (d *daemon) Recall(a replica.PageRequest) replica.Page { return d.copies.ReadPage(a) }
 
 // Withdrawn, Reached and Linked have withdrawals known to all controllers.
 
-func (d *daemon) Withdrawn(n *withdrawn.Message) withdrawn.Ack {
+func (d *daemon) Withdrawn(n *cancellation.Message) cancellation.Ack {
 	return d.gone.Receive(n, d.control)
 }
 
@@ -224,7 +224,7 @@
 }
 
 func (d *daemon) Pinged(p peer.Ping) {
-	d.el.LearnShardMap(lead.ShardMap{Epoch: p.Epoch, Leader: p.Leader, Owners: p.Parts})
+	d.el.LearnShardMap(election.ShardMap{Epoch: p.Epoch, Leader: p.Leader, Owners: p.Parts})
 }
 
 func (d *daemon) Beat(ctx context.Context, r *wire.Heartbeat) peer.BeatAnswer {
@@ -260,7 +260,7 @@
 type Status struct {
 	Node     string                 `json:"node"`
 	Version  string                 `json:"version"`
-	Map      lead.ShardMap          `json:"map"`
+	Map      election.ShardMap      `json:"map"`
 	UpS      float64                `json:"up_s"`
 	StateS   float64                `json:"state_silent_s"`
 	Requests int64                  `json:"state_requests"`
@@ -269,19 +269,19 @@
 	MemoryMB float64                `json:"memory_mb"`
 	Full     bool                   `json:"memory_short"` // new jobs and machines are turned away
 	Rates    []placement.RateRow    `json:"rates"`
-	Leading  *control.Status        `json:"leading,omitempty"`
+	Leading  *leader.Status         `json:"leading,omitempty"`
 	History  HistoryStatus          `json:"history"`
 }
 
 // HistoryStatus is how a controller takes the state service's history, and what it
 // remembers of it.
 type HistoryStatus struct {
-	ID       string        `json:"id"`
-	Phase    history.Phase `json:"phase"`
-	Doubted  string        `json:"doubted,omitempty"`
-	Copy     copies.Head   `json:"copy"`
-	Bytes    int           `json:"copy_bytes"`
-	EndsLeft int           `json:"ends_without_room,omitempty"`
+	ID       string         `json:"id"`
+	Phase    dataloss.Phase `json:"phase"`
+	Doubted  string         `json:"doubted,omitempty"`
+	Copy     replica.Head   `json:"copy"`
+	Bytes    int            `json:"copy_bytes"`
+	EndsLeft int            `json:"ends_without_room,omitempty"`
 }
 
 func (d *daemon) histories() HistoryStatus {
--- a/internal/serve/golden_test.go
+++ b/internal/serve/golden_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
-	"rillflow/internal/control"
 	"rillflow/internal/goldentest"
+	"rillflow/internal/leader"
 )
 
 // The operator's status page keeps its fields, their names and their order.
@@ -13,6 +13,6 @@
 	goldentest.Check(t, "status.txt", strings.Join([]string{
 		goldentest.JSON(t, goldentest.Filled[Status]()),
 		goldentest.JSON(t, Status{}),
-		goldentest.JSON(t, control.Status{Recovery: &control.RecoveryStatus{}}),
+		goldentest.JSON(t, leader.Status{Recovery: &leader.RecoveryStatus{}}),
 	}, "\n")+"\n")
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -17,21 +17,21 @@
 
 	"rillflow/internal/access"
 	"rillflow/internal/agent"
+	"rillflow/internal/cancellation"
 	"rillflow/internal/certs"
-	"rillflow/internal/control"
-	"rillflow/internal/copies"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
 	"rillflow/internal/fleet"
-	"rillflow/internal/history"
 	"rillflow/internal/intake"
 	"rillflow/internal/keyring"
-	"rillflow/internal/lead"
-	"rillflow/internal/part"
+	"rillflow/internal/kvstore"
+	"rillflow/internal/leader"
 	"rillflow/internal/peer"
 	"rillflow/internal/pressure"
+	"rillflow/internal/replica"
 	"rillflow/internal/settings"
+	"rillflow/internal/shard"
 	"rillflow/internal/snapshot"
-	"rillflow/internal/state"
-	"rillflow/internal/withdrawn"
 )
 
 // Version is the program's version.
@@ -40,18 +40,18 @@
 // daemon is a running controller.
 type daemon struct {
 	set     *settings.Settings
-	st      *state.Client
-	el      *lead.Elector
-	control *control.Runner
-	part    *part.Owner
+	st      *kvstore.Client
+	el      *election.Elector
+	control *leader.Runner
+	part    *shard.Owner
 	mesh    *peer.Mesh
 	memory  *pressure.Gauge
 	users   http.Handler
 	door    *access.Door
-	hist    *history.Detector
-	copies  *copies.Replica
-	gone    *withdrawn.Set
-	teller  *withdrawn.Broadcaster
+	hist    *dataloss.Detector
+	copies  *replica.Replica
+	gone    *cancellation.Set
+	teller  *cancellation.Broadcaster
 	crowd   *crowd
 	asks    chan uint64 // epochs that workers show and nobody knows
 	log     *slog.Logger
@@ -84,7 +84,7 @@
 	d := &daemon{set: set, log: log, began: time.Now(), asks: make(chan uint64, 1)}
 	// Any node may lead and then needs most of the budget; the rest is
 	// shared. Spent in full by all, this stays at what the service allows.
-	d.st = state.New(state.Options{
+	d.st = kvstore.New(kvstore.Options{
 		Addr: set.Services.State, RequestsPerSecond: facts.State.RPS * 0.8 * 2 / (nodes + 1),
 		Limits: limits(facts.State), AnnouncedLimits: limits(facts.State.Least()),
 		Timeout: set.Report() / 2, Dial: nw.Dial,
@@ -92,18 +92,18 @@
 	cloud := fleet.NewCloudClient(set.Services.Cloud, facts.Cloud.RPS*0.8, set.Report(), nw.Dial)
 	d.memory = pressure.New(uint64(op.Limits.Refuse*facts.Resources.MemoryMB*(1<<20)), set.Report()/16)
 	types := fleet.NewCatalogue(cloud, 2*set.Lease(), log)
-	d.copies = copies.New(int(op.Rebuild.Ends*facts.Resources.MemoryMB*(1<<20)), log)
-	d.hist = history.NewDetector(d.st, func(why string) { d.el.EndTermForDataLoss(why) }, log)
-	d.el = lead.New(lead.Options{
+	d.copies = replica.New(int(op.Rebuild.Ends*facts.Resources.MemoryMB*(1<<20)), log)
+	d.hist = dataloss.NewDetector(d.st, func(why string) { d.el.EndTermForDataLoss(why) }, log)
+	d.el = election.New(election.Options{
 		Store: d.st, Controller: set.Node, LeaseDuration: time.Duration(op.Lead.Grant * float64(set.Lease())), ShardOwners: func() []string { return d.part.EligibleOwners(nil) },
 		Detector: d.hist, RemembersIncarnation: func() bool { return !d.copies.Empty() }, Log: log,
 	})
 	within := settings.Seconds(facts.Workers.CancelS)
-	d.gone = withdrawn.New(withdrawn.Options{
-		StopDeadline: within, Capacity: withdrawn.Capacity(facts.State.WriteRPS, within), Peers: set.Others(),
+	d.gone = cancellation.New(cancellation.Options{
+		StopDeadline: within, Capacity: cancellation.Capacity(facts.State.WriteRPS, within), Peers: set.Others(),
 		StoreUnavailable: func() bool { return d.part.StoreRefuses() }, Now: time.Now,
 	})
-	d.part = part.New(set, d.el.ShardMap, d.st.SinceLastAnswer, d.gone, time.Now)
+	d.part = shard.New(set, d.el.ShardMap, d.st.SinceLastAnswer, d.gone, time.Now)
 	var tls *certs.Keeper
 	if op.TLS.On() {
 		var err error
@@ -125,11 +125,11 @@
 	if !op.Access.Audited() {
 		kept = nil
 	}
-	d.control = control.New(control.Options{
+	d.control = leader.New(leader.Options{
 		Settings: set, Store: d.st, Cloud: cloud, WorkerClient: agent.NewCommandClient(set.Report(), int(idleWorkers*float64(facts.Resources.Sockets)), nw.Dial), Elector: d.el,
 		InstanceTypes: types, Shards: d.part, MemoryFull: d.memory.High, AuditKeys: kept, DataLoss: d.hist, Replica: d.copies, ReplicaPeers: d.mesh, Cancellations: d.gone, Log: log,
 	})
-	d.teller = &withdrawn.Broadcaster{Controller: set.Node, Cancellations: d.gone, Link: d.mesh, LocalLeader: d.control, InitialBackoff: set.Report() / 256, CurrentLeader: d.leads}
+	d.teller = &cancellation.Broadcaster{Controller: set.Node, Cancellations: d.gone, Link: d.mesh, LocalLeader: d.control, InitialBackoff: set.Report() / 256, CurrentLeader: d.leads}
 	mux := http.NewServeMux()
 	intake.New(set, d.st, types, d.counts, d.part.StoreRefuses, d.memory.High, d.door, d, d.copies, d.teller, day, log).Routes(mux)
 	d.users = mux
@@ -231,8 +231,8 @@
 
 // limits is what a controller may use of the state service at a time: nearly
 // all, for any may lead.
-func limits(s settings.State) state.Limits {
-	return state.Limits{WritesPerSecond: s.WriteRPS * 0.8, MaxValueBytes: int(s.ValueKB * 1024)}
+func limits(s settings.State) kvstore.Limits {
+	return kvstore.Limits{WritesPerSecond: s.WriteRPS * 0.8, MaxValueBytes: int(s.ValueKB * 1024)}
 }
 
 // probe sees to it that this node knows whether the state service answers it.
--- a/internal/part/isolation.go
+++ b/internal/shard/isolation.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"slices"
--- a/internal/part/isolation_test.go
+++ b/internal/shard/isolation_test.go
@@ -1,10 +1,10 @@
-package part
+package shard
 
 import (
 	"testing"
 	"time"
 
-	"rillflow/internal/lead"
+	"rillflow/internal/election"
 	"rillflow/internal/peer"
 	"rillflow/internal/wire"
 )
@@ -33,7 +33,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			at := testTime
-			m := lead.ShardMap{Epoch: 3, Leader: "a", Owners: []string{"a"}}
+			m := election.ShardMap{Epoch: 3, Leader: "a", Owners: []string{"a"}}
 			if tc.owner {
 				m.Owners = append(m.Owners, "me")
 			}
@@ -75,12 +75,12 @@
 // A node behind the same cut as a zone's workers answers those of owners that are
 // out of reach, under a map whose leader reckons with it and not otherwise.
 func TestSubstituteInOwnZone(t *testing.T) {
-	near := lead.ShardMap{Epoch: 7, Leader: "other", Owners: []string{"me", "other"}, ZoneFallback: true}
+	near := election.ShardMap{Epoch: 7, Leader: "other", Owners: []string{"me", "other"}, ZoneFallback: true}
 	old, without := near, near
 	old.ZoneFallback, without.Owners = false, []string{"other"}
 	for _, tc := range []struct {
 		name  string
-		m     lead.ShardMap
+		m     election.ShardMap
 		zone  string
 		stale time.Duration
 		live  bool
--- a/internal/part/owner.go
+++ b/internal/shard/owner.go
@@ -1,7 +1,7 @@
-// Package part is the duty of a host's owner: it answers the reports of the
+// Package shard is the duty of a host's owner: it answers the reports of the
 // hosts in its part, keeps what their finishes teach, and picks by the rule
 // when the leader offers it their free rooms.
-package part
+package shard
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"time"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/control"
-	"rillflow/internal/lead"
+	"rillflow/internal/cancellation"
+	"rillflow/internal/election"
+	"rillflow/internal/leader"
 	"rillflow/internal/peer"
 	"rillflow/internal/placement"
 	"rillflow/internal/settings"
 	"rillflow/internal/wire"
-	"rillflow/internal/withdrawn"
 )
 
 // Leader is the leader's side, on this node while it leads.
@@ -35,10 +35,10 @@
 // Owner is this node's part.
 type Owner struct {
 	config           *settings.Settings
-	shardMap         func() lead.ShardMap
+	shardMap         func() election.ShardMap
 	links            PeerLinks
 	sinceStoreAnswer func() time.Duration // since the state service answered here
-	cancellations    *withdrawn.Set
+	cancellations    *cancellation.Set
 	now              func() time.Time
 	tuning           placement.Tuning
 
@@ -51,7 +51,7 @@
 
 // New makes the part. known tells the latest part map, stale since when the
 // state service has not answered, gone what is withdrawn.
-func New(config *settings.Settings, shardMap func() lead.ShardMap, sinceStoreAnswer func() time.Duration, cancellations *withdrawn.Set, now func() time.Time) *Owner {
+func New(config *settings.Settings, shardMap func() election.ShardMap, sinceStoreAnswer func() time.Duration, cancellations *cancellation.Set, now func() time.Time) *Owner {
 	placementConfig := config.Operator.Placement
 	return &Owner{
 		config: config, shardMap: shardMap, sinceStoreAnswer: sinceStoreAnswer, cancellations: cancellations, now: now,
@@ -127,7 +127,7 @@
 		return wire.CommandBatch{}, false, err
 	}
 	if !answer.OK {
-		return wire.CommandBatch{}, true, control.ErrNotLeading
+		return wire.CommandBatch{}, true, leader.ErrNotLeading
 	}
 	for _, finish := range answer.Learned {
 		o.Learn(finish)
@@ -147,7 +147,7 @@
 // the owner is out of reach. The host's tasks then run on for as long as the zone
 // is cut off. Only under a map that lists this node and whose leader reckons with
 // this: no lease of such a host is taken to be over meanwhile.
-func (o *Owner) substitutesFor(shardMap lead.ShardMap, owner, zone string) bool {
+func (o *Owner) substitutesFor(shardMap election.ShardMap, owner, zone string) bool {
 	return shardMap.ZoneFallback && zone != "" && zone == o.config.Zone && slices.Contains(shardMap.Owners, o.config.Node) &&
 		o.StoreRefuses() && !o.links.Peers()[owner].Live
 }
@@ -233,7 +233,7 @@
 // StoreRefuses tells whether the state service has not answered for long.
 func (o *Owner) StoreRefuses() bool { return o.sinceStoreAnswer() >= storeUnavailableAfter(o.config) }
 
-var _ Leader = (*control.Runner)(nil)
+var _ Leader = (*leader.Runner)(nil)
 
 // AsNotOwner takes an ErrNotOwner out of an error.
 func AsNotOwner(err error) (NotOwnerError, bool) {
--- a/internal/part/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -1,4 +1,4 @@
-package part
+package shard
 
 import (
 	"context"
@@ -8,12 +8,12 @@
 	"time"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/lead"
+	"rillflow/internal/cancellation"
+	"rillflow/internal/election"
 	"rillflow/internal/peer"
 	"rillflow/internal/placement"
 	"rillflow/internal/settings"
 	"rillflow/internal/wire"
-	"rillflow/internal/withdrawn"
 )
 
 var testTime = time.Unix(500, 0)
@@ -44,15 +44,15 @@
 	return wire.CommandBatch{Epoch: 7}, nil, l.err
 }
 
-func newTestOwner(t *testing.T, shardMap lead.ShardMap, sinceStoreAnswer time.Duration, l *fakeLinks) *Owner {
+func newTestOwner(t *testing.T, shardMap election.ShardMap, sinceStoreAnswer time.Duration, l *fakeLinks) *Owner {
 	t.Helper()
 	operator, err := settings.ParseOperator(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	config := &settings.Settings{Node: "me", Operator: operator, Facts: settings.Facts{Workers: settings.Workers{ReportS: 4, LeaseS: 40}}}
-	cancellations := withdrawn.New(withdrawn.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: func() time.Time { return testTime }})
-	p := New(config, func() lead.ShardMap { return shardMap }, func() time.Duration { return sinceStoreAnswer }, cancellations, func() time.Time { return testTime })
+	cancellations := cancellation.New(cancellation.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: func() time.Time { return testTime }})
+	p := New(config, func() election.ShardMap { return shardMap }, func() time.Duration { return sinceStoreAnswer }, cancellations, func() time.Time { return testTime })
 	p.SetPeerLinks(l)
 	return p
 }
@@ -61,21 +61,21 @@
 	mine, theirs := []string{"me"}, []string{"other"}
 	for _, tc := range []struct {
 		name    string
-		m       lead.ShardMap
+		m       election.ShardMap
 		seen    uint64 // the worker's epoch
 		links   fakeLinks
 		leader  fakeLeader
 		epoch   uint64 // of the answer; 0: refused
 		steward string
 	}{
-		{"the leader's own host", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, fakeLinks{}, fakeLeader{}, 7, ""},
-		{"the term is over", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, fakeLinks{}, fakeLeader{errors.New("no")}, 0, ""},
-		{"another's host", lead.ShardMap{Epoch: 7, Leader: "me", Owners: theirs}, 7, fakeLinks{}, fakeLeader{}, 0, "other"},
-		{"no map yet", lead.ShardMap{}, 0, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"a worker that knows more", lead.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 8, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"passed on", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{answer: peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}}, fakeLeader{}, 9, ""},
-		{"the leader may not answer", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"the leader cannot be asked: the tasks run on", lead.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{err: peer.ErrDown}, fakeLeader{}, 7, ""},
+		{"the leader's own host", election.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, fakeLinks{}, fakeLeader{}, 7, ""},
+		{"the term is over", election.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, fakeLinks{}, fakeLeader{errors.New("no")}, 0, ""},
+		{"another's host", election.ShardMap{Epoch: 7, Leader: "me", Owners: theirs}, 7, fakeLinks{}, fakeLeader{}, 0, "other"},
+		{"no map yet", election.ShardMap{}, 0, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"a worker that knows more", election.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 8, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"passed on", election.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{answer: peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}}, fakeLeader{}, 9, ""},
+		{"the leader may not answer", election.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"the leader cannot be asked: the tasks run on", election.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{err: peer.ErrDown}, fakeLeader{}, 7, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newTestOwner(t, tc.m, 0, &tc.links)
@@ -116,7 +116,7 @@
 		{"just begun, the leader is out of reach", "boss", false, fakeLinks{err: peer.ErrDown}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newTestOwner(t, lead.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}, time.Minute, &tc.links)
+			p := newTestOwner(t, election.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}, time.Minute, &tc.links)
 			if tc.settled {
 				p.cancellations.AddComplete("")
 			}
@@ -154,7 +154,7 @@
 		{"but not for a first map", 0, map[string]peer.Status{"a": status(0, time.Second, true)}, nil, []string{"a", "me"}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newTestOwner(t, lead.ShardMap{}, tc.stale, &fakeLinks{peers: tc.peers})
+			p := newTestOwner(t, election.ShardMap{}, tc.stale, &fakeLinks{peers: tc.peers})
 			if got := p.EligibleOwners(tc.have); !slices.Equal(got, tc.fit) {
 				t.Errorf("fit %v, want %v", got, tc.fit)
 			}
--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -12,8 +12,8 @@
 
 	"rillflow/internal/audit"
 	"rillflow/internal/keyring"
+	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
-	"rillflow/internal/state"
 	"rillflow/internal/wire"
 )
 
@@ -24,7 +24,7 @@
 	defer s.mu.Unlock()
 	it, ok := s.keys[key]
 	if !ok {
-		return it, state.ErrNotFound
+		return it, kvstore.ErrNotFound
 	}
 	return it, nil
 }
--- a/internal/sim/loss_test.go
+++ b/internal/sim/loss_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"rillflow/internal/control"
+	"rillflow/internal/leader"
 	"rillflow/internal/ledger"
 	"rillflow/internal/serve"
 	"rillflow/internal/wire"
@@ -378,7 +378,7 @@
 }
 
 // rebuilt asks the controllers what was rebuilt, as an operator does.
-func (d *lossDay) rebuilt() *control.RecoveryStatus {
+func (d *lossDay) rebuilt() *leader.RecoveryStatus {
 	client := &http.Client{Transport: &http.Transport{DialContext: d.w.net.at("user").Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	for n := range nodes {
 		res, err := client.Get("http://" + front(n) + "/operator/status")
--- a/internal/sim/together_test.go
+++ b/internal/sim/together_test.go
@@ -11,7 +11,7 @@
 	"testing/synctest"
 	"time"
 
-	"rillflow/internal/lead"
+	"rillflow/internal/election"
 	"rillflow/internal/ledger"
 	"rillflow/internal/wire"
 )
@@ -376,7 +376,7 @@
 				epochs = nil
 				m.st.done = func(_ string, c wire.Txn) bool {
 					for _, p := range c.Operations {
-						var e lead.ShardMap
+						var e election.ShardMap
 						if p.Put == "epoch" && json.Unmarshal(p.Value, &e) == nil {
 							epochs = append(epochs, e.Epoch)
 						}
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"rillflow/internal/copies"
+	"rillflow/internal/replica"
 )
 
 const suffix = ".rillsnap"
@@ -24,8 +24,8 @@
 	Steps      int // snapshots of changes that follow a whole one at most
 	Wholes     int // whole ones that are kept, with what follows each
 
-	last   *copies.Tree
-	head   copies.Head
+	last   *replica.Tree
+	head   replica.Head
 	sum    Sum
 	number int
 	steps  int
@@ -39,7 +39,7 @@
 
 // Chain is the newest state that a folder holds.
 type Chain struct {
-	Tree    *copies.Tree
+	Tree    *replica.Tree
 	Last    *Snapshot // without it nothing was found
 	Files   []string  // that it is made of
 	Refused []Refused
@@ -116,7 +116,7 @@
 
 // Save writes the next snapshot: whole at first, where the copy is of another leader,
 // and after as many steps as there may be. Where nothing changed it writes nothing.
-func (f *Folder) Save(tree *copies.Tree, head copies.Head, at time.Time) (string, error) {
+func (f *Folder) Save(tree *replica.Tree, head replica.Head, at time.Time) (string, error) {
 	if f.number == 0 {
 		if err := os.MkdirAll(f.Dir, 0o700); err != nil {
 			return "", fmt.Errorf("snapshots: %w", err)
@@ -209,7 +209,7 @@
 
 // Keep saves a copy every so often until ctx ends. A folder that cannot be written is
 // told of and tried again: serving goes on.
-func (f *Folder) Keep(ctx context.Context, c *copies.Replica, every time.Duration, log *slog.Logger) error {
+func (f *Folder) Keep(ctx context.Context, c *replica.Replica, every time.Duration, log *slog.Logger) error {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -5,15 +5,15 @@
 	"testing"
 	"time"
 
-	"rillflow/internal/copies"
 	"rillflow/internal/goldentest"
+	"rillflow/internal/replica"
 )
 
 // A snapshot as written today stays readable. Its bytes are the compressor's affair.
 func TestGoldenFile(t *testing.T) {
 	want := goldentest.Filled[Snapshot]()
 	want.At = time.UnixMilli(1_764_600_000_123)
-	want.Entries = []copies.Entry{{Key: "c/req-1/0", Data: []byte("{}")}, {Key: "j/req-1"}}
+	want.Entries = []replica.Entry{{Key: "c/req-1/0", Data: []byte("{}")}, {Key: "j/req-1"}}
 	sum := Sum{}
 	data := goldentest.Read(t, "file", func() []byte {
 		s := want
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -14,7 +14,7 @@
 	"github.com/zeebo/blake3"
 
 	"rillflow/internal/codec"
-	"rillflow/internal/copies"
+	"rillflow/internal/replica"
 )
 
 // Reasons to refuse a snapshot.
@@ -41,11 +41,11 @@
 // snapshot before.
 type Snapshot struct {
 	Deployment string
-	copies.Head
+	replica.Head
 	At   time.Time
 	Base Sum // of the snapshot that this one continues; zero: it is whole
 	// Entries are sorted by key; one without data was removed.
-	Entries []copies.Entry
+	Entries []replica.Entry
 
 	Sum Sum // of the file; set by Encode and Decode
 }
@@ -126,11 +126,11 @@
 	d = codec.Decoder{B: raw}
 	last := ""
 	for range d.Items() {
-		x := copies.Entry{Key: d.Str()}
+		x := replica.Entry{Key: d.Str()}
 		if d.Bool() {
 			x.Data = d.Bytes()
 		}
-		if x.Key <= last || !copies.IsReplicated(x.Key) {
+		if x.Key <= last || !replica.IsReplicated(x.Key) {
 			return nil, fmt.Errorf("%w: key %q", ErrDamaged, x.Key)
 		}
 		last = x.Key
@@ -144,12 +144,12 @@
 
 // Take makes a snapshot of a tree: of what changed since another, or whole if there is
 // none. It reads trees only, so whoever writes goes on.
-func Take(deployment string, head copies.Head, at time.Time, now, since *copies.Tree, base Sum) *Snapshot {
+func Take(deployment string, head replica.Head, at time.Time, now, since *replica.Tree, base Sum) *Snapshot {
 	s := &Snapshot{Deployment: deployment, Head: head, At: at}
 	s.Keys = now.Len()
 	if since == nil {
 		now.Root().Walk(func(k, v []byte) bool {
-			s.Entries = append(s.Entries, copies.Entry{Key: string(k), Data: v})
+			s.Entries = append(s.Entries, replica.Entry{Key: string(k), Data: v})
 			return false
 		})
 		return s
@@ -161,14 +161,14 @@
 	for oka || okb {
 		switch c := bytes.Compare(ka, kb); {
 		case !okb || oka && c < 0:
-			s.Entries = append(s.Entries, copies.Entry{Key: string(ka)})
+			s.Entries = append(s.Entries, replica.Entry{Key: string(ka)})
 			ka, va, oka = a.Next()
 		case !oka || c > 0:
-			s.Entries = append(s.Entries, copies.Entry{Key: string(kb), Data: vb})
+			s.Entries = append(s.Entries, replica.Entry{Key: string(kb), Data: vb})
 			kb, vb, okb = b.Next()
 		default:
 			if !bytes.Equal(va, vb) {
-				s.Entries = append(s.Entries, copies.Entry{Key: string(kb), Data: vb})
+				s.Entries = append(s.Entries, replica.Entry{Key: string(kb), Data: vb})
 			}
 			ka, va, oka = a.Next()
 			kb, vb, okb = b.Next()
@@ -178,7 +178,7 @@
 }
 
 // Onto gives what was held: the snapshot's entries over those of the one before.
-func (s *Snapshot) Onto(before *copies.Tree) *copies.Tree {
+func (s *Snapshot) Onto(before *replica.Tree) *replica.Tree {
 	if before == nil {
 		before = iradix.New[[]byte]()
 	}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -11,10 +11,10 @@
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
-	"rillflow/internal/copies"
+	"rillflow/internal/replica"
 )
 
-func tree(kv ...string) *copies.Tree {
+func tree(kv ...string) *replica.Tree {
 	txn := iradix.New[[]byte]().Txn()
 	for i := 0; i < len(kv); i += 2 {
 		txn.Insert([]byte(kv[i]), []byte(kv[i+1]))
@@ -22,13 +22,13 @@
 	return txn.Commit()
 }
 
-func show(t *copies.Tree) string {
+func show(t *replica.Tree) string {
 	s := ""
 	t.Root().Walk(func(k, v []byte) bool { s += string(k) + "=" + string(v) + " "; return false })
 	return s
 }
 
-var head = copies.Head{History: "h1", Epoch: 4, Seq: 9, Gen: 77}
+var head = replica.Head{History: "h1", Epoch: 4, Seq: 9, Gen: 77}
 
 func file(t testing.TB, s *Snapshot) []byte {
 	b, err := s.Encode()
@@ -74,7 +74,7 @@
 
 // The newest state that can be put together, with each file that is of no use named.
 func TestFolder(t *testing.T) {
-	states := []*copies.Tree{
+	states := []*replica.Tree{
 		tree("j/a", "1"),
 		tree("j/a", "1", "j/b", "2"),
 		tree("d/a", "x", "j/b", "2"),
