--- /dev/null
+++ b/internal/placement/choose_test.go
@@ -0,0 +1,69 @@
+package placement
+
+import (
+	"slices"
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestChoose(t *testing.T) {
+	candidate := func(worker, zone string, cpus float64, images ...string) Candidate {
+		return Candidate{
+			Worker: worker, InstanceType: "big", Zone: zone, CPUs: cpus, TotalCPUs: 8, MemoryGB: 64,
+			PullGBPerSecond: 1, Images: images,
+		}
+	}
+	spot := func(c Candidate) Candidate { c.Spot = true; return c }
+	reserved := func(c Candidate, job string, tier int) Candidate { c.ReservedFor, c.ReservedTier = job, tier; return c }
+	candidates := func(cs ...Candidate) []Candidate { return cs }
+	queue := func(jobType string, unfinished int, jobs ...WaitingJob) Queue {
+		return Queue{jobType, unfinished, jobs}
+	}
+	// one is an offer to candidates of a single queue with a single job of two CPUs a task.
+	one := func(cs []Candidate, tasks int, tweak func(job *WaitingJob)) Offer {
+		job := WaitingJob{Ref: "x", Tasks: tasks, CPUs: 2}
+		if tweak != nil {
+			tweak(&job)
+		}
+		return Offer{cs, []Queue{queue("t", tasks, job)}}
+	}
+	for _, tc := range []struct {
+		name  string
+		offer Offer
+		want  string
+	}{
+		{"nothing fits", one(candidates(candidate("h", "a", 1)), 1, nil), ""},
+		{"until the worker is full", one(candidates(candidate("h", "a", 5)), 9, nil), "h:x h:x"},
+		{"until no task waits", one(candidates(candidate("h", "a", 8)), 1, nil), "h:x"},
+		{"the greater count", Offer{candidates(candidate("h", "a", 2)), []Queue{
+			queue("t", 2, WaitingJob{Ref: "x", Tasks: 2, CPUs: 2}),
+			queue("u", 3, WaitingJob{Ref: "y", Tasks: 3, CPUs: 2}),
+		}}, "h:y"},
+		{"the worker with the image", one(candidates(candidate("h", "a", 2), candidate("i", "a", 2, "img")), 1,
+			func(job *WaitingJob) { job.Image, job.ImageGB = "img", 2 }), "i:x"},
+		{"no spot worker for what may not", one(candidates(spot(candidate("h", "a", 2))), 1, nil), ""},
+		{"spot before on-demand", one(candidates(candidate("h", "a", 2), spot(candidate("i", "a", 2))), 1,
+			func(job *WaitingJob) { job.AllowSpot = true }), "i:x"},
+		{"zones fill up", one(candidates(candidate("h", "a", 8), candidate("i", "b", 8)), 4,
+			func(job *WaitingJob) { job.ZoneSlots = map[string]int{"a": 1, "b": 2} }), "h:x i:x i:x"},
+		{"not where it failed", one(candidates(candidate("h", "a", 2)), 1,
+			func(job *WaitingJob) { job.ExcludedWorkers = []string{"h"} }), ""},
+		{"reserved capacity is for its job", one(candidates(reserved(Candidate{Worker: "h", CPUs: 2}, "y", 0)), 1,
+			func(job *WaitingJob) { job.CPUs = 1 }), ""},
+		{"or for what comes before it", one(candidates(reserved(Candidate{Worker: "h", CPUs: 2}, "y", 3)), 1,
+			func(job *WaitingJob) { job.CPUs, job.Tier = 1, 2 }), "h:x"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			tuning := Tuning{AgingThreshold: time.Minute, NearTie: 0.1, OnDemandPenalty: 3}
+			var got []string
+			for _, pick := range NewTable(params(), t0).Choose(tc.offer, tuning, t0) {
+				got = append(got, pick.Worker+":"+pick.Ref)
+			}
+			slices.Sort(got)
+			if got := strings.Join(got, " "); got != tc.want {
+				t.Errorf("got %q, want %q", got, tc.want)
+			}
+		})
+	}
+}
