--- a/internal/cancellation/broadcast.go
+++ b/internal/cancellation/broadcast.go
@@ -7,124 +7,132 @@
 	"sync"
 	"time"
 
-	"rillflow/internal/codec"
 	"rillflow/internal/kvstore"
 )
 
-// Message tells a peer of withdrawals.
-type Message struct {
-	From   string
-	JobIDs []string
-	Full   bool // these are all that the sender knows, and it asks for all the peer does
-	Synced bool // the sender knows all that matter
-}
-
-// Encode gives the note's binary form.
-func (m *Message) Encode() []byte {
-	var e codec.Encoder
-	e.Str(m.From)
-	e.Strs(m.JobIDs)
-	e.Bool(m.Full)
-	e.Bool(m.Synced)
-	return e.B
-}
-
-// DecodeMessage reads a note.
-func DecodeMessage(body []byte) (message Message, err error) {
-	d := codec.Decoder{B: body}
-	message = Message{From: d.Str(), JobIDs: d.Strs(), Full: d.Bool(), Synced: d.Bool()}
-	return message, d.Done()
-}
+// Errors of a broadcast.
+var (
+	// ErrUnsupported means that a peer's version has no cancellation messages.
+	ErrUnsupported = errors.New("cancellation: peer does not support cancellation messages")
+	// ErrNotAcknowledged means that some controller may still answer workers without
+	// knowing of the cancellation, so that the user must not be told yet.
+	ErrNotAcknowledged = errors.New("cancellation: not acknowledged by all controllers that may renew leases")
+	// errLaunchesUnresolved means that the leader knows, but that a start command it gave
+	// earlier may still take effect. It is worth asking again soon.
+	errLaunchesUnresolved = fmt.Errorf("%w: start command of the leader unresolved", ErrNotAcknowledged)
+)
 
-// Ack answers a note.
-type Ack struct {
-	Accepted bool // the peer knows now; false: it has no room, or, if it leads, launches are under way
-	IsLeader bool // and sees to it, as the leader, that the tasks are gone
-	Synced   bool // the peer knows all that matter
-	JobIDs   []string
-}
+// maxBackoffFactor limits the backoff between attempts, as a multiple of the first.
+const maxBackoffFactor = 16
 
-// Encode gives the answer's binary form.
-func (a *Ack) Encode() []byte {
-	var e codec.Encoder
-	e.Bool(a.Accepted)
-	e.Bool(a.IsLeader)
-	e.Bool(a.Synced)
-	e.Strs(a.JobIDs)
-	return e.B
+// Link sends messages to the other controllers.
+type Link interface {
+	// SendCancellations sends a message to a peer and returns its answer. The error is
+	// [ErrUnsupported] if the peer is too old for such messages.
+	SendCancellations(ctx context.Context, peer string, message *Message) (Ack, error)
 }
 
-// DecodeAck reads an answer.
-func DecodeAck(body []byte) (ack Ack, err error) {
-	d := codec.Decoder{B: body}
-	ack = Ack{Accepted: d.Bool(), IsLeader: d.Bool(), Synced: d.Bool(), JobIDs: d.Strs()}
-	return ack, d.Done()
+// Broadcaster makes a cancellation known to every controller that must know of it before
+// the user is told. Its fields are set once, before its first use.
+type Broadcaster struct {
+	Controller    string // name of this controller
+	Cancellations *Set
+	Link          Link
+	LocalLeader   Leader
+	// InitialBackoff is the first pause before a leader is asked again whether its
+	// launches are resolved.
+	InitialBackoff time.Duration
+	// CurrentLeader reads the name of the current leader from the store.
+	CurrentLeader func(ctx context.Context) (string, error)
 }
 
-// Leader is this node while it leads.
-type Leader interface {
-	// ApplyCancellations takes in the notices, and tells whether this node leads and has.
-	ApplyCancellations() bool
-	// LaunchesResolved tells whether no launch that it gave may still start a task of the jobs.
-	LaunchesResolved(refs ...string) bool
+// Broadcast makes a committed cancellation known. When it returns nil the user may be
+// told: either all controllers know, or the current leader does. The leader is read from
+// the store after the commit, because any later leader finds the cancellation in the
+// store itself; it then also stops tasks on workers that no controller's answers reach.
+// Until ctx ends Broadcast waits for a leader to resolve what it was about to start. Any
+// error is an [ErrNotAcknowledged].
+func (b *Broadcaster) Broadcast(ctx context.Context, jobID string) error {
+	if !b.Cancellations.Add("", jobID) {
+		return fmt.Errorf("broadcast job %s: %w: cancellation set is full", jobID, ErrNotAcknowledged)
+	}
+	for attempt := 0; ; attempt++ {
+		err := b.broadcastOnce(ctx, jobID)
+		if err == nil {
+			return nil
+		}
+		if !errors.Is(err, errLaunchesUnresolved) ||
+			!kvstore.Backoff(ctx, attempt, b.InitialBackoff, maxBackoffFactor*b.InitialBackoff) {
+			return fmt.Errorf("broadcast job %s: %w", jobID, err)
+		}
+	}
 }
 
-// Receive takes in a peer's note. While a launch of the jobs is under way, a leader that
-// is asked whether a user may be told says that it knows by Leads alone.
-func (s *Set) Receive(message *Message, leader Leader) Ack {
-	ack := Ack{}
-	if message.Full && message.Synced {
-		ack.Accepted = s.AddComplete(message.From, message.JobIDs...)
-	} else {
-		ack.Accepted = s.Add(message.From, message.JobIDs...)
+// broadcastOnce sends a cancellation to all peers and judges their answers.
+func (b *Broadcaster) broadcastOnce(ctx context.Context, jobID string) error {
+	isLeader := b.LocalLeader.ApplyCancellations()
+	if isLeader && !b.LocalLeader.LaunchesResolved(jobID) {
+		return errLaunchesUnresolved
 	}
-	if !ack.Accepted {
-		return ack
+	answers := b.sendToAll(ctx, jobID)
+	switch {
+	case answers.allAccepted:
+		return nil
+	case answers.launchesUnresolved:
+		return errLaunchesUnresolved
+	}
+	leader, err := b.CurrentLeader(ctx)
+	if err != nil {
+		return fmt.Errorf("%w: read current leader: %w", ErrNotAcknowledged, err)
 	}
-	ack.IsLeader = leader.ApplyCancellations()
-	if message.Full {
-		ack.Synced, ack.JobIDs = s.Synced(), s.JobIDs()
-	} else if ack.IsLeader {
-		ack.Accepted = leader.LaunchesResolved(message.JobIDs...)
+	if leader == b.Controller && isLeader || answers.acceptedAsLeader[leader] {
+		return nil
 	}
-	return ack
+	return fmt.Errorf("%w: current leader %s has not accepted it", ErrNotAcknowledged, leader)
 }
 
-// Link is the way to the other controllers.
-type Link interface {
-	// SendCancellations tells a peer. ErrOld: it is too old to be told.
-	SendCancellations(ctx context.Context, peer string, n *Message) (Ack, error)
+// answers sums up what the peers answered to one cancellation.
+type answers struct {
+	mu                 sync.Mutex // guards all below while answers arrive
+	allAccepted        bool
+	launchesUnresolved bool            // a leader knows, but has launches under way
+	acceptedAsLeader   map[string]bool // by peer
 }
 
-// Errors of telling.
-var (
-	// ErrUnsupported: the peer's version knows of no notices, and is served as before them.
-	ErrUnsupported = errors.New("withdrawn: the peer knows no notices")
-	// ErrNotAcknowledged: a controller that may still answer workers does not know.
-	ErrNotAcknowledged = errors.New("withdrawn: not known to all that may keep its tasks")
-	// errLaunchesUnresolved: the leader knows, but a launch that it gave before may still start a
-	// task. It soon knows better.
-	errLaunchesUnresolved = fmt.Errorf("%w: a launch is under way", ErrNotAcknowledged)
-)
+func (a *answers) add(peer string, ack Ack) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.allAccepted = a.allAccepted && ack.Accepted
+	a.launchesUnresolved = a.launchesUnresolved || ack.IsLeader && !ack.Accepted
+	a.acceptedAsLeader[peer] = ack.Accepted && ack.IsLeader
+}
 
-// Broadcaster sees to it that a withdrawal is known to whoever must know before a user is told.
-type Broadcaster struct {
-	Controller    string
-	Cancellations *Set
-	Link          Link
-	LocalLeader   Leader
-	// InitialBackoff is the first of those between asking a leader whether its launches are settled.
-	InitialBackoff time.Duration
-	// CurrentLeader reads from the state service who leads now.
-	CurrentLeader func(ctx context.Context) (string, error)
+// sendToAll sends a cancellation to all peers at once and waits for their answers. A peer
+// that cannot be reached counts as one that has not accepted.
+func (b *Broadcaster) sendToAll(ctx context.Context, jobID string) *answers {
+	result := &answers{allAccepted: true, acceptedAsLeader: make(map[string]bool)}
+	var wg sync.WaitGroup
+	for _, peer := range b.Cancellations.options.Peers {
+		wg.Go(func() {
+			ack, err := b.send(ctx, peer, &Message{JobIDs: []string{jobID}})
+			if errors.Is(err, ErrUnsupported) {
+				// Such a peer counts as having accepted: it is served as before these messages existed.
+				ack = Ack{Accepted: true, IsLeader: true}
+			}
+			result.add(peer, ack)
+		})
+	}
+	wg.Wait()
+	return result
 }
 
-// send tells a peer of withdrawals, and notes that it knows of them if it has taken them.
+// send sends a message to a peer, and records which cancellations the peer has if it
+// accepted them.
 func (b *Broadcaster) send(ctx context.Context, peer string, message *Message) (Ack, error) {
 	message.From = b.Controller
 	ack, err := b.Link.SendCancellations(ctx, peer, message)
 	if err != nil {
-		return Ack{}, err
+		return Ack{}, fmt.Errorf("send cancellations to %s: %w", peer, err)
 	}
 	if ack.Accepted {
 		b.Cancellations.acknowledge(peer, message.JobIDs)
@@ -132,27 +140,33 @@
 	return ack, nil
 }
 
-// PeerConnected is run on each new connection to a peer, ahead of all else: its process may be
-// another, which knows nothing.
+// PeerConnected synchronizes with a peer on a new connection, ahead of any other message:
+// the process behind it may be a new one that knows nothing.
 func (b *Broadcaster) PeerConnected(ctx context.Context, peer string) {
 	b.Cancellations.forgetAcknowledgements(peer)
 	b.exchangeAll(ctx, peer)
 }
 
-// SyncPeer is run again and again while a peer is linked: it is told what it lacks, and asked
-// for all it knows by a node that does not know all itself.
+// SyncPeer is called at regular intervals while a peer is connected. It sends the peer
+// what it lacks; a controller that is not synced itself asks for all that the peer knows.
 func (b *Broadcaster) SyncPeer(ctx context.Context, peer string) {
 	if !b.Cancellations.Synced() {
-		b.exchangeAll(ctx, peer) // the peer may be by now, a new leader above all
-	} else if jobIDs := b.Cancellations.unacknowledgedBy(peer); len(jobIDs) > 0 {
-		b.send(ctx, peer, &Message{JobIDs: jobIDs})
+		b.exchangeAll(ctx, peer) // the peer may be synced by now, above all if it is a new leader
+		return
 	}
+	jobIDs := b.Cancellations.unacknowledgedBy(peer)
+	if len(jobIDs) == 0 {
+		return
+	}
+	// What fails is sent again at the next interval, as the peer has not acknowledged it.
+	_, _ = b.send(ctx, peer, &Message{JobIDs: jobIDs})
 }
 
-// exchangeAll tells a peer all that this node knows, and hears all that the peer does. What
-// fails is done again by Linked.
+// exchangeAll sends a peer all that this controller knows, and adds all that the peer
+// knows. SyncPeer repeats what fails.
 func (b *Broadcaster) exchangeAll(ctx context.Context, peer string) {
-	ack, err := b.send(ctx, peer, &Message{JobIDs: b.Cancellations.JobIDs(), Full: true, Synced: b.Cancellations.Synced()})
+	message := &Message{JobIDs: b.Cancellations.JobIDs(), Full: true, Synced: b.Cancellations.Synced()}
+	ack, err := b.send(ctx, peer, message)
 	switch {
 	case err != nil, !ack.Accepted:
 	case ack.Synced:
@@ -161,58 +175,3 @@
 		b.Cancellations.Add(peer, ack.JobIDs...)
 	}
 }
-
-// Broadcast has a committed withdrawal known. A nil error means that a user may be told: all
-// controllers know, or the one that leads does. That one must be the leader at some time
-// after the commit, hence the read: whoever leads later finds the withdrawal when it
-// reads what is stored. It sees to machines whose answers do not reach them. For as long as
-// ctx lasts, a leader is also given the time to stop what it was about to start.
-func (b *Broadcaster) Broadcast(ctx context.Context, jobID string) error {
-	if !b.Cancellations.Add("", jobID) {
-		return fmt.Errorf("%w: no room", ErrNotAcknowledged)
-	}
-	for attempt := 0; ; attempt++ {
-		err := b.broadcastOnce(ctx, jobID)
-		if !errors.Is(err, errLaunchesUnresolved) || !kvstore.Backoff(ctx, attempt, b.InitialBackoff, 16*b.InitialBackoff) {
-			return err
-		}
-	}
-}
-
-func (b *Broadcaster) broadcastOnce(ctx context.Context, jobID string) error {
-	isLeader := b.LocalLeader.ApplyCancellations()
-	if isLeader && !b.LocalLeader.LaunchesResolved(jobID) {
-		return errLaunchesUnresolved
-	}
-	var mu sync.Mutex
-	var wg sync.WaitGroup
-	allAccepted, launchesUnresolved, acceptedAsLeader := true, false, map[string]bool{b.Controller: isLeader}
-	for _, peer := range b.Cancellations.options.Peers {
-		wg.Go(func() {
-			ack, err := b.send(ctx, peer, &Message{JobIDs: []string{jobID}})
-			if errors.Is(err, ErrUnsupported) {
-				ack = Ack{Accepted: true, IsLeader: true} // served as ever
-			}
-			mu.Lock()
-			defer mu.Unlock()
-			allAccepted = allAccepted && ack.Accepted
-			launchesUnresolved = launchesUnresolved || ack.IsLeader && !ack.Accepted
-			acceptedAsLeader[peer] = ack.Accepted && ack.IsLeader
-		})
-	}
-	wg.Wait()
-	switch {
-	case allAccepted:
-		return nil
-	case launchesUnresolved:
-		return errLaunchesUnresolved
-	}
-	leader, err := b.CurrentLeader(ctx)
-	if err != nil {
-		return fmt.Errorf("%w: %w", ErrNotAcknowledged, err)
-	}
-	if !acceptedAsLeader[leader] {
-		return fmt.Errorf("%w: %s leads", ErrNotAcknowledged, leader)
-	}
-	return nil
-}
