--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,180 +1,138 @@
-// Package failuredetector tells who is at fault when machines are not heard: a machine
-// that is silent alone has most likely stopped, but when a zone, or all that one
-// controller answers, or everything falls silent together, it is the way to them
-// that is cut, and what runs there runs on. It is pure.
+// Package failuredetector decides what the silence of workers is put down to. A worker
+// that is silent alone has most likely failed. When most of a zone, most of what one
+// controller answers, or everything is silent at once, the network is cut instead, and
+// the tasks there run on.
+//
+// A [Detector] owns the record of present and recent outages. The leader's runtime calls
+// it under its own lock, with the observations and the time of each round. The package
+// reads no clock, does no I/O, and must not decide what follows from a fault: the leader
+// does.
 package failuredetector
 
 import "time"
 
-// Observation is a machine that was up when it was last heard of.
+// Observation is what the leader knows of one worker that was up when last heard from.
 type Observation struct {
 	Zone       string
-	ShardOwner string // the controller that answers it
-	Spot       bool
-	SilentFor  time.Duration // since anything came from it, or could have
+	ShardOwner string        // the controller that answers its heartbeats
+	Spot       bool          // it is a spot instance
+	SilentFor  time.Duration // since anything came from it, or could have come
 }
 
-// Fault is what a machine's silence is put down to.
+// Fault is what a worker's silence is put down to.
 type Fault int
 
-// Faults, the narrowest first.
+// Faults, from the narrowest to the widest.
 const (
-	FaultWorker      Fault = iota // the machine itself
-	FaultSpotReclaim              // the cloud takes spot machines of its zone back
-	FaultShardOwner               // the controller that answers it hears nobody
+	FaultWorker      Fault = iota // the worker itself
+	FaultSpotReclaim              // the cloud reclaims the spot instances of its zone
+	FaultShardOwner               // the controller that answers it hears no workers
 	FaultZone                     // its zone is cut off
-	FaultObserver                 // this controller hears nobody at all
+	FaultObserver                 // this controller hears no workers at all
 )
 
-// String names the fault for the log.
+// String returns the fault's name in log messages.
 func (f Fault) String() string {
-	return [...]string{"machine", "wave", "part", "zone", "observer"}[f]
+	return [...]string{"worker", "spot_reclaim", "shard_owner", "zone", "observer"}[f]
 }
 
-// minSuspected is how many machines must be silent together before anything but
-// themselves is suspected.
-const minSuspected = 3
-
-// groupCount is how many of a group are up and how many of them are silent.
-type groupCount struct{ up, suspected int }
-
-func (c *groupCount) add(suspected bool) {
-	c.up++
-	if suspected {
-		c.suspected++
-	}
+// Outage is a group of workers that is silent, or was until lately.
+type Outage struct {
+	Fault  Fault
+	Name   string // of the zone or controller
+	Since  time.Time
+	Active bool // the group is still silent
 }
 
-// mostlySuspected tells whether most of a group are silent.
-func (c *groupCount) mostlySuspected() bool {
-	return c.suspected >= minSuspected && 2*c.suspected > c.up
+// Detector records which groups of workers are silent, since when, and until when their
+// silence is excused: the workers of a group that recovers are heard again one after the
+// other, and the last of them must not be taken for failed on that account. It is not
+// safe for concurrent use.
+type Detector struct {
+	suspectAfter  time.Duration
+	recoveryGrace time.Duration
+	outages       map[groupKey]*outageState
 }
 
-// groupKey names a group.
+// groupKey identifies a group of workers by the fault that would silence it.
 type groupKey struct {
 	fault Fault
-	name  string
+	name  string // of the zone or controller
 }
 
-// Detector keeps which groups have fallen silent, since when, and until when that
-// is believed: those of a group that come back do so one after the other, and
-// the rest must not be taken for dead on that account. It is not safe for
-// concurrent use.
-type Detector struct {
-	suspectAfter  time.Duration // silence of more than one late report
-	recoveryGrace time.Duration // how long a group is given to come back whole
-	outages       map[groupKey]*outageState
-}
-
-// outageState is one time of silence.
+// outageState is one outage of a group.
 type outageState struct {
-	since, excusedUntil time.Time
-	active              bool
+	since        time.Time
+	excusedUntil time.Time
+	active       bool
 }
 
-// New makes a watch. missed is from which silence on a host counts as
-// silent, settle how long a group that is heard again is still excused.
+// New returns a detector without outages. A worker is suspected when silent for longer
+// than suspectAfter, which must exceed one late heartbeat. A group that is heard again
+// stays excused for recoveryGrace.
 func New(suspectAfter, recoveryGrace time.Duration) *Detector {
 	return &Detector{suspectAfter: suspectAfter, recoveryGrace: recoveryGrace, outages: make(map[groupKey]*outageState)}
 }
 
-// Suspected tells whether a host has missed a report.
+// Suspected reports whether a worker has missed a heartbeat.
 func (d *Detector) Suspected(observation Observation) bool {
 	return observation.SilentFor > d.suspectAfter
 }
 
-// Observe judges all machines that are up, at a time.
+// Observe updates the outages from the observations of all workers that are up.
 func (d *Detector) Observe(observations []Observation, now time.Time) {
-	groups := make(map[groupKey]*groupCount)
-	group := func(f Fault, name string) *groupCount {
-		k := groupKey{f, name}
-		if groups[k] == nil {
-			groups[k] = new(groupCount)
-		}
-		return groups[k]
-	}
-	onDemand, spot := make(map[string]*groupCount), make(map[string]*groupCount)
+	counts := newGroupCounts()
 	for _, observation := range observations {
-		suspected := d.Suspected(observation)
-		group(FaultZone, observation.Zone).add(suspected)
-		group(FaultShardOwner, observation.ShardOwner).add(suspected)
-		kind := onDemand
-		if observation.Spot {
-			kind = spot
-		}
-		if kind[observation.Zone] == nil {
-			kind[observation.Zone] = new(groupCount)
-		}
-		kind[observation.Zone].add(suspected)
+		counts.add(observation, d.Suspected(observation))
 	}
-	fell := make(map[groupKey]bool)
-	zones, all := 0, true
-	for k, c := range groups {
-		if k.fault == FaultZone {
-			if f, s := onDemand[k.name], spot[k.name]; f != nil && s != nil && f.up >= minSuspected && !f.mostlySuspected() && s.mostlySuspected() {
-				fell[groupKey{FaultSpotReclaim, k.name}] = true // a cut would silence both kinds
-				all = false
-				continue
-			}
-		}
-		switch {
-		case c.mostlySuspected():
-			fell[k] = true
-			if k.fault == FaultZone {
-				zones++
-			}
-		case c.up >= minSuspected:
-			all = false
-		}
-	}
-	if all && zones > 0 {
-		fell[groupKey{fault: FaultObserver}] = true
-	}
-	for k := range fell {
-		s := d.outages[k]
-		if s == nil {
-			s = &outageState{since: now}
-			d.outages[k] = s
+	d.update(counts.suspectedGroups(), now)
+}
+
+// update begins, extends and ends outages.
+func (d *Detector) update(suspected map[groupKey]bool, now time.Time) {
+	for key := range suspected {
+		outage := d.outages[key]
+		if outage == nil {
+			outage = &outageState{since: now}
+			d.outages[key] = outage
 		}
-		s.excusedUntil, s.active = now.Add(d.recoveryGrace), true
+		outage.excusedUntil, outage.active = now.Add(d.recoveryGrace), true
 	}
-	for k, s := range d.outages {
-		if fell[k] {
+	for key, outage := range d.outages {
+		if suspected[key] {
 			continue
 		}
-		s.active = false
-		if now.After(s.excusedUntil) {
-			delete(d.outages, k)
+		outage.active = false
+		if now.After(outage.excusedUntil) {
+			delete(d.outages, key)
 		}
 	}
 }
 
-// FaultOf is what a host's silence is put down to, and since when.
+// FaultOf returns the widest fault that explains a worker's silence, and since when its
+// group is silent. The time is zero for [FaultWorker].
 func (d *Detector) FaultOf(observation Observation) (Fault, time.Time) {
-	for _, k := range []groupKey{{fault: FaultObserver}, {FaultZone, observation.Zone}, {FaultShardOwner, observation.ShardOwner}, {FaultSpotReclaim, observation.Zone}} {
-		if k.fault == FaultSpotReclaim && !observation.Spot {
+	for _, key := range []groupKey{
+		{fault: FaultObserver},
+		{FaultZone, observation.Zone},
+		{FaultShardOwner, observation.ShardOwner},
+		{FaultSpotReclaim, observation.Zone},
+	} {
+		if key.fault == FaultSpotReclaim && !observation.Spot {
 			continue
 		}
-		if s := d.outages[k]; s != nil {
-			return k.fault, s.since
+		if outage := d.outages[key]; outage != nil {
+			return key.fault, outage.since
 		}
 	}
 	return FaultWorker, time.Time{}
 }
 
-// Outage is a group of machines that is silent, or was until lately.
-type Outage struct {
-	Fault  Fault
-	Name   string // of the zone or controller
-	Since  time.Time
-	Active bool // still
-}
-
-// Outages lists what has fallen silent.
+// Outages lists the present and recent outages, in no particular order.
 func (d *Detector) Outages() []Outage {
 	var outages []Outage
-	for k, s := range d.outages {
-		outages = append(outages, Outage{k.fault, k.name, s.since, s.active})
+	for key, outage := range d.outages {
+		outages = append(outages, Outage{Fault: key.fault, Name: key.name, Since: outage.since, Active: outage.active})
 	}
 	return outages
 }
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -14,8 +14,8 @@
 
 const testSuspectAfter, testRecoveryGrace = 4 * time.Second, 30 * time.Second
 
-// observations makes hosts over zones and owners, of which those are silent that the
-// function says.
+// observations makes workers over zones, shard owners and kinds, of which those are silent
+// that the function selects.
 func observations(n int, suspected func(i int, observation Observation) bool) []Observation {
 	out := make([]Observation, n)
 	for i := range out {
@@ -28,31 +28,52 @@
 	return out
 }
 
+// The silence of workers is put down to the widest group that is silent.
 func TestFaultOf(t *testing.T) {
+	inZone := func(_ int, worker Observation) bool { return worker.Zone == "b" }
 	for _, tc := range []struct {
-		name  string
-		n     int
-		quiet func(i int, h Observation) bool
-		want  map[Fault]bool // of those that are silent
+		name   string
+		n      int
+		silent func(i int, worker Observation) bool
+		want   map[Fault]bool // of those that are silent
 	}{
-		{"one machine", 90, func(i int, _ Observation) bool { return i == 7 }, map[Fault]bool{FaultWorker: true}},
-		{"a seventh of all, anywhere", 90, func(i int, _ Observation) bool { return i%7 == 0 }, map[Fault]bool{FaultWorker: true}},
-		{"a zone", 90, func(_ int, h Observation) bool { return h.Zone == "b" }, map[Fault]bool{FaultZone: true}},
-		{"most of a zone, as it falls", 90, func(i int, h Observation) bool { return h.Zone == "b" && i%5 != 0 }, map[Fault]bool{FaultZone: true}},
-		{"what one controller answers", 90, func(_ int, h Observation) bool { return h.ShardOwner == "y" }, map[Fault]bool{FaultShardOwner: true}},
+		{"one worker", 90, func(i int, _ Observation) bool { return i == 7 }, map[Fault]bool{FaultWorker: true}},
+		{
+			"a seventh of all, anywhere", 90,
+			func(i int, _ Observation) bool { return i%7 == 0 }, map[Fault]bool{FaultWorker: true},
+		},
+		{"a zone", 90, inZone, map[Fault]bool{FaultZone: true}},
+		{
+			"most of a zone, as it falls", 90,
+			func(i int, worker Observation) bool { return worker.Zone == "b" && i%5 != 0 },
+			map[Fault]bool{FaultZone: true},
+		},
+		{
+			"what one controller answers", 90,
+			func(_ int, worker Observation) bool { return worker.ShardOwner == "y" },
+			map[Fault]bool{FaultShardOwner: true},
+		},
 		{"everything", 90, func(int, Observation) bool { return true }, map[Fault]bool{FaultObserver: true}},
-		{"a wave over one zone's spot machines", 90, func(_ int, h Observation) bool { return h.Spot && h.Zone == "c" }, map[Fault]bool{FaultSpotReclaim: true}},
-		{"a zone and machines elsewhere", 90, func(i int, h Observation) bool { return h.Zone == "b" || i%13 == 0 }, map[Fault]bool{FaultZone: true, FaultWorker: true}},
-		{"two of two are no zone", 6, func(_ int, h Observation) bool { return h.Zone == "b" }, map[Fault]bool{FaultWorker: true}},
+		{
+			"the spot workers of a zone", 90,
+			func(_ int, worker Observation) bool { return worker.Spot && worker.Zone == "c" },
+			map[Fault]bool{FaultSpotReclaim: true},
+		},
+		{
+			"a zone and workers elsewhere", 90,
+			func(i int, worker Observation) bool { return worker.Zone == "b" || i%13 == 0 },
+			map[Fault]bool{FaultZone: true, FaultWorker: true},
+		},
+		{"two of two are no zone", 6, inZone, map[Fault]bool{FaultWorker: true}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			w := New(testSuspectAfter, testRecoveryGrace)
-			hs := observations(tc.n, tc.quiet)
-			w.Observe(hs, now)
+			detector := New(testSuspectAfter, testRecoveryGrace)
+			workers := observations(tc.n, tc.silent)
+			detector.Observe(workers, now)
 			got := make(map[Fault]bool)
-			for _, h := range hs {
-				if h.SilentFor > testSuspectAfter {
-					f, _ := w.FaultOf(h)
+			for _, worker := range workers {
+				if worker.SilentFor > testSuspectAfter {
+					f, _ := detector.FaultOf(worker)
 					got[f] = true
 				}
 			}
@@ -63,55 +84,62 @@
 	}
 }
 
-// When a cut ends, machines are heard one after the other: the last of them are
-// not taken for dead because most are back.
+// When a cut ends, workers are heard again one after the other: the last of them are not
+// taken for failed because most are back.
 func TestLateReturnersAreExcused(t *testing.T) {
-	w := New(testSuspectAfter, testRecoveryGrace)
+	detector := New(testSuspectAfter, testRecoveryGrace)
 	last := Observation{Zone: "b", ShardOwner: "x", SilentFor: time.Minute}
-	w.Observe(append(observations(90, func(_ int, h Observation) bool { return h.Zone == "b" }), last), now)
+	cut := observations(90, func(_ int, worker Observation) bool { return worker.Zone == "b" })
+	detector.Observe(append(cut, last), now)
 	back := append(observations(90, func(int, Observation) bool { return false }), last)
-	w.Observe(back, now.Add(testRecoveryGrace))
-	if f, since := w.FaultOf(last); f != FaultZone || !since.Equal(now) {
+	detector.Observe(back, now.Add(testRecoveryGrace))
+	if f, since := detector.FaultOf(last); f != FaultZone || !since.Equal(now) {
 		t.Errorf("%v since %v", f, since)
 	}
-	w.Observe(back, now.Add(testRecoveryGrace+time.Second))
-	if f, _ := w.FaultOf(last); f != FaultWorker {
+	detector.Observe(back, now.Add(testRecoveryGrace+time.Second))
+	if f, _ := detector.FaultOf(last); f != FaultWorker {
 		t.Errorf("still put down to the %v", f)
 	}
 }
 
-// Whoever is heard is at no fault, however many others are not; and a fault is
-// never put down to more than what was silent shows.
+// No fault is wider than the silence shows, and a worker in a suspected zone is not at
+// fault itself.
 func TestFaultsMatchObservations(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var hs []Observation
-		up, quiet := map[string]int{}, map[string]int{}
-		for range rapid.IntRange(0, 60).Draw(t, "hosts") {
-			h := Observation{
-				Zone: rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "zone"), ShardOwner: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "owner"),
-				Spot: rapid.Bool().Draw(t, "spot"), SilentFor: time.Duration(rapid.IntRange(0, 8).Draw(t, "quiet")) * time.Second,
+		var workers []Observation
+		up, suspected := map[string]int{}, map[string]int{}
+		for range rapid.IntRange(0, 60).Draw(t, "workers") {
+			worker := Observation{
+				Zone:       rapid.SampledFrom([]string{"a", "b", "c", "d", "e"}).Draw(t, "zone"),
+				ShardOwner: rapid.SampledFrom([]string{"x", "y", "z"}).Draw(t, "owner"),
+				Spot:       rapid.Bool().Draw(t, "spot"),
+				SilentFor:  time.Duration(rapid.IntRange(0, 8).Draw(t, "silent")) * time.Second,
 			}
-			hs = append(hs, h)
-			kind := map[bool]string{true: "spot ", false: "firm "}[h.Spot]
-			for _, k := range []string{"zone " + h.Zone, "part " + h.ShardOwner, kind + h.Zone} {
+			workers = append(workers, worker)
+			kind := map[bool]string{true: "spot ", false: "on-demand "}[worker.Spot]
+			for _, k := range []string{"zone " + worker.Zone, "owner " + worker.ShardOwner, kind + worker.Zone} {
 				up[k]++
-				if h.SilentFor > testSuspectAfter {
-					quiet[k]++
+				if worker.SilentFor > testSuspectAfter {
+					suspected[k]++
 				}
 			}
 		}
-		w := New(testSuspectAfter, testRecoveryGrace)
-		w.Observe(hs, now)
-		for _, h := range hs {
-			f, _ := w.FaultOf(h)
-			k := map[Fault]string{FaultZone: "zone " + h.Zone, FaultShardOwner: "part " + h.ShardOwner}[f]
-			if f >= FaultShardOwner && (quiet[k] < minSuspected || 2*quiet[k] <= up[k]) {
-				t.Fatalf("%v at fault with %d of %d silent", f, quiet[k], up[k])
+		detector := New(testSuspectAfter, testRecoveryGrace)
+		detector.Observe(workers, now)
+		for _, worker := range workers {
+			f, _ := detector.FaultOf(worker)
+			k := map[Fault]string{FaultZone: "zone " + worker.Zone, FaultShardOwner: "owner " + worker.ShardOwner}[f]
+			if f >= FaultShardOwner && (suspected[k] < minSuspected || 2*suspected[k] <= up[k]) {
+				t.Fatalf("%v at fault with %d of %d silent", f, suspected[k], up[k])
 			}
-			// In a zone that is mostly silent a machine is at fault only where it
-			// is a wave: firm ones there are mostly heard.
-			if z := h.Zone; f == FaultWorker && quiet["zone "+z] >= minSuspected && 2*quiet["zone "+z] > up["zone "+z] && (up["firm "+z] < minSuspected || 2*quiet["firm "+z] > up["firm "+z] && quiet["firm "+z] >= minSuspected) {
-				t.Fatalf("machine at fault in a silent zone")
+			// In a zone that is mostly silent a worker is at fault only where spot
+			// instances are reclaimed: on-demand workers there are mostly heard.
+			mostlySilent := func(group string) bool {
+				return suspected[group] >= minSuspected && 2*suspected[group] > up[group]
+			}
+			zone, onDemand := "zone "+worker.Zone, "on-demand "+worker.Zone
+			if f == FaultWorker && mostlySilent(zone) && (up[onDemand] < minSuspected || mostlySilent(onDemand)) {
+				t.Fatalf("worker at fault in a silent zone")
 			}
 		}
 	})
