--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/goldentest"
 )
 
-// The keys of leadership and the epoch with its part map are stored as they are today.
+// The leader key and the epoch key with its shard map are stored as they are today.
 func TestGoldenStored(t *testing.T) {
 	goldentest.Check(t, "stored.txt", strings.Join([]string{
 		leaderKey + "\t" + goldentest.JSON(t, goldentest.Filled[leaderRecord]()),
--- /dev/null
+++ b/internal/election/incarnation.go
@@ -0,0 +1,87 @@
+package election
+
+import (
+	"context"
+	"crypto/rand"
+	"fmt"
+
+	"rillflow/internal/dataloss"
+	"rillflow/internal/wire"
+)
+
+// incarnationPlan is what a candidate makes of the store's data: the incarnation that it is
+// to lead in, and what its campaign has to compare and write for that.
+type incarnationPlan struct {
+	incarnation dataloss.IncarnationState
+	compares    []wire.Compare
+	operations  []wire.Operation // that begin the incarnation; none if it goes on
+}
+
+// beginsIncarnation reports whether the term begins a new incarnation.
+func (p incarnationPlan) beginsIncarnation() bool { return len(p.operations) > 0 }
+
+// chooseIncarnation reads the store's incarnation and decides whether a new leader goes on
+// with it or begins another. stored is the shard map as stored, epoch the one to campaign
+// with.
+func (e *Elector) chooseIncarnation(
+	ctx context.Context, stored ShardMap, epoch uint64,
+) (incarnationPlan, error) {
+	present, err := dataloss.Read(ctx, e.store)
+	if err != nil {
+		return incarnationPlan{}, err
+	}
+	suspected := e.dataLossSuspected(present)
+	compare, exists := present.Compare()
+	if exists && !suspected && stored.Epoch >= e.highestEpoch() {
+		return incarnationPlan{incarnation: present, compares: []wire.Compare{compare}}, nil
+	}
+	next := e.newIncarnation(stored, epoch, exists || suspected)
+	create, err := next.CreateOperation()
+	if err != nil {
+		return incarnationPlan{}, fmt.Errorf("election: begin store incarnation: %w", err)
+	}
+	plan := incarnationPlan{
+		incarnation: dataloss.IncarnationState{Incarnation: next, Phase: next.InitialPhase},
+		operations:  []wire.Operation{create},
+	}
+	if exists {
+		plan.compares = append(plan.compares, compare)
+		plan.operations = append(plan.operations, present.DeleteOperation())
+	}
+	return plan, nil
+}
+
+// dataLossSuspected reports whether data of the present incarnation may have been lost: this
+// controller suspects this very one, or knows of one that should not have gone.
+func (e *Elector) dataLossSuspected(present dataloss.IncarnationState) bool {
+	suspectedID, _, suspected := e.detector.Suspected()
+	known := e.detector.Current()
+	switch {
+	case present.ID == "" && known.ID != "":
+		return true
+	case present.ID != known.ID && present.Epoch < known.Epoch:
+		return true
+	}
+	return suspected && (present.ID == "" || suspectedID == present.ID)
+}
+
+// newIncarnation returns the incarnation to begin with an epoch. Data counts as lost unless
+// the store looks untouched, or all that it holds was written by versions that know nothing
+// of incarnations.
+func (e *Elector) newIncarnation(stored ShardMap, epoch uint64, lost bool) dataloss.Incarnation {
+	next := dataloss.Incarnation{
+		ID:           rand.Text(),
+		InitialPhase: dataloss.PhaseRecovering,
+		DataLost:     true,
+		Epoch:        epoch,
+	}
+	switch {
+	case lost || stored.Incarnation != "" || e.highestEpoch() > stored.Epoch:
+	case stored.Epoch > 0:
+		next.InitialPhase, next.DataLost = dataloss.PhaseComplete, false
+	case e.remembersIncarnation():
+	default:
+		next.InitialPhase, next.DataLost = dataloss.PhaseProvisional, false
+	}
+	return next
+}
