--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -7,6 +7,12 @@
 	"rillflow/internal/settings"
 )
 
+// cancellations applies cancelled jobs to the cluster state.
+type cancellations struct {
+	*termScope
+	autoscaler *autoscaler
+}
+
 // ApplyCancellations has the term take in the withdrawals that this node knows of, and tells whether it
 // leads and has: its machines are told at once, also while the state service, which would
 // tell it otherwise, refuses it.
@@ -25,7 +31,7 @@
 	if term.ctx.Err() != nil {
 		return false
 	}
-	term.applyCancellations()
+	term.cancellations.applyCancellations()
 	return true
 }
 
@@ -56,11 +62,11 @@
 }
 
 // applyCancellations takes in the withdrawals that this node knows of.
-func (t *leaderTerm) applyCancellations() {
-	for _, ref := range t.recentCancellations.JobIDs() {
+func (c *cancellations) applyCancellations() {
+	for _, ref := range c.recentCancellations.JobIDs() {
 		// Of a job about to be done nothing is left to stop, and its last write fails.
-		if job := t.jobs.Job(ref); job != nil && !job.Finished {
-			t.cancelJob(ref)
+		if job := c.jobs.Job(ref); job != nil && !job.Finished {
+			c.cancelJob(ref)
 		}
 	}
 }
@@ -68,9 +74,9 @@
 // cancelledJobs are the jobs that are withdrawn and of which there are claims left. Just read
 // by a new leader they are all whose tasks may be there still: a claim goes only once its
 // task surely has.
-func (t *leaderTerm) cancelledJobs() []string {
+func (c *cancellations) cancelledJobs() []string {
 	var refs []string
-	for ref, job := range t.jobs.Jobs() {
+	for ref, job := range c.jobs.Jobs() {
 		if job.Cancelled {
 			refs = append(refs, ref)
 		}
@@ -82,10 +88,10 @@
 // The host may be behind a cut with a controller that knows of no withdrawal, or not hear
 // what it is told, or a launch of unknown fate may still be on its way to it: then only
 // the machine's return ends it for sure.
-func (t *leaderTerm) hasOverdueTask(worker *agent.Worker, now time.Time) bool {
+func (c *cancellations) hasOverdueTask(worker *agent.Worker, now time.Time) bool {
 	// The time of a withdrawal may be by another node's clock: both may be off.
-	grace := settings.Seconds(t.settings.Facts.Workers.CancelS) - 2*t.settings.Report() - 2*t.settings.ClockError()
-	for _, claim := range t.jobs.ClaimsOnWorker(worker.Name) {
+	grace := settings.Seconds(c.settings.Facts.Workers.CancelS) - 2*c.settings.Report() - 2*c.settings.ClockError()
+	for _, claim := range c.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Job.Cancelled && !claim.Finished && now.Sub(claim.Job.CancelledAt) > grace {
 			return true
 		}
@@ -95,16 +101,42 @@
 
 // overdueWorkers are the machines that a withdrawn task would outlive its time on, and those of
 // them whose return was not answered.
-func (t *leaderTerm) overdueWorkers(now time.Time) []string {
+func (c *cancellations) overdueWorkers(now time.Time) []string {
 	var names []string
-	for _, worker := range t.workersByName {
-		if !t.hasOverdueTask(worker, now) {
+	for _, worker := range c.workersByName {
+		if !c.hasOverdueTask(worker, now) {
 			continue
 		}
-		if _, leaving := t.released[worker.Name]; !leaving {
-			t.noteRelease(worker.Name, "withdrawn task", now)
+		if _, leaving := c.released[worker.Name]; !leaving {
+			c.autoscaler.noteRelease(worker.Name, "withdrawn task", now)
 		}
 		names = append(names, worker.Name)
 	}
 	return names
 }
+
+// cancelJob notes that a job left the live keys other than by being done.
+func (c *cancellations) cancelJob(jobID string) {
+	job := c.jobs.Job(jobID)
+	if job == nil || job.Cancelled {
+		return
+	}
+	if cause := job.CancelledUpstream(); cause != "" {
+		c.log.Info("withdrawn", "job", jobID, "claims", job.ClaimedTasks(), "because_of", cause)
+	} else {
+		c.log.Info("withdrawn", "job", jobID, "claims", job.ClaimedTasks())
+	}
+	holders := make(map[string]bool)
+	for _, h := range c.jobs.ClaimsOfJob(job) {
+		holders[h.Worker] = true
+	}
+	job.CancelledAt = c.now()
+	c.jobs.Cancel(jobID)
+	for h := range holders {
+		if worker := c.workers[h]; worker != nil {
+			worker.WakeSender()
+		}
+	}
+	notify(c.writeSignal)
+	notify(c.dependencySignal)
+}
--- /dev/null
+++ b/internal/leader/claimwriter_test.go
@@ -0,0 +1,55 @@
+package leader
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"rillflow/internal/election"
+	"rillflow/internal/kvstore"
+	"rillflow/internal/ledger"
+	"rillflow/internal/settings"
+	"rillflow/internal/wire"
+)
+
+// Where something urgent is always to be written, the rest still has its turn.
+func TestIdleWritesHaveTheirTurn(t *testing.T) {
+	leader := newTestTerm(t)
+	leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 1}}
+	at := now
+	leader.now = func() time.Time { return at }
+	leader.settings.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
+	leader.store = kvstore.New(kvstore.Options{RequestsPerSecond: 1000, Limits: kvstore.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10}})
+	old := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
+	claim := func(j *ledger.Job) *ledger.Claim {
+		c, err := leader.jobs.Claim(j, "h0", 1, "a")
+		if err != nil {
+			t.Fatal(err)
+		}
+		return c
+	}
+	c := claim(old)
+	commit := func() []string {
+		b, wait, err := leader.claimWriter.nextAuditedBatch()
+		if wait > 0 || b == nil || err != nil {
+			t.Fatalf("no batch, wait %v, %v", wait, err)
+		}
+		leader.jobs.BatchCommitted(b.Batch, 5)
+		return b.JobRefs()
+	}
+	commit()
+	leader.jobs.Finish(c)
+	first := 0
+	for i := range 20 {
+		j := leader.addTestJob(fmt.Sprint("req-1", i), wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 0.1})
+		claim(j)
+		at = at.Add(leader.settings.Report() / 8)
+		if refs := commit(); refs[0] == "req-1" {
+			first = i
+			break
+		}
+	}
+	if first == 0 {
+		t.Error("a finish is never written, or before what is urgent")
+	}
+}
--- /dev/null
+++ b/internal/leader/drainer_test.go
@@ -0,0 +1,52 @@
+package leader
+
+import (
+	"testing"
+	"time"
+
+	"rillflow/internal/wire"
+)
+
+// On a machine with a notice only what will be done in time stays.
+func TestDrainOnTerminationNotice(t *testing.T) {
+	for _, tc := range []struct {
+		name   string
+		job    wire.Job
+		ran    time.Duration
+		others []float64 // run times of the job's finished tasks
+		left   time.Duration
+		leaves bool
+	}{
+		{"done before the machine goes", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, nil, 15 * time.Second, false},
+		{"not done by then", wire.Job{ExpectedSeconds: 30}, 10 * time.Second, nil, 15 * time.Second, true},
+		{"fetching still", wire.Job{ExpectedSeconds: 30}, 0, nil, 15 * time.Second, true},
+		{"others show that it takes longer", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, []float64{80, 80, 80, 80}, 15 * time.Second, true},
+		{"others show that it is about to be done", wire.Job{ExpectedSeconds: 60}, 20 * time.Second, []float64{20, 22, 24, 20, 22}, 15 * time.Second, false},
+		{"overdue", wire.Job{ExpectedSeconds: 30}, time.Minute, nil, time.Second, false},
+		{"a replica is looked after elsewhere", wire.Job{Kind: wire.KindService}, time.Minute, nil, 15 * time.Second, false},
+		{"a gang stops whole or not at all", wire.Job{Kind: wire.KindGang, ExpectedSeconds: 30}, time.Second, nil, 15 * time.Second, false},
+		{"no notice", wire.Job{ExpectedSeconds: 300}, time.Second, nil, 0, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			leader := newTestTerm(t)
+			if tc.job.Kind == "" {
+				tc.job.Kind = wire.KindArray
+			}
+			tc.job.TaskCount, tc.job.CPUs, tc.job.AllowSpot = 2, 1, true
+			claim := leader.runTestTask(t, leader.addTestJob("req-1", tc.job), "h0", tc.ran)
+			if tc.ran == 0 {
+				claim.RunningSince = time.Time{}
+			}
+			for _, seconds := range tc.others {
+				claim.Job.RunSeconds.Sum += seconds
+				claim.Job.RunSeconds.Count++
+			}
+			if tc.left > 0 {
+				leader.workers["h0"].ReclaimAt = now.Add(tc.left)
+			}
+			if leader.drainer.drainReclaimed(now); claim.Stopping != tc.leaves {
+				t.Errorf("stopped: %v", claim.Stopping)
+			}
+		})
+	}
+}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -11,22 +11,22 @@
 
 // placeGangs starts every gang for whose waiting tasks there is room now, all of
 // them or none.
-func (t *leaderTerm) placeGangs(queues []*typeQueue, candidates []*candidate, now time.Time) int {
+func (s *scheduler) placeGangs(queues []*typeQueue, candidates []*candidate, now time.Time) int {
 	var gangs []*ledger.Job
 	for _, queue := range queues {
 		for _, job := range queue.jobs {
-			if job.IsGang() && t.jobs.CanClaimGang(job) {
+			if job.IsGang() && s.jobs.CanClaimGang(job) {
 				gangs = append(gangs, job)
 			}
 		}
 	}
 	slices.SortFunc(gangs, func(a, b *ledger.Job) int {
-		return cmp.Or(cmp.Compare(t.tier(a), t.tier(b)), a.ReadyAt.Compare(b.ReadyAt), cmp.Compare(a.Ref, b.Ref))
+		return cmp.Or(cmp.Compare(s.tier(a), s.tier(b)), a.ReadyAt.Compare(b.ReadyAt), cmp.Compare(a.Ref, b.Ref))
 	})
 	claimed := 0
 	for _, job := range gangs {
-		for _, target := range t.assembleGang(job, candidates) {
-			if t.claimTask(target, job) {
+		for _, target := range s.assembleGang(job, candidates) {
+			if s.claimTask(target, job) {
 				claimed++
 			}
 		}
@@ -35,7 +35,7 @@
 }
 
 // assembleGang finds a room for each waiting task of a gang, or returns nil.
-func (t *leaderTerm) assembleGang(job *ledger.Job, candidates []*candidate) []*candidate {
+func (s *scheduler) assembleGang(job *ledger.Job, candidates []*candidate) []*candidate {
 	needed := job.WaitingTasks()
 	ordered := slices.Clone(candidates)
 	slices.SortStableFunc(ordered, func(a, b *candidate) int { return cmp.Compare(a.pullSeconds(job), b.pullSeconds(job)) })
@@ -79,15 +79,15 @@
 // reserveCapacity keeps rooms for the oldest job past the set wait that fits nowhere, so
 // that large tasks and gangs are not starved by small ones: as what runs there
 // ends, the room adds up until they fit.
-func (t *leaderTerm) reserveCapacity(queues []*typeQueue, candidates []*candidate, now time.Time) {
-	agingThreshold := t.agingThreshold()
+func (s *scheduler) reserveCapacity(queues []*typeQueue, candidates []*candidate, now time.Time) {
+	agingThreshold := s.agingThreshold()
 	var oldest *ledger.Job
 	for _, queue := range queues {
 		for _, job := range queue.jobs {
 			if now.Sub(job.WaitingSince) < agingThreshold || oldest != nil && !job.WaitingSince.Before(oldest.WaitingSince) {
 				continue
 			}
-			if job.IsGang() && t.jobs.CanClaimGang(job) || !job.IsGang() && t.lacksCapacity(job, candidates) {
+			if job.IsGang() && s.jobs.CanClaimGang(job) || !job.IsGang() && s.lacksCapacity(job, candidates) {
 				oldest = job
 			}
 		}
@@ -100,7 +100,7 @@
 		needed = oldest.WaitingTasks()
 	}
 	ordered := slices.DeleteFunc(slices.Clone(candidates), func(target *candidate) bool {
-		return !target.fitsWhenEmpty(oldest) || !oldest.IsGang() && t.jobs.CheckClaim(oldest, target.worker.Zone) != nil
+		return !target.fitsWhenEmpty(oldest) || !oldest.IsGang() && s.jobs.CheckClaim(oldest, target.worker.Zone) != nil
 	})
 	// The freest machines first: they come free soonest.
 	slices.SortStableFunc(ordered, func(a, b *candidate) int { return -cmp.Compare(a.cpus, b.cpus) })
@@ -124,10 +124,10 @@
 
 // lacksCapacity tells whether the job's next task fits no room, though it would fit
 // some machine and is within its limits.
-func (t *leaderTerm) lacksCapacity(job *ledger.Job, candidates []*candidate) bool {
+func (s *scheduler) lacksCapacity(job *ledger.Job, candidates []*candidate) bool {
 	fitsSomewhere := false
 	for _, target := range candidates {
-		if t.jobs.CheckClaim(job, target.worker.Zone) != nil {
+		if s.jobs.CheckClaim(job, target.worker.Zone) != nil {
 			continue
 		}
 		if target.fits(job) {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -11,31 +11,31 @@
 // preempt stops tasks of lower rank for waiting ones that found no room. The
 // ones stopped are those that lose the least work, and never one that is about
 // to finish by itself.
-func (t *leaderTerm) preempt(queues []*typeQueue, now time.Time) {
+func (s *scheduler) preempt(queues []*typeQueue, now time.Time) {
 	var candidates []*candidate
 	for _, queue := range queues {
 		for _, job := range queue.jobs {
-			if t.effectivePriority(job) >= priorityLevel("standard") || job.WaitingTasks() == 0 || job.IsGang() ||
-				now.Sub(job.WaitingSince) < t.settings.Report()/16 || now.Before(job.NextPreemptionAt) {
+			if s.dependencies.effectivePriority(job) >= priorityLevel("standard") || job.WaitingTasks() == 0 || job.IsGang() ||
+				now.Sub(job.WaitingSince) < s.settings.Report()/16 || now.Before(job.NextPreemptionAt) {
 				continue
 			}
 			// Once stopped, the tasks' room comes free within a moment; give
 			// it time to be taken before more are stopped for this job.
-			job.NextPreemptionAt = now.Add(t.settings.Report() / 2)
+			job.NextPreemptionAt = now.Add(s.settings.Report() / 2)
 			if candidates == nil {
-				candidates = t.candidates(now)
+				candidates = s.candidates(now)
 			}
 			preemptedInZone := make(map[string]int)
-			for range min(job.WaitingTasks(), t.jobs.QuotaHeadroom(job)) {
-				target, victim := t.selectVictim(job, candidates, preemptedInZone, now)
+			for range min(job.WaitingTasks(), s.jobs.QuotaHeadroom(job)) {
+				target, victim := s.selectVictim(job, candidates, preemptedInZone, now)
 				if victim == nil {
 					break
 				}
 				preemptedInZone[target.worker.Zone]++
 				victim.Stopping = true
-				t.auditLog.enqueueTask(now, audit.Stopped, victim, fmt.Sprintf("rank %s gives way to %s", priorityName(t.effectivePriority(victim.Job)), priorityName(t.effectivePriority(job))), job.Ref)
+				s.auditLog.enqueueTask(now, audit.Stopped, victim, fmt.Sprintf("rank %s gives way to %s", priorityName(s.dependencies.effectivePriority(victim.Job)), priorityName(s.dependencies.effectivePriority(job))), job.Ref)
 				target.worker.WakeSender()
-				t.log.Info("preempted", "task", victim.Task(), "host", target.worker.Name, "for", job.Ref)
+				s.log.Info("preempted", "task", victim.Task(), "host", target.worker.Name, "for", job.Ref)
 			}
 		}
 	}
@@ -43,19 +43,19 @@
 
 // selectVictim finds the task whose stop makes room for a job's task at the least
 // cost: seconds of work lost, and of fetching the image there.
-func (t *leaderTerm) selectVictim(job *ledger.Job, candidates []*candidate, preemptedInZone map[string]int, now time.Time) (*candidate, *ledger.Claim) {
+func (s *scheduler) selectVictim(job *ledger.Job, candidates []*candidate, preemptedInZone map[string]int, now time.Time) (*candidate, *ledger.Claim) {
 	var bestTarget *candidate
 	var bestClaim *ledger.Claim
 	lowestCost := 0.0
-	tier := t.tier(job)
+	tier := s.tier(job)
 	for _, target := range candidates {
-		if !target.fitsWhenEmpty(job) || t.jobs.ZoneHeadroom(job, target.worker.Zone) <= preemptedInZone[target.worker.Zone] {
+		if !target.fitsWhenEmpty(job) || s.jobs.ZoneHeadroom(job, target.worker.Zone) <= preemptedInZone[target.worker.Zone] {
 			continue
 		}
-		for _, claim := range t.jobs.ClaimsOnWorker(target.worker.Name) {
+		for _, claim := range s.jobs.ClaimsOnWorker(target.worker.Name) {
 			spec := &claim.Job.Spec
 			if claim.Finished || claim.Stopping || !claim.Committed || claim.Job.Cancelled || claim.Job.IsGang() ||
-				t.effectivePriority(claim.Job) <= t.effectivePriority(job) || t.tier(claim.Job) <= tier ||
+				s.dependencies.effectivePriority(claim.Job) <= s.dependencies.effectivePriority(job) || s.tier(claim.Job) <= tier ||
 				!fitsWithin(&job.Spec, target.cpus+spec.CPUs, target.gpus+spec.GPUs, target.memoryGB+spec.MemoryGB) {
 				continue
 			}
@@ -63,7 +63,7 @@
 			if !claim.RunningSince.IsZero() {
 				lostSeconds = now.Sub(claim.RunningSince).Seconds()
 			}
-			if spec.ExpectedSeconds > 0 && lostSeconds > spec.ExpectedSeconds-t.settings.Facts.Workers.ReportS && lostSeconds < spec.ExpectedSeconds+t.settings.Facts.Workers.ReportS {
+			if spec.ExpectedSeconds > 0 && lostSeconds > spec.ExpectedSeconds-s.settings.Facts.Workers.ReportS && lostSeconds < spec.ExpectedSeconds+s.settings.Facts.Workers.ReportS {
 				continue // about to finish
 			}
 			if spec.CheckpointIntervalSeconds > 0 {
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -15,18 +15,28 @@
 	"rillflow/internal/wire"
 )
 
+// scheduler places waiting tasks on workers.
+type scheduler struct {
+	*termScope
+	recovery     *dataRecovery
+	dependencies *dependencies
+	faults       *faultTracker
+
+	deficits map[string]*deficitCounter // of starved arrays, by job type
+}
+
 // runScheduler has freed rooms filled whenever something changed.
-func (t *leaderTerm) runScheduler(ctx context.Context) error {
+func (s *scheduler) runScheduler(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-t.scheduleSignal:
+		case <-s.scheduleSignal:
 		}
-		for t.schedulingPass(ctx) {
+		for s.schedulingPass(ctx) {
 		}
 		// Reports come in flocks: one pass serves several.
-		if !sleep(ctx, t.settings.Report()/64) {
+		if !sleep(ctx, s.settings.Report()/64) {
 			return ctx.Err()
 		}
 	}
@@ -53,76 +63,76 @@
 
 // schedulingPass offers each part's rooms to its owner, and claims what the owners pick.
 // It reports whether another pass may find more.
-func (t *leaderTerm) schedulingPass(ctx context.Context) bool {
-	t.mu.Lock()
-	now := t.now()
-	if t.placementOnHold(now) {
-		t.mu.Unlock()
+func (s *scheduler) schedulingPass(ctx context.Context) bool {
+	s.mu.Lock()
+	now := s.now()
+	if s.recovery.placementOnHold(now) {
+		s.mu.Unlock()
 		return false
 	}
-	queues := t.waitingQueues(now)
+	queues := s.waitingQueues(now)
 	if len(queues) == 0 {
-		t.mu.Unlock()
+		s.mu.Unlock()
 		return false
 	}
-	candidates := t.candidates(now)
-	claimed := t.placeGangs(queues, candidates, now)
-	t.reserveCapacity(queues, candidates, now)
+	candidates := s.candidates(now)
+	claimed := s.placeGangs(queues, candidates, now)
+	s.reserveCapacity(queues, candidates, now)
 	index := newCandidateIndex(candidates)
-	offers := t.makeOffers(queues, candidates, index, now)
-	t.mu.Unlock()
+	offers := s.makeOffers(queues, candidates, index, now)
+	s.mu.Unlock()
 
-	picks := t.requestPicks(ctx, offers)
+	picks := s.requestPicks(ctx, offers)
 
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	tierChanged := false
-	now = t.now()
+	now = s.now()
 	fresh := make(map[string]*candidate) // reports came in meanwhile
 	for _, pick := range picks {
-		job, target := t.jobs.Job(pick.Ref), fresh[pick.Worker]
+		job, target := s.jobs.Job(pick.Ref), fresh[pick.Worker]
 		if target == nil {
-			target = t.candidate(t.workers[pick.Worker], now)
+			target = s.candidate(s.workers[pick.Worker], now)
 			fresh[pick.Worker] = target
 		}
 		if job == nil || target == nil || !target.fits(job) {
 			continue
 		}
-		if t.tier(job) != pick.Tier {
+		if s.tier(job) != pick.Tier {
 			tierChanged = true // its team's guarantee is used up: others may come first
 			continue
 		}
-		if t.claimTask(target, job) {
+		if s.claimTask(target, job) {
 			claimed++
 		}
 	}
 	if claimed > 0 {
-		notify(t.writeSignal)
+		notify(s.writeSignal)
 	}
 	if !tierChanged {
-		t.preempt(queues, now)
+		s.preempt(queues, now)
 	}
 	return claimed > 0 && (tierChanged || index.moreWaiting)
 }
 
 // requestPicks has the owners pick, all at once. For an owner that does not answer soon the
 // leader picks, by the rates that it learned itself.
-func (t *leaderTerm) requestPicks(ctx context.Context, offers map[string]*placement.Offer) []placement.Pick {
-	ctx, cancel := context.WithTimeout(ctx, t.settings.Report()/12)
+func (s *scheduler) requestPicks(ctx context.Context, offers map[string]*placement.Offer) []placement.Pick {
+	ctx, cancel := context.WithTimeout(ctx, s.settings.Report()/12)
 	defer cancel()
 	var mu sync.Mutex
 	var all []placement.Pick
 	var wg sync.WaitGroup
 	for owner, offer := range offers {
 		wg.Go(func() {
-			picks, err := t.shards.Pick(ctx, owner, *offer)
+			picks, err := s.shards.Pick(ctx, owner, *offer)
 			if err != nil {
 				// Its rooms would stand empty until the map is without it: for two report
 				// intervals where two owners are out of reach.
-				t.log.Debug("picks", "owner", owner, "err", err)
-				picks, err = t.shards.Pick(ctx, t.settings.Node, *offer)
+				s.log.Debug("picks", "owner", owner, "err", err)
+				picks, err = s.shards.Pick(ctx, s.settings.Node, *offer)
 				if err != nil {
-					t.log.Debug("picks", "owner", t.settings.Node, "err", err)
+					s.log.Debug("picks", "owner", s.settings.Node, "err", err)
 				}
 			}
 			mu.Lock()
@@ -137,7 +147,7 @@
 
 // makeOffers makes the offer for each part: its rooms that something fits, and the
 // types that wait.
-func (t *leaderTerm) makeOffers(queues []*typeQueue, candidates []*candidate, index *candidateIndex, now time.Time) map[string]*placement.Offer {
+func (s *scheduler) makeOffers(queues []*typeQueue, candidates []*candidate, index *candidateIndex, now time.Time) map[string]*placement.Offer {
 	var offered []placement.Queue
 	var jobs []*ledger.Job
 	for _, queue := range queues {
@@ -146,7 +156,7 @@
 			if len(offeredQueue.Jobs) == maxOfferedJobs {
 				break
 			}
-			if waiting := t.describeJob(job, index, now); waiting.Tasks > 0 {
+			if waiting := s.describeJob(job, index, now); waiting.Tasks > 0 {
 				offeredQueue.Jobs = append(offeredQueue.Jobs, waiting)
 				jobs = append(jobs, job)
 			}
@@ -164,11 +174,11 @@
 	for _, job := range jobs {
 		least.CPUs, least.GPUs, least.MemoryGB = min(least.CPUs, job.Spec.CPUs), min(least.GPUs, job.Spec.GPUs), min(least.MemoryGB, job.Spec.MemoryGB)
 	}
-	shards := t.leadership.ShardMap()
+	shards := s.leadership.ShardMap()
 	for _, target := range candidates {
 		if !fitsWithin(&least, target.cpus, target.gpus, target.memoryGB) ||
 			!slices.ContainsFunc(jobs, func(job *ledger.Job) bool {
-				return target.fits(job) && t.jobs.CheckClaim(job, target.worker.Zone) == nil
+				return target.fits(job) && s.jobs.CheckClaim(job, target.worker.Zone) == nil
 			}) {
 			continue
 		}
@@ -189,7 +199,7 @@
 			}
 		}
 		if target.reservedFor != nil {
-			offeredCandidate.ReservedFor, offeredCandidate.ReservedTier = target.reservedFor.Ref, t.tier(target.reservedFor)
+			offeredCandidate.ReservedFor, offeredCandidate.ReservedTier = target.reservedFor.Ref, s.tier(target.reservedFor)
 		}
 		offers[owner].Candidates = append(offers[owner].Candidates, offeredCandidate)
 	}
@@ -233,8 +243,8 @@
 // prefersOnDemand tells whether a job had better run on machines that the cloud does not
 // take: others wait for it and have a deadline, so that one lost task holds all
 // up, and the users name no price.
-func (t *leaderTerm) prefersOnDemand(job *ledger.Job) bool {
-	return !t.settings.Frugal() && slices.ContainsFunc(t.inherited(job).Deadlines, func(t time.Time) bool { return !t.IsZero() })
+func (s *scheduler) prefersOnDemand(job *ledger.Job) bool {
+	return !s.settings.Frugal() && slices.ContainsFunc(s.dependencies.inherited(job).Deadlines, func(t time.Time) bool { return !t.IsZero() })
 }
 
 // cloneQueues copies what picking changes: each owner picks as if alone, and
@@ -251,16 +261,16 @@
 }
 
 // describeJob describes a job to the owners.
-func (t *leaderTerm) describeJob(job *ledger.Job, index *candidateIndex, now time.Time) placement.WaitingJob {
+func (s *scheduler) describeJob(job *ledger.Job, index *candidateIndex, now time.Time) placement.WaitingJob {
 	spec := &job.Spec
 	waiting := placement.WaitingJob{
-		Ref: job.Ref, Tasks: job.WaitingTasks(), Tier: t.tier(job), Age: now.Sub(job.WaitingSince),
+		Ref: job.Ref, Tasks: job.WaitingTasks(), Tier: s.tier(job), Age: now.Sub(job.WaitingSince),
 		CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, Image: spec.Image, ImageGB: spec.ImageGB,
 		Service: spec.Kind == wire.KindService, AllowSpot: spec.AllowSpot, InstanceTypes: spec.InstanceTypes,
 		ExcludedWorkers: slices.Sorted(maps.Keys(job.FailedOn)),
 	}
-	waiting.StartWithinSeconds = t.startWithinSeconds(job)
-	if spec.AllowSpot && t.prefersOnDemand(job) {
+	waiting.StartWithinSeconds = s.startWithinSeconds(job)
+	if spec.AllowSpot && s.prefersOnDemand(job) {
 		// As many as half the firm room holds go there; what is left is
 		// offered anew, until that is too few to be worth a pass.
 		if slots := index.onDemandSlots(job) / 2; slots > waiting.Tasks/8 {
@@ -279,27 +289,27 @@
 	if job.IsGang() {
 		waiting.Tasks = 0 // the leader starts gangs itself, whole
 	}
-	waiting.Tasks = min(waiting.Tasks, t.jobs.QuotaHeadroom(job))
+	waiting.Tasks = min(waiting.Tasks, s.jobs.QuotaHeadroom(job))
 	if spec.Zone != "" || spec.SpreadZones || spec.SingleZone {
 		waiting.ZoneSlots = make(map[string]int)
 		for _, zone := range index.zones {
-			waiting.ZoneSlots[zone] = t.jobs.ZoneHeadroom(job, zone)
+			waiting.ZoneSlots[zone] = s.jobs.ZoneHeadroom(job, zone)
 		}
 	}
 	return waiting
 }
 
 // claimTask claims the job's next task for a room.
-func (t *leaderTerm) claimTask(target *candidate, job *ledger.Job) bool {
-	claim, err := t.jobs.Claim(job, target.worker.Name, target.worker.Incarnation, target.worker.Zone)
+func (s *scheduler) claimTask(target *candidate, job *ledger.Job) bool {
+	claim, err := s.jobs.Claim(job, target.worker.Name, target.worker.Incarnation, target.worker.Zone)
 	if err != nil {
 		return false
 	}
 	target.worker.IdleSince = time.Time{}
 	target.worker.RecordPull(job.Spec.Image, job.Spec.ImageGB)
-	t.log.Debug("claim", "task", claim.Task(), "try", claim.Attempt, "host", claim.Worker)
+	s.log.Debug("claim", "task", claim.Task(), "try", claim.Attempt, "host", claim.Worker)
 	target.allocate(job)
-	t.recordPlacement(job)
+	s.recordPlacement(job)
 	return true
 }
 
@@ -317,14 +327,14 @@
 }
 
 // waitingQueues groups waiting jobs by type, each in the order its tasks go.
-func (t *leaderTerm) waitingQueues(now time.Time) []*typeQueue {
+func (s *scheduler) waitingQueues(now time.Time) []*typeQueue {
 	byName := make(map[string]*typeQueue)
-	for _, job := range t.jobs.Jobs() {
+	for _, job := range s.jobs.Jobs() {
 		if job.Cancelled || job.Finished || !job.DependenciesMet() {
 			continue // what waits for another job is no queue's yet
 		}
 		if job.PlacementType == "" {
-			job.PlacementType = t.jobType(job)
+			job.PlacementType = s.jobType(job)
 		}
 		queue := byName[job.PlacementType]
 		if queue == nil {
@@ -332,7 +342,7 @@
 			byName[job.PlacementType] = queue
 		}
 		queue.unfinished += job.UnfinishedTasks()
-		if job.WaitingTasks() > 0 && !now.Before(job.RetryAt) && !t.jobOnHold(job) {
+		if job.WaitingTasks() > 0 && !now.Before(job.RetryAt) && !s.recovery.jobOnHold(job) {
 			queue.jobs = append(queue.jobs, job)
 		}
 	}
@@ -341,7 +351,7 @@
 		if len(queue.jobs) == 0 {
 			continue
 		}
-		t.orderJobs(queue.jobs, now)
+		s.orderJobs(queue.jobs, now)
 		queues = append(queues, queue)
 	}
 	slices.SortFunc(queues, func(a, b *typeQueue) int { return cmp.Compare(a.jobType, b.jobType) })
@@ -360,7 +370,7 @@
 // be room for in that moment, the least work first: in a long overload nearly all are
 // about to lose one, the largest would go before all others, and most would lose it all
 // the same. What there is no room for has lost its time already, but for the clock.
-func (t *leaderTerm) limitLastChances(entries []orderedJob) {
+func (s *scheduler) limitLastChances(entries []orderedJob) {
 	var lastChances []*orderedJob
 	for i := range entries {
 		if entries[i].slack.lastChance {
@@ -373,12 +383,12 @@
 	slices.SortFunc(lastChances, func(a, b *orderedJob) int {
 		return cmp.Or(cmp.Compare(a.slack.work, b.slack.work), cmp.Compare(a.job.Ref, b.job.Ref))
 	})
-	margin := (t.settings.Lease() / 2).Seconds()
+	margin := (s.settings.Lease() / 2).Seconds()
 	freeCPUs := make(map[string]float64) // cores by team
 	for _, entry := range lastChances {
 		spec := &entry.job.Spec
 		if _, ok := freeCPUs[spec.Team]; !ok {
-			limit, used := t.jobs.Team(spec.Team).CPUsMax, t.jobs.Usage(spec.Team).CPUs
+			limit, used := s.jobs.Team(spec.Team).CPUsMax, s.jobs.Usage(spec.Team).CPUs
 			freeCPUs[spec.Team] = limit - used + used*min(1, margin/max(spec.ExpectedSeconds, 1))
 		}
 		if freeCPUs[spec.Team] <= 0 {
@@ -391,13 +401,13 @@
 }
 
 // orderJobs sorts jobs as their tasks go within a type.
-func (t *leaderTerm) orderJobs(jobs []*ledger.Job, now time.Time) {
+func (s *scheduler) orderJobs(jobs []*ledger.Job, now time.Time) {
 	entries := make([]orderedJob, len(jobs))
 	for i, job := range jobs {
-		entries[i] = orderedJob{job, t.tier(job), t.deadlineSlack(job, now), t.isStarved(job, now)}
+		entries[i] = orderedJob{job, s.tier(job), s.deadlineSlack(job, now), s.isStarved(job, now)}
 	}
-	t.limitLastChances(entries)
-	t.shareWithStarved(entries)
+	s.limitLastChances(entries)
+	s.shareWithStarved(entries)
 	slices.SortFunc(entries, func(a, b orderedJob) int {
 		switch {
 		case a.tier != b.tier:
@@ -418,8 +428,8 @@
 
 // startWithinSeconds is how soon a job's users want its tasks started, in seconds; 0 if they
 // name no time.
-func (t *leaderTerm) startWithinSeconds(job *ledger.Job) float64 {
-	for _, objective := range t.settings.Facts.Objectives {
+func (s *scheduler) startWithinSeconds(job *ledger.Job) float64 {
+	for _, objective := range s.settings.Facts.Objectives {
 		if objective.Kind == "wait" && objective.Class == job.Spec.Class {
 			return objective.WithinS
 		}
@@ -441,12 +451,12 @@
 // But a job goes first when one of its times is about to be lost, before all others
 // if it has lost one already: large arrays would otherwise wait for as long as small
 // ones keep coming.
-func (t *leaderTerm) deadlineSlack(job *ledger.Job, now time.Time) deadlineSlack {
+func (s *scheduler) deadlineSlack(job *ledger.Job, now time.Time) deadlineSlack {
 	slack := deadlineSlack{work: float64(job.UnfinishedTasks()) * max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)}
 	runTime := settings.Seconds(job.Spec.ExpectedSeconds)
-	margin, isService := t.settings.Lease()/2, job.Spec.Kind == wire.KindService
-	for k, objective := range t.settings.Facts.Objectives {
-		deadline := t.objectiveDeadline(k, job)
+	margin, isService := s.settings.Lease()/2, job.Spec.Kind == wire.KindService
+	for k, objective := range s.settings.Facts.Objectives {
+		deadline := s.objectiveDeadline(k, job)
 		latestStart := deadline.Add(-time.Duration(longestTaskRatio * float64(runTime))) // at the latest
 		if objective.Kind == "wait" && objective.Class == job.Spec.Class {
 			waitingSince := job.ReadyAt
@@ -472,20 +482,20 @@
 // objectiveDeadline is the time by which an objective, given by its number, wants a job
 // done; zero if it names none. A deadline counts from the submission and binds
 // what the job needs too, all else counts from when the job could start.
-func (t *leaderTerm) objectiveDeadline(index int, job *ledger.Job) time.Time {
-	objective := &t.settings.Facts.Objectives[index]
+func (s *scheduler) objectiveDeadline(index int, job *ledger.Job) time.Time {
+	objective := &s.settings.Facts.Objectives[index]
 	if objective.Kind == "finished" && objective.Class == job.Spec.Class {
 		return job.ReadyAt.Add(settings.Seconds(objective.WithinS))
 	}
-	return t.inherited(job).Deadlines[index]
+	return s.dependencies.inherited(job).Deadlines[index]
 }
 
 // secondsToDeadline is the time until the first that a job can still be done by, in seconds;
 // 0 if there is none.
-func (t *leaderTerm) secondsToDeadline(job *ledger.Job, now time.Time) float64 {
+func (s *scheduler) secondsToDeadline(job *ledger.Job, now time.Time) float64 {
 	least := 0.0
-	for index := range t.settings.Facts.Objectives {
-		deadline := t.objectiveDeadline(index, job)
+	for index := range s.settings.Facts.Objectives {
+		deadline := s.objectiveDeadline(index, job)
 		if left := deadline.Sub(now).Seconds(); !deadline.IsZero() && left >= job.Spec.ExpectedSeconds && (least == 0 || left < least) {
 			least = left
 		}
@@ -506,15 +516,15 @@
 }
 
 // acceptsTasks tells whether a host may take new tasks.
-func (t *leaderTerm) acceptsTasks(worker *agent.Worker, now time.Time) bool {
-	_, leaving := t.released[worker.Name]
-	return !leaving && t.leaseRenewed(worker, now) && worker.ReclaimAt.IsZero() && !worker.Draining && !now.Before(worker.StartBackoffUntil) && !t.quarantined(worker, now)
+func (s *scheduler) acceptsTasks(worker *agent.Worker, now time.Time) bool {
+	_, leaving := s.released[worker.Name]
+	return !leaving && s.leaseRenewed(worker, now) && worker.ReclaimAt.IsZero() && !worker.Draining && !now.Before(worker.StartBackoffUntil) && !s.faults.quarantined(worker, now)
 }
 
-func (t *leaderTerm) candidates(now time.Time) []*candidate {
-	candidates := make([]*candidate, 0, len(t.workersByName))
-	for _, worker := range t.workersByName {
-		if target := t.candidate(worker, now); target != nil {
+func (s *scheduler) candidates(now time.Time) []*candidate {
+	candidates := make([]*candidate, 0, len(s.workersByName))
+	for _, worker := range s.workersByName {
+		if target := s.candidate(worker, now); target != nil {
 			candidates = append(candidates, target)
 		}
 	}
@@ -522,15 +532,15 @@
 }
 
 // candidate is what is free on a host, or nil if it may not take new tasks.
-func (t *leaderTerm) candidate(worker *agent.Worker, now time.Time) *candidate {
-	if worker == nil || worker.HasUnclaimedTask || !t.acceptsTasks(worker, now) {
+func (s *scheduler) candidate(worker *agent.Worker, now time.Time) *candidate {
+	if worker == nil || worker.HasUnclaimedTask || !s.acceptsTasks(worker, now) {
 		return nil
 	}
-	instanceType := t.instanceTypes.InstanceTypes()[worker.InstanceType]
+	instanceType := s.instanceTypes.InstanceTypes()[worker.InstanceType]
 	if instanceType == nil {
 		return nil
 	}
-	used := t.jobs.UsedOnWorker(worker.Name)
+	used := s.jobs.UsedOnWorker(worker.Name)
 	return &candidate{worker: worker, instanceType: instanceType, cpus: instanceType.CPUs - used.Cores, gpus: instanceType.GPUs - used.Accelerators, memoryGB: instanceType.MemoryGB - used.RAMGB}
 }
 
@@ -559,11 +569,11 @@
 
 // tier orders jobs: what is within a guarantee before what is borrowed, and in
 // each by rank.
-func (t *leaderTerm) tier(job *ledger.Job) int {
-	if t.jobs.WithinGuaranteedQuota(job) {
-		return t.effectivePriority(job)
+func (s *scheduler) tier(job *ledger.Job) int {
+	if s.jobs.WithinGuaranteedQuota(job) {
+		return s.dependencies.effectivePriority(job)
 	}
-	return priorityLevel("idle") + 1 + t.effectivePriority(job)
+	return priorityLevel("idle") + 1 + s.dependencies.effectivePriority(job)
 }
 
 // priorityName is a rank by its place.
@@ -581,3 +591,24 @@
 	}
 	return 3
 }
+
+// jobType is the type of a job for the placement rule.
+func (s *scheduler) jobType(job *ledger.Job) string {
+	var key []byte
+	for _, field := range s.settings.Operator.Placement.Fields() {
+		switch field {
+		case "class":
+			key = append(key, job.Spec.Class...)
+		case "owner":
+			key = append(key, job.Spec.Team...)
+		case "bundle":
+			key = append(key, job.Spec.Image...)
+		case "rank":
+			key = append(key, job.Spec.Priority...)
+		case "shape":
+			key = append(key, job.Spec.Kind...)
+		}
+		key = append(key, '|')
+	}
+	return string(key)
+}
--- a/internal/leader/starvation.go
+++ b/internal/leader/starvation.go
@@ -19,14 +19,14 @@
 )
 
 // agingThreshold is from when on what waits goes first among types.
-func (t *leaderTerm) agingThreshold() time.Duration {
-	return time.Duration(t.settings.Operator.Placement.WaitAge * float64(t.settings.Lease()))
+func (s *scheduler) agingThreshold() time.Duration {
+	return time.Duration(s.settings.Operator.Placement.WaitAge * float64(s.settings.Lease()))
 }
 
 // isStarved tells whether an array has waited for so long, with nothing of it begun, that it
 // has a share of its own.
-func (t *leaderTerm) isStarved(job *ledger.Job, now time.Time) bool {
-	waitRatio := float64(now.Sub(job.WaitingSince)) / float64(t.agingThreshold())
+func (s *scheduler) isStarved(job *ledger.Job, now time.Time) bool {
+	waitRatio := float64(now.Sub(job.WaitingSince)) / float64(s.agingThreshold())
 	return job.Spec.Kind != wire.KindService && job.ClaimedTasks() == 0 && job.DoneTasks() == 0 && waitRatio > starvedFromRatio && waitRatio < starvedUntilRatio
 }
 
@@ -38,19 +38,19 @@
 }
 
 // shareWithStarved lets starved arrays go first only while they were given no more than the others.
-func (t *leaderTerm) shareWithStarved(entries []orderedJob) {
+func (s *scheduler) shareWithStarved(entries []orderedJob) {
 	if len(entries) == 0 {
 		return
 	}
 	jobType := entries[0].job.PlacementType
 	if !slices.ContainsFunc(entries, func(entry orderedJob) bool { return entry.starved }) {
-		delete(t.deficits, jobType)
+		delete(s.deficits, jobType)
 		return
 	}
-	deficit := t.deficits[jobType]
+	deficit := s.deficits[jobType]
 	if deficit == nil {
 		deficit = &deficitCounter{}
-		t.deficits[jobType] = deficit
+		s.deficits[jobType] = deficit
 	}
 	deficit.starvedJobs = make(map[string]bool)
 	for i := range entries {
@@ -62,8 +62,8 @@
 }
 
 // recordPlacement accounts for a claimed task.
-func (t *leaderTerm) recordPlacement(job *ledger.Job) {
-	deficit := t.deficits[job.PlacementType]
+func (s *scheduler) recordPlacement(job *ledger.Job) {
+	deficit := s.deficits[job.PlacementType]
 	if deficit == nil || job.Spec.Kind == wire.KindService {
 		return
 	}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -9,6 +9,13 @@
 	"rillflow/internal/ledger"
 )
 
+// statusView shows the state of a term to operators and users.
+type statusView struct {
+	*termScope
+	recovery *dataRecovery
+	orphans  *orphanTracker
+}
+
 // latencies keeps how long things took, in milliseconds.
 type latencies struct {
 	start *hdrhistogram.Histogram // from ready to running
@@ -33,8 +40,8 @@
 	defer term.mu.Unlock()
 	job := term.jobs.Job(ref)
 	if job == nil {
-		running, ok := term.runningOrphans(ref)
-		if !ok && term.leadership.Incarnation().DataLost && !term.allWorkersReported(term.now()) {
+		running, ok := term.orphans.runningOrphans(ref)
+		if !ok && term.leadership.Incarnation().DataLost && !term.recovery.allWorkersReported(term.now()) {
 			return TaskCounts{}, false, ErrWorkersUnreported
 		}
 		return TaskCounts{Running: running}, ok, nil
@@ -116,17 +123,17 @@
 	now := term.now()
 	status := &Status{Epoch: term.leadership.Epoch(), Jobs: len(term.jobs.Jobs()), Start: map[string]int64{}}
 	for _, worker := range term.workersByName {
-		workerStatus := WorkerStatus{Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot, Claims: len(term.jobs.ClaimsOnWorker(worker.Name)), Quarantined: term.workerFaulty(worker), SilentS: -1}
+		workerStatus := WorkerStatus{Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot, Claims: len(term.jobs.ClaimsOnWorker(worker.Name)), Quarantined: term.faults.workerFaulty(worker), SilentS: -1}
 		if !worker.LastHeartbeat.IsZero() {
 			workerStatus.SilentS = now.Sub(worker.LastHeartbeat).Seconds()
 		}
 		status.Claims += workerStatus.Claims
 		status.Workers = append(status.Workers, workerStatus)
 	}
-	status.Recovery = term.recoveryStatus()
+	status.Recovery = term.status.recoveryStatus()
 	byType := map[string]*QueueStatus{}
 	for _, job := range term.jobs.Jobs() {
-		name := term.jobType(job)
+		name := term.scheduler.jobType(job)
 		if byType[name] == nil {
 			byType[name] = &QueueStatus{Type: name}
 		}
@@ -143,19 +150,19 @@
 		status.Blocked = append(status.Blocked, BlockedJob{Job: job.Ref, Class: job.Spec.Class, WaitsOn: job.UnmetDependencies()})
 	}
 	for _, percentile := range []float64{50, 90, 99} {
-		status.Start[map[float64]string{50: "p50", 90: "p90", 99: "p99"}[percentile]] = term.latencies.start.ValueAtQuantile(percentile)
+		status.Start[map[float64]string{50: "p50", 90: "p90", 99: "p99"}[percentile]] = term.heartbeats.latencies.start.ValueAtQuantile(percentile)
 	}
 	return status
 }
 
 // recoveryStatus shows what was lost, if anything was.
-func (t *leaderTerm) recoveryStatus() *RecoveryStatus {
-	progress := t.progress
-	if progress == nil && len(t.orphanedJobs) == 0 {
+func (v *statusView) recoveryStatus() *RecoveryStatus {
+	progress := v.recovery.progress
+	if progress == nil && len(v.orphans.orphanedJobs) == 0 {
 		return nil
 	}
 	status := &RecoveryStatus{}
-	for ref, orphan := range t.orphanedJobs {
+	for ref, orphan := range v.orphans.orphanedJobs {
 		if !orphan.ended {
 			status.OrphanedJobs = append(status.OrphanedJobs, ref)
 		}
@@ -168,12 +175,12 @@
 	status.Written, status.Writes = progress.written, progress.written+len(progress.pending)
 	status.MissingPeers, status.DamagedKeys, status.OrphanedClaims = progress.missingPeers, progress.damagedKeys, progress.orphanedClaims
 	if !progress.durableAt.IsZero() {
-		status.DurableS = progress.durableAt.Sub(t.startedAt).Seconds()
+		status.DurableS = progress.durableAt.Sub(v.startedAt).Seconds()
 	}
 	if !progress.placementResumedAt.IsZero() {
-		status.PlacingS = progress.placementResumedAt.Sub(t.startedAt).Seconds()
+		status.PlacingS = progress.placementResumedAt.Sub(v.startedAt).Seconds()
 	} else if progress.full {
-		status.Unreported = t.unreportedWorkers()
+		status.Unreported = v.recovery.unreportedWorkers()
 	}
 	return status
 }
--- /dev/null
+++ b/internal/leader/term.go
@@ -0,0 +1,148 @@
+package leader
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"rillflow/internal/agent"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
+	"rillflow/internal/fleet"
+	"rillflow/internal/ledger"
+	"rillflow/internal/wire"
+)
+
+// Leadership is the won election that a leader term rests on.
+type Leadership interface {
+	Epoch() uint64
+	ShardMap() election.ShardMap
+	// Compares are the guards of every write: they hold only while this controller leads.
+	Compares() []wire.Compare
+	// CheckCompares returns an error if the failed compares show that the leadership is lost.
+	CheckCompares(failed []string) error
+	Incarnation() dataloss.IncarnationState
+	// PreviousMap is the shard map of the leader before.
+	PreviousMap() election.ShardMap
+	AdvancePhase(ctx context.Context, p dataloss.Phase) error
+	// LeaseHeld tells whether nobody else can lead at the given time.
+	LeaseHeld(now time.Time) bool
+	// SteppedDown is since when the term only waits for its successor, if it does.
+	SteppedDown() (since time.Time, ok bool)
+	RaiseEpoch(ctx context.Context, parts []string) error
+}
+
+// leaderTerm is the runtime of one leader term: the shared scope, and one component for
+// each concern. Components refer to one another by pointers that newLeaderTerm sets.
+type leaderTerm struct {
+	*termScope
+	ready chan struct{} // closed once the claims are read
+
+	registry      *workerRegistry
+	heartbeats    *heartbeatReconciler
+	commander     *commander
+	failures      *failureMonitor
+	faults        *faultTracker
+	drainer       *drainer
+	autoscaler    *autoscaler
+	shardKeeper   *shardKeeper
+	jobWatcher    *jobWatcher
+	scheduler     *scheduler
+	claimWriter   *claimWriter
+	cancellations *cancellations
+	dependencies  *dependencies
+	storeReader   *storeReader
+	loader        *loader
+	recovery      *dataRecovery
+	orphans       *orphanTracker
+	scrubber      *scrubber
+	status        *statusView
+}
+
+// newLeaderTerm makes the components of a term and connects them. It starts nothing.
+func newLeaderTerm(ctx context.Context, env *environment, leadership Leadership, firstEpoch uint64, group *errgroup.Group) *leaderTerm {
+	scope := &termScope{
+		environment: env,
+		clusterState: &clusterState{
+			jobs:      ledger.New(fmt.Sprintf("%s.%d", env.settings.Node, firstEpoch), env.settings.Facts.Teams),
+			workers:   make(map[string]*agent.Worker),
+			released:  make(map[string]time.Time),
+			instances: make(map[string]wire.Instance),
+		},
+		signals: signals{
+			writeSignal: make(chan struct{}, 1), scheduleSignal: make(chan struct{}, 1),
+			dependencySignal: make(chan struct{}, 1), epochSignal: make(chan struct{}, 1),
+		},
+		leadership: leadership, firstEpoch: firstEpoch, startedAt: env.now(), group: group, ctx: ctx,
+	}
+	if env.auditKeys != nil {
+		scope.auditLog = newAuditWriter(env.auditKeys, env.settings.Node, env.log)
+	}
+	t := &leaderTerm{
+		termScope:     scope,
+		ready:         make(chan struct{}),
+		registry:      &workerRegistry{termScope: scope},
+		heartbeats:    &heartbeatReconciler{termScope: scope, latencies: newLatencies()},
+		commander:     &commander{termScope: scope},
+		failures:      &failureMonitor{termScope: scope, detector: newFailureDetector(env.settings)},
+		faults:        &faultTracker{termScope: scope},
+		drainer:       &drainer{termScope: scope},
+		autoscaler:    &autoscaler{termScope: scope, planner: fleet.NewPlanner(env.settings, firstEpoch), scaledAheadTeams: make(map[string]bool)},
+		shardKeeper:   &shardKeeper{termScope: scope},
+		jobWatcher:    &jobWatcher{termScope: scope},
+		scheduler:     &scheduler{termScope: scope, deficits: make(map[string]*deficitCounter)},
+		claimWriter:   &claimWriter{termScope: scope},
+		cancellations: &cancellations{termScope: scope},
+		dependencies:  &dependencies{termScope: scope},
+		storeReader:   &storeReader{termScope: scope},
+		loader:        &loader{termScope: scope},
+		recovery:      &dataRecovery{termScope: scope},
+		orphans:       &orphanTracker{termScope: scope, orphanedJobs: make(map[string]*orphanedJob)},
+		scrubber:      &scrubber{termScope: scope},
+		status:        &statusView{termScope: scope},
+	}
+	t.connect()
+	return t
+}
+
+// connect tells the components of one another.
+func (t *leaderTerm) connect() {
+	t.registry.commander = t.commander
+
+	t.heartbeats.registry, t.heartbeats.faults = t.registry, t.faults
+	t.heartbeats.scheduler, t.heartbeats.recovery, t.heartbeats.orphans = t.scheduler, t.recovery, t.orphans
+
+	t.commander.registry, t.commander.heartbeats = t.registry, t.heartbeats
+
+	t.failures.commander, t.failures.heartbeats, t.failures.faults = t.commander, t.heartbeats, t.faults
+	t.failures.drainer, t.failures.autoscaler, t.failures.cancellations = t.drainer, t.autoscaler, t.cancellations
+
+	t.drainer.scheduler = t.scheduler
+
+	t.autoscaler.registry, t.autoscaler.failures, t.autoscaler.faults = t.registry, t.failures, t.faults
+	t.autoscaler.drainer, t.autoscaler.scheduler = t.drainer, t.scheduler
+
+	t.shardKeeper.registry = t.registry
+
+	t.jobWatcher.cancellations, t.jobWatcher.orphans, t.jobWatcher.storeReader = t.cancellations, t.orphans, t.storeReader
+
+	t.scheduler.recovery, t.scheduler.dependencies, t.scheduler.faults = t.recovery, t.dependencies, t.faults
+
+	t.claimWriter.cancellations, t.claimWriter.dependencies, t.claimWriter.storeReader = t.cancellations, t.dependencies, t.storeReader
+
+	t.cancellations.autoscaler = t.autoscaler
+
+	t.dependencies.cancellations = t.cancellations
+
+	t.loader.recovery, t.loader.registry, t.loader.storeReader = t.recovery, t.registry, t.storeReader
+
+	t.recovery.storeReader = t.storeReader
+
+	t.orphans.heartbeats = t.heartbeats
+
+	t.scrubber.recovery, t.scrubber.storeReader = t.recovery, t.storeReader
+
+	t.status.recovery, t.status.orphans = t.recovery, t.orphans
+}
