--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -68,8 +68,9 @@
 		reply(w, http.StatusOK, out)
 		return
 	}
-	if e, ok := shard.AsNotOwner(err); ok && e.RedirectTarget != "" && e.RedirectTarget != d.set.Node {
-		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: e.RedirectTarget})
+	var notOwner *shard.NotOwnerError
+	if errors.As(err, &notOwner) && notOwner.RedirectTarget != "" && notOwner.RedirectTarget != d.set.Node {
+		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: notOwner.RedirectTarget})
 		return
 	}
 	reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not entitled"})
@@ -309,7 +310,7 @@
 	reply(w, http.StatusOK, Status{
 		Node: d.set.Node, Version: Version, Map: d.el.ShardMap(), UpS: time.Since(d.began).Seconds(),
 		StateS: d.st.SinceLastAnswer().Seconds(), Requests: d.st.RequestCount(), Lower: d.st.LimitsLowered(), Peers: d.mesh.Peers(),
-		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.PlacementRows(), Leading: d.control.Status(), History: d.histories(),
+		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.Rates(), Leading: d.control.Status(), History: d.histories(),
 	})
 }
 
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -6,108 +6,141 @@
 	"time"
 
 	"rillflow/internal/peer"
+	"rillflow/internal/settings"
 )
 
-// isolationDetector note how well this node hears workers.
+// Durations in heartbeat intervals, and a number of workers, by which a controller finds
+// that it is isolated from workers.
+const (
+	isolatedAfter     = 1.75 // silence of workers that used to report here
+	peerReachedWithin = 0.5  // a peer that heard a worker so lately is reached by workers
+	peersReachedLapse = 2.5  // after peers heard no worker for so long the measurement restarts
+	minWorkers        = 4    // fewer may well be silent at the same time
+)
+
+// maxIsolationDoublings limits how often the time for which a controller counts as
+// isolated is doubled.
+const maxIsolationDoublings = 4
+
+// isolationDetector tells whether workers reach this controller. Its lock is held while
+// the links are asked about the peers.
 type isolationDetector struct {
-	mu                sync.Mutex
-	lastRequest       time.Time // the last request of a worker, whatever came of it
-	windowStart       time.Time // when the present count began
-	requests          int       // requests since then
-	previousRequests  int       // in the lease before
-	ownerSince        time.Time // an owner since
-	isolatedUntil     time.Time // deaf until then
-	timesIsolated     int       // found deaf in a row
-	peersReachedAt    time.Time // when last a peer had just heard a worker
-	peersReachedSince time.Time // since when that is so again and again
+	config *settings.Settings
+
+	mu               sync.Mutex
+	lastRequest      time.Time // of any worker, whatever the answer
+	windowStart      time.Time // windows are a lease long
+	requests         int       // in this window
+	previousRequests int       // in the window before
+
+	ownerSince    time.Time // zero: this controller owns no shard
+	isolatedUntil time.Time
+	timesIsolated int // in a row
+
+	peersReachedAt    time.Time // when a peer was last found to have just heard a worker
+	peersReachedSince time.Time // since when that has been so without a lapse
 }
 
-// RecordRequest notes that a worker made itself heard here.
-func (o *Owner) RecordRequest() {
+// RecordRequest records that a worker reached this controller.
+func (o *Owner) RecordRequest() { o.isolation.recordRequest(o.now()) }
+
+// Hearing returns how well workers reach this controller, for the peers. It counts as
+// isolated when the workers that used to report here are silent though workers reach a
+// peer, and stays so for a lease, twice as long each time: an isolated owner loses its
+// shard well before its workers' leases expire, and then cannot find out whether it would
+// hear them again.
+func (o *Owner) Hearing() peer.Hearing {
 	now := o.now()
-	o.isolation.mu.Lock()
-	defer o.isolation.mu.Unlock()
-	o.isolation.lastRequest = now
-	if now.Sub(o.isolation.windowStart) > o.config.Lease() {
-		o.isolation.windowStart, o.isolation.previousRequests, o.isolation.requests = now, o.isolation.requests, 0
+	isOwner := slices.Contains(o.shardMap().Owners, o.config.Node)
+	return o.isolation.hearing(now, isOwner, o.links)
+}
+
+// IsIsolated reports whether this controller is cut off from workers that reach others.
+func (o *Owner) IsIsolated() bool { return o.Hearing().Deaf }
+
+// PeersHearNoWorkers reports whether peers are connected and none of them has been hearing
+// workers either. Where all workers are cut off, this controller is not at fault.
+func (o *Owner) PeersHearNoWorkers() bool {
+	connected := false
+	for _, status := range o.links.Peers() {
+		if status.Live && !status.HearingKnown {
+			return false
+		}
+		connected = connected || status.Live
 	}
-	o.isolation.requests++
+	return !o.isolation.workersReachPeers(o.now, o.links) && connected
 }
 
-// Times in report intervals, and a number of workers, by which a node finds that it
-// is cut off from workers.
-const (
-	isolatedAfter     = 1.75 // silence, of those that report here
-	peerReachedWithin = 0.5  // a peer that heard one so lately is not
-	peersReachedLapse = 2.5  // peers that heard none for so long begin anew
-	minWorkers        = 4    // fewer may well be silent together
-)
+func (d *isolationDetector) recordRequest(now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.lastRequest = now
+	if now.Sub(d.windowStart) > d.config.Lease() {
+		d.windowStart, d.previousRequests, d.requests = now, d.requests, 0
+	}
+	d.requests++
+}
 
-// Hearing tells how well this node hears workers. It finds itself deaf when those
-// that reported here are silent though workers reach a peer, and is so for a lease,
-// twice as long each time: an owner that hears none has its part given to others
-// well before the workers' leases are over, and then cannot tell whether it would.
-func (o *Owner) Hearing() peer.Hearing {
-	now, interval := o.now(), float64(o.config.Report())
-	isOwner := slices.Contains(o.shardMap().Owners, o.config.Node)
-	isolation := &o.isolation
-	isolation.mu.Lock()
-	defer isolation.mu.Unlock()
-	peersReached, peersReachedFor := o.peersReachedLocked(now)
-	if !isOwner {
-		isolation.ownerSince = time.Time{}
-	} else if isolation.ownerSince.IsZero() {
-		isolation.ownerSince = now
+func (d *isolationDetector) hearing(now time.Time, isOwner bool, links PeerLinks) peer.Hearing {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	reached, reachedFor := d.peersReachedLocked(now, links)
+	switch {
+	case !isOwner:
+		d.ownerSince = time.Time{}
+	case d.ownerSince.IsZero():
+		d.ownerSince = now
 	}
-	enoughWorkers := float64(max(isolation.requests, isolation.previousRequests)) >= minWorkers*float64(o.config.Lease())/interval
-	silentFor := float64(min(now.Sub(isolation.lastRequest), now.Sub(isolation.ownerSince)))
+	interval, lease := float64(d.config.Report()), d.config.Lease()
+	silentFor := min(now.Sub(d.lastRequest), now.Sub(d.ownerSince))
+	silentAlone := reached && float64(min(silentFor, reachedFor)) > isolatedAfter*interval
 	switch {
-	case now.Before(isolation.isolatedUntil):
-	case isOwner && peersReached && min(silentFor, float64(peersReachedFor)) > isolatedAfter*interval && (enoughWorkers || isolation.timesIsolated > 0):
-		isolation.isolatedUntil = now.Add(o.config.Lease() << min(isolation.timesIsolated, 4))
-		isolation.timesIsolated++
-	case isOwner && silentFor < interval && now.Sub(isolation.ownerSince) > o.config.Lease():
-		isolation.timesIsolated = 0
+	case now.Before(d.isolatedUntil):
+	case isOwner && silentAlone && (d.hasEnoughWorkersLocked() || d.timesIsolated > 0):
+		d.isolatedUntil = now.Add(lease << min(d.timesIsolated, maxIsolationDoublings))
+		d.timesIsolated++
+	case isOwner && float64(silentFor) < interval && now.Sub(d.ownerSince) > lease:
+		d.timesIsolated = 0
 	}
-	age := now.Sub(isolation.lastRequest)
-	if isolation.lastRequest.IsZero() {
-		age = o.config.Lease()
+	age := now.Sub(d.lastRequest)
+	if d.lastRequest.IsZero() {
+		age = lease
 	}
-	return peer.Hearing{Age: age, Deaf: now.Before(isolation.isolatedUntil)}
+	return peer.Hearing{Age: age, Deaf: now.Before(d.isolatedUntil)}
 }
 
-// peersReachedLocked tells whether a peer heard a worker just now, and for how long workers have
-// been reaching peers: where all were silent, those of one node are heard again a little
-// ahead of those of the next, which is not deaf for that. Run it with the lock held.
-func (o *Owner) peersReachedLocked(now time.Time) (reached bool, reachedFor time.Duration) {
-	isolation, interval := &o.isolation, float64(o.config.Report())
-	for _, status := range o.links.Peers() {
-		reached = reached || status.Live && status.HearingKnown && float64(status.Hearing.Age) < peerReachedWithin*interval
-	}
-	if reached {
-		if float64(now.Sub(isolation.peersReachedAt)) > peersReachedLapse*interval {
-			isolation.peersReachedSince = now
-		}
-		isolation.peersReachedAt = now
-	}
-	return reached, now.Sub(isolation.peersReachedSince)
+// hasEnoughWorkersLocked reports whether so many workers report here that their common
+// silence tells something. The caller holds d.mu.
+func (d *isolationDetector) hasEnoughWorkersLocked() bool {
+	heartbeatsPerLease := float64(d.config.Lease()) / float64(d.config.Report())
+	return float64(max(d.requests, d.previousRequests)) >= minWorkers*heartbeatsPerLease
 }
 
-// PeersHearNoWorkers tells whether peers are linked, and none of them has been hearing workers
-// either: where all workers are cut off, it is no fault of this node's.
-func (o *Owner) PeersHearNoWorkers() bool {
-	linked := false
-	for _, s := range o.links.Peers() {
-		if s.Live && !s.HearingKnown {
-			return false
+// workersReachPeers reports whether workers have been reaching peers for long enough to
+// tell this controller apart from them.
+func (d *isolationDetector) workersReachPeers(clock func() time.Time, links PeerLinks) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	reached, reachedFor := d.peersReachedLocked(clock(), links)
+	return reached && float64(reachedFor) >= isolatedAfter*float64(d.config.Report())
+}
+
+// peersReachedLocked reports whether a peer has just heard a worker, and for how long that
+// has been so: when all controllers were cut off, workers reach one of them again a little
+// before the next, which is not isolated for that. The caller holds d.mu.
+func (d *isolationDetector) peersReachedLocked(
+	now time.Time, links PeerLinks,
+) (reached bool, reachedFor time.Duration) {
+	interval := float64(d.config.Report())
+	for _, status := range links.Peers() {
+		justHeard := float64(status.Hearing.Age) < peerReachedWithin*interval
+		reached = reached || status.Live && status.HearingKnown && justHeard
+	}
+	if reached {
+		if float64(now.Sub(d.peersReachedAt)) > peersReachedLapse*interval {
+			d.peersReachedSince = now
 		}
-		linked = linked || s.Live
+		d.peersReachedAt = now
 	}
-	o.isolation.mu.Lock()
-	defer o.isolation.mu.Unlock()
-	fresh, long := o.peersReachedLocked(o.now())
-	return linked && (!fresh || float64(long) < isolatedAfter*float64(o.config.Report()))
+	return reached, now.Sub(d.peersReachedSince)
 }
-
-// IsIsolated tells whether this node is cut off from workers that reach others.
-func (o *Owner) IsIsolated() bool { return o.Hearing().Deaf }
--- a/internal/shard/isolation_test.go
+++ b/internal/shard/isolation_test.go
@@ -9,19 +9,19 @@
 	"rillflow/internal/wire"
 )
 
-// A node that workers no longer reach finds out by its peers, and only if it
-// should be reached; it is believed for a lease, twice as long the next time.
+// A controller that workers no longer reach finds out by its peers, and only if it should
+// be reached. It counts as isolated for a lease, twice as long the next time.
 func TestIsolation(t *testing.T) {
 	const report, lease = 4 * time.Second, 40 * time.Second
 	for _, tc := range []struct {
 		name    string
 		beats   int // in the lease before
-		quiet   time.Duration
+		silent  time.Duration
 		owner   bool
 		peer    peer.Hearing
 		live    bool
 		want    bool
-		relapse bool // and again after its rest
+		relapse bool // and again afterwards
 	}{
 		{"all were cut off, and a peer is heard again first", 100, 8 * report, true, peer.Hearing{}, true, false, false},
 		{"all is well", 100, report, true, peer.Hearing{}, true, false, false},
@@ -32,84 +32,88 @@
 		{"too few to tell", 8, 2 * report, true, peer.Hearing{}, true, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			at := testTime
-			m := election.ShardMap{Epoch: 3, Leader: "a", Owners: []string{"a"}}
+			now := testTime
+			shardMap := election.ShardMap{Epoch: 3, Leader: "a", Owners: []string{"a"}}
 			if tc.owner {
-				m.Owners = append(m.Owners, "me")
+				shardMap.Owners = append(shardMap.Owners, "me")
 			}
-			p := newTestOwner(t, m, 0, &fakeLinks{peers: map[string]peer.Status{"a": {Live: tc.live, HearingKnown: true, Hearing: tc.peer}}})
-			p.now = func() time.Time { return at }
-			p.Hearing()
+			status := peer.Status{Live: tc.live, HearingKnown: true, Hearing: tc.peer}
+			owner := newTestOwner(t, shardMap, 0, &fakeLinks{peers: map[string]peer.Status{"a": status}})
+			owner.now = func() time.Time { return now }
+			owner.Hearing()
 			for range tc.beats {
-				p.RecordRequest()
+				owner.RecordRequest()
 			}
-			at = at.Add(tc.quiet)
-			if got := p.IsIsolated(); got != tc.want {
-				t.Fatalf("deaf: %v", got)
+			now = now.Add(tc.silent)
+			if got := owner.IsIsolated(); got != tc.want {
+				t.Fatalf("isolated: %v", got)
 			}
-			if got, want := p.PeersHearNoWorkers(), tc.live && (tc.peer.Age > report || tc.quiet > 4*report || tc.quiet < 7*report/4); got != want {
+			want := tc.live && (tc.peer.Age > report || tc.silent > 4*report || tc.silent < 7*report/4)
+			if got := owner.PeersHearNoWorkers(); got != want {
 				t.Errorf("no peer hears a worker either: %v, want %v", got, want)
 			}
 			if !tc.want {
 				return
 			}
-			at = at.Add(lease - time.Second)
-			if !p.IsIsolated() {
-				t.Error("not believed for a lease")
+			now = now.Add(lease - time.Second)
+			if !owner.IsIsolated() {
+				t.Error("not isolated for a lease")
 			}
-			m.Epoch++ // its part is given back
-			at = at.Add(2 * time.Second)
-			p.Hearing()
-			at = at.Add(2 * report)
-			if got := p.IsIsolated(); got != tc.relapse {
-				t.Errorf("deaf again: %v", got)
+			shardMap.Epoch++ // its shard is given back
+			now = now.Add(2 * time.Second)
+			owner.Hearing()
+			now = now.Add(2 * report)
+			if got := owner.IsIsolated(); got != tc.relapse {
+				t.Errorf("isolated again: %v", got)
 			}
-			at = at.Add(2*lease - time.Second)
-			if !p.IsIsolated() {
-				t.Error("not believed for longer the second time")
+			now = now.Add(2*lease - time.Second)
+			if !owner.IsIsolated() {
+				t.Error("not isolated for longer the second time")
 			}
 		})
 	}
 }
 
-// A node behind the same cut as a zone's workers answers those of owners that are
-// out of reach, under a map whose leader reckons with it and not otherwise.
+// A controller behind the same cut as a zone's workers answers those of owners that are out
+// of reach, but only under a shard map whose leader allows for it.
 func TestSubstituteInOwnZone(t *testing.T) {
-	near := election.ShardMap{Epoch: 7, Leader: "other", Owners: []string{"me", "other"}, ZoneFallback: true}
-	old, without := near, near
+	fallback := election.ShardMap{Epoch: 7, Leader: "other", Owners: []string{"me", "other"}, ZoneFallback: true}
+	old, without := fallback, fallback
 	old.ZoneFallback, without.Owners = false, []string{"other"}
 	for _, tc := range []struct {
-		name  string
-		m     election.ShardMap
-		zone  string
-		stale time.Duration
-		live  bool
-		seen  uint64
-		fresh bool // it has just begun, and may have forgotten what users were told
-		epoch uint64
+		name     string
+		shardMap election.ShardMap
+		zone     string
+		stale    time.Duration // since the store answered
+		live     bool          // the owner can be reached
+		seen     uint64        // the worker's epoch
+		fresh    bool          // it has just started, and may have lost what users were told
+		epoch    uint64        // of the answer; 0: refused
 	}{
-		{"cut off with the worker's zone", near, "a", time.Minute, false, 7, false, 7},
-		{"and just begun", near, "a", time.Minute, false, 7, true, 0},
-		{"the owner can be reached", near, "a", time.Minute, true, 7, false, 0},
-		{"the state service answers: a new map will come", near, "a", 0, false, 7, false, 0},
-		{"another zone", near, "b", time.Minute, false, 7, false, 0},
+		{"cut off with the worker's zone", fallback, "a", time.Minute, false, 7, false, 7},
+		{"and just started", fallback, "a", time.Minute, false, 7, true, 0},
+		{"the owner can be reached", fallback, "a", time.Minute, true, 7, false, 0},
+		{"the store answers: a new map will come", fallback, "a", 0, false, 7, false, 0},
+		{"another zone", fallback, "b", time.Minute, false, 7, false, 0},
 		{"a leader of an earlier version", old, "a", time.Minute, false, 7, false, 0},
-		{"this node has no part any more", without, "a", time.Minute, false, 7, false, 0},
-		{"the worker knows a later map", near, "a", time.Minute, false, 8, false, 0},
+		{"this controller owns no shard any more", without, "a", time.Minute, false, 7, false, 0},
+		{"the worker knows a later map", fallback, "a", time.Minute, false, 8, false, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newTestOwner(t, tc.m, tc.stale, &fakeLinks{err: peer.ErrDown, peers: map[string]peer.Status{"other": {Live: tc.live}}})
-			p.config.Zone = "a"
+			links := &fakeLinks{err: peer.ErrDown, peers: map[string]peer.Status{"other": {Live: tc.live}}}
+			owner := newTestOwner(t, tc.shardMap, tc.stale, links)
+			owner.config.Zone = "a"
 			if !tc.fresh {
-				p.cancellations.AddComplete("")
+				owner.cancellations.AddComplete("")
 			}
-			host := "i-1"
-			for i := 0; tc.m.Owner(host) != "other"; i++ {
-				host += "x"
+			worker := "i-1"
+			for i := 0; tc.shardMap.Owner(worker) != "other"; i++ {
+				worker += "x"
 			}
-			out, err := p.Heartbeat(t.Context(), &wire.Heartbeat{Worker: host, Zone: tc.zone, Epoch: tc.seen}, fakeLeader{})
-			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) || len(out.Commands) > 0 {
-				t.Errorf("%+v, %v", out, err)
+			heartbeat := &wire.Heartbeat{Worker: worker, Zone: tc.zone, Epoch: tc.seen}
+			batch, err := owner.Heartbeat(t.Context(), heartbeat, fakeLeader{})
+			if batch.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) || len(batch.Commands) > 0 {
+				t.Errorf("%+v, %v", batch, err)
 			}
 		})
 	}
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -18,16 +18,14 @@
 
 var testTime = time.Unix(500, 0)
 
-// fakeLinks stands in for the links to other nodes.
+// fakeLinks are the links to the other controllers.
 type fakeLinks struct {
-	answer          peer.BeatAnswer
-	err             error
-	peers           map[string]peer.Status
-	askedController string
+	answer peer.BeatAnswer
+	err    error
+	peers  map[string]peer.Status
 }
 
-func (l *fakeLinks) Beat(_ context.Context, node string, _ *wire.Heartbeat) (peer.BeatAnswer, error) {
-	l.askedController = node
+func (l *fakeLinks) Beat(context.Context, string, *wire.Heartbeat) (peer.BeatAnswer, error) {
 	return l.answer, l.err
 }
 
@@ -37,129 +35,152 @@
 
 func (l *fakeLinks) Peers() map[string]peer.Status { return l.peers }
 
-// fakeLeader stands in for this node's own term.
+// fakeLeader is the leader runtime of this controller.
 type fakeLeader struct{ err error }
 
 func (l fakeLeader) Heartbeat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
 	return wire.CommandBatch{Epoch: 7}, nil, l.err
 }
 
-func newTestOwner(t *testing.T, shardMap election.ShardMap, sinceStoreAnswer time.Duration, l *fakeLinks) *Owner {
+func newTestOwner(t *testing.T, shardMap election.ShardMap, sinceStoreAnswer time.Duration, links *fakeLinks) *Owner {
 	t.Helper()
 	operator, err := settings.ParseOperator(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := &settings.Settings{Node: "me", Operator: operator, Facts: settings.Facts{Workers: settings.Workers{ReportS: 4, LeaseS: 40}}}
-	cancellations := cancellation.New(cancellation.Options{StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: func() time.Time { return testTime }})
-	p := New(config, func() election.ShardMap { return shardMap }, func() time.Duration { return sinceStoreAnswer }, cancellations, func() time.Time { return testTime })
-	p.SetPeerLinks(l)
-	return p
+	facts := settings.Facts{Workers: settings.Workers{ReportS: 4, LeaseS: 40}}
+	config := &settings.Settings{Node: "me", Operator: operator, Facts: facts}
+	now := func() time.Time { return testTime }
+	cancellations := cancellation.New(cancellation.Options{
+		StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: now,
+	})
+	owner := New(
+		config, func() election.ShardMap { return shardMap }, func() time.Duration { return sinceStoreAnswer },
+		cancellations, now,
+	)
+	owner.SetPeerLinks(links)
+	return owner
 }
 
+// A heartbeat is answered by the leader, through the owner of the worker's shard alone.
 func TestHeartbeat(t *testing.T) {
-	mine, theirs := []string{"me"}, []string{"other"}
+	mine := election.ShardMap{Epoch: 7, Leader: "me", Owners: []string{"me"}}
+	theirs := election.ShardMap{Epoch: 7, Leader: "me", Owners: []string{"other"}}
+	remote := election.ShardMap{Epoch: 7, Leader: "boss", Owners: []string{"me"}}
+	passedOn := peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}
 	for _, tc := range []struct {
-		name    string
-		m       election.ShardMap
-		seen    uint64 // the worker's epoch
-		links   fakeLinks
-		leader  fakeLeader
-		epoch   uint64 // of the answer; 0: refused
-		steward string
+		name     string
+		shardMap election.ShardMap
+		seen     uint64 // the worker's epoch
+		links    fakeLinks
+		leader   fakeLeader
+		epoch    uint64 // of the answer; 0: refused
+		redirect string
 	}{
-		{"the leader's own host", election.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, fakeLinks{}, fakeLeader{}, 7, ""},
-		{"the term is over", election.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 7, fakeLinks{}, fakeLeader{errors.New("no")}, 0, ""},
-		{"another's host", election.ShardMap{Epoch: 7, Leader: "me", Owners: theirs}, 7, fakeLinks{}, fakeLeader{}, 0, "other"},
+		{"the leader's own worker", mine, 7, fakeLinks{}, fakeLeader{}, 7, ""},
+		{"the term is over", mine, 7, fakeLinks{}, fakeLeader{errors.New("no")}, 0, ""},
+		{"another's worker", theirs, 7, fakeLinks{}, fakeLeader{}, 0, "other"},
 		{"no map yet", election.ShardMap{}, 0, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"a worker that knows more", election.ShardMap{Epoch: 7, Leader: "me", Owners: mine}, 8, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"passed on", election.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{answer: peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}}, fakeLeader{}, 9, ""},
-		{"the leader may not answer", election.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"the leader cannot be asked: the tasks run on", election.ShardMap{Epoch: 7, Leader: "boss", Owners: mine}, 7, fakeLinks{err: peer.ErrDown}, fakeLeader{}, 7, ""},
+		{"a worker that knows more", mine, 8, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"passed on", remote, 7, fakeLinks{answer: passedOn}, fakeLeader{}, 9, ""},
+		{"the leader may not answer", remote, 7, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"the leader cannot be asked: the tasks run on", remote, 7, fakeLinks{err: peer.ErrDown}, fakeLeader{}, 7, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newTestOwner(t, tc.m, 0, &tc.links)
-			out, err := p.Heartbeat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: tc.seen}, tc.leader)
-			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
-				t.Errorf("epoch %d, %v", out.Epoch, err)
+			owner := newTestOwner(t, tc.shardMap, 0, &tc.links)
+			batch, err := owner.Heartbeat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: tc.seen}, tc.leader)
+			if batch.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
+				t.Errorf("epoch %d, %v", batch.Epoch, err)
 			}
-			if e, ok := AsNotOwner(err); err != nil && (!ok || e.RedirectTarget != tc.steward) {
-				t.Errorf("sent to %v, want %q", err, tc.steward)
+			var notOwner *NotOwnerError
+			if err != nil && (!errors.As(err, &notOwner) || notOwner.RedirectTarget != tc.redirect) {
+				t.Errorf("sent to %v, want %q", err, tc.redirect)
 			}
-			if len(out.Commands) > 0 {
-				t.Error("orders of nobody's making")
+			if len(batch.Commands) > 0 {
+				t.Error("commands that nobody gave")
 			}
 		})
 	}
 }
 
-// In an outage of the state service tasks run on though nobody can lead; but a node that
-// forgot what users were told of, or is refused alone, answers nothing by itself.
+// In an outage of the store tasks run on though nobody can lead. But a controller that has
+// lost the cancellations that users were told of, or that is refused alone, answers nothing
+// by itself.
 func TestHeartbeatDuringStoreOutage(t *testing.T) {
-	no, yes := errors.New("no"), peer.Status{Live: true}
+	no, refused := errors.New("no"), peer.Status{Live: true}
 	served := map[string]peer.Status{"boss": {Live: true, Ping: peer.Ping{StateAge: 0}}}
-	yes.StateAge = time.Minute
-	down := map[string]peer.Status{"boss": yes}
+	refused.StateAge = time.Minute
+	down := map[string]peer.Status{"boss": refused}
 	for _, tc := range []struct {
-		name    string
-		leader  string
-		settled bool
-		links   fakeLinks
-		epoch   uint64
+		name   string
+		leader string
+		synced bool // its cancellations are
+		links  fakeLinks
+		epoch  uint64 // of the answer; 0: refused
 	}{
-		{"the leader gave up", "boss", true, fakeLinks{peers: down}, 7},
-		{"this node led, and gave up", "me", true, fakeLinks{peers: down}, 7},
+		{"the leader stepped down", "boss", true, fakeLinks{peers: down}, 7},
+		{"this controller led, and stepped down", "me", true, fakeLinks{peers: down}, 7},
 		{"the leader is out of reach", "boss", true, fakeLinks{err: peer.ErrDown}, 7},
 		{"refused alone", "boss", true, fakeLinks{peers: served}, 0},
 		{"refused alone, and led", "me", true, fakeLinks{peers: served}, 0},
-		{"just begun, the leader gave up", "boss", false, fakeLinks{peers: down}, 0},
-		{"just begun, the leader is out of reach", "boss", false, fakeLinks{err: peer.ErrDown}, 0},
+		{"just started, the leader stepped down", "boss", false, fakeLinks{peers: down}, 0},
+		{"just started, the leader is out of reach", "boss", false, fakeLinks{err: peer.ErrDown}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newTestOwner(t, election.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}, time.Minute, &tc.links)
-			if tc.settled {
-				p.cancellations.AddComplete("")
+			shardMap := election.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}
+			owner := newTestOwner(t, shardMap, time.Minute, &tc.links)
+			if tc.synced {
+				owner.cancellations.AddComplete("")
 			}
-			p.cancellations.Add("", "req-1")
-			out, err := p.Heartbeat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: 7, Tasks: []wire.TaskStatus{{Task: "req-1/0", Attempt: 2, Phase: wire.PhaseRunning}, {Task: "req-2/0", Attempt: 1, Phase: wire.PhaseRunning}}}, fakeLeader{no})
-			if out.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
-				t.Fatalf("epoch %d, %v", out.Epoch, err)
+			owner.cancellations.Add("", "req-1")
+			heartbeat := &wire.Heartbeat{Worker: "i-1", Epoch: 7, Tasks: []wire.TaskStatus{
+				{Task: "req-1/0", Attempt: 2, Phase: wire.PhaseRunning},
+				{Task: "req-2/0", Attempt: 1, Phase: wire.PhaseRunning},
+			}}
+			batch, err := owner.Heartbeat(t.Context(), heartbeat, fakeLeader{no})
+			if batch.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
+				t.Fatalf("epoch %d, %v", batch.Epoch, err)
 			}
-			if want := []wire.Command{{Action: wire.ActionStop, Task: "req-1/0", Attempt: 2}}; err == nil && !slices.Equal(out.Commands, want) {
-				t.Errorf("orders %v, want %v", out.Commands, want)
+			want := []wire.Command{{Action: wire.ActionStop, Task: "req-1/0", Attempt: 2}}
+			if err == nil && !slices.Equal(batch.Commands, want) {
+				t.Errorf("commands %v, want %v", batch.Commands, want)
 			}
 		})
 	}
 }
 
-// One node refused by the state service hands over; all refused sit it out.
+// A controller that the store refuses alone hands its shard over. If all are refused they
+// wait.
 func TestEligibleOwners(t *testing.T) {
-	status := func(age, since time.Duration, live bool) peer.Status {
-		return peer.Status{Ping: peer.Ping{StateAge: age}, Live: live, Since: testTime.Add(-since)}
+	// a is the one peer, with the time since the store answered it and since it is live.
+	a := func(age, since time.Duration, live bool) map[string]peer.Status {
+		status := peer.Status{Ping: peer.Ping{StateAge: age}, Live: live, Since: testTime.Add(-since)}
+		return map[string]peer.Status{"a": status}
 	}
+	both, alone := []string{"a", "me"}, []string{"me"}
 	for _, tc := range []struct {
-		name  string
-		stale time.Duration
-		peers map[string]peer.Status
-		have  []string
-		fit   []string
-		alone bool
+		name     string
+		stale    time.Duration // since the store answered
+		peers    map[string]peer.Status
+		current  []string
+		eligible []string
+		peerOnly bool // the store serves the peer only
 	}{
-		{"all is well", 0, map[string]peer.Status{"a": status(0, time.Hour, true)}, []string{"a", "me"}, []string{"a", "me"}, false},
-		{"a peer is refused", 0, map[string]peer.Status{"a": status(9*time.Second, time.Hour, true)}, []string{"a", "me"}, []string{"me"}, false},
-		{"only this node is", 9 * time.Second, map[string]peer.Status{"a": status(0, time.Hour, true)}, []string{"a", "me"}, []string{"a", "me"}, true},
-		{"all are: an outage", 9 * time.Second, map[string]peer.Status{"a": status(9*time.Second, time.Hour, true)}, []string{"a", "me"}, []string{"a", "me"}, false},
-		{"refused, and the peer is gone", 9 * time.Second, map[string]peer.Status{"a": status(0, time.Hour, false)}, []string{"a", "me"}, []string{"me"}, false},
-		{"a peer that just came waits", 0, map[string]peer.Status{"a": status(0, time.Second, true)}, []string{"me"}, []string{"me"}, false},
-		{"but not for a first map", 0, map[string]peer.Status{"a": status(0, time.Second, true)}, nil, []string{"a", "me"}, false},
+		{"all is well", 0, a(0, time.Hour, true), both, both, false},
+		{"a peer is refused", 0, a(9*time.Second, time.Hour, true), both, alone, false},
+		{"only this controller is", 9 * time.Second, a(0, time.Hour, true), both, both, true},
+		{"all are: an outage", 9 * time.Second, a(9*time.Second, time.Hour, true), both, both, false},
+		{"refused, and the peer is gone", 9 * time.Second, a(0, time.Hour, false), both, alone, false},
+		{"a peer that just came waits", 0, a(0, time.Second, true), alone, alone, false},
+		{"but not for a first map", 0, a(0, time.Second, true), nil, both, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := newTestOwner(t, election.ShardMap{}, tc.stale, &fakeLinks{peers: tc.peers})
-			if got := p.EligibleOwners(tc.have); !slices.Equal(got, tc.fit) {
-				t.Errorf("fit %v, want %v", got, tc.fit)
+			owner := newTestOwner(t, election.ShardMap{}, tc.stale, &fakeLinks{peers: tc.peers})
+			if got := owner.EligibleOwners(tc.current); !slices.Equal(got, tc.eligible) {
+				t.Errorf("eligible %v, want %v", got, tc.eligible)
 			}
-			if _, alone := p.StoreServesPeerOnly(); alone != tc.alone {
-				t.Errorf("alone: %v", alone)
+			if _, peerOnly := owner.StoreServesPeerOnly(); peerOnly != tc.peerOnly {
+				t.Errorf("the store serves the peer only: %v", peerOnly)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/shard/pick.go
@@ -0,0 +1,44 @@
+package shard
+
+import (
+	"context"
+
+	"rillflow/internal/agent"
+	"rillflow/internal/placement"
+)
+
+// finishesPerTrim is how many finished tasks are learned between two trims of the table.
+const finishesPerTrim = 256
+
+// Learn adds the run time of a finished task to the shard's placement table.
+func (o *Owner) Learn(sample agent.RuntimeSample) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	arm := placement.Arm{JobType: sample.JobType, InstanceType: sample.InstanceType}
+	o.table.Finish(arm, sample.Duration, o.now())
+	if o.finishes++; o.finishes%finishesPerTrim == 0 {
+		o.table.Trim(o.now())
+	}
+}
+
+// Pick has the owner of a shard pick tasks for offered capacity: this controller or a peer.
+func (o *Owner) Pick(ctx context.Context, controller string, offer placement.Offer) ([]placement.Pick, error) {
+	if controller == o.config.Node {
+		return o.PickLocal(offer), nil
+	}
+	return o.links.Pick(ctx, controller, &offer)
+}
+
+// PickLocal picks tasks for offered capacity of this controller's shard.
+func (o *Owner) PickLocal(offer placement.Offer) []placement.Pick {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.table.Choose(offer, o.tuning, o.now())
+}
+
+// Rates returns what the placement table has learned, for the status page.
+func (o *Owner) Rates() []placement.RateRow {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return o.table.Rates(o.now())
+}
