--- a/internal/access/access_test.go
+++ b/internal/access/access_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"rillflow/internal/identity"
-	"rillflow/internal/keyring"
+	"rillflow/internal/keyring/keyringtest"
 	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
 	"rillflow/internal/rights"
@@ -35,7 +35,7 @@
 	st := kvstore.New(kvstore.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e3, Limits: kvstore.Limits{WritesPerSecond: 1e3, MaxValueBytes: 2 << 10}, Timeout: time.Second, Dial: dial.DialContext})
 	set := &settings.Settings{Node: "host-0"}
 	set.Operator.Access = settings.Access{Identities: "on", Audit: "on", Trust: 1, Rules: rights.Rules{}}
-	d := New(set, st, keyring.Fresh(), slog.New(slog.DiscardHandler))
+	d := New(set, st, keyringtest.New(t), slog.New(slog.DiscardHandler))
 	refuse := func(n int) {
 		for range n {
 			d.refused(identity.Caller{}, rights.Request{Do: rights.Submit, Owner: "museum", Rank: "urgent"}, "req-1", "no rule allows it")
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -11,6 +11,7 @@
 	"pgregory.net/rapid"
 
 	"rillflow/internal/keyring"
+	"rillflow/internal/keyring/keyringtest"
 )
 
 var at = time.UnixMilli(1_764_600_000_123)
@@ -34,7 +35,7 @@
 }
 
 // check verifies a record from its beginning, and returns the first fault.
-func check(ring *keyring.Ring, blocks [][]byte) (error, *Verifier) {
+func check(ring *keyring.Ring, blocks [][]byte) (*Verifier, error) {
 	v := NewVerifier(ring, Head{})
 	var first error
 	for _, raw := range blocks {
@@ -42,12 +43,12 @@
 			first = err
 		}
 	}
-	return first, v
+	return v, first
 }
 
 // What is done to a record shows, by name.
 func TestTampering(t *testing.T) {
-	ring := keyring.Fresh()
+	ring := keyringtest.New(t)
 	whole := chain(t, ring, 8)
 	for _, tc := range []struct {
 		name   string
@@ -70,7 +71,7 @@
 		}, ErrLink, "block 5"},
 		{"one written without the key", func(b [][]byte) [][]byte {
 			o, _ := Open(b[3])
-			other, err := Make(keyring.Fresh(), o.Head(), 0, 2, "host-0", at, nil)
+			other, err := Make(keyringtest.New(t), o.Head(), 0, 2, "host-0", at, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -79,7 +80,7 @@
 		}, ErrSeal, "block 5"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			err, _ := check(ring, tc.tamper(slices.Clone(whole)))
+			_, err := check(ring, tc.tamper(slices.Clone(whole)))
 			if !errors.Is(err, tc.want) || err != nil && !bytes.Contains([]byte(err.Error()), []byte(tc.says)) {
 				t.Errorf("got %v, want %v, %q", err, tc.want, tc.says)
 			}
@@ -112,14 +113,14 @@
 		t.Fatal(err)
 	}
 	blocks = append(blocks, next.Raw)
-	if err, _ := check(ring, blocks); err != nil {
+	if _, err := check(ring, blocks); err != nil {
 		t.Fatalf("the rotation itself: %v", err)
 	}
 	added, err := Make(stolen, next.Head(), 0, 2, "host-0", at, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err, _ := check(ring, append(slices.Clone(blocks), added.Raw)); !errors.Is(err, ErrKeyBack) {
+	if _, err := check(ring, append(slices.Clone(blocks), added.Raw)); !errors.Is(err, ErrKeyBack) {
 		t.Errorf("added under the old key: %v", err)
 	}
 	forged, err := Make(stolen, Head{Seq: 2, Hash: last.Prev}, 0, 1, "host-0", at, []Entry{{At: at, Act: Done, On: "req-0"}})
@@ -127,16 +128,16 @@
 		t.Fatal(err)
 	}
 	blocks[2] = forged.Raw
-	if err, _ := check(ring, blocks); !errors.Is(err, ErrLink) {
+	if _, err := check(ring, blocks); !errors.Is(err, ErrLink) {
 		t.Errorf("the past written anew: %v", err)
 	}
 }
 
 // Every change of a single bit of a segment is found, and of every block of it too.
 func TestEveryBit(t *testing.T) {
-	ring := keyring.Fresh()
+	ring := keyringtest.New(t)
 	blocks := chain(t, ring, 3)
-	err, v := check(ring, blocks)
+	v, err := check(ring, blocks)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -163,7 +164,7 @@
 	}
 	for i := range len(blocks[1]) * 8 {
 		blocks[1][i/8] ^= 1 << (i % 8)
-		if err, _ := check(ring, blocks); err == nil {
+		if _, err := check(ring, blocks); err == nil {
 			t.Fatalf("bit %d of a block is not found", i)
 		}
 		blocks[1][i/8] ^= 1 << (i % 8)
@@ -172,7 +173,7 @@
 
 // A slip holds only where it was put.
 func TestSlip(t *testing.T) {
-	ring := keyring.Fresh()
+	ring := keyringtest.New(t)
 	s := Slip{Entries: []Entry{{At: at, Act: Withdrawn, Who: "ana", On: "req-1"}}}
 	raw, err := s.Encode(ring, "a/s/req-1")
 	if err != nil {
@@ -184,7 +185,7 @@
 	if _, err := OpenSlip(ring, "a/s/req-2", raw); !errors.Is(err, ErrSeal) {
 		t.Errorf("moved: %v", err)
 	}
-	if _, err := OpenSlip(keyring.Fresh(), "a/s/req-1", raw); err == nil {
+	if _, err := OpenSlip(keyringtest.New(t), "a/s/req-1", raw); err == nil {
 		t.Error("another's seal holds")
 	}
 }
@@ -237,7 +238,7 @@
 }
 
 func FuzzOpen(f *testing.F) {
-	ring := keyring.Fresh()
+	ring := keyringtest.New(f)
 	for _, b := range chain(f, ring, 2) {
 		f.Add(b)
 	}
@@ -254,9 +255,9 @@
 }
 
 func FuzzOpenSegment(f *testing.F) {
-	ring := keyring.Fresh()
+	ring := keyringtest.New(f)
 	blocks := chain(f, ring, 2)
-	_, v := check(ring, blocks)
+	v, _ := check(ring, blocks)
 	s := Segment{Last: v.Head(), Blocks: blocks}
 	raw, err := s.Encode(ring)
 	if err != nil {
@@ -273,7 +274,7 @@
 // BenchmarkVerify checks a million entries in blocks of 16; it reports their size and
 // pace.
 func BenchmarkVerify(b *testing.B) {
-	ring := keyring.Fresh()
+	ring := keyringtest.New(b)
 	var head Head
 	var blocks [][]byte
 	var entries []Entry
@@ -294,7 +295,7 @@
 	}
 	n := 0
 	for b.Loop() {
-		if err, _ := check(ring, blocks); err != nil {
+		if _, err := check(ring, blocks); err != nil {
 			b.Fatal(err)
 		}
 		n += len(blocks) * len(entries)
--- a/internal/audit/block.go
+++ b/internal/audit/block.go
@@ -76,7 +76,7 @@
 	sealLen  = keyring.Size
 )
 
-// ErrSeal: the seal does not hold.
+// ErrSeal says that a seal does not match what it seals.
 var ErrSeal = errors.New("audit: the seal does not hold")
 
 // Make seals a block that follows a head, under the ring's newest key, or the one given
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -135,8 +135,8 @@
 	return e.B
 }
 
-func (n *Entry) strings() [7]*string {
-	return [7]*string{&n.Who, &n.Via, &n.On, &n.For, &n.Why, &n.Owner, &n.Rank}
+func (e *Entry) strings() [7]*string {
+	return [7]*string{&e.Who, &e.Via, &e.On, &e.For, &e.Why, &e.Owner, &e.Rank}
 }
 
 func decode(b []byte) ([]Entry, error) {
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -113,7 +113,7 @@
 	return out, nil
 }
 
-// ErrSegments: segments do not join.
+// ErrSegments says that segments of an export do not join.
 var ErrSegments = errors.New("segments do not join")
 
 // Follow checks that a segment joins what a verifier has checked, and checks its
--- a/internal/audit/story.go
+++ b/internal/audit/story.go
@@ -2,7 +2,6 @@
 
 import (
 	"fmt"
-	"slices"
 )
 
 // Story is what a record tells of one job.
@@ -109,17 +108,6 @@
 	}
 }
 
-// Claims are the claims that stand at the end of the record, by task.
-func (s *Story) Claims() []Task {
-	var ts []Task
-	for i, t := range s.claims {
-		t.Index = i
-		ts = append(ts, t)
-	}
-	slices.SortFunc(ts, func(a, b Task) int { return a.Index - b.Index })
-	return ts
-}
-
 // Says gives an entry in a line, for people.
 func (e Entry) Says() string {
 	s := e.At.UTC().Format("2006-01-02 15:04:05.000") + "  " + e.Act.String()
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -27,7 +27,7 @@
 	Now     func() time.Time
 }
 
-// ErrChanged: somebody else changed the same identity; try again.
+// ErrChanged says that somebody else changed the same identity; try again.
 var ErrChanged = errors.New("identity: changed by somebody else meanwhile")
 
 // change is one record to be written, on condition that it is as it was read.
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"rillflow/internal/keyring"
+	"rillflow/internal/keyring/keyringtest"
 	"rillflow/internal/kvstore"
 	"rillflow/internal/wire"
 )
@@ -56,7 +56,7 @@
 }
 
 func TestTokens(t *testing.T) {
-	ring, now := keyring.Fresh(), time.Unix(1_764_600_000, 0)
+	ring, now := keyringtest.New(t), time.Unix(1_764_600_000, 0)
 	st := &shelf{m: make(map[string]wire.KeyValue)}
 	admin := &Admin{Store: st, Ring: ring, By: "test", Now: func() time.Time { return now }}
 	issue := func(name string, life time.Duration) string {
@@ -112,7 +112,7 @@
 }
 
 func FuzzCheck(f *testing.F) {
-	ring := keyring.Fresh()
+	ring := keyringtest.New(f)
 	token, id, tok, err := Issue(ring, "ana", time.Unix(0, 0), time.Unix(1<<40, 0))
 	if err != nil {
 		f.Fatal(err)
@@ -133,7 +133,7 @@
 // What was checked by an old copy is not done once the token is withdrawn: its guards
 // no longer hold.
 func TestGuardsOutliveTheCopy(t *testing.T) {
-	ring, now := keyring.Fresh(), time.Unix(1_764_600_000, 0)
+	ring, now := keyringtest.New(t), time.Unix(1_764_600_000, 0)
 	st := &shelf{m: make(map[string]wire.KeyValue)}
 	admin := &Admin{Store: st, Ring: ring, Now: func() time.Time { return now }}
 	st.lose = 1 // the answer is lost: the token that is shown is the one that is stored
--- a/internal/intake/check.go
+++ b/internal/intake/check.go
@@ -191,7 +191,7 @@
 	return j, errors.Join(errs...)
 }
 
-// ErrUndecided: it cannot be told yet whether a job could run.
+// ErrUndecided says that it cannot be told yet whether a job could run.
 var ErrUndecided = errors.New("machine types are not known yet")
 
 // Runnable tells why a job can never run, if so.
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -81,13 +81,6 @@
 	return r, nil
 }
 
-// Fresh is a ring of one new key that is in no file.
-func Fresh() *Ring {
-	r := &Ring{now: time.Now, made: make(map[derived][Size]byte)}
-	r.keys = append(r.keys, newKey(1))
-	return r
-}
-
 // newKey draws a key. The random reader of the runtime never fails.
 func newKey(id uint32) key {
 	k := key{id: id}
--- /dev/null
+++ b/internal/keyring/keyringtest/keyringtest.go
@@ -0,0 +1,24 @@
+// Package keyringtest makes keyrings for tests. It owns no state, and only test
+// files may import it.
+package keyringtest
+
+import (
+	"path/filepath"
+	"testing"
+
+	"rillflow/internal/keyring"
+)
+
+// New returns a ring with one new key, from a file that goes with the test.
+func New(tb testing.TB) *keyring.Ring {
+	tb.Helper()
+	path := filepath.Join(tb.TempDir(), "keys")
+	if err := keyring.Init(path); err != nil {
+		tb.Fatal(err)
+	}
+	ring, err := keyring.Load(path)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	return ring
+}
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -105,7 +105,7 @@
 	case !named && slices.Contains([]string{Anonymous, "anyone", "known"}, kind):
 	case named && name != "" && slices.Contains([]string{Person, Service, "team", "role"}, kind):
 	default:
-		return fmt.Errorf("who: %q is none of anonymous, anyone, known, person:, service:, team:, role:", r.Who)
+		return fmt.Errorf("who: %q is none of anonymous, anyone, known, person:NAME, service:NAME, team:NAME or role:NAME", r.Who)
 	}
 	if r.Do == "" {
 		return errors.New("do: missing")
