--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -49,7 +49,7 @@
 					})
 				}
 				b.StartTimer()
-				r.scheduler.schedulingPass(b.Context())
+				r.scheduler.pass(b.Context())
 				b.StopTimer()
 				if n := len(r.jobs.ClaimedWorkers()); n < hosts {
 					b.Fatalf("%d of %d hosts have tasks", n, hosts)
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -132,7 +132,7 @@
 // round. Half of the time left is counted on: run times are estimates, and the
 // longest task of a job ends it.
 func (a *autoscaler) requiredConcurrency(job *ledger.Job, now time.Time) float64 {
-	if remaining := a.scheduler.secondsToDeadline(job, now); remaining > 2*job.Spec.ExpectedSeconds {
+	if remaining := a.scheduler.ranking.secondsToDeadline(job, now); remaining > 2*job.Spec.ExpectedSeconds {
 		return 2 * job.Spec.ExpectedSeconds / remaining
 	}
 	return 1
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -72,12 +72,12 @@
 	chain := leader.addTestJob("req-1", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
 	other := leader.addTestJob("req-2", wire.Job{Team: "t", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
 	leader.addTestJob("req-3", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"}})
-	if leader.scheduler.tier(chain) >= leader.scheduler.tier(other) {
+	if leader.scheduler.ranking.tier(chain) >= leader.scheduler.ranking.tier(other) {
 		t.Error("the chain does not go first within its guarantee")
 	}
 	leader.runTestTask(t, chain, "h0", time.Second)
 	leader.runTestTask(t, chain, "h0", time.Second) // 4 of 4 guaranteed CPUs
-	if leader.scheduler.tier(chain) <= leader.scheduler.tier(other) {
+	if leader.scheduler.ranking.tier(chain) <= leader.scheduler.ranking.tier(other) {
 		t.Error("beyond its guarantee the chain goes before one within its own")
 	}
 }
@@ -99,7 +99,7 @@
 	if qs := leader.scheduler.waitingQueues(at); qs[0].unfinished != 51 {
 		t.Errorf("%d unfinished once ready", qs[0].unfinished)
 	}
-	if w := leader.scheduler.objectiveDeadline(0, leader.jobs.Job("req-2")); !w.IsZero() {
+	if w := leader.scheduler.ranking.objectiveDeadline(0, leader.jobs.Job("req-2")); !w.IsZero() {
 		t.Errorf("wanted by %v", w)
 	}
 }
@@ -110,10 +110,10 @@
 	job := leader.addTestJob("req-2", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 1, DependsOn: []string{"req-1"}})
 	at := now.Add(5 * time.Minute)
 	leader.jobs.ResolveDependency("req-1", true, at)
-	if w := leader.scheduler.objectiveDeadline(0, job); !w.Equal(at.Add(time.Minute)) {
+	if w := leader.scheduler.ranking.objectiveDeadline(0, job); !w.Equal(at.Add(time.Minute)) {
 		t.Errorf("wanted %v after it was ready", w.Sub(at))
 	}
-	if u := leader.scheduler.deadlineSlack(job, at.Add(10*time.Second)); u.missed != 0 {
+	if u := leader.scheduler.ranking.deadlineSlack(job, at.Add(10*time.Second)); u.missed != 0 {
 		t.Errorf("late by %d stages", u.missed)
 	}
 }
@@ -149,7 +149,7 @@
 			}
 			leader.addTestJob("req-2", last)
 			look := newCandidateIndex(leader.scheduler.candidates(now))
-			if w := leader.scheduler.describeJob(job, look, now); w.AllowSpot == tc.firm || w.Tasks != tc.now || look.moreWaiting != (tc.now < tc.tasks) {
+			if w := leader.scheduler.offers.describeJob(job, look, now); w.AllowSpot == tc.firm || w.Tasks != tc.now || look.moreWaiting != (tc.now < tc.tasks) {
 				t.Errorf("%d tasks, spot machines allowed: %v, more: %v", w.Tasks, w.AllowSpot, look.moreWaiting)
 			}
 		})
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -3,15 +3,14 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
 	"rillflow/internal/ledger"
-	"rillflow/internal/wire"
 )
 
-// placeGangs starts every gang for whose waiting tasks there is room now, all of
-// them or none.
-func (s *scheduler) placeGangs(queues []*typeQueue, candidates []*candidate, now time.Time) int {
+// placeGangs claims for every gang whose waiting tasks all fit now, each gang whole or not at
+// all, and returns the number of tasks claimed. The leader does so itself, since a shard
+// owner sees only its own workers.
+func (s *scheduler) placeGangs(queues []*typeQueue, candidates []*candidate) int {
 	var gangs []*ledger.Job
 	for _, queue := range queues {
 		for _, job := range queue.jobs {
@@ -21,11 +20,15 @@
 		}
 	}
 	slices.SortFunc(gangs, func(a, b *ledger.Job) int {
-		return cmp.Or(cmp.Compare(s.tier(a), s.tier(b)), a.ReadyAt.Compare(b.ReadyAt), cmp.Compare(a.Ref, b.Ref))
+		return cmp.Or(
+			cmp.Compare(s.ranking.tier(a), s.ranking.tier(b)),
+			a.ReadyAt.Compare(b.ReadyAt),
+			cmp.Compare(a.Ref, b.Ref),
+		)
 	})
 	claimed := 0
 	for _, job := range gangs {
-		for _, target := range s.assembleGang(job, candidates) {
+		for _, target := range assembleGang(job, candidates) {
 			if s.claimTask(target, job) {
 				claimed++
 			}
@@ -34,130 +37,50 @@
 	return claimed
 }
 
-// assembleGang finds a room for each waiting task of a gang, or returns nil.
-func (s *scheduler) assembleGang(job *ledger.Job, candidates []*candidate) []*candidate {
+// assembleGang finds a candidate for each waiting task of a gang, those with the image first,
+// or returns nil if not all fit. It changes no candidate.
+func assembleGang(job *ledger.Job, candidates []*candidate) []*candidate {
 	needed := job.WaitingTasks()
 	ordered := slices.Clone(candidates)
-	slices.SortStableFunc(ordered, func(a, b *candidate) int { return cmp.Compare(a.pullSeconds(job), b.pullSeconds(job)) })
+	slices.SortStableFunc(ordered, func(a, b *candidate) int {
+		return cmp.Compare(a.pullSeconds(job), b.pullSeconds(job))
+	})
 	for _, zone := range zonesToTry(job, ordered) {
-		placedInZone := make(map[string]int)
-		var places []*candidate
-		for _, target := range ordered {
-			if zone != "" && target.worker.Zone != zone || !target.fits(job) {
-				continue
-			}
-			remaining := *target
-			for len(places) < needed && remaining.fits(job) && (!job.Spec.SpreadZones || placedInZone[target.worker.Zone] < (job.Spec.TaskCount+1)/2) {
-				places = append(places, target)
-				placedInZone[target.worker.Zone]++
-				remaining.cpus -= job.Spec.CPUs
-				remaining.gpus -= job.Spec.GPUs
-				remaining.memoryGB -= job.Spec.MemoryGB
-			}
-		}
-		if len(places) == needed {
-			return places
+		if targets := assembleInZone(job, ordered, zone, needed); len(targets) == needed {
+			return targets
 		}
 	}
 	return nil
 }
 
-// zonesToTry are the zones to try one after the other, or "" for all at once.
-func zonesToTry(job *ledger.Job, candidates []*candidate) []string {
-	if !job.Spec.SingleZone {
-		return []string{""}
+// assembleInZone finds candidates in a zone, or in all if zone is empty, for up to the needed
+// number of a gang's tasks, where a gang that spreads has no more than half in one zone.
+func assembleInZone(job *ledger.Job, candidates []*candidate, zone string, needed int) []*candidate {
+	maxPerZone := needed
+	if job.Spec.SpreadZones {
+		maxPerZone = (job.Spec.TaskCount + 1) / 2
 	}
-	var zones []string
+	placedInZone := make(map[string]int)
+	var targets []*candidate
 	for _, target := range candidates {
-		if !slices.Contains(zones, target.worker.Zone) {
-			zones = append(zones, target.worker.Zone)
-		}
-	}
-	return zones
-}
-
-// reserveCapacity keeps rooms for the oldest job past the set wait that fits nowhere, so
-// that large tasks and gangs are not starved by small ones: as what runs there
-// ends, the room adds up until they fit.
-func (s *scheduler) reserveCapacity(queues []*typeQueue, candidates []*candidate, now time.Time) {
-	agingThreshold := s.agingThreshold()
-	var oldest *ledger.Job
-	for _, queue := range queues {
-		for _, job := range queue.jobs {
-			if now.Sub(job.WaitingSince) < agingThreshold || oldest != nil && !job.WaitingSince.Before(oldest.WaitingSince) {
-				continue
-			}
-			if job.IsGang() && s.jobs.CanClaimGang(job) || !job.IsGang() && s.lacksCapacity(job, candidates) {
-				oldest = job
-			}
-		}
-	}
-	if oldest == nil {
-		return
-	}
-	needed := 1
-	if oldest.IsGang() {
-		needed = oldest.WaitingTasks()
-	}
-	ordered := slices.DeleteFunc(slices.Clone(candidates), func(target *candidate) bool {
-		return !target.fitsWhenEmpty(oldest) || !oldest.IsGang() && s.jobs.CheckClaim(oldest, target.worker.Zone) != nil
-	})
-	// The freest machines first: they come free soonest.
-	slices.SortStableFunc(ordered, func(a, b *candidate) int { return -cmp.Compare(a.cpus, b.cpus) })
-	for _, zone := range zonesToTry(oldest, ordered) {
-		var reserved []*candidate
-		slots := 0
-		for _, target := range ordered {
-			if slots < needed && (zone == "" || target.worker.Zone == zone) {
-				reserved = append(reserved, target)
-				slots += target.slotsWhenEmpty(oldest)
-			}
-		}
-		if slots >= needed {
-			for _, target := range reserved {
-				target.reservedFor = oldest
-			}
-			return
-		}
-	}
-}
-
-// lacksCapacity tells whether the job's next task fits no room, though it would fit
-// some machine and is within its limits.
-func (s *scheduler) lacksCapacity(job *ledger.Job, candidates []*candidate) bool {
-	fitsSomewhere := false
-	for _, target := range candidates {
-		if s.jobs.CheckClaim(job, target.worker.Zone) != nil {
+		if zone != "" && target.worker.Zone != zone || !target.fits(job) {
 			continue
 		}
-		if target.fits(job) {
-			return false
+		remaining := *target
+		for len(targets) < needed && remaining.fits(job) && placedInZone[target.worker.Zone] < maxPerZone {
+			targets = append(targets, target)
+			placedInZone[target.worker.Zone]++
+			remaining.allocate(job)
 		}
-		fitsSomewhere = fitsSomewhere || target.fitsWhenEmpty(job)
 	}
-	return fitsSomewhere
+	return targets
 }
 
-// slotsWhenEmpty is how many tasks of a job the machine holds when empty.
-func (c *candidate) slotsWhenEmpty(job *ledger.Job) int {
-	return slotsIn(&job.Spec, c.instanceType.CPUs, c.instanceType.GPUs, c.instanceType.MemoryGB)
-}
-
-// slotsIn is how many tasks of a job fit an amount.
-func slotsIn(spec *wire.Job, cpus, gpus, memoryGB float64) int {
-	count := spec.TaskCount
-	for _, amount := range [][2]float64{{cpus, spec.CPUs}, {gpus, spec.GPUs}, {memoryGB, spec.MemoryGB}} {
-		if amount[1] > 0 {
-			count = min(count, int((amount[0]+roundingTolerance)/amount[1]))
-		}
-	}
-	return count
-}
-
-// pullSeconds is how long the machine would fetch the job's image, in seconds.
-func (c *candidate) pullSeconds(job *ledger.Job) float64 {
-	if c.instanceType.ImagePullGBPerSecond <= 0 || c.worker.HasImage(job.Spec.Image) {
-		return 0
+// zonesToTry are the zones to try one after the other for a job that is to be in a single
+// zone, or "" for all zones at once.
+func zonesToTry(job *ledger.Job, candidates []*candidate) []string {
+	if !job.Spec.SingleZone {
+		return []string{""}
 	}
-	return job.Spec.ImageGB / c.instanceType.ImagePullGBPerSecond
+	return zonesOf(candidates)
 }
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -8,68 +8,97 @@
 	"rillflow/internal/ledger"
 )
 
-// preempt stops tasks of lower rank for waiting ones that found no room. The
-// ones stopped are those that lose the least work, and never one that is about
-// to finish by itself.
-func (s *scheduler) preempt(queues []*typeQueue, now time.Time) {
+// preemptor stops tasks of lower priority for waiting jobs of a higher one.
+//
+// The scheduling pass calls preempt, with mu held, after it confirmed all picks. It marks claims
+// as stopping and must not free them: their capacity counts as used until a heartbeat proves
+// that the task has ended.
+type preemptor struct {
+	*termScope
+	dependencies *dependencies
+	ranking      *jobRanking
+	scheduler    *scheduler
+}
+
+const (
+	// preemptionWaitsPerHeartbeat is the heartbeat interval over the time that a job waits
+	// before it preempts, in which it would have got capacity that is free.
+	preemptionWaitsPerHeartbeat = 16
+	// preemptionsPerHeartbeat is the heartbeat interval over the time between two preemptions
+	// for a job. Once tasks are stopped, their capacity comes free within a moment; the time
+	// is for it to be taken before more are stopped.
+	preemptionsPerHeartbeat = 2
+	// preemptionPullWeight is what a second of pulling the image for the waiting task costs, in
+	// seconds of work lost.
+	preemptionPullWeight = 4
+)
+
+// preempt stops tasks of lower priority for waiting ones that found no free capacity: those that
+// lose the least work, and never one that is about to finish by itself. The stop is only
+// decided here; the commander sends it, and the capacity comes free once it is proved.
+func (p *preemptor) preempt(queues []*typeQueue, now time.Time) {
 	var candidates []*candidate
 	for _, queue := range queues {
 		for _, job := range queue.jobs {
-			if s.dependencies.effectivePriority(job) >= priorityLevel("standard") || job.WaitingTasks() == 0 || job.IsGang() ||
-				now.Sub(job.WaitingSince) < s.settings.Report()/16 || now.Before(job.NextPreemptionAt) {
+			if !p.mayPreempt(job, now) {
 				continue
 			}
-			// Once stopped, the tasks' room comes free within a moment; give
-			// it time to be taken before more are stopped for this job.
-			job.NextPreemptionAt = now.Add(s.settings.Report() / 2)
+			job.NextPreemptionAt = now.Add(p.settings.Report() / preemptionsPerHeartbeat)
 			if candidates == nil {
-				candidates = s.candidates(now)
-			}
-			preemptedInZone := make(map[string]int)
-			for range min(job.WaitingTasks(), s.jobs.QuotaHeadroom(job)) {
-				target, victim := s.selectVictim(job, candidates, preemptedInZone, now)
-				if victim == nil {
-					break
-				}
-				preemptedInZone[target.worker.Zone]++
-				victim.Stopping = true
-				s.auditLog.enqueueTask(now, audit.Stopped, victim, fmt.Sprintf("rank %s gives way to %s", priorityName(s.dependencies.effectivePriority(victim.Job)), priorityName(s.dependencies.effectivePriority(job))), job.Ref)
-				target.worker.WakeSender()
-				s.log.Info("preempted", "task", victim.Task(), "host", target.worker.Name, "for", job.Ref)
+				candidates = p.scheduler.candidates(now)
 			}
+			p.preemptFor(job, candidates, now)
+		}
+	}
+}
+
+// mayPreempt reports whether others may be stopped for a job now.
+func (p *preemptor) mayPreempt(job *ledger.Job, now time.Time) bool {
+	return p.dependencies.effectivePriority(job) < standardPriority && job.WaitingTasks() > 0 && !job.IsGang() &&
+		now.Sub(job.WaitingSince) >= p.settings.Report()/preemptionWaitsPerHeartbeat && !now.Before(job.NextPreemptionAt)
+}
+
+// preemptFor stops a task for each waiting task of a job for which one may be.
+func (p *preemptor) preemptFor(job *ledger.Job, candidates []*candidate, now time.Time) {
+	preemptedInZone := make(map[string]int)
+	for range min(job.WaitingTasks(), p.jobs.QuotaHeadroom(job)) {
+		target, victim := p.selectVictim(job, candidates, preemptedInZone, now)
+		if victim == nil {
+			return
 		}
+		preemptedInZone[target.worker.Zone]++
+		victim.Stopping = true
+		reason := fmt.Sprintf("rank %s gives way to %s",
+			priorityName(p.dependencies.effectivePriority(victim.Job)), priorityName(p.dependencies.effectivePriority(job)))
+		p.auditLog.enqueueTask(now, audit.Stopped, victim, reason, job.Ref)
+		target.worker.WakeSender()
+		p.log.Info("task preempted", "task", victim.Task(), "worker", target.worker.Name, "job", job.Ref)
 	}
 }
 
-// selectVictim finds the task whose stop makes room for a job's task at the least
-// cost: seconds of work lost, and of fetching the image there.
-func (s *scheduler) selectVictim(job *ledger.Job, candidates []*candidate, preemptedInZone map[string]int, now time.Time) (*candidate, *ledger.Claim) {
+// selectVictim finds the task whose stop makes room for a task of a job at the least cost, with
+// its worker, or returns nil. preemptedInZone counts the tasks stopped for the job already.
+func (p *preemptor) selectVictim(
+	job *ledger.Job, candidates []*candidate, preemptedInZone map[string]int, now time.Time,
+) (*candidate, *ledger.Claim) {
 	var bestTarget *candidate
 	var bestClaim *ledger.Claim
 	lowestCost := 0.0
-	tier := s.tier(job)
+	priority, tier := p.dependencies.effectivePriority(job), p.ranking.tier(job)
 	for _, target := range candidates {
-		if !target.fitsWhenEmpty(job) || s.jobs.ZoneHeadroom(job, target.worker.Zone) <= preemptedInZone[target.worker.Zone] {
+		zone := target.worker.Zone
+		if !target.fitsWhenEmpty(job) || p.jobs.ZoneHeadroom(job, zone) <= preemptedInZone[zone] {
 			continue
 		}
-		for _, claim := range s.jobs.ClaimsOnWorker(target.worker.Name) {
-			spec := &claim.Job.Spec
-			if claim.Finished || claim.Stopping || !claim.Committed || claim.Job.Cancelled || claim.Job.IsGang() ||
-				s.dependencies.effectivePriority(claim.Job) <= s.dependencies.effectivePriority(job) || s.tier(claim.Job) <= tier ||
-				!fitsWithin(&job.Spec, target.cpus+spec.CPUs, target.gpus+spec.GPUs, target.memoryGB+spec.MemoryGB) {
+		for _, claim := range p.jobs.ClaimsOnWorker(target.worker.Name) {
+			if !p.givesWay(claim, priority, tier) || !target.free.plus(&claim.Job.Spec).fit(&job.Spec) {
 				continue
 			}
-			lostSeconds := 0.0
-			if !claim.RunningSince.IsZero() {
-				lostSeconds = now.Sub(claim.RunningSince).Seconds()
-			}
-			if spec.ExpectedSeconds > 0 && lostSeconds > spec.ExpectedSeconds-s.settings.Facts.Workers.ReportS && lostSeconds < spec.ExpectedSeconds+s.settings.Facts.Workers.ReportS {
-				continue // about to finish
-			}
-			if spec.CheckpointIntervalSeconds > 0 {
-				lostSeconds = min(lostSeconds, spec.CheckpointSaveSeconds)
+			ran := runningTime(claim, now)
+			if p.aboutToFinish(claim, ran) {
+				continue
 			}
-			cost := lostSeconds + 4*target.pullSeconds(job)
+			cost := lostWork(claim, ran) + preemptionPullWeight*target.pullSeconds(job)
 			if bestClaim == nil || cost < lowestCost {
 				bestTarget, bestClaim, lowestCost = target, claim, cost
 			}
@@ -77,3 +106,34 @@
 	}
 	return bestTarget, bestClaim
 }
+
+// givesWay reports whether a claim's task may be stopped for a job of a priority and tier: its
+// claim is durable, it is not ending anyway, and it stands behind by priority and by tier.
+func (p *preemptor) givesWay(claim *ledger.Claim, priority, tier int) bool {
+	return !claim.Finished && !claim.Stopping && claim.Committed && !claim.Job.Cancelled && !claim.Job.IsGang() &&
+		p.dependencies.effectivePriority(claim.Job) > priority && p.ranking.tier(claim.Job) > tier
+}
+
+// runningTime is for how many seconds a claim's task has been running.
+func runningTime(claim *ledger.Claim, now time.Time) float64 {
+	if claim.RunningSince.IsZero() {
+		return 0
+	}
+	return now.Sub(claim.RunningSince).Seconds()
+}
+
+// aboutToFinish reports whether a task that ran for some seconds is expected to finish within a
+// heartbeat interval, or should have within the last.
+func (p *preemptor) aboutToFinish(claim *ledger.Claim, ran float64) bool {
+	expected, heartbeat := claim.Job.Spec.ExpectedSeconds, p.settings.Facts.Workers.ReportS
+	return expected > 0 && ran > expected-heartbeat && ran < expected+heartbeat
+}
+
+// lostWork is how many seconds of work are lost when a task that ran for some seconds is
+// stopped: no more than saving a checkpoint takes, where it has checkpoints.
+func lostWork(claim *ledger.Claim, ran float64) float64 {
+	if claim.Job.Spec.CheckpointIntervalSeconds > 0 {
+		return min(ran, claim.Job.Spec.CheckpointSaveSeconds)
+	}
+	return ran
+}
--- a/internal/leader/scheduler_test.go
+++ b/internal/leader/scheduler_test.go
@@ -42,7 +42,7 @@
 				leader.runTestTask(t, arrayJob, fmt.Sprint("h", i), ran)
 			}
 			got := ""
-			if target, victim := leader.scheduler.selectVictim(serviceJob, leader.scheduler.candidates(now), map[string]int{}, now); victim != nil {
+			if target, victim := leader.scheduler.preemptor.selectVictim(serviceJob, leader.scheduler.candidates(now), map[string]int{}, now); victim != nil {
 				got = target.worker.Name
 			}
 			if got != tc.want {
@@ -69,7 +69,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
 			tc.job.TaskCount, tc.job.CPUs = 2, 3
-			slack := leader.scheduler.deadlineSlack(leader.addTestJob("req-1", tc.job), now.Add(tc.after))
+			slack := leader.scheduler.ranking.deadlineSlack(leader.addTestJob("req-1", tc.job), now.Add(tc.after))
 			if slack.missed != tc.stage || slack.work != 2*3*20 {
 				t.Errorf("got %+v, want stage %d", slack, tc.stage)
 			}
@@ -104,7 +104,7 @@
 			second := leader.addTestJob("req-2", spec)
 			first.ReadyAt, second.ReadyAt = now.Add(-tc.first), now.Add(-tc.second)
 			jobs := []*ledger.Job{second, first}
-			leader.scheduler.orderJobs(jobs, now)
+			leader.scheduler.ranking.orderJobs(jobs, now)
 			if got := jobs[0] == first; got != tc.want {
 				t.Errorf("the first goes first: %v", got)
 			}
@@ -146,7 +146,7 @@
 				first.WaitingSince = now.Add(-tc.lost)
 			}
 			jobs := []*ledger.Job{second, first}
-			leader.scheduler.orderJobs(jobs, now)
+			leader.scheduler.ranking.orderJobs(jobs, now)
 			if got := jobs[0] == first; got != tc.want {
 				t.Errorf("the first goes first: %v", got)
 			}
@@ -178,7 +178,7 @@
 			early := leader.addTestJob("req-9", wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", TaskCount: 1, CPUs: 1, ExpectedSeconds: 20})
 			early.SubmittedAt, early.ReadyAt = at, at
 			jobs = append(jobs, early)
-			leader.scheduler.orderJobs(jobs, at)
+			leader.scheduler.ranking.orderJobs(jobs, at)
 			for i, j := range jobs {
 				first := tc.tasks[len(tc.tasks)-1-min(i, len(tc.tasks)-1)]
 				if i < tc.last && j.Spec.TaskCount != first || i == tc.last && j != early {
@@ -213,7 +213,7 @@
 	for _, target := range candidates {
 		if target.reservedFor == large {
 			reserved++
-			if target.cpus != 2 {
+			if target.free.cpus != 2 {
 				t.Error("a fuller machine is held while one has room")
 			}
 		}
--- a/internal/leader/starvation.go
+++ b/internal/leader/starvation.go
@@ -8,68 +8,79 @@
 	"rillflow/internal/wire"
 )
 
-// Within a type, arrays go by the times that their users named and by the least work, which
-// serves the most of them; but the largest would wait for as long as small ones keep coming.
-// So those of which nothing has begun after a good wait age share the rooms with the rest:
-// each side is given as much work as the other, on theirs the oldest first. One that waits
-// for much longer is as good as lost in that overload, and is left to the rest.
+// Starvation avoidance. Within a type, arrays go by their deadlines and by the least work,
+// which serves the most of them; but the largest would wait for as long as small ones keep
+// coming. So the arrays of which nothing has begun after a good aging threshold share the
+// workers with the rest, as in deficit round robin: each side is given as much work as the
+// other, on the starved side the longest waiting first. An array that waits for much longer
+// still is as good as lost in that overload, and is left to the rest.
 const (
-	starvedFromRatio  = 1.4 // from which wait on, as a ratio to the wait age
-	starvedUntilRatio = 2.1 // and until which
+	starvedFromRatio  = 1.4 // the wait, as a ratio to the aging threshold, from which an array is starved
+	starvedUntilRatio = 2.1 // and until which it is
 )
 
-// agingThreshold is from when on what waits goes first among types.
-func (s *scheduler) agingThreshold() time.Duration {
-	return time.Duration(s.settings.Operator.Placement.WaitAge * float64(s.settings.Lease()))
+// agingThreshold is from which wait on a job goes first among the types.
+func (r *jobRanking) agingThreshold() time.Duration {
+	return time.Duration(r.settings.Operator.Placement.WaitAge * float64(r.settings.Lease()))
 }
 
-// isStarved tells whether an array has waited for so long, with nothing of it begun, that it
-// has a share of its own.
-func (s *scheduler) isStarved(job *ledger.Job, now time.Time) bool {
-	waitRatio := float64(now.Sub(job.WaitingSince)) / float64(s.agingThreshold())
-	return job.Spec.Kind != wire.KindService && job.ClaimedTasks() == 0 && job.DoneTasks() == 0 && waitRatio > starvedFromRatio && waitRatio < starvedUntilRatio
+// isStarved reports whether an array has waited for so long, with nothing of it begun, that
+// it has a share of its own.
+func isStarved(job *ledger.Job, agingThreshold time.Duration, now time.Time) bool {
+	waitRatio := float64(now.Sub(job.WaitingSince)) / float64(agingThreshold)
+	return job.Spec.Kind != wire.KindService && job.ClaimedTasks() == 0 && job.DoneTasks() == 0 &&
+		waitRatio > starvedFromRatio && waitRatio < starvedUntilRatio
 }
 
-// deficitCounter is the work, in core-seconds, that starved arrays of a type were given less the
-// work that others were, while both waited.
-type deficitCounter struct {
-	surplus     float64
-	starvedJobs map[string]bool // jobs that are
+// starvationTracker keeps the deficits between starved arrays and the others, by job type. The
+// scheduler owns it, under the term's lock; the zero value is ready to use.
+type starvationTracker struct {
+	deficits map[string]*deficit // only of types with a starved array
 }
 
-// shareWithStarved lets starved arrays go first only while they were given no more than the others.
-func (s *scheduler) shareWithStarved(entries []orderedJob) {
+// deficit is what starved arrays of a type were given beyond the others.
+type deficit struct {
+	surplus     float64         // CPU-seconds given to starved arrays less those given to others
+	starvedJobs map[string]bool // by job, as of the last ordering
+}
+
+// share lets the starved jobs of a type's ordering go first only while they were given no
+// more work than the others. It forgets the deficit of a type with no starved job.
+func (tracker *starvationTracker) share(entries []orderedJob) {
 	if len(entries) == 0 {
 		return
 	}
 	jobType := entries[0].job.PlacementType
 	if !slices.ContainsFunc(entries, func(entry orderedJob) bool { return entry.starved }) {
-		delete(s.deficits, jobType)
+		delete(tracker.deficits, jobType)
 		return
 	}
-	deficit := s.deficits[jobType]
-	if deficit == nil {
-		deficit = &deficitCounter{}
-		s.deficits[jobType] = deficit
+	if tracker.deficits == nil {
+		tracker.deficits = make(map[string]*deficit)
+	}
+	current := tracker.deficits[jobType]
+	if current == nil {
+		current = &deficit{}
+		tracker.deficits[jobType] = current
 	}
-	deficit.starvedJobs = make(map[string]bool)
+	current.starvedJobs = make(map[string]bool)
 	for i := range entries {
 		if entries[i].starved {
-			deficit.starvedJobs[entries[i].job.Ref] = true
-			entries[i].starved = deficit.surplus <= 0
+			current.starvedJobs[entries[i].job.Ref] = true
+			entries[i].starved = current.surplus <= 0
 		}
 	}
 }
 
-// recordPlacement accounts for a claimed task.
-func (s *scheduler) recordPlacement(job *ledger.Job) {
-	deficit := s.deficits[job.PlacementType]
-	if deficit == nil || job.Spec.Kind == wire.KindService {
+// recordPlacement accounts for one claimed task.
+func (tracker *starvationTracker) recordPlacement(job *ledger.Job) {
+	current := tracker.deficits[job.PlacementType]
+	if current == nil || job.Spec.Kind == wire.KindService {
 		return
 	}
 	work := max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)
-	if !deficit.starvedJobs[job.Ref] {
+	if !current.starvedJobs[job.Ref] {
 		work = -work
 	}
-	deficit.surplus += work
+	current.surplus += work
 }
--- a/internal/leader/starvation_test.go
+++ b/internal/leader/starvation_test.go
@@ -54,11 +54,11 @@
 			if tc.begun != "" {
 				leader.runTestTask(t, leader.jobs.Job(tc.begun), "h0", time.Second)
 			}
-			leader.scheduler.orderJobs(jobs, now)
+			leader.scheduler.ranking.orderJobs(jobs, now)
 			for _, ref := range tc.given {
-				leader.scheduler.recordPlacement(leader.jobs.Job(ref))
+				leader.scheduler.ranking.starvation.recordPlacement(leader.jobs.Job(ref))
 			}
-			leader.scheduler.orderJobs(jobs, now)
+			leader.scheduler.ranking.orderJobs(jobs, now)
 			var got []string
 			for _, job := range jobs {
 				got = append(got, job.Ref)
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -92,7 +92,7 @@
 		autoscaler:    &autoscaler{termScope: scope, planner: fleet.NewPlanner(env.settings, firstEpoch), scaledAheadTeams: make(map[string]bool)},
 		shardKeeper:   &shardKeeper{termScope: scope},
 		jobWatcher:    &jobWatcher{termScope: scope},
-		scheduler:     &scheduler{termScope: scope, deficits: make(map[string]*deficitCounter)},
+		scheduler:     &scheduler{termScope: scope},
 		claimWriter:   &claimWriter{termScope: scope},
 		cancellations: &cancellations{termScope: scope},
 		dependencies:  &dependencies{termScope: scope},
@@ -128,7 +128,7 @@
 
 	t.jobWatcher.cancellations, t.jobWatcher.orphans, t.jobWatcher.storeReader = t.cancellations, t.orphans, t.storeReader
 
-	t.scheduler.recovery, t.scheduler.dependencies, t.scheduler.faults = t.recovery, t.dependencies, t.faults
+	t.scheduler.connect(t.recovery, t.dependencies, t.faults)
 
 	t.claimWriter.cancellations, t.claimWriter.dependencies, t.claimWriter.storeReader = t.cancellations, t.dependencies, t.storeReader
 
