--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("saved %s: generation %d, epoch %d, %s\n", filepath.Join(c.Dir, name), head.Gen, head.Epoch, counts(tree))
+	fmt.Printf("saved %s: generation %d, epoch %d, %s\n", filepath.Join(c.Dir, name), head.Revision, head.Epoch, counts(tree))
 	return nil
 }
 
@@ -79,7 +79,7 @@
 	if ch.Last == nil {
 		return errors.New("no snapshot is of use")
 	}
-	fmt.Printf("state of %s (generation %d, epoch %d, history %s) from %s: %s\n", ch.Last.At.UTC().Format(time.RFC3339), ch.Last.Gen, ch.Last.Epoch, ch.Last.History,
+	fmt.Printf("state of %s (generation %d, epoch %d, history %s) from %s: %s\n", ch.Last.At.UTC().Format(time.RFC3339), ch.Last.Revision, ch.Last.Epoch, ch.Last.Incarnation,
 		strings.Join(ch.Files, ", "), counts(ch.Tree))
 	if len(ch.Refused) > 0 {
 		return fmt.Errorf("%d snapshots refused", len(ch.Refused))
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -166,7 +166,7 @@
 // replicaTree is what the copies are to hold: what was read, with the ends that are known.
 func (l *loader) replicaTree(view dataloss.IncarnationState, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) *replica.Tree {
 	txn := iradix.New[[]byte]().Txn()
-	if known, head := l.replica.Tree(); head.History == view.ID && recovered == nil {
+	if known, head := l.replica.Tree(); head.Incarnation == view.ID && recovered == nil {
 		known.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool { txn.Insert(key, value); return false })
 	}
 	for _, byJob := range []map[string][]byte{endings, recovered} {
@@ -204,7 +204,7 @@
 func (l *loader) compareWithReplica(ctx context.Context, jobs, chunks []wire.KeyValue) (map[string][]byte, error) {
 	ended := make(map[string][]byte)
 	tree, head := l.replica.Tree()
-	if head.History == "" || head.History != l.leadership.Incarnation().ID {
+	if head.Incarnation == "" || head.Incarnation != l.leadership.Incarnation().ID {
 		return ended, nil
 	}
 	live, stored := make(map[string]bool, len(jobs)), make(map[string]bool, len(chunks))
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -36,15 +36,15 @@
 const pageBytes = 192 << 10
 
 func (h *Head) encode(e *codec.Encoder) {
-	e.Str(h.History)
+	e.Str(h.Incarnation)
 	e.Uint(h.Epoch)
 	e.Uint(h.Seq)
-	e.Uint(h.Gen)
+	e.Uint(h.Revision)
 	e.Uint(uint64(h.Keys))
 }
 
 func decodeHead(d *codec.Decoder) Head {
-	return Head{History: d.Str(), Epoch: d.Uint(), Seq: d.Uint(), Gen: d.Uint(), Keys: int(d.Uint())}
+	return Head{Incarnation: d.Str(), Epoch: d.Uint(), Seq: d.Uint(), Revision: d.Uint(), Keys: int(d.Uint())}
 }
 
 func encodeEntries(e *codec.Encoder, entries []Entry) {
--- a/internal/replica/read_store.go
+++ b/internal/replica/read_store.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return nil, Head{}, err
 	}
-	head := Head{History: v.ID}
+	head := Head{Incarnation: v.ID}
 	it, err := store.Get(ctx, "epoch")
 	var m struct {
 		Epoch uint64 `json:"n"`
@@ -79,7 +79,7 @@
 			at = log.Revision
 		}
 	}
-	head.Gen = last
+	head.Revision = last
 	t := txn.Commit()
 	head.Keys = t.Len()
 	return t, head, nil
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -28,11 +28,11 @@
 
 // Head says which history a copy is of, and how far it has come.
 type Head struct {
-	History string `json:"History"`
-	Epoch   uint64 `json:"Epoch"` // of the leader that it comes from
-	Seq     uint64 `json:"Seq"`   // changes of that leader's copy that are in it
-	Gen     uint64 `json:"Gen"`   // generation that the leader had followed the jobs to
-	Keys    int    `json:"Keys"`
+	Incarnation string `json:"History"`
+	Epoch       uint64 `json:"Epoch"` // of the leader that it comes from
+	Seq         uint64 `json:"Seq"`   // changes of that leader's copy that are in it
+	Revision    uint64 `json:"Gen"`   // generation that the leader had followed the jobs to
+	Keys        int    `json:"Keys"`
 }
 
 // sequencedEntry is one in the log of changes, by which other copies are kept up.
@@ -166,14 +166,14 @@
 	defer r.mu.Unlock()
 	r.setAsideLocked(incarnation)
 	r.leading, r.incoming = true, nil
-	r.head = Head{History: incarnation, Epoch: epoch, Seq: 1, Gen: revision}
+	r.head = Head{Incarnation: incarnation, Epoch: epoch, Seq: 1, Revision: revision}
 	r.recent = nil
 	r.replaceTreeLocked(tree)
 }
 
 // setAsideLocked sets the copy of another history aside. Run it with the lock held.
 func (r *Replica) setAsideLocked(incarnation string) {
-	if r.head.History == incarnation || r.tree.Len() == 0 && len(r.ownWrites) == 0 {
+	if r.head.Incarnation == incarnation || r.tree.Len() == 0 && len(r.ownWrites) == 0 {
 		return
 	}
 	txn := r.tree.Txn()
@@ -193,7 +193,7 @@
 func (r *Replica) MarkComplete(incarnation string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.head.History == incarnation && r.incoming == nil {
+	if r.head.Incarnation == incarnation && r.incoming == nil {
 		r.previous, r.completeIncarnation = nil, incarnation
 	}
 }
@@ -215,7 +215,7 @@
 func (r *Replica) HoldsAllLaunches() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.leading && r.completeIncarnation == r.head.History
+	return r.leading && r.completeIncarnation == r.head.Incarnation
 }
 
 // Apply notes changes that the leader knows to be stored, and to which generation it
@@ -223,7 +223,7 @@
 func (r *Replica) Apply(revision uint64, operations ...wire.Operation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.head.Gen = max(r.head.Gen, revision)
+	r.head.Revision = max(r.head.Revision, revision)
 	txn := r.tree.Txn()
 	for _, operation := range operations {
 		key := operation.Put + operation.Delete
@@ -307,7 +307,7 @@
 func (r *Replica) pruneOwnWritesLocked() {
 	for key, write := range r.ownWrites {
 		_, replicated := r.tree.Get([]byte(key))
-		if replicated || write.revision <= r.head.Gen && !strings.HasPrefix(key, ledger.EndedPrefix) {
+		if replicated || write.revision <= r.head.Revision && !strings.HasPrefix(key, ledger.EndedPrefix) {
 			delete(r.ownWrites, key)
 		}
 	}
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -161,7 +161,7 @@
 	later.StartLeading("h2", 3, 1, New(0, nil).tree)
 	has = Head{}
 	replicateOnce(later, l, &has)
-	if !c.KnowsJob("b") || c.Head().History != "h2" || len(c.Sources()) != 2 {
+	if !c.KnowsJob("b") || c.Head().Incarnation != "h2" || len(c.Sources()) != 2 {
 		t.Error("the earlier history is forgotten before this one is whole")
 	}
 	got, missing := Collect(t.Context(), l, []string{"f"})
@@ -216,7 +216,7 @@
 
 // No payload, however malformed, does more than fail.
 func FuzzMessages(f *testing.F) {
-	p := Push{Head: Head{History: "h", Epoch: 1, Seq: 2}, Whole: true, First: true, Entries: []Entry{{"j/a", []byte("1")}, {Key: "j/b"}}}
+	p := Push{Head: Head{Incarnation: "h", Epoch: 1, Seq: 2}, Whole: true, First: true, Entries: []Entry{{"j/a", []byte("1")}, {Key: "j/b"}}}
 	f.Add(p.Encode())
 	a := PageRequest{After: "j/", Source: 1}
 	f.Add(a.Encode())
--- a/internal/replica/replication.go
+++ b/internal/replica/replication.go
@@ -32,22 +32,22 @@
 			r.incoming.txn.Insert([]byte(entry.Key), entry.Data)
 		}
 		if push.Last {
-			if push.History == r.head.History {
+			if push.Incarnation == r.head.Incarnation {
 				r.retainEndsLocked(r.incoming.txn)
 			}
-			r.setAsideLocked(push.History)
+			r.setAsideLocked(push.Incarnation)
 			r.leading, r.head, r.lastPush = false, push.Head, time.Now()
 			r.replaceTreeLocked(r.incoming.txn.Commit())
 			r.recent, r.incoming = nil, nil
 			r.pruneOwnWritesLocked()
 		}
-	case push.Epoch == r.head.Epoch && push.History == r.head.History && push.From == r.head.Seq:
+	case push.Epoch == r.head.Epoch && push.Incarnation == r.head.Incarnation && push.From == r.head.Seq:
 		txn := r.tree.Txn()
 		for _, entry := range push.Entries {
 			r.applyLocked(txn, entry)
 		}
 		r.tree = txn.Commit()
-		r.head.Seq, r.head.Gen, r.lastPush = push.Seq, max(r.head.Gen, push.Gen), time.Now()
+		r.head.Seq, r.head.Revision, r.lastPush = push.Seq, max(r.head.Revision, push.Revision), time.Now()
 		r.pruneOwnWritesLocked()
 	}
 	return Ack{r.head}
@@ -109,7 +109,7 @@
 			acknowledged, everAcknowledged = ack.Head, true
 			continue
 		}
-		if idleTicks++; everAcknowledged && len(push.Entries) == 0 && push.Gen == acknowledged.Gen && idleTicks < maxIdleTicks {
+		if idleTicks++; everAcknowledged && len(push.Entries) == 0 && push.Revision == acknowledged.Revision && idleTicks < maxIdleTicks {
 			continue
 		}
 		idleTicks = 0
@@ -131,7 +131,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	push = Push{Head: r.head, From: acknowledged.Seq}
-	if acknowledged.Epoch != r.head.Epoch || acknowledged.History != r.head.History || acknowledged.Seq > r.head.Seq {
+	if acknowledged.Epoch != r.head.Epoch || acknowledged.Incarnation != r.head.Incarnation || acknowledged.Seq > r.head.Seq {
 		return push, true
 	}
 	missing := r.head.Seq - acknowledged.Seq
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -172,7 +172,7 @@
 	if d.el.LegacyLeader() {
 		return true // such a leader feeds nobody, and nothing better is to be had
 	}
-	return d.copies.Head().History == d.hist.Current().ID && (d.el.Leader() == d.set.Node || d.copies.HeardLeaderWithin(2*d.set.Report()))
+	return d.copies.Head().Incarnation == d.hist.Current().ID && (d.el.Leader() == d.set.Node || d.copies.HeardLeaderWithin(2*d.set.Report()))
 }
 
 // History, Remembers, Copy and Recall are what peers ask about data that may be lost.
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -197,7 +197,7 @@
 	if c.Last == nil {
 		return
 	}
-	d.log.Info("snapshot", "files", c.Files, "history", c.Last.History, "generation", c.Last.Gen, "keys", c.Tree.Len(), "age_s", time.Since(c.Last.At).Seconds())
+	d.log.Info("snapshot", "files", c.Files, "history", c.Last.Incarnation, "generation", c.Last.Revision, "keys", c.Tree.Len(), "age_s", time.Since(c.Last.At).Seconds())
 	d.el.ObserveEpoch(c.Last.Epoch)
 	d.copies.LoadPrevious(c.Tree)
 }
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -102,7 +102,7 @@
 			if s == nil || s.Whole() {
 				break
 			}
-			if s.Base != c.Last.Sum || s.History != c.Last.History || s.Epoch < c.Last.Epoch {
+			if s.Base != c.Last.Sum || s.Incarnation != c.Last.Incarnation || s.Epoch < c.Last.Epoch {
 				c.Refused = append(c.Refused, Refused{names[k], ErrBase})
 				break
 			}
@@ -136,7 +136,7 @@
 		return "", nil
 	}
 	since := f.last
-	if f.head.History != head.History || f.head.Epoch != head.Epoch || f.steps >= f.Steps {
+	if f.head.Incarnation != head.Incarnation || f.head.Epoch != head.Epoch || f.steps >= f.Steps {
 		since = nil
 	}
 	s := Take(f.Deployment, head, at, tree, since, f.sum)
@@ -226,7 +226,7 @@
 		if err != nil {
 			log.Error("no snapshot is saved", "err", err)
 		} else if name != "" {
-			log.Debug("snapshot", "file", name, "generation", head.Gen, "keys", tree.Len())
+			log.Debug("snapshot", "file", name, "generation", head.Revision, "keys", tree.Len())
 		}
 	}
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -73,8 +73,8 @@
 	e.B = append(e.B, magic...)
 	e.B = append(e.B, version)
 	e.Str(s.Deployment)
-	e.Str(s.History)
-	for _, v := range []uint64{s.Epoch, s.Seq, s.Gen, uint64(s.Keys)} {
+	e.Str(s.Incarnation)
+	for _, v := range []uint64{s.Epoch, s.Seq, s.Revision, uint64(s.Keys)} {
 		e.Uint(v)
 	}
 	e.Int(s.At.UnixMilli())
@@ -102,8 +102,8 @@
 	s := &Snapshot{Sum: Sum(b[len(data):])}
 	intact := blake3.Sum256(data) == s.Sum
 	d := codec.Decoder{B: data[len(magic)+1:]}
-	s.Deployment, s.History = d.Str(), d.Str()
-	s.Epoch, s.Seq, s.Gen = d.Uint(), d.Uint(), d.Uint()
+	s.Deployment, s.Incarnation = d.Str(), d.Str()
+	s.Epoch, s.Seq, s.Revision = d.Uint(), d.Uint(), d.Uint()
 	s.Keys = int(d.Uint())
 	s.At = time.UnixMilli(d.Int())
 	base, body := d.Bytes(), d.Bytes()
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -28,7 +28,7 @@
 	return s
 }
 
-var head = replica.Head{History: "h1", Epoch: 4, Seq: 9, Gen: 77}
+var head = replica.Head{Incarnation: "h1", Epoch: 4, Seq: 9, Revision: 77}
 
 func file(t testing.TB, s *Snapshot) []byte {
 	b, err := s.Encode()
@@ -42,7 +42,7 @@
 func TestTampered(t *testing.T) {
 	good := file(t, Take("a,b", head, time.UnixMilli(5), tree("c/r/0", `{"q":1}`, "j/r", `{"job":{}}`), nil, Sum{}))
 	s, err := Decode(good)
-	if err != nil || s.Head.Gen != 77 || s.History != "h1" || s.At.UnixMilli() != 5 || len(s.Entries) != 2 {
+	if err != nil || s.Head.Revision != 77 || s.Incarnation != "h1" || s.At.UnixMilli() != 5 || len(s.Entries) != 2 {
 		t.Fatalf("%+v, %v", s, err)
 	}
 	for i := range good {
@@ -111,7 +111,7 @@
 			var names []string
 			for i, s := range states {
 				h := head
-				h.Gen += uint64(i)
+				h.Revision += uint64(i)
 				n, err := f.Save(s, h, time.UnixMilli(int64(i)))
 				if err != nil {
 					t.Fatal(err)
@@ -130,7 +130,7 @@
 				if c.Last != nil {
 					t.Errorf("got %s", show(c.Tree))
 				}
-			} else if c.Last == nil || show(c.Tree) != show(states[tc.want]) || c.Last.Gen != head.Gen+uint64(tc.want) {
+			} else if c.Last == nil || show(c.Tree) != show(states[tc.want]) || c.Last.Revision != head.Revision+uint64(tc.want) {
 				t.Errorf("got %v, want state %d", c.Files, tc.want)
 			}
 			if len(c.Refused) != len(tc.refused) {
