--- a/internal/intake/needs_test.go
+++ b/internal/intake/needs_test.go
@@ -120,7 +120,7 @@
 	st := kvstore.New(kvstore.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e4, Limits: kvstore.Limits{WritesPerSecond: 1e4}, Timeout: 5 * time.Second, Dial: d.DialContext})
 	types := fleet.NewCatalogue(nil, time.Minute, nil)
 	types.Set([]wire.InstanceType{{Name: "g8", CPUs: 96, GPUs: 8, MemoryGB: 768, Zones: []string{"a"}}})
-	u := New(set, st, types, func(context.Context, string) (int, int, bool, error) { return 0, 0, false, nil }, func() bool { return false }, func() bool { return false }, access.New(set, st, nil, slog.New(slog.DiscardHandler)), &past{phase: dataloss.PhaseComplete, fed: true}, replica.New(1<<20, nil), &herald{}, time.Now, slog.New(slog.DiscardHandler))
+	u := New(set, st, types, func(context.Context, string) (int, int, bool, error) { return 0, 0, false, nil }, func() bool { return false }, func() bool { return false }, access.New(set, st, nil, slog.New(slog.DiscardHandler)), &past{phase: dataloss.PhaseComplete, fed: true}, replica.New(1<<20), &herald{}, time.Now, slog.New(slog.DiscardHandler))
 	mux := http.NewServeMux()
 	u.Routes(mux)
 	return u, mux
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -36,7 +36,7 @@
 	env := &environment{
 		settings:      config,
 		instanceTypes: instanceTypes,
-		replica:       replica.New(1<<20, nil),
+		replica:       replica.New(1 << 20),
 		log:           slog.New(slog.NewTextHandler(io.Discard, nil)),
 		now:           func() time.Time { return now },
 	}
--- a/internal/leader/load_test.go
+++ b/internal/leader/load_test.go
@@ -100,7 +100,7 @@
 			for b.Loop() {
 				ctx, end := context.WithCancel(b.Context())
 				g, ctx := errgroup.WithContext(ctx)
-				env := &environment{settings: &settings.Settings{Node: "n"}, store: client, replica: replica.New(1<<20, nil), log: slog.New(slog.DiscardHandler), now: time.Now}
+				env := &environment{settings: &settings.Settings{Node: "n"}, store: client, replica: replica.New(1 << 20), log: slog.New(slog.DiscardHandler), now: time.Now}
 				leader := newLeaderTerm(ctx, env, &fakeLeadership{election.ShardMap{Epoch: 2, Leader: "n", Owners: []string{"n"}}}, 2, g)
 				leader.jobs = ledger.New("v", teams)
 				if _, err := leader.loader.load(ctx); err != nil {
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -128,7 +128,7 @@
 	catalogue.Set([]wire.InstanceType{{Name: "m", CPUs: 4, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.t.Cleanup(cancel)
-	env := &environment{settings: m.set, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1<<20, nil), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now }}
+	env := &environment{settings: m.set, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1 << 20), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now }}
 	m.leader = newLeaderTerm(ctx, env, m.term, m.term.shards.Epoch, nil)
 	m.leader.jobs = ledger.New("w", m.set.Facts.Teams)
 	close(m.leader.ready)
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -1,39 +1,41 @@
 package replica
 
-import (
-	"rillflow/internal/codec"
-)
+import "rillflow/internal/codec"
 
-// Push is what the leader sends a follower: changes since what it has, or a page of a
-// whole copy.
+// The order in which these messages write their fields is the wire format.
+
+// pageBytes limits the keys and values of a message. A frame of the link holds more.
+const pageBytes = 192 << 10
+
+// Push is what the leader sends a follower: the changes since what it has, or a page of a
+// whole replica.
 type Push struct {
 	Head
-	Whole   bool   // a page of a whole copy
-	First   bool   // its first page
-	Last    bool   // its last
-	From    uint64 // the changes follow this one; of a whole copy, its own Seq
+	Whole bool // a page of a whole replica
+	First bool // the first page
+	Last  bool // the last page
+	// From is the sequence number that the changes follow. With a page of a whole replica
+	// it is the replica's own.
+	From    uint64
 	Entries []Entry
 }
 
-// Ack is a follower's answer: what it has. A whole copy is wanted if it is of another
-// leader, or behind what the leader remembers.
+// Ack is a follower's answer: what it has now. The leader sends a whole replica if that
+// comes from another leader, or is behind the changes that the leader still keeps.
 type Ack struct{ Head }
 
-// Page is a part of what a node remembers, and where the next one begins.
-type Page struct {
-	Entries []Entry
-	After   string // "" : there is no more
-	Source  int
-}
-
-// PageRequest asks for a page.
+// PageRequest asks a controller for a page of what it remembers.
 type PageRequest struct {
-	After  string
-	Source int // 0: the present copy, 1: the earlier one
+	After  string // key after which the page begins
+	Source int    // index in [Replica.Sources]
 }
 
-// pageBytes bounds a message; a frame of the link holds more.
-const pageBytes = 192 << 10
+// Page is a part of what a controller remembers, and where the next page begins.
+type Page struct {
+	Entries []Entry
+	After   string // "": this is the last page
+	Source  int    // of the next page
+}
 
 func (h *Head) encode(e *codec.Encoder) {
 	e.Str(h.Incarnation)
@@ -63,14 +65,14 @@
 	for range d.Items() {
 		entry := Entry{Key: d.Str()}
 		if d.Bool() {
-			entry.Data = append([]byte{}, d.Bytes()...) // the payload is not kept
+			entry.Data = append([]byte{}, d.Bytes()...) // a copy: the frame is reused
 		}
 		entries = append(entries, entry)
 	}
 	return entries
 }
 
-// Encode gives the binary form.
+// Encode returns the binary form of a push.
 func (p *Push) Encode() []byte {
 	var e codec.Encoder
 	p.Head.encode(&e)
@@ -82,28 +84,31 @@
 	return e.B
 }
 
-// DecodePush reads the binary form.
+// DecodePush parses the binary form of a push.
 func DecodePush(body []byte) (push Push, err error) {
 	d := codec.Decoder{B: body}
-	push = Push{Head: decodeHead(&d), Whole: d.Bool(), First: d.Bool(), Last: d.Bool(), From: d.Uint(), Entries: decodeEntries(&d)}
+	push = Push{
+		Head: decodeHead(&d), Whole: d.Bool(), First: d.Bool(), Last: d.Bool(),
+		From: d.Uint(), Entries: decodeEntries(&d),
+	}
 	return push, d.Done()
 }
 
-// Encode gives the binary form.
+// Encode returns the binary form of an answer.
 func (a *Ack) Encode() []byte {
 	var e codec.Encoder
 	a.Head.encode(&e)
 	return e.B
 }
 
-// DecodeAck reads the binary form.
+// DecodeAck parses the binary form of an answer.
 func DecodeAck(body []byte) (ack Ack, err error) {
 	d := codec.Decoder{B: body}
 	ack = Ack{decodeHead(&d)}
 	return ack, d.Done()
 }
 
-// Encode gives the binary form.
+// Encode returns the binary form of a page.
 func (p *Page) Encode() []byte {
 	var e codec.Encoder
 	e.Str(p.After)
@@ -112,14 +117,14 @@
 	return e.B
 }
 
-// DecodePage reads the binary form.
+// DecodePage parses the binary form of a page.
 func DecodePage(body []byte) (page Page, err error) {
 	d := codec.Decoder{B: body}
 	page = Page{After: d.Str(), Source: int(d.Uint()), Entries: decodeEntries(&d)}
 	return page, d.Done()
 }
 
-// Encode gives the binary form.
+// Encode returns the binary form of a page request.
 func (r *PageRequest) Encode() []byte {
 	var e codec.Encoder
 	e.Str(r.After)
@@ -127,24 +132,9 @@
 	return e.B
 }
 
-// DecodePageRequest reads the binary form.
+// DecodePageRequest parses the binary form of a page request.
 func DecodePageRequest(body []byte) (request PageRequest, err error) {
 	d := codec.Decoder{B: body}
 	request = PageRequest{After: d.Str(), Source: int(d.Uint())}
 	return request, d.Done()
 }
-
-// ReadPage gives the next page of what this node remembers.
-func (r *Replica) ReadPage(request PageRequest) Page {
-	sources := r.Sources()
-	page := Page{Source: request.Source}
-	if request.Source < 0 || request.Source >= len(sources) {
-		return page
-	}
-	page.Entries, page.After = readPage(sources[request.Source], request.After)
-	if page.After == "" && request.Source+1 < len(sources) {
-		page.Source++
-		page.After = "\x00"
-	}
-	return page
-}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -92,7 +92,7 @@
 	cloud := fleet.NewCloudClient(set.Services.Cloud, facts.Cloud.RPS*0.8, set.Report(), nw.Dial)
 	d.memory = pressure.New(uint64(op.Limits.Refuse*facts.Resources.MemoryMB*(1<<20)), set.Report()/16)
 	types := fleet.NewCatalogue(cloud, 2*set.Lease(), log)
-	d.copies = replica.New(int(op.Rebuild.Ends*facts.Resources.MemoryMB*(1<<20)), log)
+	d.copies = replica.New(int(op.Rebuild.Ends * facts.Resources.MemoryMB * (1 << 20)))
 	d.hist = dataloss.NewDetector(d.st, func(why string) { d.el.EndTermForDataLoss(why) }, log)
 	d.el = election.New(election.Options{
 		Store: d.st, Controller: set.Node, LeaseDuration: time.Duration(op.Lead.Grant * float64(set.Lease())), ShardOwners: func() []string { return d.part.EligibleOwners(nil) },
