--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -83,7 +83,7 @@
 // its epoch lies below one that is known, or data loss is suspected and for several lease
 // durations the key has named the same controller, which does not lead.
 func (e *Elector) isStaleLeader(record leaderRecord) bool {
-	_, _, suspected := e.detector.Suspected()
+	suspected := e.detector.Suspicion().Active
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if record != e.observedLeader || suspected != e.observedSuspicion || e.observedSince.IsZero() {
--- a/internal/election/incarnation.go
+++ b/internal/election/incarnation.go
@@ -54,7 +54,7 @@
 // dataLossSuspected reports whether data of the present incarnation may have been lost: this
 // controller suspects this very one, or knows of one that should not have gone.
 func (e *Elector) dataLossSuspected(present dataloss.IncarnationState) bool {
-	suspectedID, _, suspected := e.detector.Suspected()
+	suspicion := e.detector.Suspicion()
 	known := e.detector.Current()
 	switch {
 	case present.ID == "" && known.ID != "":
@@ -62,7 +62,7 @@
 	case present.ID != known.ID && present.Epoch < known.Epoch:
 		return true
 	}
-	return suspected && (present.ID == "" || suspectedID == present.ID)
+	return suspicion.Active && (present.ID == "" || suspicion.IncarnationID == present.ID)
 }
 
 // newIncarnation returns the incarnation to begin with an epoch. Data counts as lost unless
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -52,8 +52,7 @@
 	if e.dataLoss == nil {
 		return false
 	}
-	_, _, suspected := e.dataLoss.Suspected()
-	return suspected
+	return e.dataLoss.Suspicion().Active
 }
 
 // baseAttempt is the try above which a leader that rebuilds gives them out: epochs never come
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -162,8 +162,7 @@
 func (d *daemon) Lost() bool { return d.hist.Current().DataLost }
 
 func (d *daemon) Fresh() bool {
-	_, _, doubted := d.hist.Suspected()
-	return !doubted && d.hist.Current().ID == "" && d.copies.Empty()
+	return !d.hist.Suspicion().Active && d.hist.Current().ID == "" && d.copies.Empty()
 }
 
 func (d *daemon) Young() bool { return time.Since(d.began) < 2*d.set.Report() && !d.Fed() }
@@ -178,17 +177,18 @@
 // History, Remembers, Copy and Recall are what peers ask about data that may be lost.
 
 func (d *daemon) History() peer.History {
-	id, why, doubted := d.hist.Suspected()
-	if !doubted {
+	suspicion := d.hist.Suspicion()
+	id := suspicion.IncarnationID
+	if !suspicion.Active {
 		id = d.hist.Current().ID
 	}
 	gen, _ := d.st.Revision()
-	return peer.History{ID: id, Doubted: doubted, Why: why, Gen: gen}
+	return peer.History{ID: id, Doubted: suspicion.Active, Why: suspicion.Reason, Gen: gen}
 }
 
 func (d *daemon) Remembers(node string, h peer.History) {
-	d.hist.ObservePeer(node, h.ID, h.Why, h.Doubted)
-	if _, _, doubted := d.hist.Suspected(); !doubted && !h.Doubted && h.ID != "" && h.ID == d.hist.Current().ID {
+	d.hist.ObservePeer(node, dataloss.Suspicion{Active: h.Doubted, IncarnationID: h.ID, Reason: h.Why})
+	if !d.hist.Suspicion().Active && !h.Doubted && h.ID != "" && h.ID == d.hist.Current().ID {
 		d.st.ObserveRevision(h.Gen)
 	}
 }
@@ -287,8 +287,7 @@
 
 func (d *daemon) histories() HistoryStatus {
 	v := d.hist.Current()
-	_, why, _ := d.hist.Suspected()
-	s := HistoryStatus{ID: v.ID, Phase: v.Phase, Doubted: why, Copy: d.copies.Head()}
+	s := HistoryStatus{ID: v.ID, Phase: v.Phase, Doubted: d.hist.Suspicion().Reason, Copy: d.copies.Head()}
 	_, s.Bytes, s.EndsLeft = d.copies.Usage()
 	return s
 }
