--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -11,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"regexp"
+	"strconv"
 	"strings"
 	"testing"
 )
@@ -188,6 +189,48 @@
 	}
 }
 
+var layerRow = regexp.MustCompile(`(?m)^\| (\d+) \| (.*) \|$`)
+
+// The layers of docs/architecture.md are those of the code: each package is in one, and
+// imports only from those below.
+func TestLayers(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	layers := make(map[string]int)
+	for _, row := range layerRow.FindAllStringSubmatch(string(text), -1) {
+		for _, name := range quoted.FindAllStringSubmatch(row[2], -1) {
+			if layers[name[1]], err = strconv.Atoi(row[1]); err != nil {
+				t.Fatal(err)
+			}
+		}
+	}
+	files, err := filepath.Glob(filepath.Join(root, "internal/*/*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, path := range files {
+		if strings.HasSuffix(path, "_test.go") || strings.HasPrefix(filepath.Base(filepath.Dir(path)), "goldentest") {
+			continue
+		}
+		name := "internal/" + filepath.Base(filepath.Dir(path))
+		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if layers[name] == 0 && name != "internal/sim" {
+			t.Errorf("%s is in no layer", name)
+		}
+		for _, imp := range f.Imports {
+			used, ours := strings.CutPrefix(strings.Trim(imp.Path.Value, `"`), "rillflow/")
+			if ours && layers[used] >= layers[name] {
+				t.Errorf("%s of layer %d imports %s of layer %d", name, layers[name], used, layers[used])
+			}
+		}
+	}
+}
+
 // The check itself finds what is wrong.
 func TestFaultsAreFound(t *testing.T) {
 	c := readCode(t)
