--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -11,15 +11,26 @@
 	"rillflow/internal/wire"
 )
 
-// drainer moves tasks off workers that are to go.
+// Bounds of how many tasks of services are moved at once.
+const (
+	minMoves         = 4
+	workersPerMove   = 32 // one more move at once for so many workers
+	priorSampleCount = 2  // finished tasks that the submitter's expected run time is worth
+)
+
+// drainer moves tasks off workers that are to go: those that the cloud is about to reclaim,
+// and those that the autoscaler wants to empty.
+//
+// The failure monitor and the autoscaler call it with mu held. It stops tasks and wakes
+// their workers' senders; it frees no claim and releases no instance.
 type drainer struct {
 	*termScope
 	scheduler *scheduler
 }
 
-// drainReclaimed stops tasks on machines that the cloud is about to take, where they
+// drainReclaimed stops tasks on workers that the cloud is about to reclaim, where they
 // will not be done by then: they save what they can and start again elsewhere
-// now, and not only once the machine has been found to be gone.
+// now, and not only once the worker has been found to be gone.
 func (d *drainer) drainReclaimed(now time.Time) {
 	for _, worker := range d.workersByName {
 		if worker.ReclaimAt.IsZero() || worker.ReclaimAt.Before(now) {
@@ -27,19 +38,24 @@
 		}
 		secondsLeft := worker.ReclaimAt.Sub(now).Seconds()
 		for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
-			if claim.Finished || claim.Stopping || !claim.Committed || claim.Job.Cancelled || claim.Job.IsGang() || claim.Job.Spec.Kind == wire.KindService ||
+			if !stoppable(claim) || claim.Job.Spec.Kind == wire.KindService ||
 				d.remainingSeconds(claim, now) <= secondsLeft {
 				continue
 			}
 			claim.Stopping = true
 			d.auditLog.enqueueTask(now, audit.Stopped, claim, "the cloud takes the machine", "")
 			worker.WakeSender()
-			d.log.Debug("evacuated", "task", claim.Task(), "host", worker.Name, "left_s", secondsLeft)
+			d.log.Debug("task drained", "task", claim.Task(), "worker", worker.Name, "left_s", secondsLeft)
 		}
 	}
 }
 
-// remainingSeconds is how much longer a task is expected to run, in seconds.
+// stoppable tells whether a task can be stopped by itself and started again elsewhere.
+func stoppable(claim *ledger.Claim) bool {
+	return !claim.Finished && !claim.Stopping && claim.Committed && !claim.Job.Cancelled && !claim.Job.IsGang()
+}
+
+// remainingSeconds is how much longer a task is expected to run.
 func (d *drainer) remainingSeconds(claim *ledger.Claim, now time.Time) float64 {
 	run := expectedSeconds(claim.Job)
 	if !claim.RunningSince.IsZero() {
@@ -48,33 +64,30 @@
 	return max(run, 0)
 }
 
-// priorWeight is how many finished tasks an owner's expectation is worth.
-const priorWeight = 2
-
-// expectedSeconds is how long a task of a job runs, in seconds: as its owner expects,
-// corrected by those that are done.
+// expectedSeconds is how long a task of a job runs: as its submitter expects, corrected by
+// those that are done.
 func expectedSeconds(job *ledger.Job) float64 {
-	return (priorWeight*job.Spec.ExpectedSeconds + job.RunSeconds.Sum) / float64(priorWeight+job.RunSeconds.Count)
+	return (priorSampleCount*job.Spec.ExpectedSeconds + job.RunSeconds.Sum) /
+		float64(priorSampleCount+job.RunSeconds.Count)
 }
 
-// drainWorkers marks machines that are to empty, and moves replicas off them, a few at
-// a time and each to a machine where it starts at once, so that little of the service
+// drainWorkers marks workers that are to empty, and moves tasks of services off them, a few at
+// a time and each to a worker where it starts at once, so that little of the service
 // is gone and only for a moment.
 func (d *drainer) drainWorkers(plan fleet.Plan, now time.Time) {
 	for _, name := range plan.Drain {
 		if worker := d.workers[name]; worker != nil {
-			d.log.Info("draining", "host", name, "claims", len(d.jobs.ClaimsOnWorker(name)))
+			d.log.Info("draining", "worker", name, "claims", len(d.jobs.ClaimsOnWorker(name)))
 			worker.Draining = true
 		}
 	}
 	var candidates []*candidate
 	moved := make(map[string]bool)
-	maxMoves := max(4, len(d.workersByName)/32)
 	for _, worker := range d.workersByName {
 		if !worker.Draining {
 			continue
 		}
-		if plan.CancelDrains || slices.Contains(plan.CancelDrainZones, worker.Zone) || plan.ReuseDrained && !d.hasReplicas(worker) {
+		if d.drainCancelled(plan, worker) {
 			worker.Draining = false
 			notify(d.scheduleSignal)
 			continue
@@ -82,29 +95,45 @@
 		if candidates == nil {
 			candidates = d.scheduler.candidates(now)
 		}
-		for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
-			job := claim.Job
-			if len(moved) >= maxMoves || moved[job.Ref] || claim.Stopping || !d.hasRunLongEnough(claim, now) || job.Spec.Kind != wire.KindService ||
-				job.ClaimedTasks() < job.Spec.TaskCount {
-				continue
-			}
-			target := d.findReplacement(claim, candidates, plan.ReuseDrained)
-			if target == nil {
-				continue
-			}
-			target.allocate(job)
-			moved[job.Ref] = true
-			claim.Stopping = true
-			d.auditLog.enqueueTask(now, audit.Stopped, claim, "its machine is drained", "")
-			worker.WakeSender()
+		d.moveServices(worker, candidates, moved, plan.ReuseDrained, now)
+	}
+}
+
+// drainCancelled tells whether a draining worker is wanted after all.
+func (d *drainer) drainCancelled(plan fleet.Plan, worker *agent.Worker) bool {
+	return plan.CancelDrains || slices.Contains(plan.CancelDrainZones, worker.Zone) ||
+		plan.ReuseDrained && !d.runsServices(worker)
+}
+
+// moveServices stops tasks of services on a draining worker that find a place elsewhere, at
+// most one of each job in moved, to which it adds them. Where smaller is set only a smaller
+// worker will do.
+func (d *drainer) moveServices(
+	worker *agent.Worker, candidates []*candidate, moved map[string]bool, smaller bool, now time.Time,
+) {
+	maxMoves := max(minMoves, len(d.workersByName)/workersPerMove)
+	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
+		job := claim.Job
+		if len(moved) >= maxMoves || moved[job.Ref] || claim.Stopping || !d.hasRunLongEnough(claim, now) ||
+			job.Spec.Kind != wire.KindService || job.ClaimedTasks() < job.Spec.TaskCount {
+			continue
+		}
+		target := d.findReplacement(claim, candidates, smaller)
+		if target == nil {
+			continue
 		}
+		target.allocate(job)
+		moved[job.Ref] = true
+		claim.Stopping = true
+		d.auditLog.enqueueTask(now, audit.Stopped, claim, "its machine is drained", "")
+		worker.WakeSender()
 	}
 }
 
-// findReplacement finds a replica a place on another machine that has its image, where
-// it is back within some 30 ms. A fetch would take it away for a second.
+// findReplacement finds a task of a service a place on another worker that has its image,
+// where it is back within some 30 ms. A fetch would take it away for a second.
 //
-// Where it is moved to make room, only a smaller machine will do.
+// Where it is moved to free capacity, only a smaller worker will do.
 func (d *drainer) findReplacement(claim *ledger.Claim, candidates []*candidate, smaller bool) *candidate {
 	job := claim.Job
 	currentCores := 0.0
@@ -114,22 +143,24 @@
 		}
 	}
 	for _, candidate := range candidates {
-		if candidate.worker.Name == claim.Worker || candidate.worker.Draining || !candidate.fits(job) || !candidate.worker.HasImage(job.Spec.Image) || smaller && candidate.instanceType.CPUs >= currentCores {
+		worker := candidate.worker
+		if worker.Name == claim.Worker || worker.Draining || !candidate.fits(job) || !worker.HasImage(job.Spec.Image) ||
+			smaller && candidate.instanceType.CPUs >= currentCores {
 			continue
 		}
-		free := d.jobs.ZoneHeadroom(job, candidate.worker.Zone)
-		if candidate.worker.Zone == claim.Zone {
-			free++ // its own place comes free
+		headroom := d.jobs.ZoneHeadroom(job, worker.Zone)
+		if worker.Zone == claim.Zone {
+			headroom++ // its own place comes free
 		}
-		if free > 0 {
+		if headroom > 0 {
 			return candidate
 		}
 	}
 	return nil
 }
 
-// replicasMovable tells whether every replica on a host has a place elsewhere, and
-// takes the places from the rooms. What it took is given back if one has none.
+// replicasMovable tells whether every task of a service on a worker has a place elsewhere, and
+// takes the places from the candidates. What it took is given back if one has none.
 func (d *drainer) replicasMovable(worker *agent.Worker, candidates []*candidate, now time.Time) bool {
 	var undo []func()
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
@@ -152,8 +183,8 @@
 	return true
 }
 
-// hasReplicas tells whether any replica is on a host.
-func (d *drainer) hasReplicas(worker *agent.Worker) bool {
+// runsServices tells whether any task of a service is claimed on a worker.
+func (d *drainer) runsServices(worker *agent.Worker) bool {
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Job.Spec.Kind == wire.KindService {
 			return true
--- a/internal/leader/drainer_test.go
+++ b/internal/leader/drainer_test.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/wire"
 )
 
-// On a machine with a notice only what will be done in time stays.
+// On a worker with a termination notice only what will be done in time stays.
 func TestDrainOnTerminationNotice(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -20,11 +20,15 @@
 		{"done before the machine goes", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, nil, 15 * time.Second, false},
 		{"not done by then", wire.Job{ExpectedSeconds: 30}, 10 * time.Second, nil, 15 * time.Second, true},
 		{"fetching still", wire.Job{ExpectedSeconds: 30}, 0, nil, 15 * time.Second, true},
-		{"others show that it takes longer", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, []float64{80, 80, 80, 80}, 15 * time.Second, true},
-		{"others show that it is about to be done", wire.Job{ExpectedSeconds: 60}, 20 * time.Second, []float64{20, 22, 24, 20, 22}, 15 * time.Second, false},
+		{"others show that it takes longer", wire.Job{ExpectedSeconds: 30}, 20 * time.Second,
+			[]float64{80, 80, 80, 80}, 15 * time.Second, true},
+		{"others show that it is about to be done", wire.Job{ExpectedSeconds: 60}, 20 * time.Second,
+			[]float64{20, 22, 24, 20, 22}, 15 * time.Second, false},
 		{"overdue", wire.Job{ExpectedSeconds: 30}, time.Minute, nil, time.Second, false},
-		{"a replica is looked after elsewhere", wire.Job{Kind: wire.KindService}, time.Minute, nil, 15 * time.Second, false},
-		{"a gang stops whole or not at all", wire.Job{Kind: wire.KindGang, ExpectedSeconds: 30}, time.Second, nil, 15 * time.Second, false},
+		{"a replica is looked after elsewhere", wire.Job{Kind: wire.KindService}, time.Minute, nil,
+			15 * time.Second, false},
+		{"a gang stops whole or not at all", wire.Job{Kind: wire.KindGang, ExpectedSeconds: 30}, time.Second, nil,
+			15 * time.Second, false},
 		{"no notice", wire.Job{ExpectedSeconds: 300}, time.Second, nil, 0, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -4,11 +4,36 @@
 	"context"
 	"time"
 
+	"rillflow/internal/agent"
 	"rillflow/internal/failuredetector"
+	"rillflow/internal/ledger"
 	"rillflow/internal/wire"
 )
 
-// failureMonitor finds expired leases and failed, silent or unreachable workers.
+// Why instances are released; the audit log and operators read these words.
+const (
+	releaseUnanswered  = "again" // an earlier release was not answered
+	releaseFailed      = "failed"
+	releaseOverdueTask = "withdrawn task"
+	releaseExpired     = "lease over"
+	releaseSilent      = "silent"
+	releaseNeverUp     = "never up"
+	releaseFailsTasks  = "fails tasks"
+	releaseIdle        = "idle"
+)
+
+// Limits of the failure monitor.
+const (
+	minWorkersToJudge = 4 // workers that must fall silent together before this controller blames itself
+	bootPatience      = 4 // times the boot time after which an instance is taken to never come up
+)
+
+// failureMonitor finds expired leases, and workers that have failed, fallen silent or cannot
+// be reached. It frees claims only where a lease is surely over by every clock; whatever else
+// it suspects leads to the release of the instance, whose answer is the proof.
+//
+// It runs two loops, monitorLoop and releaseFaultyLoop. The autoscaler asks which workers are
+// unreachable. Its state is guarded by mu.
 type failureMonitor struct {
 	*termScope
 	commander     *commander
@@ -21,8 +46,8 @@
 	detector *failuredetector.Detector
 }
 
-// monitorLoop looks after what only time brings: leases that run out, hosts that do
-// not come over to this leader, orders to be given again.
+// monitorLoop looks after what only time brings: leases that expire, workers that do
+// not turn to this leader, commands to be given again.
 func (m *failureMonitor) monitorLoop(ctx context.Context) error {
 	ticker := time.NewTicker(m.settings.Report() / 6)
 	defer ticker.Stop()
@@ -51,19 +76,21 @@
 	}
 }
 
-// expireLeases frees the claims of hosts whose lease is surely over: the worker has
+// expireLeases frees the claims of workers whose lease is surely over: the worker has
 // shown an epoch since which nobody else may answer it, and both that and its last
 // answer are more than a lease ago by the slowest of clocks. Until it showed the
-// epoch, another may have renewed its lease under an earlier one: an owner behind
-// the same cut does, and a poll right after the cut brings the epoch.
+// epoch, another controller may have renewed its lease under an earlier one: a shard owner
+// behind the same partition does, and a poll right after the partition brings the epoch.
 func (m *failureMonitor) expireLeases(now time.Time) {
 	leaseSpan := m.leaseOverAfter()
 	for _, worker := range m.workers {
-		if worker.LastHeartbeat.IsZero() || worker.SoleOwnerEpoch == 0 || worker.SeenEpoch < worker.SoleOwnerEpoch || now.Sub(worker.LastAnswered) < leaseSpan || now.Sub(worker.EpochSeenAt) < leaseSpan {
+		soleOwner := worker.SoleOwnerEpoch != 0 && worker.SeenEpoch >= worker.SoleOwnerEpoch
+		if worker.LastHeartbeat.IsZero() || !soleOwner ||
+			now.Sub(worker.LastAnswered) < leaseSpan || now.Sub(worker.EpochSeenAt) < leaseSpan {
 			continue
 		}
 		for _, claim := range m.jobs.ClaimsOnWorker(worker.Name) {
-			// A claim of a tenure not yet heard of cannot be.
+			// A claim of an incarnation that was not heard of yet says nothing of this lease.
 			if claim.Incarnation <= worker.Incarnation {
 				m.freeClaim(claim, "lease over")
 			}
@@ -72,7 +99,7 @@
 }
 
 // isolated tells whether this controller, and not the workers, is cut off: all
-// fell silent at about the same time though several there are. Where its peers
+// fell silent at about the same time though there are several. Where its peers
 // hear none either, another leader would be no better off.
 func (m *failureMonitor) isolated(now time.Time) bool {
 	if len(m.settings.Members) == 0 || m.heartbeats.lastHeartbeat.IsZero() {
@@ -84,13 +111,14 @@
 			heardWorkers++
 		}
 	}
-	return heardWorkers >= 4 && now.Sub(m.heartbeats.lastHeartbeat) > 2*m.settings.Report() && !m.shards.PeersHearNoWorkers()
+	return heardWorkers >= minWorkersToJudge && now.Sub(m.heartbeats.lastHeartbeat) > 2*m.settings.Report() &&
+		!m.shards.PeersHearNoWorkers()
 }
 
-// releaseFaultyLoop returns faulty machines. It has a duty of its own: what ran on a dead
-// machine waits for its return, and renting can take many requests. Where this leader
-// may have been replaced it returns only what a withdrawn task would outlive its time on:
-// that ends tasks, and can start none.
+// releaseFaultyLoop releases faulty instances. It is a loop of its own: what ran on a dead
+// worker waits for the release, and scaling out can take many requests. Where this leader
+// may have been replaced it releases only instances on which a cancelled task would outlive
+// its time: that ends tasks, and can start none.
 func (m *failureMonitor) releaseFaultyLoop(ctx context.Context) error {
 	for sleep(ctx, m.settings.Report()/6) {
 		m.mu.Lock()
@@ -116,53 +144,82 @@
 	return ctx.Err()
 }
 
-// faultyWorkers are machines to be returned: failed or silent ones, those that never
-// come up, and those that fail what they start.
+// faultyWorkers returns the workers whose instances are to be released: failed or silent ones,
+// those that never come up, and those that fail what they start.
 func (m *failureMonitor) faultyWorkers(now time.Time) []string {
-	silenceLimit := time.Duration(m.settings.Operator.Fleet.Silence * float64(m.settings.Report()))
 	instanceTypes := m.instanceTypes.InstanceTypes()
 	m.observeSilence(now)
 	var names []string
 	for _, worker := range m.workersByName {
-		reason := ""
-		instance, listed := m.instances[worker.Name]
-		instanceType := instanceTypes[worker.InstanceType]
-		claims := m.jobs.ClaimsOnWorker(worker.Name)
-		releasedAt, leaving := m.released[worker.Name]
-		switch {
-		case leaving && releasedAt.IsZero():
-			reason = "again" // its release was not answered
-		case listed && instance.Phase == wire.InstanceFailed:
-			reason = "failed"
-		case m.cancellations.hasOverdueTask(worker, now):
-			reason = "withdrawn task"
-		case m.unreachable(worker, now):
-			if len(claims) > 0 && m.likelyExpired(worker, now) {
-				reason = "lease over"
-			}
-		case (!worker.LastHeartbeat.IsZero() || !worker.ListedRunningAt.IsZero()) && m.silentFor(worker, now) > silenceLimit,
-			// The cloud said it would take it: there is less to doubt.
-			!worker.ReclaimAt.IsZero() && now.After(worker.ReclaimAt) && m.silentFor(worker, now) > 3*m.settings.Report()/2,
-			worker.LastHeartbeat.IsZero() && !listed && len(claims) > 0 && now.Sub(m.startedAt) > m.settings.Lease():
-			reason = "silent"
-		case worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero() && listed && instance.Phase == wire.InstanceStarting && len(claims) == 0 &&
-			instanceType != nil && !worker.RequestedAt.IsZero() && now.Sub(worker.RequestedAt) > 4*time.Duration(instanceType.BootSeconds*float64(time.Second)):
-			reason = "never up"
-		case m.faults.workerFaulty(worker) && !m.faults.mostWorkersFaulty():
-			reason = "fails tasks"
-			for _, claim := range claims {
-				if claim.Job.Spec.Kind == wire.KindService && !claim.RunningSince.IsZero() && now.Sub(claim.RunningSince) > m.settings.Lease() {
-					reason = "" // what runs there runs on; only new tasks fail
-				}
-			}
-		}
+		reason := m.releaseReason(worker, instanceTypes[worker.InstanceType], now)
 		if reason == "" {
 			continue
 		}
-		if reason != "again" {
+		if reason != releaseUnanswered {
 			m.autoscaler.noteRelease(worker.Name, reason, now)
 		}
 		names = append(names, worker.Name)
 	}
 	return names
 }
+
+// releaseReason tells why a worker's instance is to be released; empty: it is not.
+func (m *failureMonitor) releaseReason(worker *agent.Worker, instanceType *wire.InstanceType, now time.Time) string {
+	instance, listed := m.instances[worker.Name]
+	claims := m.jobs.ClaimsOnWorker(worker.Name)
+	releasedAt, leaving := m.released[worker.Name]
+	switch {
+	case leaving && releasedAt.IsZero():
+		return releaseUnanswered
+	case listed && instance.Phase == wire.InstanceFailed:
+		return releaseFailed
+	case m.cancellations.hasOverdueTask(worker, now):
+		return releaseOverdueTask
+	case m.unreachable(worker, now):
+		if len(claims) > 0 && m.likelyExpired(worker, now) {
+			return releaseExpired
+		}
+	case m.silentTooLong(worker, now),
+		worker.LastHeartbeat.IsZero() && !listed && len(claims) > 0 && now.Sub(m.startedAt) > m.settings.Lease():
+		return releaseSilent
+	case listed && instance.Phase == wire.InstanceStarting && len(claims) == 0 && neverUp(worker, instanceType, now):
+		return releaseNeverUp
+	case m.faults.workerFaulty(worker) && !m.faults.mostWorkersFaulty():
+		// Where a service runs it runs on; only new tasks fail.
+		if !m.runsService(claims, now) {
+			return releaseFailsTasks
+		}
+	}
+	return ""
+}
+
+// silentTooLong tells whether a worker that was up has been silent for longer than is waited
+// for: less where the cloud said that it would take the instance, for there is less to doubt.
+func (m *failureMonitor) silentTooLong(worker *agent.Worker, now time.Time) bool {
+	silenceLimit := time.Duration(m.settings.Operator.Fleet.Silence * float64(m.settings.Report()))
+	wasUp := !worker.LastHeartbeat.IsZero() || !worker.ListedRunningAt.IsZero()
+	reclaimed := !worker.ReclaimAt.IsZero() && now.After(worker.ReclaimAt)
+	return wasUp && m.silentFor(worker, now) > silenceLimit ||
+		reclaimed && m.silentFor(worker, now) > 3*m.settings.Report()/2
+}
+
+// neverUp tells whether an instance has taken several times as long to boot as its type does.
+func neverUp(worker *agent.Worker, instanceType *wire.InstanceType, now time.Time) bool {
+	if !worker.LastHeartbeat.IsZero() || !worker.ListedRunningAt.IsZero() ||
+		instanceType == nil || worker.RequestedAt.IsZero() {
+		return false
+	}
+	bootTime := time.Duration(instanceType.BootSeconds * float64(time.Second))
+	return now.Sub(worker.RequestedAt) > bootPatience*bootTime
+}
+
+// runsService tells whether some task of a service has run for more than a lease.
+func (m *failureMonitor) runsService(claims map[ledger.Task]*ledger.Claim, now time.Time) bool {
+	for _, claim := range claims {
+		if claim.Job.Spec.Kind == wire.KindService && !claim.RunningSince.IsZero() &&
+			now.Sub(claim.RunningSince) > m.settings.Lease() {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// Until proof, the claims of a silent host stand: another node may have
+// Until proof, the claims of a silent worker stand: another controller may have
 // renewed its lease.
 func TestExpireLeases(t *testing.T) {
 	for _, tc := range []struct {
@@ -29,25 +29,26 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			j := leader.addTestJob("req-1", wire.Job{Kind: wire.KindService, TaskCount: 1, CPUs: 1})
-			leader.runTestTask(t, j, "h0", time.Minute)
+			job := leader.addTestJob("req-1", wire.Job{Kind: wire.KindService, TaskCount: 1, CPUs: 1})
+			leader.runTestTask(t, job, "h0", time.Minute)
 			worker := leader.workers["h0"]
-			worker.SoleOwnerEpoch, worker.SeenEpoch, worker.LastHeartbeat, worker.LastAnswered, worker.EpochSeenAt = tc.sole, tc.epoch, now.Add(-tc.silent), now.Add(-tc.silent), now.Add(-tc.shown)
+			worker.SoleOwnerEpoch, worker.SeenEpoch, worker.EpochSeenAt = tc.sole, tc.epoch, now.Add(-tc.shown)
+			worker.LastHeartbeat, worker.LastAnswered = now.Add(-tc.silent), now.Add(-tc.silent)
 			leader.failures.expireLeases(now)
-			if got := j.ClaimedTasks() == 0; got != tc.freed {
+			if got := job.ClaimedTasks() == 0; got != tc.freed {
 				t.Errorf("freed: %v, want %v", got, tc.freed)
 			}
 		})
 	}
 }
 
-// What is done about machines that fall silent goes by who is at fault, and by what
+// What is done about workers that fall silent goes by who is at fault, and by what
 // would be lost or would outlive its time.
 func TestWorkersSilentTogether(t *testing.T) {
 	const report = 3 * time.Second // lease 30 s, cancel 50 s
 	for _, tc := range []struct {
 		name   string
-		silent func(i int) bool // of 24 hosts, in zones a, b and c
+		silent func(i int) bool // of 24 workers, in zones a, b and c
 		since  time.Duration
 		tweak  func(leader *leaderTerm)
 		gone   int
@@ -55,22 +56,23 @@
 	}{
 		{"a few are returned", func(i int) bool { return i == 1 || i == 2 }, 3 * report, nil, 2, ""},
 		{"a zone is kept", func(i int) bool { return i%3 == 1 }, 3 * report, nil, 0, ""},
-		{"well past the lease, where a controller keeps it alive", func(i int) bool { return i%3 == 1 }, 20 * report, nil, 0, ""},
+		{"well past the lease, where a controller keeps it alive", func(i int) bool { return i%3 == 1 },
+			20 * report, nil, 0, ""},
 		{"not for ever", func(i int) bool { return i%3 == 1 }, 50 * report, nil, 8, ""},
 		{"no controller there, within the lease", func(i int) bool { return i%3 == 2 }, 9 * report, nil, 0, ""},
-		{"no controller there, past it: the one with a task", func(i int) bool { return i%3 == 2 }, 11 * report, nil, 1, "h2"},
+		{"no controller there, past it: the one with a task", func(i int) bool { return i%3 == 2 }, 11 * report,
+			nil, 1, "h2"},
 		{"everything is kept: this node is cut off", func(int) bool { return true }, 9 * report, nil, 0, ""},
-		{"a withdrawn task must be gone in time", func(i int) bool { return i%3 == 1 }, 20 * report, func(leader *leaderTerm) {
-			leader.jobs.Job("req-2").CancelledAt = now.Add(-45 * time.Second)
-			leader.jobs.Cancel("req-2")
-		}, 1, "h1"},
-		{"and has time still", func(i int) bool { return i%3 == 1 }, 20 * report, func(leader *leaderTerm) {
-			leader.jobs.Job("req-2").CancelledAt = now.Add(-43 * time.Second)
-			leader.jobs.Cancel("req-2")
-		}, 0, ""},
-		{"one that answers commands, within the lease", func(i int) bool { return i == 1 }, 9 * report, answersCommands("h1"), 0, ""},
-		{"one that answers commands, past it", func(i int) bool { return i == 1 }, 11 * report, answersCommands("h1"), 1, "h1"},
-		{"a zone that answers commands is kept", func(i int) bool { return i%3 == 1 }, 11 * report, answersCommands("h1", "h4", "h7", "h10", "h13", "h16", "h19", "h22"), 0, ""},
+		{"a withdrawn task must be gone in time", func(i int) bool { return i%3 == 1 }, 20 * report,
+			cancelledFor(45 * time.Second), 1, "h1"},
+		{"and has time still", func(i int) bool { return i%3 == 1 }, 20 * report,
+			cancelledFor(43 * time.Second), 0, ""},
+		{"one that answers commands, within the lease", func(i int) bool { return i == 1 }, 9 * report,
+			answersCommands("h1"), 0, ""},
+		{"one that answers commands, past it", func(i int) bool { return i == 1 }, 11 * report,
+			answersCommands("h1"), 1, "h1"},
+		{"a zone that answers commands is kept", func(i int) bool { return i%3 == 1 }, 11 * report,
+			answersCommands("h1", "h4", "h7", "h10", "h13", "h16", "h19", "h22"), 0, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -85,13 +87,15 @@
 					worker = agent.NewWorker(name)
 					leader.addWorker(worker)
 				}
-				worker.InstanceType, worker.Zone, worker.Incarnation, worker.LastHeartbeat, worker.ShardOwner = "m", "abc"[i%3:i%3+1], 1, now.Add(-report), []string{"n", "m"}[i/3%2]
+				worker.InstanceType, worker.Zone, worker.Incarnation = "m", "abc"[i%3:i%3+1], 1
+				worker.LastHeartbeat, worker.ShardOwner = now.Add(-report), []string{"n", "m"}[i/3%2]
 				if tc.silent(i) {
 					worker.LastHeartbeat = now.Add(-tc.since)
 				}
 			}
-			leader.runTestTask(t, leader.addTestJob("req-2", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h1", time.Minute)
-			leader.runTestTask(t, leader.addTestJob("req-3", wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}), "h2", time.Minute)
+			spec := wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 1, CPUs: 1}
+			leader.runTestTask(t, leader.addTestJob("req-2", spec), "h1", time.Minute)
+			leader.runTestTask(t, leader.addTestJob("req-3", spec), "h2", time.Minute)
 			if tc.tweak != nil {
 				tc.tweak(leader)
 			}
@@ -104,23 +108,31 @@
 			at = now
 			got := leader.failures.faultyWorkers(now)
 			if len(got) != tc.gone || tc.why != "" && got[0] != tc.why {
-				t.Errorf("returned %v", got)
+				t.Errorf("released %v", got)
 			}
 		})
 	}
 }
 
-// answersCommands has hosts answer direct commands.
+// cancelledFor has the job req-2 cancelled for some time.
+func cancelledFor(since time.Duration) func(leader *leaderTerm) {
+	return func(leader *leaderTerm) {
+		leader.jobs.Job("req-2").CancelledAt = now.Add(-since)
+		leader.jobs.Cancel("req-2")
+	}
+}
+
+// answersCommands has workers answer direct commands.
 func answersCommands(names ...string) func(leader *leaderTerm) {
 	return func(leader *leaderTerm) {
-		for _, n := range names {
-			leader.workers[n].LastUpdate = now
+		for _, name := range names {
+			leader.workers[name].LastUpdate = now
 		}
 	}
 }
 
-// A machine that the cloud had announced to take is returned sooner once silent
-// than one that nobody expected to go, and never while it is heard.
+// An instance that the cloud had announced to reclaim is released sooner once its worker is
+// silent than one that nobody expected to go, and never while the worker is heard.
 func TestSilentAfterTerminationNotice(t *testing.T) {
 	report := 3 * time.Second
 	for _, tc := range []struct {
@@ -144,7 +156,7 @@
 				worker.ReclaimAt = now.Add(-tc.warn)
 			}
 			if got := leader.failures.faultyWorkers(now); (len(got) == 1) != tc.gone {
-				t.Errorf("to be returned: %v", got)
+				t.Errorf("to be released: %v", got)
 			}
 		})
 	}
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -8,46 +8,51 @@
 	"rillflow/internal/wire"
 )
 
-// A job that fails everywhere is told from a machine that fails everything.
+// A job that fails everywhere is told from a worker that fails everything.
 func TestBlame(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		failures [][2]string // job, host
-		badHosts string
-		badJobs  string
+		name       string
+		failures   [][2]string // job, worker
+		badWorkers string
+		badJobs    string
 	}{
 		{"one failure is nobody's fault", [][2]string{{"req-1", "h0"}}, "", ""},
 		{"a machine that fails several jobs", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}}, " h0", ""},
-		{"a job that fails on several machines", [][2]string{{"req-1", "h0"}, {"req-1", "h1"}, {"req-1", "h2"}}, "", " req-1"},
-		{"a job caught on a bad machine is not bad", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}, {"req-1", "h1"}}, " h0", ""},
+		{"a job that fails on several machines", [][2]string{{"req-1", "h0"}, {"req-1", "h1"}, {"req-1", "h2"}}, "",
+			" req-1"},
+		{"a job caught on a bad machine is not bad", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}, {"req-1", "h1"}},
+			" h0", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			jobs := []*ledger.Job{leader.addTestJob("req-1", wire.Job{TaskCount: 9}), leader.addTestJob("req-2", wire.Job{TaskCount: 9})}
-			for _, f := range tc.failures {
-				leader.faults.countFailure(leader.jobs.Job(f[0]), leader.workers[f[1]], now)
+			jobs := []*ledger.Job{
+				leader.addTestJob("req-1", wire.Job{TaskCount: 9}),
+				leader.addTestJob("req-2", wire.Job{TaskCount: 9}),
 			}
-			hosts, bad := "", ""
-			for _, h := range leader.workersByName {
-				if leader.faults.workerFaulty(h) {
-					hosts += " " + h.Name
+			for _, failure := range tc.failures {
+				leader.faults.countFailure(leader.jobs.Job(failure[0]), leader.workers[failure[1]], now)
+			}
+			badWorkers, badJobs := "", ""
+			for _, worker := range leader.workersByName {
+				if leader.faults.workerFaulty(worker) {
+					badWorkers += " " + worker.Name
 				}
 			}
-			for _, j := range jobs {
-				if leader.faults.jobFaulty(j) {
-					bad += " " + j.Ref
+			for _, job := range jobs {
+				if leader.faults.jobFaulty(job) {
+					badJobs += " " + job.Ref
 				}
 			}
-			if hosts != tc.badHosts || bad != tc.badJobs {
-				t.Errorf("blamed hosts%s and jobs%s", hosts, bad)
+			if badWorkers != tc.badWorkers || badJobs != tc.badJobs {
+				t.Errorf("blamed workers%s and jobs%s", badWorkers, badJobs)
 			}
 		})
 	}
 }
 
-// A machine that fails what it starts is left alone, and tried again once in a lease where it
-// is not returned: where most machines fail tasks, none is, and a fault that is over would
-// never show.
+// A worker that fails what it starts is quarantined, and tried again once in a lease where its
+// instance is not released: where most workers fail tasks, none is, and a fault that is over
+// would never show.
 func TestQuarantineIsRetried(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -62,14 +67,15 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			for _, h := range leader.workersByName { // most fail, of jobs that fail nowhere else: none is returned
-				j := leader.addTestJob("req-"+h.Name[1:], wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 4, CPUs: 1})
+			spec := wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}
+			for _, worker := range leader.workersByName { // most fail, of jobs that fail nowhere else: none is released
+				job := leader.addTestJob("req-"+worker.Name[1:], spec)
 				for range tc.fails {
-					leader.faults.countFailure(j, h, now.Add(-tc.since))
+					leader.faults.countFailure(job, worker, now.Add(-tc.since))
 				}
 			}
 			if got := leader.failures.faultyWorkers(now); len(got) > 0 {
-				t.Errorf("returned %v", got)
+				t.Errorf("released %v", got)
 			}
 			if got := leader.scheduler.acceptsTasks(leader.workers["h0"], now); got != tc.usable {
 				t.Errorf("usable: %v", got)
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -15,10 +15,11 @@
 	"rillflow/internal/wire"
 )
 
+// now is the time at which tests begin.
 var now = time.Unix(9000, 0)
 
-// newTestTerm makes a reign with hosts of 8 cores in zones a and b, that no network
-// is needed for.
+// newTestTerm makes a leader term with four workers of 8 cores in zones a and b, for which
+// no network is needed.
 func newTestTerm(t testing.TB) *leaderTerm {
 	t.Helper()
 	operator, err := settings.ParseOperator(nil)
@@ -28,8 +29,12 @@
 	config := &settings.Settings{Node: "n", Operator: operator, Facts: settings.Facts{
 		Workers: settings.Workers{ReportS: 3, LeaseS: 30},
 		Teams:   []settings.Team{{Name: "t", CPUs: 100, CPUsMax: 100}, {Name: "u", CPUs: 4, CPUsMax: 100}},
-		Objectives: []settings.Objective{{Kind: "finished", Class: "f", WithinS: 60}, {Kind: "finished", Class: "f", WithinS: 120}, {Kind: "deadline", Class: "d", Times: 1.5},
-			{Kind: "wait", Class: "s", WithinS: 12}},
+		Objectives: []settings.Objective{
+			{Kind: "finished", Class: "f", WithinS: 60},
+			{Kind: "finished", Class: "f", WithinS: 120},
+			{Kind: "deadline", Class: "d", Times: 1.5},
+			{Kind: "wait", Class: "s", WithinS: 12},
+		},
 	}}
 	instanceTypes := fleet.NewCatalogue(nil, time.Minute, nil)
 	instanceTypes.Set([]wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
@@ -57,10 +62,12 @@
 	return runner
 }
 
+// testPeer is another controller.
 func testPeer(node, zone string) settings.Member {
 	return settings.Member{Node: node, Zone: zone, Endpoint: node + ":1"}
 }
 
+// addTestJob adds a live job, of team t unless the spec names one.
 func (t *leaderTerm) addTestJob(jobID string, spec wire.Job) *ledger.Job {
 	if spec.Team == "" {
 		spec.Team = "t"
@@ -68,6 +75,7 @@
 	return t.jobs.AddJob(jobID, ledger.JobRecord{Job: spec, SubmittedMS: now.UnixMilli(), ChunkTasks: 8}, 1)
 }
 
+// runTestTask claims the next task of a job for a worker, as one that has run for some time.
 func (t *leaderTerm) runTestTask(tb *testing.T, job *ledger.Job, worker string, ran time.Duration) *ledger.Claim {
 	tb.Helper()
 	claim, err := t.jobs.Claim(job, worker, 1, t.workers[worker].Zone)
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -9,18 +9,19 @@
 	"rillflow/internal/wire"
 )
 
-// missedHeartbeatRatio is from which silence a machine has missed a report, as a ratio
+// missedHeartbeatRatio is the silence from which on a worker has missed a heartbeat, as a ratio
 // to the interval, which varies by a quarter.
 const missedHeartbeatRatio = 1.3
 
+// newFailureDetector makes the detector that judges who is at fault for silence.
 func newFailureDetector(config *settings.Settings) *failuredetector.Detector {
 	return failuredetector.New(time.Duration(missedHeartbeatRatio*float64(config.Report())), config.Lease())
 }
 
-// silentFor is for how long a host that should be heard was not. It has had no way
+// silentFor is for how long a worker that should be heard was not. It has had no way
 // to be heard before this term began, its boot was over, or its owner took over. What it
 // answers to direct commands tells that it is up, but not for longer than a lease: then
-// whatever it had is gone, since only an answered report renews the lease.
+// whatever it had is gone, since only an answered heartbeat renews the lease.
 func (m *failureMonitor) silentFor(worker *agent.Worker, now time.Time) time.Duration {
 	last := m.startedAt
 	for _, seen := range []time.Time{worker.LastHeartbeat, worker.ListedRunningAt, worker.ShardOwnerSince} {
@@ -35,42 +36,52 @@
 	return silent
 }
 
-// observeSilence judges who is at fault for what is not heard.
+// observeSilence has the detector judge who is at fault for what is not heard.
 func (m *failureMonitor) observeSilence(now time.Time) {
 	observations := make([]failuredetector.Observation, 0, len(m.workersByName))
 	for _, worker := range m.workersByName {
-		if _, leaving := m.released[worker.Name]; leaving || m.instances[worker.Name].Phase == wire.InstanceFailed || worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero() {
+		_, leaving := m.released[worker.Name]
+		neverSeen := worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero()
+		if leaving || m.instances[worker.Name].Phase == wire.InstanceFailed || neverSeen {
 			continue
 		}
 		observations = append(observations, m.observation(worker, now))
 	}
 	before := len(m.detector.Outages())
 	m.detector.Observe(observations, now)
-	if groups := m.detector.Outages(); len(groups) != before {
-		for _, group := range groups {
-			m.log.Info("silence", "fault", group.Fault, "name", group.Name, "since_s", now.Sub(group.Since).Seconds(), "still", group.Active)
-		}
+	outages := m.detector.Outages()
+	if len(outages) == before {
+		return
+	}
+	for _, outage := range outages {
+		m.log.Info("outage", "fault", outage.Fault, "name", outage.Name,
+			"since_s", now.Sub(outage.Since).Seconds(), "active", outage.Active)
 	}
 }
 
+// observation is what the detector is told of a worker.
 func (m *failureMonitor) observation(worker *agent.Worker, now time.Time) failuredetector.Observation {
-	return failuredetector.Observation{Zone: worker.Zone, ShardOwner: worker.ShardOwner, Spot: worker.Spot, SilentFor: m.silentFor(worker, now)}
+	return failuredetector.Observation{
+		Zone: worker.Zone, ShardOwner: worker.ShardOwner, Spot: worker.Spot, SilentFor: m.silentFor(worker, now),
+	}
 }
 
-// unreachable tells whether a silent host is more likely behind a cut than dead: it is
-// neither returned nor counted on until that has lasted for longer than cuts do.
+// unreachable tells whether a silent worker is more likely behind a partition than dead: its
+// instance is neither released nor counted on until that has lasted for longer than
+// partitions do.
 func (m *failureMonitor) unreachable(worker *agent.Worker, now time.Time) bool {
 	observation := m.observation(worker, now)
 	if !m.detector.Suspected(observation) {
 		return false
 	}
 	fault, since := m.detector.FaultOf(observation)
-	return fault >= failuredetector.FaultShardOwner && now.Sub(since) < time.Duration(m.settings.Operator.Fleet.Patience*float64(m.settings.Lease()))
+	patience := time.Duration(m.settings.Operator.Fleet.Patience * float64(m.settings.Lease()))
+	return fault >= failuredetector.FaultShardOwner && now.Sub(since) < patience
 }
 
-// likelyExpired tells whether a host behind a cut has most likely ended its tasks: no
-// controller is in its zone to answer it, and it was last heard a lease ago. That
-// is no proof where another controller owns it, but its return is.
+// likelyExpired tells whether an unreachable worker has most likely ended its tasks: no
+// controller is in its zone to answer it, and it was last heard more than a lease ago. That
+// is no proof where another controller owns it, but the release of its instance is.
 func (m *failureMonitor) likelyExpired(worker *agent.Worker, now time.Time) bool {
 	return !m.settings.Covered(worker.Zone) && m.silentFor(worker, now) > m.leaseOverAfter()
 }
