--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -4,12 +4,18 @@
 	"time"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/audit"
 	"rillflow/internal/ledger"
 	"rillflow/internal/wire"
 )
 
-// heartbeatReconciler compares what workers report with the claims of the job table.
+// maxPendingSamples bounds the run times kept for the owner of a worker's shard.
+const maxPendingSamples = 64
+
+// heartbeatReconciler compares what workers report with the claims of the job table: it notes
+// starts and ends of tasks, and frees a claim once a report proves that its task is gone.
+//
+// Runner.Heartbeat calls it for reports, the commander for answers to commands and polls; all
+// hold mu. It must not renew a lease: only Runner.Heartbeat answers a heartbeat.
 type heartbeatReconciler struct {
 	*termScope
 	registry  *workerRegistry
@@ -22,8 +28,47 @@
 	latencies     *latencies
 }
 
-// applyHeartbeat takes in what a worker says, if it is news. It returns nil for a
-// machine that was returned to the cloud: a late message from the past.
+// answer takes in a heartbeat, and returns the commands for its worker and the run times that
+// the owner of the worker's shard has yet to learn. The answer may renew the worker's lease.
+func (h *heartbeatReconciler) answer(
+	heartbeat *wire.Heartbeat,
+) (wire.CommandBatch, []agent.RuntimeSample, error) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	epoch := h.leadership.Epoch()
+	if heartbeat.Epoch > epoch || h.ctx.Err() != nil {
+		// The worker knows a later leader. A 200 would be dropped and hold
+		// the worker here while its lease runs out.
+		return wire.CommandBatch{}, nil, ErrNotLeading
+	}
+	worker := h.applyHeartbeat(heartbeat)
+	if worker == nil {
+		return wire.CommandBatch{}, nil, ErrNotLeading
+	}
+	now := h.now()
+	if worker.LastHeartbeat.IsZero() && !worker.RequestedAt.IsZero() {
+		h.log.Info("worker up", "worker", worker.Name, "instance_type", worker.InstanceType, "zone", worker.Zone,
+			"since_requested_s", now.Sub(worker.RequestedAt).Seconds())
+	}
+	// Whatever is answered may renew the lease. But a heartbeat that comes after newer ones,
+	// a late copy perhaps, tells nothing of how the worker is by now.
+	worker.LastAnswered = now
+	commands := wire.CommandBatch{Epoch: epoch, Commands: []wire.Command{}}
+	if worker.Incarnation == heartbeat.Incarnation && worker.Sequence == heartbeat.Sequence {
+		worker.LastHeartbeat, h.lastHeartbeat = now, now
+		if !h.dataLossSuspected() {
+			due := worker.Commands(h.jobs.ClaimsOnWorker(worker.Name), epoch, true)
+			commands.Commands = append(commands.Commands, due...)
+			h.requestFencing(worker)
+		}
+	}
+	samples := worker.PendingSamples
+	worker.PendingSamples = nil
+	return commands, samples, nil
+}
+
+// applyHeartbeat takes in what a worker says, if it is news. It returns nil for an instance
+// that was released: a late message from the past.
 func (h *heartbeatReconciler) applyHeartbeat(heartbeat *wire.Heartbeat) *agent.Worker {
 	if releasedAt := h.released[heartbeat.Worker]; !releasedAt.IsZero() || heartbeat.Worker == "" {
 		return nil
@@ -35,6 +80,22 @@
 	now := h.now()
 	becameUsable := worker.HasUnclaimedTask || !h.scheduler.acceptsTasks(worker, now) // it may be of use from now on
 	usedBefore := h.jobs.UsedOnWorker(worker.Name)
+	h.updateWorker(worker, heartbeat, now)
+	h.reconcileTasks(worker, heartbeat, now)
+	worker.IdleSince = idleSince(worker, len(h.jobs.ClaimsOnWorker(worker.Name)), now)
+	if !h.jobs.NothingToWrite() {
+		notify(h.writeSignal)
+	}
+	// Most heartbeats free no capacity: a scheduling pass for each would be for nothing.
+	if becameUsable || usedBefore != h.jobs.UsedOnWorker(worker.Name) {
+		notify(h.scheduleSignal)
+	}
+	return worker
+}
+
+// updateWorker takes in what a heartbeat says of the worker itself. With a new incarnation
+// all tasks of the earlier ones are gone.
+func (h *heartbeatReconciler) updateWorker(worker *agent.Worker, heartbeat *wire.Heartbeat, now time.Time) {
 	worker.Address, worker.InstanceType, worker.Spot = heartbeat.Address, heartbeat.InstanceType, heartbeat.Spot
 	h.registry.setZone(worker, heartbeat.Zone)
 	worker.Sequence, worker.LastUpdate = heartbeat.Sequence, now
@@ -48,29 +109,21 @@
 	if heartbeat.SpotNoticeSeconds != nil {
 		worker.ReclaimAt = now.Add(time.Duration(*heartbeat.SpotNoticeSeconds * float64(time.Second)))
 	}
-	if heartbeat.Incarnation > worker.Incarnation {
-		worker.Incarnation = heartbeat.Incarnation
-		worker.Tasks = make(map[ledger.Task]agent.TaskStatus)
-		worker.UnresolvedEpoch = 0 // commands carry the tenure: none of the old ones is executed now
-		for _, claim := range h.jobs.ClaimsOnWorker(worker.Name) {
-			if claim.Incarnation < heartbeat.Incarnation {
-				h.dropImageFetch(claim, worker)
-				h.freeClaim(claim, "new tenure")
-			}
-		}
-	}
-	h.reconcileTasks(worker, heartbeat, now)
-	worker.IdleSince = idleSince(worker, len(h.jobs.ClaimsOnWorker(worker.Name)), now)
-	if !h.jobs.NothingToWrite() {
-		notify(h.writeSignal)
+	if heartbeat.Incarnation <= worker.Incarnation {
+		return
 	}
-	// Most reports free no room: a pass for each would be for nothing.
-	if becameUsable || usedBefore != h.jobs.UsedOnWorker(worker.Name) {
-		notify(h.scheduleSignal)
+	worker.Incarnation = heartbeat.Incarnation
+	worker.Tasks = make(map[ledger.Task]agent.TaskStatus)
+	worker.UnresolvedEpoch = 0 // commands carry the incarnation: none of the old ones is executed now
+	for _, claim := range h.jobs.ClaimsOnWorker(worker.Name) {
+		if claim.Incarnation < heartbeat.Incarnation {
+			h.dropImageFetch(claim, worker)
+			h.freeClaim(claim, "new tenure")
+		}
 	}
-	return worker
 }
 
+// idleSince is since when a worker has had neither tasks nor claims; zero if it has some.
 func idleSince(worker *agent.Worker, claims int, now time.Time) time.Time {
 	if claims > 0 || len(worker.Tasks) > 0 {
 		return time.Time{}
@@ -81,7 +134,7 @@
 	return worker.IdleSince
 }
 
-// reconcileTasks compares a report's tasks with the claims.
+// reconcileTasks compares the tasks that a worker reports with its claims.
 func (h *heartbeatReconciler) reconcileTasks(worker *agent.Worker, heartbeat *wire.Heartbeat, now time.Time) {
 	claims := h.jobs.ClaimsOnWorker(worker.Name)
 	seen := make(map[ledger.Task]agent.TaskStatus, len(heartbeat.Tasks))
@@ -92,130 +145,81 @@
 		}
 		h.recovery.adoptReported(worker, task, reported)
 		claims = h.jobs.ClaimsOnWorker(worker.Name)
-		current := agent.TaskStatus{Attempt: reported.Attempt, Phase: reported.Phase, EndCause: reported.ExitReason, Since: now, Orphaned: h.orphans.isOrphan(task)}
-		if previous, ok := worker.Tasks[task]; ok && previous.Attempt == reported.Attempt && previous.Phase == reported.Phase {
-			current.Since = previous.Since
-		}
+		current := h.taskStatus(worker, task, reported, now)
 		claim := claims[task]
 		if earlier, duplicate := seen[task]; duplicate && claim != nil && earlier.Attempt == claim.Attempt {
-			continue // of two tries on the machine the claimed one counts
+			continue // of two attempts on the worker the claimed one counts
 		}
 		seen[task] = current
-		if claim == nil || claim.Attempt != reported.Attempt || claim.Finished {
-			continue
-		}
-		switch reported.Phase {
-		case wire.PhaseRunning:
-			if claim.RunningSince.IsZero() {
-				claim.RunningSince = now
-				h.taskStarted(claim, worker, now)
-			}
-		case wire.TaskExited:
-			h.taskEnded(claim, worker, reported.ExitReason, now)
+		if claim != nil && claim.Attempt == reported.Attempt && !claim.Finished {
+			h.reconcileClaim(claim, worker, reported, now)
 		}
 	}
 	worker.Tasks, worker.HasUnclaimedTask = seen, false
 	for task, reported := range seen {
-		if claim := claims[task]; (claim == nil || claim.Attempt != reported.Attempt) && reported.Phase != wire.TaskExited {
+		claim := claims[task]
+		if (claim == nil || claim.Attempt != reported.Attempt) && reported.Phase != wire.TaskExited {
 			worker.HasUnclaimedTask = true
 		}
 	}
-	// A withdrawn job's task that the worker does not have is gone once no
-	// launch can reach the worker any more: it has seen a higher epoch than
-	// any launch carried.
-	for task, claim := range claims {
-		if _, present := seen[task]; !present && (claim.Job.Cancelled || claim.Stopping || claim.Unconfirmed) && !worker.CommandInFlight && worker.SeenEpoch > claim.StartEpoch {
-			h.freeClaim(claim, "no launch can reach the machine")
-		}
-	}
+	h.freeUnstarted(worker, claims, seen)
 }
 
-// taskStarted notes that a task runs: its machine has the image.
-func (h *heartbeatReconciler) taskStarted(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
-	cacheGB := 0.0
-	if instanceType := h.instanceTypes.InstanceTypes()[worker.InstanceType]; instanceType != nil {
-		cacheGB = instanceType.DiskGB
-	}
-	worker.RecordImageUse(claim.Job.Spec.Image, claim.Job.Spec.ImageGB, cacheGB)
-	h.latencies.recordStart(claim, now)
-	h.log.Debug("started", "task", claim.Task(), "host", worker.Name, "wait_s", now.Sub(claim.Job.WaitingSince).Seconds())
+// taskStatus is a reported task with since when it is in its phase.
+func (h *heartbeatReconciler) taskStatus(
+	worker *agent.Worker, task ledger.Task, reported wire.TaskStatus, now time.Time,
+) agent.TaskStatus {
+	current := agent.TaskStatus{
+		Attempt: reported.Attempt, Phase: reported.Phase, EndCause: reported.ExitReason,
+		Since: now, Orphaned: h.orphans.isOrphan(task),
+	}
+	previous, ok := worker.Tasks[task]
+	if ok && previous.Attempt == reported.Attempt && previous.Phase == reported.Phase {
+		current.Since = previous.Since
+	}
+	return current
 }
 
-// dropImageFetch notes that a task went before it ran; with the last that waited for
-// its image the fetch goes too.
-func (h *heartbeatReconciler) dropImageFetch(claim *ledger.Claim, worker *agent.Worker) {
-	for _, other := range h.jobs.ClaimsOnWorker(worker.Name) {
-		if other != claim && other.Job.Spec.Image == claim.Job.Spec.Image {
-			return
+// reconcileClaim notes that the task of a claim runs or has ended.
+func (h *heartbeatReconciler) reconcileClaim(
+	claim *ledger.Claim, worker *agent.Worker, reported wire.TaskStatus, now time.Time,
+) {
+	switch reported.Phase {
+	case wire.PhaseRunning:
+		if claim.RunningSince.IsZero() {
+			claim.RunningSince = now
+			h.taskStarted(claim, worker, now)
 		}
+	case wire.TaskExited:
+		h.taskEnded(claim, worker, reported.ExitReason, now)
 	}
-	worker.RecordPullAbandoned(claim.Job.Spec.Image)
 }
 
-// taskEnded deals with a claimed task that its worker reports as ended.
-func (h *heartbeatReconciler) taskEnded(claim *ledger.Claim, worker *agent.Worker, cause string, now time.Time) {
-	job := claim.Job
-	if claim.RunningSince.IsZero() {
-		h.dropImageFetch(claim, worker)
-	}
-	h.log.Debug("ended", "task", claim.Task(), "host", worker.Name, "cause", cause)
-	if job.Cancelled {
-		h.freeClaim(claim, "ended, withdrawn")
-		return
-	}
-	if job.IsGang() && cause != wire.ExitDone {
-		// The others cannot go on without it: they start again together.
-		for _, other := range h.jobs.ClaimsOfJob(job) {
-			if other != claim && !other.Finished {
-				other.Stopping = true
-				h.auditLog.enqueueTask(now, audit.Stopped, other, "a member of the gang ended", "")
-				if peer := h.workers[other.Worker]; peer != nil {
-					peer.WakeSender()
-				}
-			}
-		}
-	}
-	switch cause {
-	case wire.ExitDone:
-		if job.Spec.Kind == wire.KindService {
-			h.freeClaim(claim, "ended")
-			return
-		}
-		worker.FailedJobs = nil
-		job.ConsecutiveFailures = 0
-		// Only tasks that were seen running teach: a result that was kept
-		// from an earlier try comes back at once and says nothing.
-		if !claim.RunningSince.IsZero() {
-			job.RunSeconds.Sum += now.Sub(claim.RunningSince).Seconds()
-			job.RunSeconds.Count++
-			finish := agent.RuntimeSample{JobType: h.scheduler.jobType(job), InstanceType: worker.InstanceType, Duration: now.Sub(claim.RunningSince)}
-			if h.leadership.ShardMap().Owner(worker.Name) == h.settings.Node {
-				h.shards.Learn(finish)
-			} else if len(worker.PendingSamples) < 64 {
-				worker.PendingSamples = append(worker.PendingSamples, finish)
-			}
+// freeUnstarted frees the claims of tasks that are not wanted any more and that the worker
+// does not have. Such a task is gone once no start command can reach the worker any more: the
+// worker has seen a higher epoch than any start command carried.
+func (h *heartbeatReconciler) freeUnstarted(
+	worker *agent.Worker, claims map[ledger.Task]*ledger.Claim, seen map[ledger.Task]agent.TaskStatus,
+) {
+	for task, claim := range claims {
+		_, present := seen[task]
+		if !present && notWanted(claim) && !worker.CommandInFlight && worker.SeenEpoch > claim.StartEpoch {
+			h.freeClaim(claim, "no launch can reach the machine")
 		}
-		h.jobs.Finish(claim)
-	case wire.ExitFailed:
-		h.freeClaim(claim, "failed")
-		h.faults.countFailure(job, worker, now)
-	case wire.ExitNoCapacity:
-		h.freeClaim(claim, "refused: no room")
-		worker.StartBackoffUntil = now.Add(h.settings.Report())
-	case wire.ExitDuplicate, wire.ExitUnknownTask:
-		h.freeClaim(claim, "refused: "+cause)
-		job.ConsecutiveFailures++
-		job.RetryAt = now.Add(h.faults.retryDelay(job.ConsecutiveFailures))
-	default: // halted
-		h.freeClaim(claim, "halted")
 	}
 }
 
-// requestFencing asks for a higher epoch when a host waits for one.
+// notWanted tells whether a claim is to be freed as soon as its task is known to be gone.
+func notWanted(claim *ledger.Claim) bool {
+	return claim.Job.Cancelled || claim.Stopping || claim.Unconfirmed
+}
+
+// requestFencing asks for a higher epoch when a worker waits for one: to forget what an
+// unresolved command could start again, or to prove that a task never started.
 func (h *heartbeatReconciler) requestFencing(worker *agent.Worker) {
 	needed := worker.UnresolvedEpoch != 0 && len(worker.Tasks) > 0
 	for task, claim := range h.jobs.ClaimsOnWorker(worker.Name) {
-		if _, present := worker.Tasks[task]; !present && (claim.Job.Cancelled || claim.Stopping || claim.Unconfirmed) {
+		if _, present := worker.Tasks[task]; !present && notWanted(claim) {
 			needed = needed || worker.SeenEpoch <= claim.StartEpoch
 		}
 	}
--- a/internal/leader/registry.go
+++ b/internal/leader/registry.go
@@ -5,14 +5,16 @@
 	"rillflow/internal/election"
 )
 
-// workerRegistry keeps the workers of the cluster state: it finds or adds them, and knows
-// which controller answers each. Callers hold mu.
+// workerRegistry finds or adds the workers of the cluster state, and keeps which controller
+// answers each. All components that learn of a worker call it, and hold mu. It must not
+// remove workers: only an answered release does.
 type workerRegistry struct {
 	*termScope
 	commander *commander
 }
 
-// worker finds or makes a host.
+// worker returns the worker of a name. It adds one that is not known yet, and starts its
+// command loop.
 func (r *workerRegistry) worker(name string) *agent.Worker {
 	worker := r.workers[name]
 	if worker == nil {
@@ -24,7 +26,7 @@
 	return worker
 }
 
-// setZone notes a host's zone.
+// setZone sets the zone of a worker, and with it who may answer the worker.
 func (r *workerRegistry) setZone(worker *agent.Worker, zone string) {
 	if worker.Zone != zone {
 		worker.Zone, worker.SoleOwnerEpoch = zone, 0
@@ -32,10 +34,10 @@
 	}
 }
 
-// assignOwner notes who answers a host, and since which epoch nobody but this node may:
-// it owns the host, and no other owner of a part is in the host's zone, where it
-// might stand in while the zone is cut off. Run it again once a host's zone is
-// known.
+// assignOwner notes which controller answers a worker, and since which epoch nobody but this
+// one may: it owns the worker's shard, and no other shard owner is in the worker's zone,
+// where it might stand in while the zone is cut off. It is to be called again once the zone
+// is known.
 func (r *workerRegistry) assignOwner(worker *agent.Worker, shardMap election.ShardMap) {
 	if owner := shardMap.Owner(worker.Name); owner != worker.ShardOwner {
 		worker.ShardOwner, worker.ShardOwnerSince = owner, r.now()
--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -1,6 +1,17 @@
-// Package leader is the leader's duty: it keeps the ledger and the hosts
-// together for the length of a term, and runs the loops that write claims,
-// place tasks, command workers and rent machines.
+// Package leader is the runtime of the elected leader: for the length of a term it keeps the
+// job table and the workers together, and runs the loops that write claims, place tasks,
+// command workers and scale the fleet.
+//
+// It owns the state of the term: the job table, the workers and instances, and what the
+// components of a term remember, all under one lock (see clusterState). What must outlive a
+// term is in the store; a new leader begins from there, or from replicas where the store has
+// lost data.
+//
+// The elector calls Runner.Serve for each term that this controller wins. The shard owner
+// passes heartbeats on to Runner.Heartbeat, the cancellation broadcast and the job API ask
+// the other methods of Runner. The package does not elect, does not answer HTTP, and must not
+// write to the store without the compares of its leadership, start a task before its claim is
+// committed, or free a claim without proof that its task is gone.
 package leader
 
 import (
@@ -27,7 +38,7 @@
 	"rillflow/internal/wire"
 )
 
-// ErrNotLeading: this controller may not act for the others.
+// ErrNotLeading means that this controller may not act for the others.
 var ErrNotLeading = errors.New("leader: not leading")
 
 // Options are what a Runner works with.
@@ -76,35 +87,38 @@
 	}}
 }
 
-// Serve leads for one term, and returns when it is over. The elector calls it.
+// Serve leads for one term, and returns when it is over.
 func (r *Runner) Serve(ctx context.Context, leadership *election.Term) error {
 	group, groupCtx := errgroup.WithContext(ctx)
-	t := newLeaderTerm(groupCtx, r.environment, leadership, leadership.FirstEpoch, group)
-	r.current.Store(t)
-	defer r.current.CompareAndSwap(t, nil)
-	revision, err := t.begin(groupCtx)
+	term := newLeaderTerm(groupCtx, r.environment, leadership, leadership.FirstEpoch, group)
+	r.current.Store(term)
+	defer r.current.CompareAndSwap(term, nil)
+	revision, err := term.begin(groupCtx)
 	if err != nil {
 		return err
 	}
-	t.startLoops(t.failures.monitorLoop, t.shardKeeper.raiseEpochs, t.shardKeeper.watchShardOwners, t.recovery.feedReplicas)
-	if err := t.recovery.restoreLiveData(groupCtx); err != nil {
-		err = fmt.Errorf("rebuild: %w", err)
+	term.startLoops(
+		term.failures.monitorLoop, term.shardKeeper.raiseEpochs, term.shardKeeper.watchShardOwners,
+		term.recovery.feedReplicas,
+	)
+	if err := term.recovery.restoreLiveData(groupCtx); err != nil {
+		err = fmt.Errorf("recovery: %w", err)
 		group.Go(func() error { return err }) // ends the others
 		return errors.Join(err, group.Wait())
 	}
-	t.startLoops(
-		func(ctx context.Context) error { return t.jobWatcher.watchJobs(ctx, revision) },
-		t.claimWriter.runClaimWriter, t.scheduler.runScheduler, t.dependencies.runDependencies,
-		t.autoscaler.scaleLoop, t.failures.releaseFaultyLoop, t.claimWriter.watchPendingAudit,
-		t.recovery.finishRecovery, t.scrubber.runAntiEntropy, t.orphans.resolveOrphans,
+	term.startLoops(
+		func(ctx context.Context) error { return term.jobWatcher.watchJobs(ctx, revision) },
+		term.claimWriter.runClaimWriter, term.scheduler.runScheduler, term.dependencies.runDependencies,
+		term.autoscaler.scaleLoop, term.failures.releaseFaultyLoop, term.claimWriter.watchPendingAudit,
+		term.recovery.finishRecovery, term.scrubber.runAntiEntropy, term.orphans.resolveOrphans,
 	)
-	notify(t.scheduleSignal)
-	notify(t.dependencySignal)
+	notify(term.scheduleSignal)
+	notify(term.dependencySignal)
 	return group.Wait()
 }
 
-// begin reads the jobs and claims and opens the audit log. From its return on heartbeats are
-// answered. It returns the revision from which jobs are to be watched.
+// begin reads the jobs and claims and opens the audit log. Once it returns heartbeats are
+// answered. It returns the revision from which on jobs are to be watched.
 func (t *leaderTerm) begin(ctx context.Context) (uint64, error) {
 	revision, err := t.loader.load(ctx)
 	if err != nil {
@@ -114,8 +128,11 @@
 		return 0, fmt.Errorf("audit log: %w", err)
 	}
 	t.mu.Lock()
-	t.auditLog.enqueue(t.now(), audit.Entry{Act: audit.TookOver, On: t.settings.Node, Why: fmt.Sprintf("epoch %d", t.firstEpoch)})
-	if phase := t.leadership.Incarnation().Phase; phase == dataloss.PhaseComplete || phase == dataloss.PhaseProvisional {
+	t.auditLog.enqueue(t.now(), audit.Entry{
+		Act: audit.TookOver, On: t.settings.Node, Why: fmt.Sprintf("epoch %d", t.firstEpoch),
+	})
+	phase := t.leadership.Incarnation().Phase
+	if phase == dataloss.PhaseComplete || phase == dataloss.PhaseProvisional {
 		t.recentCancellations.AddComplete("", t.cancellations.cancelledJobs()...)
 	}
 	t.mu.Unlock()
@@ -123,17 +140,19 @@
 	return revision, nil
 }
 
-// startLoops begins duties.
+// startLoops runs loops until the term ends. The first that fails ends the term.
 func (t *leaderTerm) startLoops(loops ...func(context.Context) error) {
 	for _, loop := range loops {
 		t.group.Go(func() error { return loop(t.ctx) })
 	}
 }
 
-// Heartbeat takes in a worker's report and answers with its orders.
-//
-// What the host's tasks taught is returned too, if another node owns it.
-func (r *Runner) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
+// Heartbeat takes in a worker's heartbeat and returns the commands for the worker. It also
+// returns the run times that the worker's tasks have shown, if another controller owns the
+// worker's shard. ErrNotLeading means that the heartbeat was not taken in.
+func (r *Runner) Heartbeat(
+	ctx context.Context, heartbeat *wire.Heartbeat,
+) (wire.CommandBatch, []agent.RuntimeSample, error) {
 	term := r.current.Load()
 	if term == nil {
 		return wire.CommandBatch{}, nil, ErrNotLeading
@@ -147,40 +166,11 @@
 	case <-ctx.Done():
 		return wire.CommandBatch{}, nil, ctx.Err()
 	}
-	term.mu.Lock()
-	defer term.mu.Unlock()
-	epoch := term.leadership.Epoch()
-	if heartbeat.Epoch > epoch || term.ctx.Err() != nil {
-		// The worker knows a later leader. A 200 would be dropped and hold
-		// the worker here while its lease runs out.
-		return wire.CommandBatch{}, nil, ErrNotLeading
-	}
-	worker := term.heartbeats.applyHeartbeat(heartbeat)
-	if worker == nil {
-		return wire.CommandBatch{}, nil, ErrNotLeading
-	}
-	now := term.now()
-	if worker.LastHeartbeat.IsZero() && !worker.RequestedAt.IsZero() {
-		term.log.Info("up", "host", worker.Name, "flavor", worker.InstanceType, "zone", worker.Zone, "since_asked_s", now.Sub(worker.RequestedAt).Seconds())
-	}
-	// Whatever is answered may renew the lease. But a report that comes after newer ones,
-	// a late copy perhaps, tells nothing of how the machine is by now.
-	worker.LastAnswered = now
-	commands := wire.CommandBatch{Epoch: epoch, Commands: []wire.Command{}}
-	if worker.Incarnation == heartbeat.Incarnation && worker.Sequence == heartbeat.Sequence {
-		worker.LastHeartbeat, term.heartbeats.lastHeartbeat = now, now
-		if !term.dataLossSuspected() {
-			commands.Commands = append(commands.Commands, worker.Commands(term.jobs.ClaimsOnWorker(worker.Name), epoch, true)...)
-			term.heartbeats.requestFencing(worker)
-		}
-	}
-	learned := worker.PendingSamples
-	worker.PendingSamples = nil
-	return commands, learned, nil
+	return term.heartbeats.answer(heartbeat)
 }
 
-// NoWorkersOfOwn tells whether this controller leads, and no machine of its own part is up: that it
-// hears none then says nothing of its own hearing.
+// NoWorkersOfOwn tells whether this controller leads, and no worker of its own shard is up:
+// that it hears none then says nothing about whether it is isolated.
 func (r *Runner) NoWorkersOfOwn() bool {
 	term := r.current.Load()
 	if term == nil {
--- a/internal/leader/scope.go
+++ b/internal/leader/scope.go
@@ -40,7 +40,8 @@
 	now                 func() time.Time
 }
 
-// signals wake the loops of a term. Each holds at most one notification.
+// signals wake the loops of a term. Each holds at most one notification, so that notifying
+// never blocks and a loop that is busy runs once more.
 type signals struct {
 	writeSignal      chan struct{} // the job table has changes to write
 	scheduleSignal   chan struct{} // capacity or tasks may be free to place
@@ -48,6 +49,16 @@
 	epochSignal      chan struct{} // a higher epoch is needed
 }
 
+func newSignals() signals {
+	return signals{
+		writeSignal:      make(chan struct{}, 1),
+		scheduleSignal:   make(chan struct{}, 1),
+		dependencySignal: make(chan struct{}, 1),
+		epochSignal:      make(chan struct{}, 1),
+	}
+}
+
+// notify wakes the loop that waits for a signal.
 func notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -55,6 +66,7 @@
 	}
 }
 
+// sleep waits, and reports false if ctx ended first.
 func sleep(ctx context.Context, duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -66,9 +78,11 @@
 	}
 }
 
-// termScope is what the components of a term share. Every component embeds a pointer to it.
-// The references are fixed when the term begins; what they refer to has its own guard,
-// except clusterState and auditLog, whose users hold mu.
+// termScope is what the components of a term share; each embeds a pointer to it. Its fields
+// are set when the term begins and do not change. clusterState and auditLog are guarded by
+// mu, everything else has its own guard or needs none.
+//
+// A method belongs here only if several components need it and it uses no component's state.
 type termScope struct {
 	*environment
 	*clusterState
@@ -81,21 +95,25 @@
 	auditLog   *auditWriter    // nil: no audit log is kept
 }
 
-// freeClaim frees a claim on proof that its task is gone.
+// freeClaim frees a claim on proof that its task is gone. Callers hold mu.
 func (s *termScope) freeClaim(claim *ledger.Claim, reason string) {
-	s.log.Debug("task lost", "task", claim.Task(), "host", claim.Worker, "why", reason)
+	s.log.Debug("claim freed", "task", claim.Task(), "worker", claim.Worker, "reason", reason)
 	now := s.now()
 	s.auditLog.enqueueTask(now, audit.Lost, claim, reason, "")
 	s.jobs.Free(claim, now)
 }
 
+// clockDriftDivisor bounds how fast clocks run apart: by one part in so many.
+const clockDriftDivisor = 500
+
 // leaseOverAfter is after which time without an answer a lease is over by any clock.
 func (s *termScope) leaseOverAfter() time.Duration {
-	return s.settings.Lease() + s.settings.Lease()/500 + s.settings.Report()/3
+	return s.settings.Lease() + s.settings.Lease()/clockDriftDivisor + s.settings.Report()/3
 }
 
-// leaseRenewed tells whether a host's report was answered lately. Nothing else renews its lease:
-// one that answers direct commands, and reaches no controller, loses whatever it is given.
+// leaseRenewed tells whether a worker's heartbeat was answered lately. Nothing else renews its
+// lease: a worker that answers direct commands but reaches no controller loses whatever it is
+// given. Callers hold mu.
 func (s *termScope) leaseRenewed(worker *agent.Worker, now time.Time) bool {
 	return !worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) < 5*s.settings.Report()/2
 }
--- /dev/null
+++ b/internal/leader/taskevents.go
@@ -0,0 +1,114 @@
+package leader
+
+import (
+	"time"
+
+	"rillflow/internal/agent"
+	"rillflow/internal/audit"
+	"rillflow/internal/ledger"
+	"rillflow/internal/wire"
+)
+
+// taskStarted notes that a task runs: its worker has the image.
+func (h *heartbeatReconciler) taskStarted(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
+	cacheGB := 0.0
+	if instanceType := h.instanceTypes.InstanceTypes()[worker.InstanceType]; instanceType != nil {
+		cacheGB = instanceType.DiskGB
+	}
+	worker.RecordImageUse(claim.Job.Spec.Image, claim.Job.Spec.ImageGB, cacheGB)
+	h.latencies.recordStart(claim, now)
+	h.log.Debug("task started", "task", claim.Task(), "worker", worker.Name,
+		"wait_s", now.Sub(claim.Job.WaitingSince).Seconds())
+}
+
+// dropImageFetch notes that a task went before it ran; with the last that waited for
+// its image the fetch goes too.
+func (h *heartbeatReconciler) dropImageFetch(claim *ledger.Claim, worker *agent.Worker) {
+	for _, other := range h.jobs.ClaimsOnWorker(worker.Name) {
+		if other != claim && other.Job.Spec.Image == claim.Job.Spec.Image {
+			return
+		}
+	}
+	worker.RecordPullAbandoned(claim.Job.Spec.Image)
+}
+
+// taskEnded deals with a claimed task that its worker reports as ended: it finishes the task,
+// or frees the claim so that the task starts again.
+func (h *heartbeatReconciler) taskEnded(claim *ledger.Claim, worker *agent.Worker, cause string, now time.Time) {
+	job := claim.Job
+	if claim.RunningSince.IsZero() {
+		h.dropImageFetch(claim, worker)
+	}
+	h.log.Debug("task ended", "task", claim.Task(), "worker", worker.Name, "cause", cause)
+	if job.Cancelled {
+		h.freeClaim(claim, "ended, withdrawn")
+		return
+	}
+	if job.IsGang() && cause != wire.ExitDone {
+		h.stopRestOfGang(claim, now)
+	}
+	switch cause {
+	case wire.ExitDone:
+		h.taskDone(claim, worker, now)
+	case wire.ExitFailed:
+		h.freeClaim(claim, "failed")
+		h.faults.countFailure(job, worker, now)
+	case wire.ExitNoCapacity:
+		h.freeClaim(claim, "refused: no room")
+		worker.StartBackoffUntil = now.Add(h.settings.Report())
+	case wire.ExitDuplicate, wire.ExitUnknownTask:
+		h.freeClaim(claim, "refused: "+cause)
+		job.ConsecutiveFailures++
+		job.RetryAt = now.Add(h.faults.retryDelay(job.ConsecutiveFailures))
+	default: // stopped on command
+		h.freeClaim(claim, "halted")
+	}
+}
+
+// stopRestOfGang stops the other tasks of a gang of which one ended: they cannot go on
+// without it, and start again together.
+func (h *heartbeatReconciler) stopRestOfGang(ended *ledger.Claim, now time.Time) {
+	for _, other := range h.jobs.ClaimsOfJob(ended.Job) {
+		if other == ended || other.Finished {
+			continue
+		}
+		other.Stopping = true
+		h.auditLog.enqueueTask(now, audit.Stopped, other, "a member of the gang ended", "")
+		if worker := h.workers[other.Worker]; worker != nil {
+			worker.WakeSender()
+		}
+	}
+}
+
+// taskDone finishes a task that has done its work. A task of a service is never done: it
+// starts again.
+func (h *heartbeatReconciler) taskDone(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
+	job := claim.Job
+	if job.Spec.Kind == wire.KindService {
+		h.freeClaim(claim, "ended")
+		return
+	}
+	worker.FailedJobs = nil
+	job.ConsecutiveFailures = 0
+	// Only tasks that were seen running teach: a result that was kept
+	// from an earlier attempt comes back at once and says nothing.
+	if !claim.RunningSince.IsZero() {
+		h.learnRunTime(claim, worker, now)
+	}
+	h.jobs.Finish(claim)
+}
+
+// learnRunTime notes how long a task ran, for its job and for the owner of the worker's shard.
+func (h *heartbeatReconciler) learnRunTime(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
+	job, ran := claim.Job, now.Sub(claim.RunningSince)
+	job.RunSeconds.Sum += ran.Seconds()
+	job.RunSeconds.Count++
+	sample := agent.RuntimeSample{
+		JobType: h.scheduler.jobType(job), InstanceType: worker.InstanceType, Duration: ran,
+	}
+	if h.leadership.ShardMap().Owner(worker.Name) == h.settings.Node {
+		h.shards.Learn(sample)
+	} else if len(worker.PendingSamples) < maxPendingSamples {
+		worker.PendingSamples = append(worker.PendingSamples, sample)
+	}
+}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -62,36 +62,26 @@
 }
 
 // newLeaderTerm makes the components of a term and connects them. It starts nothing.
-func newLeaderTerm(ctx context.Context, env *environment, leadership Leadership, firstEpoch uint64, group *errgroup.Group) *leaderTerm {
-	scope := &termScope{
-		environment: env,
-		clusterState: &clusterState{
-			jobs:      ledger.New(fmt.Sprintf("%s.%d", env.settings.Node, firstEpoch), env.settings.Facts.Teams),
-			workers:   make(map[string]*agent.Worker),
-			released:  make(map[string]time.Time),
-			instances: make(map[string]wire.Instance),
-		},
-		signals: signals{
-			writeSignal: make(chan struct{}, 1), scheduleSignal: make(chan struct{}, 1),
-			dependencySignal: make(chan struct{}, 1), epochSignal: make(chan struct{}, 1),
-		},
-		leadership: leadership, firstEpoch: firstEpoch, startedAt: env.now(), group: group, ctx: ctx,
-	}
-	if env.auditKeys != nil {
-		scope.auditLog = newAuditWriter(env.auditKeys, env.settings.Node, env.log)
-	}
+func newLeaderTerm(
+	ctx context.Context, env *environment, leadership Leadership, firstEpoch uint64, group *errgroup.Group,
+) *leaderTerm {
+	scope := newTermScope(ctx, env, leadership, firstEpoch, group)
 	t := &leaderTerm{
-		termScope:     scope,
-		ready:         make(chan struct{}),
-		registry:      &workerRegistry{termScope: scope},
-		heartbeats:    &heartbeatReconciler{termScope: scope, latencies: newLatencies()},
-		commander:     &commander{termScope: scope},
-		failures:      &failureMonitor{termScope: scope, detector: newFailureDetector(env.settings)},
-		faults:        &faultTracker{termScope: scope},
-		drainer:       &drainer{termScope: scope},
-		autoscaler:    &autoscaler{termScope: scope, planner: fleet.NewPlanner(env.settings, firstEpoch), scaledAheadTeams: make(map[string]bool)},
-		shardKeeper:   &shardKeeper{termScope: scope},
-		jobWatcher:    &jobWatcher{termScope: scope},
+		termScope:   scope,
+		ready:       make(chan struct{}),
+		registry:    &workerRegistry{termScope: scope},
+		heartbeats:  &heartbeatReconciler{termScope: scope, latencies: newLatencies()},
+		commander:   &commander{termScope: scope},
+		failures:    &failureMonitor{termScope: scope, detector: newFailureDetector(env.settings)},
+		faults:      &faultTracker{termScope: scope},
+		drainer:     &drainer{termScope: scope},
+		shardKeeper: &shardKeeper{termScope: scope},
+		jobWatcher:  &jobWatcher{termScope: scope},
+		autoscaler: &autoscaler{
+			termScope:        scope,
+			planner:          fleet.NewPlanner(env.settings, firstEpoch),
+			scaledAheadTeams: make(map[string]bool),
+		},
 		scheduler:     &scheduler{termScope: scope},
 		claimWriter:   &claimWriter{termScope: scope},
 		cancellations: &cancellations{termScope: scope},
@@ -107,6 +97,32 @@
 	return t
 }
 
+// newTermScope makes what the components of a term share.
+func newTermScope(
+	ctx context.Context, env *environment, leadership Leadership, firstEpoch uint64, group *errgroup.Group,
+) *termScope {
+	writer := fmt.Sprintf("%s.%d", env.settings.Node, firstEpoch) // names this term in claim records
+	scope := &termScope{
+		environment: env,
+		clusterState: &clusterState{
+			jobs:      ledger.New(writer, env.settings.Facts.Teams),
+			workers:   make(map[string]*agent.Worker),
+			released:  make(map[string]time.Time),
+			instances: make(map[string]wire.Instance),
+		},
+		signals:    newSignals(),
+		leadership: leadership,
+		firstEpoch: firstEpoch,
+		startedAt:  env.now(),
+		group:      group,
+		ctx:        ctx,
+	}
+	if env.auditKeys != nil {
+		scope.auditLog = newAuditWriter(env.auditKeys, env.settings.Node, env.log)
+	}
+	return scope
+}
+
 // connect tells the components of one another.
 func (t *leaderTerm) connect() {
 	t.registry.commander = t.commander
@@ -116,7 +132,8 @@
 
 	t.commander.registry, t.commander.heartbeats = t.registry, t.heartbeats
 
-	t.failures.commander, t.failures.heartbeats, t.failures.faults = t.commander, t.heartbeats, t.faults
+	t.failures.commander, t.failures.heartbeats = t.commander, t.heartbeats
+	t.failures.faults = t.faults
 	t.failures.drainer, t.failures.autoscaler, t.failures.cancellations = t.drainer, t.autoscaler, t.cancellations
 
 	t.drainer.scheduler = t.scheduler
@@ -126,11 +143,13 @@
 
 	t.shardKeeper.registry = t.registry
 
-	t.jobWatcher.cancellations, t.jobWatcher.orphans, t.jobWatcher.storeReader = t.cancellations, t.orphans, t.storeReader
+	t.jobWatcher.cancellations, t.jobWatcher.orphans = t.cancellations, t.orphans
+	t.jobWatcher.storeReader = t.storeReader
 
 	t.scheduler.connect(t.recovery, t.dependencies, t.faults)
 
-	t.claimWriter.cancellations, t.claimWriter.dependencies, t.claimWriter.storeReader = t.cancellations, t.dependencies, t.storeReader
+	t.claimWriter.cancellations, t.claimWriter.dependencies = t.cancellations, t.dependencies
+	t.claimWriter.storeReader = t.storeReader
 
 	t.cancellations.autoscaler = t.autoscaler
 
