--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -11,7 +11,19 @@
 	"rillflow/internal/wire"
 )
 
-// autoscaler rents and releases instances.
+// Limits of the requests to the cloud.
+const (
+	maxReleaseNames     = 100 // names in a release, by the protocol
+	maxRequestsPerRound = 32  // requests for instances before the instance list is read again
+	requestsPerInterval = 4   // share of the request budget: one round in the time of so many requests
+)
+
+// autoscaler requests and releases instances.
+//
+// It runs scaleLoop; the failure monitor has it release instances. Its state is guarded by
+// mu, which is not held while the cloud is asked. What to scale is the planner's decision;
+// the autoscaler shows it the fleet and the demand, and carries its plan out. It must not act
+// while another controller may lead.
 type autoscaler struct {
 	*termScope
 	registry  *workerRegistry
@@ -24,10 +36,11 @@
 	scaledAheadTeams map[string]bool // teams whose work is scaled out ahead of need
 }
 
-// scaleLoop keeps the fleet: it reads the machine list, returns what is idle, and
-// rents what is needed.
+// scaleLoop keeps the fleet: it reads the instance list, releases what is idle, and
+// requests what is needed.
 func (a *autoscaler) scaleLoop(ctx context.Context) error {
-	interval := max(a.settings.Report()/2, time.Duration(float64(time.Second)*4/a.settings.Facts.Cloud.RPS))
+	budgeted := time.Duration(float64(time.Second) * requestsPerInterval / a.settings.Facts.Cloud.RPS)
+	interval := max(a.settings.Report()/2, budgeted)
 	for round := 0; ; round++ {
 		if !a.leadership.LeaseHeld(a.now()) {
 			if !sleep(ctx, interval) {
@@ -41,7 +54,7 @@
 				a.mergeInstanceList(list)
 				a.mu.Unlock()
 			} else {
-				a.log.Debug("machine list", "err", err)
+				a.log.Debug("list instances failed", "err", err)
 			}
 		}
 		a.scale(ctx)
@@ -51,38 +64,22 @@
 	}
 }
 
-// scale returns what is idle, drains what is too much, and rents
+// scale releases what is idle, drains what is too much, and requests
 // what is needed, one request after the other: how much each brings shows only
 // in its answer.
 func (a *autoscaler) scale(ctx context.Context) {
-	for requests := 0; requests < 32 && a.leadership.LeaseHeld(a.now()); requests++ {
+	for requests := 0; requests < maxRequestsPerRound && a.leadership.LeaseHeld(a.now()); requests++ {
 		a.mu.Lock()
 		now := a.now()
-		var idle []string
-		var plan fleet.Plan
-		// What an earlier leader rented shows within a report interval.
-		if instanceTypes := a.instanceTypes.InstanceTypes(); instanceTypes != nil && (a.leadership.Incarnation().Phase == dataloss.PhaseProvisional || now.Sub(a.startedAt) > a.settings.Report()) {
-			machines := a.planMachines(now)
-			plan = a.planner.Plan(instanceTypes, machines, a.demand(machines, now), now)
-		}
-		for _, name := range plan.Release {
-			// Not a host that was given a task since it was looked at.
-			if len(a.jobs.ClaimsOnWorker(name)) == 0 {
-				idle = append(idle, name)
-				a.noteRelease(name, "idle", now)
-			}
-		}
-		idle = idle[:min(len(idle), maxReleaseNames)]
-		for _, name := range idle {
-			a.released[name] = time.Time{} // no new tasks from here on
-		}
+		plan := a.plan(now)
+		idle := a.markIdleReleased(plan, now)
 		a.drainer.drainWorkers(plan, now)
 		a.mu.Unlock()
 		if len(idle) > 0 {
 			a.releaseInstances(ctx, idle)
 		}
 		if len(plan.ScaleOut) == 0 || a.memoryFull() {
-			return // more machines than there is memory for are of no use
+			return // more workers than there is memory for are of no use
 		}
 		request := plan.ScaleOut[0]
 		names, err := a.cloud.RequestInstances(ctx, request)
@@ -92,21 +89,53 @@
 	}
 }
 
-// maxReleaseNames is the protocol's limit on the names in a release.
-const maxReleaseNames = 100
+// plan asks the planner what to do. The plan is empty while the fleet is not known: what an
+// earlier leader requested shows within a heartbeat interval.
+func (a *autoscaler) plan(now time.Time) fleet.Plan {
+	instanceTypes := a.instanceTypes.InstanceTypes()
+	fleetKnown := a.leadership.Incarnation().Phase == dataloss.PhaseProvisional ||
+		now.Sub(a.startedAt) > a.settings.Report()
+	if instanceTypes == nil || !fleetKnown {
+		return fleet.Plan{}
+	}
+	machines := a.planMachines(now)
+	return a.planner.Plan(instanceTypes, machines, a.demand(machines, now), now)
+}
 
+// markIdleReleased marks the instances that the plan releases, and returns their names; not
+// those of workers that were given a task since they were looked at.
+func (a *autoscaler) markIdleReleased(plan fleet.Plan, now time.Time) []string {
+	var idle []string
+	for _, name := range plan.Release {
+		if len(a.jobs.ClaimsOnWorker(name)) == 0 {
+			idle = append(idle, name)
+			a.noteRelease(name, releaseIdle, now)
+		}
+	}
+	idle = idle[:min(len(idle), maxReleaseNames)]
+	for _, name := range idle {
+		a.released[name] = time.Time{} // no new tasks from here on
+	}
+	return idle
+}
+
+// recordScaleOut takes in the answer to a request for instances.
 func (a *autoscaler) recordScaleOut(request wire.ScaleOutRequest, names []string, err error) {
 	now := a.now()
 	if err != nil && !errors.Is(err, fleet.ErrNoCapacity) {
-		a.log.Debug("rent", "ask", request.RequestID, "err", err)
+		a.log.Debug("scale out failed", "request", request.RequestID, "err", err)
 	}
 	a.planner.RecordAnswer(request, len(names), now)
 	if len(names) > 0 {
-		a.log.Info("rented", "flavor", request.InstanceType, "zone", request.Zone, "loaners", request.Spot, "asked", request.Count, "got", len(names), "hosts", names)
+		a.log.Info("scaled out", "instance_type", request.InstanceType, "zone", request.Zone, "spot", request.Spot,
+			"requested", request.Count, "granted", len(names), "workers", names)
 	}
 	for _, name := range names {
 		if _, ok := a.instances[name]; !ok {
-			a.instances[name] = wire.Instance{Name: name, InstanceType: request.InstanceType, Zone: request.Zone, Spot: request.Spot, Phase: wire.InstanceStarting}
+			a.instances[name] = wire.Instance{
+				Name: name, InstanceType: request.InstanceType, Zone: request.Zone, Spot: request.Spot,
+				Phase: wire.InstanceStarting,
+			}
 		}
 		worker := a.registry.worker(name)
 		worker.InstanceType, worker.Spot = request.InstanceType, request.Spot
@@ -115,33 +144,36 @@
 	}
 }
 
-// noteRelease tells why a machine is about to be returned.
+// noteRelease logs why an instance is about to be released. Callers hold mu.
 func (a *autoscaler) noteRelease(name, reason string, now time.Time) {
-	a.log.Info("returning", "host", name, "why", reason, "claims", len(a.jobs.ClaimsOnWorker(name)))
+	a.log.Info("releasing", "worker", name, "reason", reason, "claims", len(a.jobs.ClaimsOnWorker(name)))
 	a.auditLog.enqueue(now, audit.Entry{Act: audit.Returned, On: name, Why: reason})
 }
 
-// releaseInstances returns machines. The answer is proof that what was on them is gone.
+// releaseInstances releases instances. The answer is proof that what was on them is gone, and
+// frees their claims.
 func (a *autoscaler) releaseInstances(ctx context.Context, names []string) {
 	err := a.cloud.ReleaseInstances(ctx, names)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if err != nil {
-		a.log.Info("release", "hosts", len(names), "err", err)
+		a.log.Info("release failed", "workers", len(names), "err", err)
 		return
 	}
 	now := a.now()
 	for _, name := range names {
 		a.released[name] = now
 		if worker := a.workers[name]; worker != nil {
-			a.planner.RecordRelease(fleet.Instance{InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot})
+			a.planner.RecordRelease(fleet.Instance{
+				InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot,
+			})
 		}
 		for _, claim := range a.jobs.ClaimsOnWorker(name) {
 			a.freeClaim(claim, "machine returned")
 		}
 		if worker := a.workers[name]; worker != nil {
 			a.removeWorker(worker)
-			worker.WakeSender() // ends its sender
+			worker.WakeSender() // ends its command loop
 		}
 		delete(a.instances, name)
 	}
@@ -149,18 +181,17 @@
 	notify(a.writeSignal)
 }
 
-// mergeInstanceList takes in the machine list. It lags, so what is missing from it is not
-// thereby gone.
+// mergeInstanceList takes in the cloud's list of instances. It lags, so what is missing from
+// it is not thereby gone.
 func (a *autoscaler) mergeInstanceList(list []wire.Instance) {
 	now := a.now()
 	listLag := time.Duration(a.settings.Facts.Cloud.ListLagS * float64(time.Second))
 	present := make(map[string]bool, len(list))
 	for _, instance := range list {
 		present[instance.Name] = true
-		if releasedAt, isReleased := a.released[instance.Name]; isReleased && !releasedAt.IsZero() {
-			if now.Sub(releasedAt) < 3*listLag+a.settings.Report() {
-				continue // the list is behind
-			}
+		releasedAt := a.released[instance.Name]
+		if !releasedAt.IsZero() && now.Sub(releasedAt) < 3*listLag+a.settings.Report() {
+			continue // the list is behind
 		}
 		a.instances[instance.Name] = instance
 		worker := a.registry.worker(instance.Name)
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"rillflow/internal/agent"
 	"rillflow/internal/fleet"
 	"rillflow/internal/ledger"
 	"rillflow/internal/wire"
@@ -12,104 +13,158 @@
 // planMachines shows the fleet to the planner.
 func (a *autoscaler) planMachines(now time.Time) []fleet.Instance {
 	machines := make([]fleet.Instance, 0, len(a.workers))
-	var candidates []*candidate // shared, so that no place is counted for two machines
+	var candidates []*candidate // shared, so that no place is counted for two workers
 	for _, worker := range a.workersByName {
-		_, leaving := a.released[worker.Name]
 		if worker.InstanceType == "" {
 			continue
 		}
-		claims := a.jobs.ClaimsOnWorker(worker.Name)
-		machine := fleet.Instance{
-			Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot,
-			Up: !worker.LastHeartbeat.IsZero(), Booting: worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero(), Releasing: leaving || !worker.ReclaimAt.IsZero() || a.faults.workerFaulty(worker),
-			Draining: worker.Draining, RequestedAt: worker.RequestedAt, Partitioned: a.failures.unreachable(worker, now),
-			CanMoveReplicas: func() bool {
-				if candidates == nil {
-					candidates = a.scheduler.candidates(now)
-				}
-				return a.drainer.replicasMovable(worker, candidates, now)
-			},
-		}
-		for _, claim := range claims {
-			if claim.Job.Spec.Kind == wire.KindService {
-				machine.Replicas++
-				machine.ReplicaCores += claim.Job.Spec.CPUs
+		machine := a.planMachine(worker, now)
+		machine.CanMoveReplicas = func() bool {
+			if candidates == nil {
+				candidates = a.scheduler.candidates(now)
 			}
-		}
-		if machine.Up && len(worker.Tasks) == 0 && len(claims) == 0 {
-			machine.IdleSince = worker.IdleSince
+			return a.drainer.replicasMovable(worker, candidates, now)
 		}
 		machines = append(machines, machine)
 	}
 	return machines
 }
 
-// demand sums up the work on hand, with what runs on machines behind a cut left out.
+// planMachine shows one worker to the planner.
+func (a *autoscaler) planMachine(worker *agent.Worker, now time.Time) fleet.Instance {
+	_, leaving := a.released[worker.Name]
+	claims := a.jobs.ClaimsOnWorker(worker.Name)
+	machine := fleet.Instance{
+		Name:         worker.Name,
+		InstanceType: worker.InstanceType,
+		Zone:         worker.Zone,
+		Spot:         worker.Spot,
+		Up:           !worker.LastHeartbeat.IsZero(),
+		Booting:      worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero(),
+		Releasing:    leaving || !worker.ReclaimAt.IsZero() || a.faults.workerFaulty(worker),
+		Draining:     worker.Draining,
+		RequestedAt:  worker.RequestedAt,
+		Partitioned:  a.failures.unreachable(worker, now),
+	}
+	for _, claim := range claims {
+		if claim.Job.Spec.Kind == wire.KindService {
+			machine.Replicas++
+			machine.ReplicaCores += claim.Job.Spec.CPUs
+		}
+	}
+	if machine.Up && len(worker.Tasks) == 0 && len(claims) == 0 {
+		machine.IdleSince = worker.IdleSince
+	}
+	return machine
+}
+
+// demandSum adds up the work on hand.
+type demandSum struct {
+	fleet.Demand
+	spotCores     map[string]float64 // of unfinished tasks that may run on spot instances, by team
+	pacedCores    map[string]float64 // of these, as many as must run at once to be in time
+	shapeIndex    map[string]int     // of a task shape in TaskShapes
+	waitingShapes map[int]bool       // shapes in WaitingShapes
+}
+
+// demand sums up the work on hand, with what runs on unreachable workers left out.
 func (a *autoscaler) demand(machines []fleet.Instance, now time.Time) fleet.Demand {
-	need := fleet.Demand{ZoneBoundCores: make(map[string]float64), FailoverCores: make(map[string]float64)}
-	shapeIndex, waitingShapes := make(map[string]int), make(map[int]bool)
-	unreachableTasks := make(map[*ledger.Job]int)
+	sum := &demandSum{
+		Demand:     fleet.Demand{ZoneBoundCores: make(map[string]float64), FailoverCores: make(map[string]float64)},
+		spotCores:  make(map[string]float64),
+		pacedCores: make(map[string]float64),
+		shapeIndex: make(map[string]int), waitingShapes: make(map[int]bool),
+	}
+	unreachable := a.unreachableTasks(machines)
+	a.noteScaledAheadTeams()
+	zones := a.instanceTypes.Zones()
+	for _, job := range a.jobs.Jobs() {
+		if job.Cancelled || job.Finished || !job.DependenciesMet() {
+			continue
+		}
+		cores := job.Spec.CPUs * float64(job.UnfinishedTasks()-unreachable[job])
+		a.addJobDemand(sum, job, cores, zones, now)
+		waiting := job.Spec.AllowSpot && min(job.WaitingTasks(), a.jobs.QuotaHeadroom(job)) > 0
+		sum.addShape(&job.Spec, cores, waiting)
+	}
+	for team := range a.scaledAheadTeams {
+		sum.ScaleAheadCores += a.jobs.Team(team).CPUsMax
+	}
+	for team, cores := range sum.spotCores {
+		sum.SpotCores += min(cores, a.jobs.Team(team).CPUsMax)
+		sum.UrgentCores += min(sum.pacedCores[team], a.jobs.Team(team).CPUsMax)
+	}
+	return sum.Demand
+}
+
+// unreachableTasks counts by job the tasks on unreachable workers. They cannot run elsewhere
+// as yet. A task of a service that no controller keeps alive there will have to, so there is
+// to be capacity for it: it is not counted.
+func (a *autoscaler) unreachableTasks(machines []fleet.Instance) map[*ledger.Job]int {
+	tasks := make(map[*ledger.Job]int)
 	for _, machine := range machines {
 		if !machine.Partitioned {
 			continue
 		}
 		for _, claim := range a.jobs.ClaimsOnWorker(machine.Name) {
-			// It cannot run elsewhere as yet. A replica that no controller
-			// keeps alive there will have to, so there is to be room for it.
 			if claim.Job.Spec.Kind != wire.KindService || a.settings.Covered(machine.Zone) {
-				unreachableTasks[claim.Job]++
+				tasks[claim.Job]++
 			}
 		}
 	}
+	return tasks
+}
+
+// noteScaledAheadTeams notes the teams whose work is scaled out ahead of need, for the rest of
+// the term.
+func (a *autoscaler) noteScaledAheadTeams() {
 	for _, job := range a.jobs.Jobs() {
 		if !job.Cancelled && !job.Finished && job.DependenciesMet() && a.settings.Ample(job.Spec.Class) {
 			a.scaledAheadTeams[job.Spec.Team] = true
 		}
 	}
-	spotCores, pacedCores := make(map[string]float64), make(map[string]float64)
-	zones := a.instanceTypes.Zones()
-	for _, job := range a.jobs.Jobs() {
-		if job.Cancelled || job.Finished || !job.DependenciesMet() {
-			continue
-		}
-		spec := &job.Spec
-		cores := spec.CPUs * float64(job.UnfinishedTasks()-unreachableTasks[job])
-		switch {
-		case a.scaledAheadTeams[spec.Team]: // up to the team's limit, whatever is on hand
-		case spec.AllowSpot:
-			spotCores[spec.Team] += cores
-			pacedCores[spec.Team] += cores * a.requiredConcurrency(job, now)
-			need.QueuedCores += spec.CPUs * float64(min(job.WaitingTasks(), a.jobs.QuotaHeadroom(job)))
-		default:
-			need.OnDemandCores += cores
-			need.OnDemandJobs++
-			if spec.SpreadZones {
-				need.SecondZoneCores = max(need.SecondZoneCores, spec.CPUs*float64(spec.TaskCount/2))
-			}
-			a.addZoneDemand(&need, job, zones)
-			need.LargestServiceCores = max(need.LargestServiceCores, cores)
-		}
-		key := fmt.Sprint(spec.CPUs, spec.GPUs, spec.MemoryGB, spec.InstanceTypes, spec.Zone, spec.AllowSpot)
-		index, ok := shapeIndex[key]
-		if !ok {
-			index = len(need.TaskShapes)
-			shapeIndex[key] = index
-			need.TaskShapes = append(need.TaskShapes, fleet.TaskShape{Cores: spec.CPUs, Accel: spec.GPUs, RAM: spec.MemoryGB, InstanceTypes: spec.InstanceTypes, Zone: spec.Zone, SpotAllowed: spec.AllowSpot})
-		}
-		need.TaskShapes[index].Weight += cores
-		if !waitingShapes[index] && spec.AllowSpot && min(job.WaitingTasks(), a.jobs.QuotaHeadroom(job)) > 0 {
-			waitingShapes[index] = true
-			need.WaitingShapes = append(need.WaitingShapes, need.TaskShapes[index])
+}
+
+// addJobDemand adds the cores that a job's tasks want, by what they may run on.
+func (a *autoscaler) addJobDemand(
+	sum *demandSum, job *ledger.Job, cores float64, zones []string, now time.Time,
+) {
+	spec := &job.Spec
+	switch {
+	case a.scaledAheadTeams[spec.Team]: // up to the team's limit, whatever is on hand
+	case spec.AllowSpot:
+		sum.spotCores[spec.Team] += cores
+		sum.pacedCores[spec.Team] += cores * a.requiredConcurrency(job, now)
+		sum.QueuedCores += spec.CPUs * float64(min(job.WaitingTasks(), a.jobs.QuotaHeadroom(job)))
+	default:
+		sum.OnDemandCores += cores
+		sum.OnDemandJobs++
+		if spec.SpreadZones {
+			sum.SecondZoneCores = max(sum.SecondZoneCores, spec.CPUs*float64(spec.TaskCount/2))
 		}
+		a.addZoneDemand(&sum.Demand, job, zones)
+		sum.LargestServiceCores = max(sum.LargestServiceCores, cores)
 	}
-	for team := range a.scaledAheadTeams {
-		need.ScaleAheadCores += a.jobs.Team(team).CPUsMax
+}
+
+// addShape adds the tasks of a job to the shapes of the work on hand, and to those that wait
+// for spot instances if some of them do.
+func (s *demandSum) addShape(spec *wire.Job, cores float64, waiting bool) {
+	key := fmt.Sprint(spec.CPUs, spec.GPUs, spec.MemoryGB, spec.InstanceTypes, spec.Zone, spec.AllowSpot)
+	index, ok := s.shapeIndex[key]
+	if !ok {
+		index = len(s.TaskShapes)
+		s.shapeIndex[key] = index
+		s.TaskShapes = append(s.TaskShapes, fleet.TaskShape{
+			Cores: spec.CPUs, Accel: spec.GPUs, RAM: spec.MemoryGB,
+			InstanceTypes: spec.InstanceTypes, Zone: spec.Zone, SpotAllowed: spec.AllowSpot,
+		})
 	}
-	for team, cores := range spotCores {
-		need.SpotCores += min(cores, a.jobs.Team(team).CPUsMax)
-		need.UrgentCores += min(pacedCores[team], a.jobs.Team(team).CPUsMax)
+	s.TaskShapes[index].Weight += cores
+	if waiting && !s.waitingShapes[index] {
+		s.waitingShapes[index] = true
+		s.WaitingShapes = append(s.WaitingShapes, s.TaskShapes[index])
 	}
-	return need
 }
 
 // addZoneDemand adds what a job's waiting tasks want of each zone because no other may take
@@ -127,13 +182,16 @@
 	}
 }
 
+// deadlineSafety is the ratio by which the time to a deadline is to exceed a task's run time
+// for two rounds: run times are estimates, and the longest task of a job ends it.
+const deadlineSafety = 2
+
 // requiredConcurrency is the share of a job's unfinished tasks that must run at once for it to
-// be in time: all of them, or fewer where its time allows for more than one
-// round. Half of the time left is counted on: run times are estimates, and the
-// longest task of a job ends it.
+// be in time: all of them, or fewer where its time allows for more than one round.
 func (a *autoscaler) requiredConcurrency(job *ledger.Job, now time.Time) float64 {
-	if remaining := a.scheduler.ranking.secondsToDeadline(job, now); remaining > 2*job.Spec.ExpectedSeconds {
-		return 2 * job.Spec.ExpectedSeconds / remaining
+	remaining := a.scheduler.ranking.secondsToDeadline(job, now)
+	if remaining > deadlineSafety*job.Spec.ExpectedSeconds {
+		return deadlineSafety * job.Spec.ExpectedSeconds / remaining
 	}
 	return 1
 }
