--- a/internal/leader/jobwatcher.go
+++ b/internal/leader/jobwatcher.go
@@ -10,7 +10,9 @@
 	"rillflow/internal/wire"
 )
 
-// jobWatcher takes in jobs as they are committed to the store.
+// jobWatcher takes in jobs as they are committed to the store: new ones, and those that left
+// the live keys. It runs watchJobs, and changes the job table and the replica under mu. It
+// must not take a job for finished: only the claim writer's own commit does that.
 type jobWatcher struct {
 	*termScope
 	cancellations *cancellations
@@ -18,7 +20,7 @@
 	storeReader   *storeReader
 }
 
-// watchJobs takes in new and withdrawn jobs as they are committed.
+// watchJobs follows the live jobs from a revision on.
 func (w *jobWatcher) watchJobs(ctx context.Context, revision uint64) error {
 	for attempt := 0; ctx.Err() == nil; {
 		events, err := w.store.Watch(ctx, ledger.LivePrefix, revision, w.settings.Lease()/2)
@@ -32,65 +34,91 @@
 		}
 		attempt = 0
 		revision = max(revision, events.Revision)
-		var changes []wire.Operation
-		var endedJobs []string
-		w.mu.Lock()
-		for _, change := range events.Events {
-			if change.Put != "" {
-				jobID := change.Put[len(ledger.LivePrefix):]
-				known := w.jobs.Job(jobID) != nil
-				if err := w.addJob(change.Put, change.Value, change.ModRevision); err != nil {
-					w.mu.Unlock()
-					return w.suspectDataLoss(err)
-				}
-				if !known {
-					w.jobs.Job(jobID).MarkArrived(w.now())
-				}
-				w.orphans.adoptOrphans(jobID)
-				changes = append(changes, change)
-				continue
-			}
-			// A job about to be done goes from the live keys by this
-			// leader's own write; were it withdrawn, that write fails.
-			jobID := change.Delete[len(ledger.LivePrefix):]
-			if w.endUnreplicated(jobID) {
-				endedJobs = append(endedJobs, jobID)
-			}
-			if job := w.jobs.Job(jobID); job != nil && !job.Finished {
-				w.cancellations.cancelJob(jobID)
-			}
+		changes, endedJobs, err := w.applyEvents(events.Events)
+		if err != nil {
+			return w.suspectDataLoss(err)
 		}
-		w.mu.Unlock()
-		for _, jobID := range endedJobs {
-			// Most were withdrawn by their users. But a leader that was cut off may hear
-			// so of what the next one finished.
-			data, err := w.storeReader.readEnding(ctx, jobID)
-			if errors.Is(err, kvstore.ErrNotFound) {
-				return w.suspectDataLoss(fmt.Errorf("job %s is gone without an end", jobID))
-			}
-			if err != nil {
-				return err
-			}
-			changes = append(changes, endingOps(jobID, data)...)
+		endings, err := w.readEndings(ctx, endedJobs)
+		if err != nil {
+			return err
 		}
-		w.replica.Apply(events.Revision, changes...)
+		w.replica.Apply(events.Revision, append(changes, endings...)...)
 		notify(w.scheduleSignal)
 		notify(w.dependencySignal)
 	}
 	return ctx.Err()
 }
 
-// endUnreplicated tells whether a job left the live keys other than by this leader's own write, and
-// the copy lacks its end. That the ledger has it withdrawn says nothing of that: a notice
-// may have come ahead of the log.
+// applyEvents takes changes of live keys into the job table. It returns those that add jobs,
+// for the replica, and the jobs whose end the replica lacks. An error is a record that cannot
+// be read.
+func (w *jobWatcher) applyEvents(events []wire.Operation) (added []wire.Operation, endedJobs []string, err error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for _, event := range events {
+		if event.Put != "" {
+			if err := w.jobAdded(event); err != nil {
+				return nil, nil, err
+			}
+			added = append(added, event)
+			continue
+		}
+		// A job about to be done goes from the live keys by this
+		// leader's own write; were it cancelled, that write fails.
+		jobID := event.Delete[len(ledger.LivePrefix):]
+		if w.endUnreplicated(jobID) {
+			endedJobs = append(endedJobs, jobID)
+		}
+		if job := w.jobs.Job(jobID); job != nil && !job.Finished {
+			w.cancellations.cancelJob(jobID)
+		}
+	}
+	return added, endedJobs, nil
+}
+
+// jobAdded takes in a live job, which may be known: from the load, or as an orphan.
+func (w *jobWatcher) jobAdded(event wire.Operation) error {
+	jobID := event.Put[len(ledger.LivePrefix):]
+	known := w.jobs.Job(jobID) != nil
+	if err := w.addJob(event.Put, event.Value, event.ModRevision); err != nil {
+		return err
+	}
+	if !known {
+		w.jobs.Job(jobID).MarkArrived(w.now())
+	}
+	w.orphans.adoptOrphans(jobID)
+	return nil
+}
+
+// readEndings reads how jobs ended, and returns what the replica is to be told of them. Most
+// were cancelled by their users. But a leader that was cut off may hear so of what the next
+// one finished.
+func (w *jobWatcher) readEndings(ctx context.Context, jobIDs []string) ([]wire.Operation, error) {
+	var endings []wire.Operation
+	for _, jobID := range jobIDs {
+		data, err := w.storeReader.readEnding(ctx, jobID)
+		if errors.Is(err, kvstore.ErrNotFound) {
+			return nil, w.suspectDataLoss(fmt.Errorf("job %s is gone without an end", jobID))
+		}
+		if err != nil {
+			return nil, err
+		}
+		endings = append(endings, endingOps(jobID, data)...)
+	}
+	return endings, nil
+}
+
+// endUnreplicated tells whether a job left the live keys other than by this leader's own
+// write, and the replica lacks its end. That the job table has it cancelled says nothing of
+// that: a cancellation may have come ahead of the watch.
 func (w *jobWatcher) endUnreplicated(jobID string) bool {
-	tree, _ := w.replica.Tree() // not what this node took itself, which the others lack
+	tree, _ := w.replica.Tree() // not what this controller took in itself, which the others lack
 	if _, ok := tree.Get([]byte(ledger.EndedKey(jobID))); ok {
 		return false
 	}
 	if job := w.jobs.Job(jobID); job != nil {
 		return !job.Finished
 	}
-	_, live := tree.Get([]byte(ledger.LiveKey(jobID))) // the ledger forgot it with its last claim
+	_, live := tree.Get([]byte(ledger.LiveKey(jobID))) // the job table forgot it with its last claim
 	return live
 }
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -28,14 +28,19 @@
 	PeersHearNoWorkers() bool
 }
 
-// shardKeeper keeps the shard map and the epoch up to date.
+// errNoSuccessor ends a term that was given up when no other controller took over.
+var errNoSuccessor = errors.New("leader: stepped down, and no other controller leads")
+
+// shardKeeper keeps the epoch and the shard map up to date, and ends the term when another
+// controller leads or should. It runs two loops, raiseEpochs and watchShardOwners. Who owns
+// a worker's shard is changed under mu; the epoch is the leadership's.
 type shardKeeper struct {
 	*termScope
 	registry *workerRegistry
 }
 
-// raiseEpochs moves the epoch on, when a command of unknown fate must be fenced off
-// or the hosts are to be parted among others.
+// raiseEpochs raises the epoch when a command of unknown fate must be fenced off
+// or the workers are to be divided among other controllers.
 func (k *shardKeeper) raiseEpochs(ctx context.Context) error {
 	for {
 		select {
@@ -47,7 +52,7 @@
 		if errors.Is(err, election.ErrDeposed) {
 			return err
 		}
-		if err == nil {
+		if err == nil { // else it is asked for again by whoever needs it
 			k.mu.Lock()
 			shardMap := k.leadership.ShardMap()
 			for _, worker := range k.workers {
@@ -55,30 +60,31 @@
 			}
 			k.mu.Unlock()
 		}
-		// At most one in a report interval: each makes every worker report.
+		// At most once in a heartbeat interval: each makes every worker report.
 		if !sleep(ctx, k.settings.Report()) {
 			return ctx.Err()
 		}
 	}
 }
 
-// watchShardOwners has the hosts parted anew when a node comes or goes, and hands over when
-// the state service refuses this node alone. A term that was given up goes on until the
-// next one is known, or, should nobody else lead, until a quarter of a lease after the state service
+// watchShardOwners asks for a new shard map when a controller comes or goes, and steps down
+// when the store refuses this controller alone. A term that was given up goes on until the
+// next one is known or, should nobody else lead, until a quarter of a lease after the store
 // could have had one.
 func (k *shardKeeper) watchShardOwners(ctx context.Context) error {
 	refusedAt := k.startedAt
 	for sleep(ctx, k.settings.Report()/6) {
 		now := k.now()
-		if shardMap := k.elector.ShardMap(); shardMap.Epoch > k.leadership.Epoch() && shardMap.Leader != k.settings.Node {
-			return fmt.Errorf("%w: %s leads under epoch %d", election.ErrDeposed, shardMap.Leader, shardMap.Epoch)
+		known := k.elector.ShardMap()
+		if known.Epoch > k.leadership.Epoch() && known.Leader != k.settings.Node {
+			return fmt.Errorf("%w: %s leads under epoch %d", election.ErrDeposed, known.Leader, known.Epoch)
 		}
 		if k.shards.StoreRefuses() {
 			refusedAt = now
 		}
 		if since, ok := k.leadership.SteppedDown(); ok {
 			if now.Sub(since) > k.settings.Lease()/4 && now.Sub(refusedAt) > k.settings.Lease()/4 {
-				return errors.New("control: resigned, and nobody else leads")
+				return errNoSuccessor
 			}
 			continue
 		}
@@ -86,10 +92,11 @@
 			k.elector.StepDown(k.settings.Lease()/4, "the state service serves "+peer+" but not this node")
 			continue
 		}
+		// A raise without an answer may have been carried out late: shard owners then know
+		// its epoch, and so do workers, whose heartbeats this leader would turn away.
 		owners := k.leadership.ShardMap().Owners
-		// A raise without an answer may have been carried out late: owners then know
-		// its epoch, and so do workers, whose reports this leader would turn away.
-		if !slices.Equal(owners, k.shards.EligibleOwners(owners)) || k.elector.ShardMap().Epoch > k.leadership.Epoch() {
+		if !slices.Equal(owners, k.shards.EligibleOwners(owners)) ||
+			k.elector.ShardMap().Epoch > k.leadership.Epoch() {
 			notify(k.epochSignal)
 		}
 	}
