--- a/internal/recovery/merge.go
+++ b/internal/recovery/merge.go
@@ -1,19 +1,8 @@
-// Package recovery puts the history of jobs and claims together from what is left of it:
-// what the state service still holds, copies in memory, snapshots. It is pure: it
-// decides by proof, never by hope, and leaves reading and writing to its caller.
-//
-//	                 proves                               does not prove
-//	an end           the job is over, for good            -
-//	a withdrawal     as an end; it beats a claim          that its tasks are gone
-//	a finish         the task is done, for good           -
-//	a claim          the task may be where it says, and   that it is there; that no later
-//	                 no earlier try is anywhere           try was given out
-//	a job's record   it was accepted                      that it is not over
-//	a missing key    nothing                              that it never was
 package recovery
 
 import (
 	"encoding/json"
+	"maps"
 	"slices"
 	"strings"
 
@@ -21,145 +10,161 @@
 	"rillflow/internal/wire"
 )
 
-// Value is a key with its value, and its stamp where the state service holds it.
+// Value is a key with its value, and its mod revision if the store holds it.
 type Value struct {
 	Key         string
 	Data        []byte
 	ModRevision uint64
 }
 
-// Source is one account of what was stored. In Store the stamps count.
+// Source is one account of what was stored.
 type Source struct {
 	Values    []Value
-	FromStore bool
+	FromStore bool // it is what the store holds now: its mod revisions count
 }
 
-// Write is a change to the state service: Data nil removes the key. The guard on the
-// key is its Stamp, 0 for one that is not there.
+// Write is an operation that the store needs. Data nil deletes the key. ModRevision is
+// what the operation must be guarded by: that of the key now, 0 if there is no such key.
 type Write struct {
 	Value
-	IsLive bool // it is of a job that is alive, and goes before ends
+	IsLive bool // it concerns a live job, and goes before ends
 }
 
-// Result is what was put together.
+// Result is what was reconstructed.
 type Result struct {
-	LiveJobs []Value // records of jobs that are not over
-	Chunks   []Value // of these, and of withdrawn jobs that may have tasks somewhere
-	Ends     map[string][]byte
-	Writes   []Write // what makes the state service hold it, most needed first
-	// Damaged are keys whose value could not be read in any source, Orphans jobs of
-	// which there are claims but no record anywhere.
-	Damaged, OrphanedJobs []string
-	// Recovered counts jobs, ends and claims that the state service did not hold.
+	LiveJobs []Value           // records of the jobs that have not ended
+	Chunks   []Value           // of these jobs, and of cancelled ones that may have tasks somewhere
+	Ends     map[string][]byte // by job
+	Writes   []Write           // that make the store hold all this, the most urgent first
+	// Damaged are the keys whose value could not be read in any source.
+	Damaged []string
+	// OrphanedJobs are the jobs of which there are claims, but no record anywhere.
+	OrphanedJobs []string
+	// Recovered counts what the store did not hold.
 	Recovered Counts
 }
 
-// Counts is a number of each.
+// Counts counts jobs, ended jobs and claims.
 type Counts struct{ Jobs, Ends, Claims int }
 
-// accounts is all accounts of one job.
-type accounts struct {
+// Merge reconstructs records from sources. Where sources hold different ends of a job the
+// first decides, so that the source of what users were told must come first. No value is
+// written with more than maxValueBytes. Every chunk written carries the writer's mark, and
+// its next attempt is above attemptBase, so that no attempt number of the lost part is
+// given out again.
+func Merge(sources []Source, writer string, attemptBase uint64, maxValueBytes int) (Result, error) {
+	m := merger{
+		writer: writer, attemptBase: attemptBase, maxValueBytes: maxValueBytes,
+		jobs:       make(map[string]*account),
+		stored:     make(map[string]Value),
+		unreadable: make(map[string]bool),
+		readable:   make(map[string]bool),
+		result:     Result{Ends: make(map[string][]byte)},
+	}
+	for _, source := range sources {
+		m.addRecords(source)
+	}
+	for _, source := range sources {
+		m.addChunks(source)
+	}
+	err := m.buildResult()
+	return m.result, err
+}
+
+// merger is the state of one call of Merge.
+type merger struct {
+	writer        string
+	attemptBase   uint64
+	maxValueBytes int
+
+	jobs       map[string]*account // by job
+	stored     map[string]Value    // what the store holds, by key
+	unreadable map[string]bool     // keys with a value that could not be read
+	readable   map[string]bool     // keys with a value that could be read, or is not needed
+	result     Result
+}
+
+// account is all that the sources tell of one job.
+type account struct {
 	recordData  []byte
 	record      *ledger.JobRecord
 	endData     []byte
 	end         *ledger.EndRecord
-	tasks       map[int]taskAccount
-	lastAttempt uint64 // last try given out, of any chunk
-	block       uint64
+	tasks       map[int]taskAccount // by index
+	lastAttempt uint64              // given out, of any chunk
+	auditBlock  uint64
 }
 
-// taskAccount is what is known of one task.
+// taskAccount is all that the sources tell of one task.
 type taskAccount struct {
 	done  bool
 	claim *ledger.ClaimRecord
 }
 
-// Merge puts sources together. The first that has an end decides it, so what users
-// were told first goes first. Values have at most limit bytes; the writer's mark is on
-// every chunk that is written, and its next try is above base: so that no try comes
-// again that was given out in the part that was lost.
-func Merge(sources []Source, writer string, attemptBase uint64, maxValueBytes int) (Result, error) {
-	merged := merger{jobs: make(map[string]*accounts), stored: make(map[string]Value), unreadable: make(map[string]bool), chunkSizes: make(map[string]int)}
-	for _, source := range sources {
-		merged.addRecords(source)
-	}
-	for _, source := range sources {
-		merged.addChunks(source)
+// chunkSize returns how many tasks share a chunk of the job, or 0 if nothing tells.
+func (a *account) chunkSize() int {
+	switch {
+	case a.record != nil:
+		return a.record.ChunkSize()
+	case a.end != nil && a.end.ChunkTasks > 0:
+		return a.end.ChunkTasks
 	}
-	return merged.buildResult(writer, attemptBase, maxValueBytes)
-}
-
-type merger struct {
-	jobs       map[string]*accounts
-	stored     map[string]Value
-	unreadable map[string]bool // keys that could not be read somewhere
-	chunkSizes map[string]int  // of chunks, by job
+	return 0
 }
 
-func (m *merger) accountsOf(jobID string) *accounts {
-	j := m.jobs[jobID]
-	if j == nil {
-		j = &accounts{tasks: make(map[int]taskAccount)}
-		m.jobs[jobID] = j
+func (m *merger) accountOf(jobID string) *account {
+	job := m.jobs[jobID]
+	if job == nil {
+		job = &account{tasks: make(map[int]taskAccount)}
+		m.jobs[jobID] = job
 	}
-	return j
+	return job
 }
 
-// addRecords takes in jobs and ends.
+// addRecords takes in the jobs and ends of a source.
 func (m *merger) addRecords(source Source) {
 	for _, value := range source.Values {
 		if source.FromStore {
 			m.stored[value.Key] = value
 		}
 		if jobID, ok := strings.CutPrefix(value.Key, ledger.LivePrefix); ok {
-			record, err := ledger.DecodeJobRecord(value.Data)
-			if err != nil || record.Job.ID != jobID || record.Job.TaskCount <= 0 {
-				m.unreadable[value.Key] = true
-				continue
-			}
-			if j := m.accountsOf(jobID); j.record == nil {
-				j.record, j.recordData = &record, value.Data
-			}
-			continue
-		}
-		if jobID, ok := strings.CutPrefix(value.Key, ledger.EndedPrefix); ok {
-			var end ledger.EndRecord
-			if err := json.Unmarshal(value.Data, &end); err != nil || end.Phase != wire.PhaseDone && end.Phase != wire.PhaseCancelled {
-				m.unreadable[value.Key] = true
-				continue
-			}
-			if j := m.accountsOf(jobID); j.end == nil {
-				j.end, j.endData = &end, value.Data
-			}
+			m.addJobRecord(jobID, value)
+		} else if jobID, ok := strings.CutPrefix(value.Key, ledger.EndedPrefix); ok {
+			m.addEndRecord(jobID, value)
 		}
 	}
 }
 
-// chunkSize is how many tasks share a chunk of a job in a source: as its own record says,
-// or any.
-func chunkSize(j *accounts) int {
-	switch {
-	case j.record != nil:
-		return j.record.ChunkSize()
-	case j.end != nil && j.end.ChunkTasks > 0:
-		return j.end.ChunkTasks
+func (m *merger) addJobRecord(jobID string, value Value) {
+	record, err := ledger.DecodeJobRecord(value.Data)
+	if err != nil || record.Job.ID != jobID || record.Job.TaskCount <= 0 {
+		m.unreadable[value.Key] = true
+		return
+	}
+	if job := m.accountOf(jobID); job.record == nil {
+		job.record, job.recordData = &record, value.Data
 	}
-	return 0
 }
 
-// addChunks takes in claims and finishes. Chunks of a source count by that source's own
-// record: the same job may have been laid out twice.
-func (m *merger) addChunks(source Source) {
-	clear(m.chunkSizes)
-	for _, value := range source.Values {
-		if jobID, ok := strings.CutPrefix(value.Key, ledger.LivePrefix); ok {
-			if rec, err := ledger.DecodeJobRecord(value.Data); err == nil {
-				m.chunkSizes[jobID] = rec.ChunkSize()
-			}
-		}
+func (m *merger) addEndRecord(jobID string, value Value) {
+	var end ledger.EndRecord
+	err := json.Unmarshal(value.Data, &end)
+	if err != nil || end.Phase != wire.PhaseDone && end.Phase != wire.PhaseCancelled {
+		m.unreadable[value.Key] = true
+		return
+	}
+	if job := m.accountOf(jobID); job.end == nil {
+		job.end, job.endData = &end, value.Data
 	}
+}
+
+// addChunks takes in the claims and finished tasks of a source. How a source lays tasks
+// out in chunks is told by that source's own job record first: a job may have been laid
+// out twice.
+func (m *merger) addChunks(source Source) {
+	sizes := chunkSizes(source)
 	for _, value := range source.Values {
-		jobID, n, ok := ledger.ParseChunkKey(value.Key)
+		jobID, number, ok := ledger.ParseChunkKey(value.Key)
 		if !ok {
 			continue
 		}
@@ -168,166 +173,77 @@
 			m.unreadable[value.Key] = true
 			continue
 		}
-		j := m.accountsOf(jobID)
-		size := m.chunkSizes[jobID]
+		job := m.accountOf(jobID)
+		size := sizes[jobID]
 		if size == 0 {
-			size = chunkSize(j)
+			size = job.chunkSize()
 		}
 		if size == 0 {
-			continue // nothing tells which tasks these are: workers do
-		}
-		j.lastAttempt, j.block = max(j.lastAttempt, chunk.LastAttempt), max(j.block, chunk.AuditBlock)
-		for i := range chunk.Done {
-			t := j.tasks[n*size+i]
-			t.done = true
-			j.tasks[n*size+i] = t
-		}
-		for i, claim := range chunk.Claims {
-			t := j.tasks[n*size+i]
-			if t.claim == nil || claim.Attempt > t.claim.Attempt {
-				t.claim = &claim
-			}
-			j.tasks[n*size+i] = t
+			continue // nothing tells which tasks these are: the workers' heartbeats will
 		}
+		job.addChunk(chunk, number*size)
 	}
 }
 
-func (m *merger) buildResult(writer string, attemptBase uint64, maxValueBytes int) (Result, error) {
-	r := Result{Ends: make(map[string][]byte)}
-	jobIDs := make([]string, 0, len(m.jobs))
-	for jobID := range m.jobs {
-		jobIDs = append(jobIDs, jobID)
-	}
-	slices.Sort(jobIDs)
-	readable := make(map[string]bool) // keys with a value that could be read
-	for _, jobID := range jobIDs {
-		j := m.jobs[jobID]
-		live, ended := ledger.LiveKey(jobID), ledger.EndedKey(jobID)
-		readable[live], readable[ended] = j.record != nil || j.end != nil, j.end != nil
-		switch {
-		case j.end != nil:
-			r.Ends[jobID] = j.endData
-			alive, back := m.stored[live]
-			if had, ok := m.stored[ended]; !ok || string(had.Data) != string(j.endData) {
-				r.addWrite(ended, j.endData, had.ModRevision, back)
-				r.Recovered.Ends++
-			}
-			if back {
-				r.addWrite(live, nil, alive.ModRevision, true)
-			}
-		case j.record == nil:
-			r.OrphanedJobs = append(r.OrphanedJobs, jobID)
-			continue
-		default:
-			had, ok := m.stored[live]
-			if !ok || string(had.Data) != string(j.recordData) {
-				r.addWrite(live, j.recordData, had.ModRevision, true)
-				r.Recovered.Jobs++
+// chunkSizes returns how many tasks share a chunk, for each job of which a source has the
+// record.
+func chunkSizes(source Source) map[string]int {
+	sizes := make(map[string]int)
+	for _, value := range source.Values {
+		if jobID, ok := strings.CutPrefix(value.Key, ledger.LivePrefix); ok {
+			if record, err := ledger.DecodeJobRecord(value.Data); err == nil {
+				sizes[jobID] = record.ChunkSize()
 			}
-			r.LiveJobs = append(r.LiveJobs, Value{live, j.recordData, had.ModRevision})
-		}
-		if err := m.addChunkWrites(&r, jobID, j, writer, attemptBase, maxValueBytes); err != nil {
-			return r, err
 		}
 	}
-	for k := range m.unreadable {
-		if jobID, _, ok := ledger.ParseChunkKey(k); ok {
-			readable[k] = readable[k] || slices.ContainsFunc(r.Chunks, func(v Value) bool { return v.Key == k }) || readable[ledger.EndedKey(jobID)]
-		}
-		if !readable[k] {
-			r.Damaged = append(r.Damaged, k)
-		}
+	return sizes
+}
+
+// addChunk takes in a chunk whose first task has a given index. Of two claims of a task
+// the one with the later attempt counts.
+func (a *account) addChunk(chunk ledger.ChunkRecord, first int) {
+	a.lastAttempt = max(a.lastAttempt, chunk.LastAttempt)
+	a.auditBlock = max(a.auditBlock, chunk.AuditBlock)
+	for i := range chunk.Done {
+		task := a.tasks[first+i]
+		task.done = true
+		a.tasks[first+i] = task
 	}
-	for k, v := range m.stored {
-		// A claim without its job serves nobody: machines tell what they have.
-		if jobID, _, ok := ledger.ParseChunkKey(k); ok && slices.Contains(r.OrphanedJobs, jobID) {
-			r.addWrite(k, nil, v.ModRevision, true)
+	for i, claim := range chunk.Claims {
+		task := a.tasks[first+i]
+		if task.claim == nil || claim.Attempt > task.claim.Attempt {
+			task.claim = &claim
 		}
+		a.tasks[first+i] = task
 	}
-	slices.Sort(r.Damaged)
-	r.orderWrites()
-	return r, nil
 }
 
-func (r *Result) addWrite(key string, data []byte, modRevision uint64, isLive bool) {
-	r.Writes = append(r.Writes, Write{Value{key, data, modRevision}, isLive})
-}
-
-// addChunkWrites gives a job's chunks as they are to be stored.
-func (m *merger) addChunkWrites(r *Result, jobID string, j *accounts, writer string, attemptBase uint64, maxValueBytes int) error {
-	size := chunkSize(j)
-	if size == 0 || j.end != nil && j.end.Phase == wire.PhaseDone {
-		return nil // what is left of a job that is done is tidied as ever
-	}
+// chunks lays the job's tasks out in chunks of a size, by number.
+func (a *account) chunks(size int) map[int]ledger.ChunkRecord {
 	chunks := make(map[int]ledger.ChunkRecord)
-	for i, t := range j.tasks {
-		n := i / size
-		c, ok := chunks[n]
+	for index, task := range a.tasks {
+		chunk, ok := chunks[index/size]
 		if !ok {
-			c = ledger.ChunkRecord{LastAttempt: j.lastAttempt, AuditBlock: j.block, Done: make(map[int]bool), Claims: make(map[int]ledger.ClaimRecord)}
-			chunks[n] = c
-		}
-		switch {
-		case t.done:
-			c.Done[i%size] = true
-		case t.claim != nil:
-			c.Claims[i%size] = *t.claim
-		}
-	}
-	numbers := make([]int, 0, len(chunks))
-	for n := range chunks {
-		numbers = append(numbers, n)
-	}
-	slices.Sort(numbers)
-	for _, n := range numbers {
-		c, key := chunks[n], ledger.ChunkKey(jobID, n)
-		had, ok := m.stored[key]
-		if ok {
-			if s, err := ledger.DecodeChunkRecord(had.Data); err == nil && sameTasks(s, c) {
-				r.Chunks = append(r.Chunks, had)
-				continue
+			chunk = ledger.ChunkRecord{
+				LastAttempt: a.lastAttempt, AuditBlock: a.auditBlock,
+				Done: make(map[int]bool), Claims: make(map[int]ledger.ClaimRecord),
 			}
+			chunks[index/size] = chunk
 		}
-		c.LastAttempt = max(c.LastAttempt, attemptBase)
-		data, err := c.Encode(writer, maxValueBytes)
-		if err != nil {
-			return err
+		switch {
+		case task.done:
+			chunk.Done[index%size] = true
+		case task.claim != nil:
+			chunk.Claims[index%size] = *task.claim
 		}
-		r.Recovered.Claims += len(c.Claims)
-		r.Chunks = append(r.Chunks, Value{key, data, had.ModRevision})
-		r.addWrite(key, data, had.ModRevision, true)
 	}
-	return nil
+	return chunks
 }
 
-// sameTasks tells whether a stored chunk says all that is known of its tasks.
+// sameTasks reports whether a stored chunk says all that is known of its tasks.
 func sameTasks(stored, merged ledger.ChunkRecord) bool {
-	if len(stored.Done) != len(merged.Done) || len(stored.Claims) != len(merged.Claims) {
-		return false
-	}
-	for i := range merged.Done {
-		if !stored.Done[i] {
-			return false
-		}
-	}
-	for i, claim := range merged.Claims {
-		if stored.Claims[i] != claim {
-			return false
-		}
-	}
-	return true
+	return maps.Equal(stored.Done, merged.Done) && maps.Equal(stored.Claims, merged.Claims)
 }
 
-// orderWrites puts first what is needed most: jobs and claims, then what takes jobs away,
-// then ends.
-func (r *Result) orderWrites() {
-	slices.SortStableFunc(r.Writes, func(a, b Write) int {
-		switch {
-		case a.IsLive == b.IsLive:
-			return 0
-		case a.IsLive:
-			return -1
-		}
-		return 1
-	})
-}
+// sortedJobs returns the jobs that any source tells of.
+func (m *merger) sortedJobs() []string { return slices.Sorted(maps.Keys(m.jobs)) }
--- /dev/null
+++ b/internal/recovery/simulation_test.go
@@ -0,0 +1,289 @@
+package recovery
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"rillflow/internal/ledger"
+	"rillflow/internal/settings"
+	"rillflow/internal/wire"
+)
+
+// groundTruth is what really happened, with what the store held after each step.
+type groundTruth struct {
+	ended  map[string]string
+	done   map[string]bool               // tasks
+	latest map[string]ledger.ClaimRecord // by task: the last claim, if it stands
+	states []map[string][]byte           // stored after each step
+	jobs   []string
+}
+
+// simulation runs jobs by the job table itself, so that what is stored is what a leader
+// stores.
+type simulation struct {
+	t        *rapid.T
+	truth    *groundTruth
+	table    *ledger.Table
+	stored   map[string][]byte
+	revision uint64
+	now      time.Time
+}
+
+func simulateHistory(t *rapid.T) *groundTruth {
+	s := simulation{
+		t: t,
+		truth: &groundTruth{
+			ended: map[string]string{}, done: map[string]bool{}, latest: map[string]ledger.ClaimRecord{},
+		},
+		table:    ledger.New("w", []settings.Team{{Name: "t", CPUsMax: 1e6}}),
+		stored:   map[string][]byte{},
+		revision: 1,
+		now:      time.Unix(1000, 0),
+	}
+	for step := range rapid.IntRange(4, 40).Draw(t, "steps") {
+		if job := s.drawJob(); job == nil {
+			s.submit(fmt.Sprintf("req-%d", step))
+		} else {
+			s.advance(job, fmt.Sprintf("i-%d", step))
+		}
+		s.commit()
+		s.truth.states = append(s.truth.states, maps.Clone(s.stored))
+	}
+	return s.truth
+}
+
+// drawJob returns a job that is not cancelled, or nil if a new one is due.
+func (s *simulation) drawJob() *ledger.Job {
+	if len(s.truth.jobs) == 0 || rapid.IntRange(0, 4).Draw(s.t, "new") == 0 {
+		return nil
+	}
+	job := s.table.Job(rapid.SampledFrom(s.truth.jobs).Draw(s.t, "job"))
+	if job == nil || job.Cancelled {
+		return nil
+	}
+	return job
+}
+
+func (s *simulation) submit(jobID string) {
+	data := encodedRecord(jobID, rapid.IntRange(1, 6).Draw(s.t, "tasks"), 2)
+	s.revision++
+	s.stored[ledger.LiveKey(jobID)] = data
+	record, err := ledger.DecodeJobRecord(data)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	s.table.AddJob(jobID, record, s.revision)
+	s.truth.jobs = append(s.truth.jobs, jobID)
+}
+
+// advance cancels a job, claims a task of it, or ends a claim.
+func (s *simulation) advance(job *ledger.Job, worker string) {
+	held := s.table.ClaimsOfJob(job)
+	switch do := rapid.IntRange(0, 9).Draw(s.t, "do"); {
+	case do == 0:
+		s.cancel(job)
+	case do < 6 && job.WaitingTasks() > 0:
+		claim, err := s.table.Claim(job, worker, 1, "a")
+		if err != nil {
+			s.t.Fatal(err)
+		}
+		s.truth.latest[claim.Task().String()] = claim.ClaimRecord
+	case len(held) > 0:
+		claim := held[0]
+		delete(s.truth.latest, claim.Task().String())
+		if do >= 8 {
+			s.table.Free(claim, s.now)
+			return
+		}
+		s.truth.done[claim.Task().String()] = true
+		s.table.Finish(claim)
+		if job.Finished {
+			s.truth.ended[job.Ref] = wire.PhaseDone
+		}
+	}
+}
+
+func (s *simulation) cancel(job *ledger.Job) {
+	record := job.Record()
+	data, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, s.now))
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	delete(s.stored, ledger.LiveKey(job.Ref))
+	s.stored[ledger.EndedKey(job.Ref)] = data
+	s.truth.ended[job.Ref] = wire.PhaseCancelled
+	s.table.Cancel(job.Ref)
+}
+
+// commit stores all that the table has to write.
+func (s *simulation) commit() {
+	limits := ledger.BatchLimits{MaxOperations: 16, MaxBytes: 1 << 20, MaxValueBytes: testMaxValueBytes}
+	for {
+		batch := s.table.NextBatch(limits, s.now)
+		if batch == nil {
+			return
+		}
+		s.revision++
+		for _, operation := range batch.Operations {
+			if operation.Put != "" {
+				s.stored[operation.Put] = operation.Value
+			} else {
+				delete(s.stored, operation.Delete)
+			}
+		}
+		s.table.BatchCommitted(batch, s.revision)
+	}
+}
+
+func sourceOf(state map[string][]byte, fromStore bool) Source {
+	source := Source{FromStore: fromStore}
+	for i, key := range slices.Sorted(maps.Keys(state)) {
+		value := Value{Key: key, Data: state[key]}
+		if fromStore {
+			value.ModRevision = uint64(i + 1)
+		}
+		source.Values = append(source.Values, value)
+	}
+	return source
+}
+
+// applyWrites commits the first n writes, guarded as they are.
+func applyWrites(t *rapid.T, store map[string][]byte, result Result, n int) map[string][]byte {
+	revisions := map[string]uint64{}
+	for _, value := range sourceOf(store, true).Values {
+		revisions[value.Key] = value.ModRevision
+	}
+	after := maps.Clone(store)
+	for _, write := range result.Writes[:n] {
+		if revisions[write.Key] != write.ModRevision {
+			t.Fatalf("%s is guarded by %d, is %d", write.Key, write.ModRevision, revisions[write.Key])
+		}
+		if write.Data == nil {
+			delete(after, write.Key)
+		} else {
+			after[write.Key] = write.Data
+		}
+	}
+	return after
+}
+
+// drawDamagedStore returns the store as it was at some step, with keys lost or damaged.
+func drawDamagedStore(t *rapid.T, truth *groundTruth) map[string][]byte {
+	store := maps.Clone(truth.states[rapid.IntRange(0, len(truth.states)-1).Draw(t, "back to")])
+	if !rapid.Bool().Draw(t, "holes") {
+		return store
+	}
+	for _, key := range slices.Sorted(maps.Keys(store)) {
+		switch rapid.IntRange(0, 5).Draw(t, "key") {
+		case 0:
+			delete(store, key)
+		case 1:
+			store[key] = []byte(`"rot"`)
+		}
+	}
+	return store
+}
+
+// From one full replica, whatever the store has lost or gone back to and however old the
+// other replicas are, all that matters comes back. It comes back the same from a recovery
+// that was interrupted after any of its writes. What is complete needs no writes.
+func TestMergeRecoversEverything(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		truth := simulateHistory(t)
+		last := len(truth.states) - 1
+		store := drawDamagedStore(t, truth)
+		replicas := []Source{
+			sourceOf(truth.states[last], false),
+			sourceOf(truth.states[rapid.IntRange(0, last).Draw(t, "old replica")], false),
+		}
+		recoverFrom := func(store map[string][]byte) Result {
+			sources := append(slices.Clone(replicas), sourceOf(store, true))
+			result, err := Merge(sources, "w", testAttemptBase, testMaxValueBytes)
+			if err != nil {
+				t.Fatal(err)
+			}
+			checkAgainstTruth(t, truth, result)
+			return result
+		}
+		result := recoverFrom(store)
+		complete := applyWrites(t, store, result, len(result.Writes))
+		again, err := Merge([]Source{sourceOf(complete, true)}, "w", 2*testAttemptBase, testMaxValueBytes)
+		if err != nil {
+			t.Fatal(err)
+		}
+		checkAgainstTruth(t, truth, again)
+		for _, write := range again.Writes {
+			t.Fatalf("%s is written though nothing is lost", write.Key)
+		}
+		for n := range result.Writes {
+			recoverFrom(applyWrites(t, store, result, n))
+		}
+	})
+}
+
+// checkAgainstTruth checks that a result holds all that happened.
+func checkAgainstTruth(t *rapid.T, truth *groundTruth, result Result) {
+	if len(result.OrphanedJobs) > 0 {
+		t.Fatalf("orphaned jobs %v", result.OrphanedJobs)
+	}
+	checkJobs(t, truth, result)
+	checkTasks(t, truth, result)
+}
+
+func checkJobs(t *rapid.T, truth *groundTruth, result Result) {
+	live := map[string]bool{}
+	for _, value := range result.LiveJobs {
+		live[strings.TrimPrefix(value.Key, ledger.LivePrefix)] = true
+	}
+	for _, jobID := range truth.jobs {
+		if truth.ended[jobID] == "" {
+			if !live[jobID] || result.Ends[jobID] != nil {
+				t.Fatalf("%s is not live", jobID)
+			}
+			continue
+		}
+		var end ledger.EndRecord
+		err := json.Unmarshal(result.Ends[jobID], &end)
+		if err != nil || end.Phase != truth.ended[jobID] || live[jobID] {
+			t.Fatalf("%s ended as %q, not %q; live: %v", jobID, truth.ended[jobID], end.Phase, live[jobID])
+		}
+	}
+}
+
+func checkTasks(t *rapid.T, truth *groundTruth, result Result) {
+	claimed, done := map[string]ledger.ClaimRecord{}, map[string]bool{}
+	for _, value := range result.Chunks {
+		jobID, number, _ := ledger.ParseChunkKey(value.Key)
+		chunk, err := ledger.DecodeChunkRecord(value.Data)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for i, claim := range chunk.Claims {
+			claimed[ledger.Task{JobRef: jobID, Index: number*2 + i}.String()] = claim
+		}
+		for i := range chunk.Done {
+			done[ledger.Task{JobRef: jobID, Index: number*2 + i}.String()] = true
+		}
+	}
+	for task := range truth.done {
+		if id, _ := ledger.ParseTask(task); truth.ended[id.JobRef] == "" && !done[task] {
+			t.Fatalf("%s was done", task)
+		}
+	}
+	for task, want := range truth.latest {
+		id, _ := ledger.ParseTask(task)
+		if truth.ended[id.JobRef] == wire.PhaseDone {
+			continue
+		}
+		if got, ok := claimed[task]; !ok || got.Attempt != want.Attempt || got.Worker != want.Worker {
+			t.Fatalf("%s is claimed as %v, not %v", task, got, want)
+		}
+	}
+}
