--- a/internal/leader/candidate.go
+++ b/internal/leader/candidate.go
@@ -59,9 +59,9 @@
 // newCandidate makes a candidate of a worker whose claims use an amount.
 func newCandidate(worker *agent.Worker, instanceType *wire.InstanceType, used ledger.Resources) *candidate {
 	return &candidate{worker: worker, instanceType: instanceType, free: resources{
-		cpus:     instanceType.CPUs - used.Cores,
-		gpus:     instanceType.GPUs - used.Accelerators,
-		memoryGB: instanceType.MemoryGB - used.RAMGB,
+		cpus:     instanceType.CPUs - used.CPUs,
+		gpus:     instanceType.GPUs - used.GPUs,
+		memoryGB: instanceType.MemoryGB - used.MemoryGB,
 	}}
 }
 
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -104,8 +104,8 @@
 			continue
 		}
 		used := o.jobs.UsedOnWorker(worker.Name)
-		cores += max(0, instanceType.CPUs-used.Cores)
-		accel += max(0, instanceType.GPUs-used.Accelerators)
+		cores += max(0, instanceType.CPUs-used.CPUs)
+		accel += max(0, instanceType.GPUs-used.GPUs)
 	}
 	o.jobs.Reserve(cores, accel)
 }
--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -8,175 +8,41 @@
 	"rillflow/internal/wire"
 )
 
+// endOperations is how many operations a chunk takes with which its job ends: the chunk's own,
+// the removal of the live key and the end record.
+const endOperations = 3
+
 // Batch is one transaction's worth of changes.
 type Batch struct {
 	Compares   []wire.Compare
 	Operations []wire.Operation
-	Writer     string // the mark every chunk in it carries
+	Writer     string // the mark that every chunk in it carries
 	writes     []chunkWrite
 }
 
+// chunkWrite is what a batch changes of one chunk.
 type chunkWrite struct {
-	job      *Job
-	index    int
-	claims   []*Claim // claims that become durable
-	finished []*Claim // finishes that become durable
+	chunkRef
+	claims   []*Claim // that become durable
+	finished []*Claim // whose finish becomes durable
 	remove   bool
 	endsJob  bool // the job's end is in this batch
-	at       time.Time
-}
-
-func (c *taskChunk) inFlight() bool { return c.inFlightWrite != 0 }
-
-// NothingToWrite tells whether nothing needs writing.
-func (t *Table) NothingToWrite() bool { return len(t.dirty) == 0 }
-
-// HasUrgentWrites tells whether a claim waits to be written, or a job's end: tasks, users
-// and later jobs wait for those.
-func (t *Table) HasUrgentWrites() bool {
-	return slices.ContainsFunc(t.dirty, t.isUrgent)
-}
-
-func (t *Table) isUrgent(dirty dirtyChunk) bool { return t.writePriority(dirty) <= priorityEnd }
-
-// hasNewClaims tells whether a chunk has claims to be written, without which their
-// tasks cannot start.
-func (t *Table) hasNewClaims(dirty dirtyChunk) bool {
-	chunk := dirty.job.chunks[dirty.index]
-	return chunk != nil && chunk.dirty && chunk.uncommitted > 0 && !dirty.job.Cancelled
+	endedAt  time.Time
 }
 
 // BatchLimits bound a batch.
 type BatchLimits struct {
-	MaxOperations int // changes
-	MaxBytes      int // of all values together
-	MaxValueBytes int // bytes of one value
-	// UrgentOnly leaves out what nothing waits for, Idle all else.
+	MaxOperations int
+	MaxBytes      int // of all values together, exceeded by at most one value
+	MaxValueBytes int // of one value
+	// UrgentOnly leaves out what nothing waits for, NonUrgentOnly all else.
 	UrgentOnly, NonUrgentOnly bool
-	// AuditBlock is the audit record's that is to tell of the batch's claims and ends,
-	// and Claims about how many claims it has room for; 0: no record is kept.
+	// AuditBlock is the block of the audit log that is to tell of the batch's claims and ends,
+	// and MaxClaims about how many claims it has room for. 0: no audit log is kept.
 	AuditBlock uint64
 	MaxClaims  int
 }
 
-// NextBatch makes a batch, or nil when nothing needs writing. Until Committed or
-// Failed is called with it, no other batch may be made. The ends of jobs that
-// others wait for go first, then claims, then other ends, then finishes, then the
-// tidying of jobs that are over.
-func (t *Table) NextBatch(limits BatchLimits, now time.Time) *Batch {
-	t.writeCount++
-	bytesLeft, claimCount := limits.MaxBytes, 0
-	batch := &Batch{Writer: fmt.Sprintf("%s.%d", t.writer, t.writeCount)}
-	slices.SortStableFunc(t.dirty, func(x, chunk dirtyChunk) int {
-		return t.writePriority(x) - t.writePriority(chunk)
-	})
-	var deferred []dirtyChunk
-	compared := make(map[string]bool)
-	for _, dirty := range t.dirty {
-		job, chunk := dirty.job, dirty.job.chunks[dirty.index]
-		if chunk == nil || !chunk.dirty {
-			continue
-		}
-		operations := 1
-		if job.Finished && !compared[job.Ref] {
-			operations = 3
-		}
-		full := bytesLeft <= 0 || limits.AuditBlock != 0 && claimCount > 0 && claimCount+chunk.uncommitted > limits.MaxClaims
-		if len(batch.Operations)+operations > limits.MaxOperations || full || limits.UrgentOnly && !t.isUrgent(dirty) || limits.NonUrgentOnly && t.isUrgent(dirty) {
-			deferred = append(deferred, dirty)
-			continue
-		}
-		write := chunkWrite{job: job, index: dirty.index}
-		key := chunkKey(job.Ref, dirty.index)
-		switch {
-		case job.Cancelled && len(chunk.claims) > 0:
-			chunk.dirty = false // nothing to say until the claims are gone
-			continue
-		case job.Cancelled, job.Finished:
-			write.remove = true
-			if chunk.modRevision != 0 {
-				batch.Compares = append(batch.Compares, wire.Compare{Key: key, ModRevision: chunk.modRevision})
-				batch.Operations = append(batch.Operations, wire.Operation{Delete: key})
-			}
-		default:
-			if chunk.uncommitted > 0 {
-				chunk.auditBlock = limits.AuditBlock
-				claimCount += chunk.uncommitted
-			}
-			data, err := chunk.encode(batch.Writer, limits.MaxValueBytes)
-			if err != nil {
-				// Too large even packed, which takes names of hundreds of
-				// bytes: it waits for tasks of it to end, by which it shrinks.
-				deferred = append(deferred, dirty)
-				continue
-			}
-			bytesLeft -= len(data)
-			batch.Compares = append(batch.Compares, wire.Compare{Key: key, ModRevision: chunk.modRevision})
-			batch.Operations = append(batch.Operations, wire.Operation{Put: key, Value: data})
-		}
-		for index := dirty.index * job.chunkTasks; index < min((dirty.index+1)*job.chunkTasks, job.nextIndex); index++ {
-			if claim := job.claims[index]; claim != nil && claim.Finished {
-				write.finished = append(write.finished, claim)
-			} else if claim != nil && !claim.Committed {
-				write.claims = append(write.claims, claim)
-			}
-		}
-		if (len(write.claims) > 0 || job.Finished) && !compared[job.Ref] {
-			// A withdrawal changes this key: no claim slips in after it.
-			compared[job.Ref] = true
-			batch.Compares = append(batch.Compares, wire.Compare{Key: LiveKey(job.Ref), ModRevision: job.modRevision})
-			if job.Finished {
-				write.endsJob = true
-				write.at = now
-				endRecord, err := Encode(EndRecord{Phase: wire.PhaseDone, Tasks: job.Spec.TaskCount, ChunkTasks: job.chunkTasks, EndedMS: now.UnixMilli(), Team: job.recordedTeam(), AuditBlock: limits.AuditBlock})
-				if err != nil {
-					continue
-				}
-				batch.Operations = append(batch.Operations, wire.Operation{Delete: LiveKey(job.Ref)}, wire.Operation{Put: EndedKey(job.Ref), Value: endRecord})
-			}
-		}
-		chunk.dirty = false
-		chunk.inFlightWrite = t.writeCount
-		batch.writes = append(batch.writes, write)
-	}
-	t.dirty = deferred
-	if len(batch.writes) == 0 {
-		return nil
-	}
-	return batch
-}
-
-// Ranks of what is to be written.
-const (
-	priorityNeededEnd = iota // the end of a job that others wait for
-	priorityClaim
-	priorityEnd
-	priorityFinish
-	priorityCleanup
-)
-
-func (t *Table) writePriority(dirty dirtyChunk) int {
-	switch {
-	case dirty.job.Cancelled:
-		return priorityCleanup
-	case dirty.job.Finished && len(t.dependents[dirty.job.Ref]) > 0:
-		return priorityNeededEnd
-	case t.hasNewClaims(dirty):
-		return priorityClaim
-	case dirty.job.Finished:
-		return priorityEnd
-	}
-	return priorityFinish
-}
-
-// recordedTeam is the job's where identities are on: who may ask about it later.
-func (j *Job) recordedTeam() string {
-	if j.Origin == nil {
-		return ""
-	}
-	return j.Spec.Team
-}
-
 // Decision is what a batch makes durable of a job.
 type Decision struct {
 	Job     *Job
@@ -195,11 +61,11 @@
 	return decisions
 }
 
-// ChunkKeys are the chunk keys the batch writes.
+// ChunkKeys are the keys of the chunks that the batch writes.
 func (b *Batch) ChunkKeys() []string {
 	var keys []string
 	for _, write := range b.writes {
-		keys = append(keys, chunkKey(write.job.Ref, write.index))
+		keys = append(keys, write.key())
 	}
 	return keys
 }
@@ -215,102 +81,160 @@
 	return refs
 }
 
-// CommitResult is what a committed batch brought.
-type CommitResult struct {
-	Claims    []*Claim // to be launched
-	Finished  []*Claim // finishes now durable
-	Ended     []*Job   // jobs now done
-	Unblocked []*Job   // jobs that now wait for no other
-}
-
-// BatchCommitted notes that a batch was applied at a generation.
-func (t *Table) BatchCommitted(batch *Batch, revision uint64) CommitResult {
-	var result CommitResult
-	for _, write := range batch.writes {
-		job, chunk := write.job, write.job.chunks[write.index]
-		chunk.inFlightWrite = 0
-		if write.remove {
-			chunk.modRevision = 0
-		} else {
-			chunk.modRevision = revision
-		}
-		for _, claim := range write.finished {
-			if job.claims[claim.Index] == claim {
-				delete(chunk.claims, claim.Index%job.chunkTasks)
-				wasDirty := chunk.dirty
-				t.removeClaim(claim)
-				if !wasDirty {
-					chunk.dirty = false // the write just made says so already
-					t.unmarkDirty(job, write.index)
-				}
-				result.Finished = append(result.Finished, claim)
-			}
-		}
-		for _, claim := range write.claims {
-			if job.claims[claim.Index] != claim {
-				continue
-			}
-			claim.Committed = true
-			chunk.uncommitted--
-			if job.Cancelled && !claim.StartSent {
-				t.removeClaim(claim) // withdrawn meanwhile, never launched
-				continue
-			}
-			result.Claims = append(result.Claims, claim)
-		}
-		if write.endsJob {
-			result.Ended = append(result.Ended, job)
-			result.Unblocked = append(result.Unblocked, t.markDependencyDone(job.Ref, write.at)...)
+// NextBatch makes a batch, or returns nil when nothing needs writing. Until BatchCommitted or
+// BatchFailed is called with it, no other batch may be made. The ends of jobs that others wait
+// for go first, then claims, then other ends, then finishes, then what is left of jobs that
+// have ended.
+func (t *Table) NextBatch(limits BatchLimits, now time.Time) *Batch {
+	t.writeCount++
+	builder := batchBuilder{
+		batch:     &Batch{Writer: fmt.Sprintf("%s.%d", t.writer, t.writeCount)},
+		number:    t.writeCount,
+		limits:    limits,
+		now:       now,
+		bytesLeft: limits.MaxBytes,
+		compared:  make(map[string]bool),
+	}
+	t.writes.sort()
+	var deferred []chunkRef
+	for _, ref := range t.writes.pending {
+		if chunk := ref.chunk(); chunk == nil || !chunk.dirty {
+			continue
 		}
-		if job.Cancelled {
-			if chunk.modRevision != 0 && len(chunk.claims) == 0 {
-				t.markDirty(job, write.index)
-			}
-			t.forgetIfGone(job)
+		wanted := limits.include(t.writes.isUrgent(ref))
+		if !wanted || !builder.hasRoom(ref) || !builder.add(ref) {
+			deferred = append(deferred, ref)
 		}
 	}
-	for _, job := range result.Ended {
-		t.removeEnded(job)
+	t.writes.pending = deferred
+	if len(builder.batch.writes) == 0 {
+		return nil
+	}
+	return builder.batch
+}
+
+func (l *BatchLimits) include(urgent bool) bool {
+	return !(l.UrgentOnly && !urgent || l.NonUrgentOnly && urgent)
+}
+
+// batchBuilder fills one batch.
+type batchBuilder struct {
+	batch     *Batch
+	number    uint64 // of the write
+	limits    BatchLimits
+	now       time.Time
+	bytesLeft int
+	claims    int
+	compared  map[string]bool // jobs whose live key is compared
+}
+
+// hasRoom reports whether the batch may take a further chunk.
+func (b *batchBuilder) hasRoom(ref chunkRef) bool {
+	operations := 1
+	if ref.job.Finished && !b.compared[ref.job.Ref] {
+		operations = endOperations
+	}
+	if len(b.batch.Operations)+operations > b.limits.MaxOperations || b.bytesLeft <= 0 {
+		return false
 	}
-	return result
+	auditBlockFull := b.claims > 0 && b.claims+ref.chunk().uncommitted > b.limits.MaxClaims
+	return b.limits.AuditBlock == 0 || !auditBlockFull
 }
 
-// removeEnded forgets a job that is done; chunks still stored are tidied as those
-// of a withdrawn job are.
-func (t *Table) removeEnded(job *Job) {
-	job.Finished = false
-	job.Cancelled = true
-	for _, claim := range job.claims {
-		t.removeClaim(claim)
+// add puts a chunk into the batch, and with its job's last chunks the job's end. It returns
+// false if the chunk must wait for a later batch.
+func (b *batchBuilder) add(ref chunkRef) bool {
+	job, chunk := ref.job, ref.chunk()
+	write := chunkWrite{chunkRef: ref}
+	switch {
+	case job.Cancelled && len(chunk.claims) > 0:
+		chunk.dirty = false // nothing to write until the claims are gone
+		return true
+	case job.Cancelled, job.Finished:
+		write.remove = true
+		b.deleteChunk(ref)
+	default:
+		if !b.putChunk(ref) {
+			return false
+		}
 	}
-	for index, chunk := range job.chunks {
-		if chunk.modRevision != 0 {
-			t.markDirty(job, index)
+	write.claims, write.finished = ref.undurableClaims()
+	if (len(write.claims) > 0 || job.Finished) && !b.compared[job.Ref] {
+		b.compareLiveKey(job)
+		if job.Finished && !b.endJob(&write) {
+			return true
 		}
 	}
-	t.forgetIfGone(job)
+	chunk.dirty = false
+	chunk.inFlightWrite = b.number
+	b.batch.writes = append(b.batch.writes, write)
+	return true
 }
 
-func (t *Table) unmarkDirty(job *Job, index int) {
-	t.dirty = slices.DeleteFunc(t.dirty, func(dirty dirtyChunk) bool { return dirty.job == job && dirty.index == index })
+func (b *batchBuilder) deleteChunk(ref chunkRef) {
+	if modRevision := ref.chunk().modRevision; modRevision != 0 {
+		b.compare(ref.key(), modRevision)
+		b.batch.Operations = append(b.batch.Operations, wire.Operation{Delete: ref.key()})
+	}
 }
 
-// BatchFailed notes that a batch was surely not applied: all of it is to be written
-// again.
-func (t *Table) BatchFailed(batch *Batch) {
-	for _, write := range batch.writes {
-		chunk := write.job.chunks[write.index]
-		chunk.inFlightWrite = 0
-		t.markDirty(write.job, write.index)
+// putChunk returns false for a chunk that is too large even packed, which takes names of
+// hundreds of bytes: it waits for tasks of it to end, by which it shrinks.
+func (b *batchBuilder) putChunk(ref chunkRef) bool {
+	chunk := ref.chunk()
+	if chunk.uncommitted > 0 {
+		chunk.auditBlock = b.limits.AuditBlock
+		b.claims += chunk.uncommitted
+	}
+	data, err := chunk.encode(b.batch.Writer, b.limits.MaxValueBytes)
+	if err != nil {
+		return false
 	}
-	for _, write := range batch.writes {
-		if job := write.job; job.Cancelled {
-			for _, claim := range job.claims {
-				if !claim.Committed && !claim.StartSent && !job.chunks[claim.Index/job.chunkTasks].inFlight() {
-					t.removeClaim(claim)
-				}
-			}
-			t.forgetIfGone(job)
+	b.bytesLeft -= len(data)
+	b.compare(ref.key(), chunk.modRevision)
+	b.batch.Operations = append(b.batch.Operations, wire.Operation{Put: ref.key(), Value: data})
+	return true
+}
+
+// undurableClaims are the chunk's claims that are not durable, and those whose finish is not.
+func (r chunkRef) undurableClaims() (claims, finished []*Claim) {
+	job := r.job
+	end := min((r.index+1)*job.chunkTasks, job.nextIndex)
+	for task := r.index * job.chunkTasks; task < end; task++ {
+		if claim := job.claims[task]; claim != nil && claim.Finished {
+			finished = append(finished, claim)
+		} else if claim != nil && !claim.Committed {
+			claims = append(claims, claim)
 		}
 	}
+	return claims, finished
+}
+
+// compareLiveKey has the batch fail if the job was cancelled meanwhile, which changes the key:
+// no claim of a cancelled job becomes durable.
+func (b *batchBuilder) compareLiveKey(job *Job) {
+	b.compared[job.Ref] = true
+	b.compare(LiveKey(job.Ref), job.modRevision)
+}
+
+// endJob replaces the job's record by its end record. It returns false if that cannot be
+// encoded, which does not happen: it has strings and integers only.
+func (b *batchBuilder) endJob(write *chunkWrite) bool {
+	job := write.job
+	write.endsJob = true
+	write.endedAt = b.now
+	end, err := Encode(EndRecord{
+		Phase: wire.PhaseDone, Tasks: job.Spec.TaskCount, ChunkTasks: job.chunkTasks,
+		EndedMS: b.now.UnixMilli(), Team: job.recordedTeam(), AuditBlock: b.limits.AuditBlock,
+	})
+	if err != nil {
+		return false
+	}
+	b.batch.Operations = append(b.batch.Operations,
+		wire.Operation{Delete: LiveKey(job.Ref)}, wire.Operation{Put: EndedKey(job.Ref), Value: end})
+	return true
+}
+
+func (b *batchBuilder) compare(key string, modRevision uint64) {
+	b.batch.Compares = append(b.batch.Compares, wire.Compare{Key: key, ModRevision: modRevision})
 }
--- a/internal/ledger/dependencies.go
+++ b/internal/ledger/dependencies.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-// InheritedPriority is what a job has from those that need it.
+// InheritedPriority is what a job has from the jobs that depend on it.
 type InheritedPriority struct {
 	Priority  int         // the lower the higher
-	Deadlines []time.Time // by objective: when it must be done for the last to be in time; zero: none
+	Deadlines []time.Time // by objective: when the job must be done for the last dependent to be in time; zero: none
 }
 
-// DependenciesMet tells whether every job that this one needs is done. Until then none of
-// its tasks may be claimed.
+// DependenciesMet reports whether every job that this one depends on is durably done. Until
+// then none of its tasks may be claimed.
 func (j *Job) DependenciesMet() bool {
 	return len(j.unmetDependencies) == 0 && j.cancelledUpstream == ""
 }
 
-// CancelledUpstream names a withdrawn job that this one needs, directly or through others,
-// or is "".
+// CancelledUpstream names a cancelled job that this one depends on, directly or through
+// others, or is "".
 func (j *Job) CancelledUpstream() string { return j.cancelledUpstream }
 
-// UnmetDependencies are the jobs that are not known to be done yet, in order.
+// UnmetDependencies are the jobs that this one depends on and that are not known to be done,
+// in order.
 func (j *Job) UnmetDependencies() []string {
 	var refs []string
 	for ref := range j.unmetDependencies {
@@ -32,11 +33,23 @@
 	return refs
 }
 
-// Dependents are the jobs that wait for this one.
-func (t *Table) Dependents(job *Job) []*Job { return t.dependents[job.Ref] }
+// dependencyGraph holds which jobs wait for which. A job that is durably done or cancelled is
+// no longer in it.
+type dependencyGraph struct {
+	jobs       map[string]*Job   // the table's
+	dependents map[string][]*Job // by the job that they depend on
+	toCancel   []*Job            // by a cancelled upstream job
+}
+
+func newDependencyGraph(jobs map[string]*Job) *dependencyGraph {
+	return &dependencyGraph{jobs: jobs, dependents: make(map[string][]*Job)}
+}
 
-// addDependencies notes what a new job waits for.
-func (t *Table) addDependencies(job *Job) {
+func (g *dependencyGraph) hasDependents(job *Job) bool { return len(g.dependents[job.Ref]) > 0 }
+
+// add notes what a new job depends on. The job shares the fate of a dependency that is to be
+// cancelled at once.
+func (g *dependencyGraph) add(job *Job) {
 	for _, ref := range job.Spec.DependsOn {
 		if job.unmetDependencies[ref] || ref == job.Ref {
 			continue
@@ -45,44 +58,20 @@
 			job.unmetDependencies = make(map[string]bool)
 		}
 		job.unmetDependencies[ref] = true
-		t.dependents[ref] = append(t.dependents[ref], job)
+		g.dependents[ref] = append(g.dependents[ref], job)
 	}
-	t.resetInherited(job)
+	g.resetInherited(job)
 	for ref := range job.unmetDependencies {
-		if dependency := t.jobs[ref]; dependency != nil && dependency.cancelledUpstream != "" {
-			t.markUpstreamCancelled(job, dependency.cancelledUpstream)
+		if dependency := g.jobs[ref]; dependency != nil && dependency.cancelledUpstream != "" {
+			g.cancelDownstream(job, dependency.cancelledUpstream)
 		}
 	}
 }
 
-// UnresolvedDependencies are jobs that others wait for and that this ledger does not know to be
-// live: whether they are done or withdrawn must be looked up. So it is for what
-// ended in an earlier term, and for what ended before a late needer came.
-func (t *Table) UnresolvedDependencies() []string {
-	var refs []string
-	for ref := range t.dependents {
-		if job := t.jobs[ref]; job == nil || job.Cancelled {
-			refs = append(refs, ref)
-		}
-	}
-	slices.Sort(refs)
-	return refs
-}
-
-// ResolveDependency takes in the durable end of a job that others wait for, and returns
-// those that are ready by it.
-func (t *Table) ResolveDependency(ref string, done bool, at time.Time) []*Job {
-	if done {
-		return t.markDependencyDone(ref, at)
-	}
-	t.markDependentsCancelled(ref)
-	return nil
-}
-
-// markDependencyDone notes that a job is durably done.
-func (t *Table) markDependencyDone(ref string, at time.Time) []*Job {
+// markDone notes that a job is durably done, and returns the jobs that now wait for no other.
+func (g *dependencyGraph) markDone(ref string, at time.Time) []*Job {
 	var ready []*Job
-	for _, job := range t.dependents[ref] {
+	for _, job := range g.dependents[ref] {
 		delete(job.unmetDependencies, ref)
 		if at.After(job.ReadyAt) {
 			job.ReadyAt = at
@@ -92,69 +81,57 @@
 			ready = append(ready, job)
 		}
 	}
-	delete(t.dependents, ref)
+	delete(g.dependents, ref)
 	return ready
 }
 
-// markDependentsCancelled has every job that needs a withdrawn one withdrawn too.
-func (t *Table) markDependentsCancelled(ref string) {
-	for _, job := range t.dependents[ref] {
-		t.markUpstreamCancelled(job, ref)
+// markCancelled notes that a job is durably cancelled: all that depend on it are to be
+// cancelled too.
+func (g *dependencyGraph) markCancelled(ref string) {
+	for _, job := range g.dependents[ref] {
+		g.cancelDownstream(job, ref)
 	}
-	delete(t.dependents, ref)
+	delete(g.dependents, ref)
 }
 
-// markUpstreamCancelled marks a job, and all that need it through however many others.
-func (t *Table) markUpstreamCancelled(job *Job, cause string) {
+// cancelDownstream marks a job, and all that depend on it through however many others, as to
+// be cancelled because of a cancelled job.
+func (g *dependencyGraph) cancelDownstream(job *Job, cancelled string) {
 	for pending := []*Job{job}; len(pending) > 0; {
 		job = pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		if job.cancelledUpstream != "" || job.Cancelled {
 			continue
 		}
-		job.cancelledUpstream = cause
-		t.toCancel = append(t.toCancel, job)
-		pending = append(pending, t.dependents[job.Ref]...)
+		job.cancelledUpstream = cancelled
+		g.toCancel = append(g.toCancel, job)
+		pending = append(pending, g.dependents[job.Ref]...)
 	}
 }
 
-// JobsToCancel are up to n jobs that are to be withdrawn because of what they
-// need, in the order in which they came to be.
-func (t *Table) JobsToCancel(limit int) []*Job {
-	t.toCancel = slices.DeleteFunc(t.toCancel, func(job *Job) bool { return job.Cancelled })
-	return slices.Clone(t.toCancel[:min(limit, len(t.toCancel))])
-}
-
-// ModRevision is the revision of the job's live key.
-func (j *Job) ModRevision() uint64 { return j.modRevision }
-
-// Record is the job as stored.
-func (j *Job) Record() JobRecord {
-	return JobRecord{Job: j.Spec, SubmittedMS: j.SubmittedAt.UnixMilli(), ChunkTasks: j.chunkTasks, Origin: j.Origin}
-}
-
-// removeDependencies notes that a job was withdrawn: it waits for nothing any more, and
-// those that wait for it never run.
-func (t *Table) removeDependencies(job *Job) {
-	t.resetInherited(job)
+// removeCancelled removes a cancelled job: it waits for nothing any more, and those that wait
+// for it never run.
+func (g *dependencyGraph) removeCancelled(job *Job) {
+	g.resetInherited(job)
 	for ref := range job.unmetDependencies {
-		t.dependents[ref] = slices.DeleteFunc(t.dependents[ref], func(other *Job) bool { return other == job })
-		if len(t.dependents[ref]) == 0 {
-			delete(t.dependents, ref)
+		isJob := func(other *Job) bool { return other == job }
+		g.dependents[ref] = slices.DeleteFunc(g.dependents[ref], isJob)
+		if len(g.dependents[ref]) == 0 {
+			delete(g.dependents, ref)
 		}
 	}
 	job.unmetDependencies = nil
-	t.markDependentsCancelled(job.Ref)
+	g.markCancelled(job.Ref)
 }
 
-// resetInherited has the lift of all that a job needs, through however many others, be
-// computed again. A job without one has none above it, so the walk ends there.
-func (t *Table) resetInherited(job *Job) {
+// resetInherited has the inherited priority of all that a job depends on, through however many
+// others, be computed again. A job without one has none above it, so the walk ends there.
+func (g *dependencyGraph) resetInherited(job *Job) {
 	for pending := []*Job{job}; len(pending) > 0; {
 		job = pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		for ref := range job.unmetDependencies {
-			if dependency := t.jobs[ref]; dependency != nil && dependency.Inherited != nil {
+			if dependency := g.jobs[ref]; dependency != nil && dependency.Inherited != nil {
 				dependency.Inherited = nil
 				pending = append(pending, dependency)
 			}
@@ -162,11 +139,46 @@
 	}
 }
 
+// Dependents are the jobs that depend on this one and wait for it.
+func (t *Table) Dependents(job *Job) []*Job { return t.dependencies.dependents[job.Ref] }
+
+// UnresolvedDependencies are the jobs, in order, that others wait for and that the table does
+// not know to be live: whether they are done or cancelled must be looked up. So it is for what
+// ended in an earlier term, and for what ended before a late dependent came.
+func (t *Table) UnresolvedDependencies() []string {
+	var refs []string
+	for ref := range t.dependencies.dependents {
+		if job := t.jobs[ref]; job == nil || job.Cancelled {
+			refs = append(refs, ref)
+		}
+	}
+	slices.Sort(refs)
+	return refs
+}
+
+// ResolveDependency notes the durable end of a job that others wait for, done or cancelled,
+// and returns those that now wait for no other.
+func (t *Table) ResolveDependency(ref string, done bool, at time.Time) []*Job {
+	if done {
+		return t.dependencies.markDone(ref, at)
+	}
+	t.dependencies.markCancelled(ref)
+	return nil
+}
+
+// JobsToCancel are up to limit jobs that are to be cancelled because one that they depend on
+// was, in the order in which that was found.
+func (t *Table) JobsToCancel(limit int) []*Job {
+	g := t.dependencies
+	g.toCancel = slices.DeleteFunc(g.toCancel, func(job *Job) bool { return job.Cancelled })
+	return slices.Clone(g.toCancel[:min(limit, len(g.toCancel))])
+}
+
 // BlockedJobs are the jobs that wait for others, by reference.
 func (t *Table) BlockedJobs() []*Job {
 	seen := make(map[*Job]bool)
 	var jobs []*Job
-	for _, dependents := range t.dependents {
+	for _, dependents := range t.dependencies.dependents {
 		for _, job := range dependents {
 			if !seen[job] {
 				seen[job] = true
--- a/internal/ledger/dependencies_test.go
+++ b/internal/ledger/dependencies_test.go
@@ -211,7 +211,7 @@
 		if len(done)+len(gone) != 40 {
 			t.Fatalf("seed %d: %d done, %d withdrawn", seed, len(done), len(gone))
 		}
-		if len(table.dependents) != 0 || len(table.JobsToCancel(1)) != 0 {
+		if len(table.dependencies.dependents) != 0 || len(table.JobsToCancel(1)) != 0 {
 			t.Fatalf("seed %d: something is left", seed)
 		}
 	}
--- a/internal/ledger/table_test.go
+++ b/internal/ledger/table_test.go
@@ -456,7 +456,7 @@
 				}
 			}
 			got := table.UsedOnWorker(worker)
-			if math.Abs(got.Cores-want.Cores) > 1e-9 || math.Abs(got.RAMGB-want.RAMGB) > 1e-9 || got.Accelerators != want.Accelerators {
+			if math.Abs(got.CPUs-want.CPUs) > 1e-9 || math.Abs(got.MemoryGB-want.MemoryGB) > 1e-9 || got.GPUs != want.GPUs {
 				t.Fatalf("step %d, %s: %+v, counted %+v", i, worker, got, want)
 			}
 		}
