--- /dev/null
+++ b/internal/leader/auditbatch.go
@@ -0,0 +1,207 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"slices"
+	"strconv"
+	"time"
+
+	"rillflow/internal/audit"
+	"rillflow/internal/kvstore"
+	"rillflow/internal/ledger"
+	"rillflow/internal/wire"
+)
+
+// auditedBatch is a batch of writes with the audit blocks that record it.
+type auditedBatch struct {
+	*ledger.Batch
+	blocks      []*audit.Block
+	queued      int             // entries of the queue that the blocks tell of
+	dropped     int             // dropped entries that they tell of
+	pendingKeys []string        // of the pending entries that they take in
+	jobs        []*ledger.Job   // whose acceptance they tell of
+	claims      []*ledger.Claim // that they tell of
+}
+
+// blockContext is what the blocks of a batch have in common.
+type blockContext struct {
+	epoch  uint64
+	now    time.Time
+	limits txnLimits
+}
+
+// limitBatch bounds a batch so that there is room for the block that records it: an operation,
+// and as many claims as the value of a block holds.
+func (a *auditWriter) limitBatch(limits *ledger.BatchLimits) {
+	limits.MaxOperations = max(limits.MaxOperations-1, minBatchOps)
+	limits.AuditBlock = a.head.Seq + 1
+	limits.MaxClaims = (limits.MaxValueBytes - blockOverhead) / bytesPerClaim
+}
+
+// attach adds to a batch the blocks that record it, what is queued and what is pending. The
+// caller holds the slot and the lock of the cluster state.
+func (a *auditWriter) attach(batch *auditedBatch, common blockContext) error {
+	if a == nil {
+		return nil
+	}
+	entries := a.queuedEntries(batch, common.now)
+	for _, decision := range batch.Decisions() {
+		entries = append(entries, a.decisionEntries(batch, decision, common.now)...)
+	}
+	for key, pending := range a.pending {
+		if len(batch.Operations)+2 > common.limits.operations {
+			break // one to delete the pending entry, one for its block
+		}
+		if len(entries) > 0 && audit.Size(entries)+audit.Size(pending.entries) > common.limits.valueBytes/2 {
+			break
+		}
+		entries = append(entries, pending.entries...)
+		batch.pendingKeys = append(batch.pendingKeys, key)
+		batch.Compares = append(batch.Compares, wire.Compare{Key: key, ModRevision: pending.revision})
+		batch.Operations = append(batch.Operations, wire.Operation{Delete: key})
+	}
+	return a.sealBlocks(batch, entries, common)
+}
+
+// queuedEntries returns the entries of the queue that go out with a batch, and notes them as
+// in flight.
+func (a *auditWriter) queuedEntries(batch *auditedBatch, now time.Time) []audit.Entry {
+	batch.queued = min(len(a.queue), maxEntriesPerBatch)
+	a.inFlight = batch.queued
+	entries := append([]audit.Entry(nil), a.queue[:batch.queued]...)
+	if a.dropped > 0 && batch.queued == len(a.queue) {
+		batch.dropped = a.dropped
+		entries = append(entries, audit.Entry{At: now, Act: audit.Missed, Why: strconv.Itoa(a.dropped)})
+	}
+	return entries
+}
+
+// decisionEntries returns the entries that tell what a batch decides of one job, and marks the
+// job and its claims as told.
+func (a *auditWriter) decisionEntries(batch *auditedBatch, decision ledger.Decision, now time.Time) []audit.Entry {
+	var entries []audit.Entry
+	job := decision.Job
+	if !job.Audited {
+		entries = append(entries, audit.Accepting(a.keys, job.Record()))
+		batch.jobs = append(batch.jobs, job)
+		job.Audited = true
+	}
+	if len(decision.Claims) > 0 {
+		entry := audit.Entry{At: now, Act: audit.Claimed, On: job.Ref}
+		for _, claim := range decision.Claims {
+			claim.Audited = true
+			batch.claims = append(batch.claims, claim)
+			entry.Tasks = append(entry.Tasks, auditTask(claim))
+		}
+		entries = append(entries, entry)
+	}
+	if decision.EndsJob {
+		entries = append(entries, audit.Entry{At: now, Act: audit.Done, On: job.Ref})
+	}
+	return entries
+}
+
+// attachCancellations adds to a batch that cancels jobs for a dependency that was cancelled
+// the blocks that record it. The caller holds the slot and the lock of the cluster state.
+func (a *auditWriter) attachCancellations(batch *auditedBatch, jobs []*ledger.Job, common blockContext) error {
+	if a == nil {
+		return nil
+	}
+	var entries []audit.Entry
+	for _, job := range jobs {
+		if !job.Audited {
+			entries = append(entries, audit.Accepting(a.keys, job.Record()))
+		}
+		entries = append(entries, audit.Entry{
+			At: common.now, Act: audit.Withdrawn, On: job.Ref, Why: "needs " + job.CancelledUpstream(),
+		})
+	}
+	return a.sealBlocks(batch, entries, common)
+}
+
+// sealBlocks adds the blocks of the given entries to a batch.
+func (a *auditWriter) sealBlocks(batch *auditedBatch, entries []audit.Entry, common blockContext) error {
+	head := a.head
+	for _, blockEntries := range audit.Split(entries, common.limits.valueBytes-blockOverhead-len(a.controller)) {
+		if len(batch.Operations) >= common.limits.operations {
+			// One operation more would have the whole transaction refused. It takes
+			// worker names of hundreds of bytes to come here.
+			a.dropped += len(blockEntries)
+			continue
+		}
+		block, err := audit.Make(a.keys, head, a.lastKey, common.epoch, a.controller, common.now, blockEntries)
+		if err != nil {
+			return err
+		}
+		head = block.Head()
+		batch.blocks = append(batch.blocks, block)
+		key := audit.BlockKey(block.Seq)
+		batch.Compares = append(batch.Compares, wire.Compare{Key: key})
+		batch.Operations = append(batch.Operations, wire.Operation{Put: key, Value: audit.Value(block.Raw)})
+	}
+	return nil
+}
+
+// batchCommitted notes that a batch was applied. The caller holds the slot and the lock of the
+// cluster state.
+func (a *auditWriter) batchCommitted(batch *auditedBatch, now time.Time) {
+	if a == nil {
+		return
+	}
+	a.inFlight = 0
+	if count := len(batch.blocks); count > 0 {
+		newest := batch.blocks[count-1]
+		a.head, a.lastKey = newest.Head(), newest.Key
+	}
+	if batch.queued > 0 {
+		a.queue = append(a.queue[:0], a.queue[batch.queued:]...)
+		a.queuedSince = now
+	}
+	a.dropped -= batch.dropped
+	for _, key := range batch.pendingKeys {
+		delete(a.pending, key)
+	}
+}
+
+// batchFailed notes that a batch was surely not applied. The caller holds the slot and the
+// lock of the cluster state.
+func (a *auditWriter) batchFailed(batch *auditedBatch) {
+	if a == nil {
+		return
+	}
+	a.inFlight = 0
+	for _, job := range batch.jobs {
+		job.Audited = false
+	}
+	for _, claim := range batch.claims {
+		claim.Audited = false
+		a.retract(claim)
+	}
+}
+
+// retract takes back what was queued about a claim that was never made.
+func (a *auditWriter) retract(claim *ledger.Claim) {
+	isOfClaim := func(task audit.Task) bool { return task.Index == claim.Index && task.Try == claim.Attempt }
+	a.queue = slices.DeleteFunc(a.queue, func(entry audit.Entry) bool {
+		return entry.On == claim.Job.Ref && len(entry.Tasks) == 1 && isOfClaim(entry.Tasks[0])
+	})
+	for i := range a.queue {
+		if entry := &a.queue[i]; entry.On == claim.Job.Ref && len(entry.Tasks) > 1 {
+			entry.Tasks = slices.DeleteFunc(entry.Tasks, isOfClaim)
+		}
+	}
+}
+
+// readOutcome finds out whether the first block of a batch is the one that the store has under
+// its number: nobody else can have sealed it.
+func (b *auditedBatch) readOutcome(ctx context.Context, store *kvstore.Client) (txnOutcome, error) {
+	item, err := store.Get(ctx, audit.BlockKey(b.blocks[0].Seq))
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return txnOutcome{}, nil
+	}
+	if err != nil {
+		return txnOutcome{}, err
+	}
+	return txnOutcome{applied: b.blocks[0].Same(item.Value), revision: item.ModRevision}, nil
+}
--- /dev/null
+++ b/internal/leader/auditcollector.go
@@ -0,0 +1,48 @@
+package leader
+
+import (
+	"context"
+	"time"
+
+	"rillflow/internal/audit"
+	"rillflow/internal/kvstore"
+	"rillflow/internal/wire"
+)
+
+// auditCollector hands the audit writer the entries that other controllers leave in the store.
+// Serve runs its loop. It has no state of its own, and writes nothing: the audit writer deletes
+// an entry in the transaction that appends it.
+type auditCollector struct {
+	*termScope
+}
+
+// watchPendingAudit watches the pending entries until ctx ends.
+func (c *auditCollector) watchPendingAudit(ctx context.Context) error {
+	if c.auditLog == nil {
+		return nil
+	}
+	return c.store.WatchPrefix(ctx, kvstore.Watcher{
+		Prefix: audit.SlipPrefix, PollWait: c.settings.Lease() / 2,
+		BackoffBase: c.settings.Report() / 32, BackoffLimit: c.settings.Report() / 4,
+		OnSnapshot: func(items []wire.KeyValue, _ time.Time) {
+			c.mu.Lock()
+			for _, item := range items {
+				c.auditLog.takePending(item.Key, item.Value, item.ModRevision)
+			}
+			c.mu.Unlock()
+			notify(c.writeSignal)
+		},
+		OnChanges: func(events []wire.Operation, _ time.Time) {
+			c.mu.Lock()
+			for _, event := range events {
+				if event.Put != "" {
+					c.auditLog.takePending(event.Put, event.Value, event.ModRevision)
+				}
+			}
+			c.mu.Unlock()
+			if len(events) > 0 {
+				notify(c.writeSignal)
+			}
+		},
+	})
+}
--- a/internal/leader/claimwriter_test.go
+++ b/internal/leader/claimwriter_test.go
@@ -30,12 +30,12 @@
 	}
 	c := claim(old)
 	commit := func() []string {
-		b, wait, err := leader.claimWriter.nextAuditedBatch()
-		if wait > 0 || b == nil || err != nil {
-			t.Fatalf("no batch, wait %v, %v", wait, err)
+		batch, err := leader.claimWriter.nextAuditedBatch()
+		if err != nil {
+			t.Fatalf("no batch: %v", err)
 		}
-		leader.jobs.BatchCommitted(b.Batch, 5)
-		return b.JobRefs()
+		leader.jobs.BatchCommitted(batch.Batch, 5)
+		return batch.JobRefs()
 	}
 	commit()
 	leader.jobs.Finish(c)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -17,16 +17,25 @@
 	"rillflow/internal/wire"
 )
 
-// dependencies resolves what jobs wait for, and propagates cancellations to their dependents.
+// dependencies looks after jobs that wait for others: it finds out how dependencies ended,
+// cancels the dependents of cancelled jobs, and tells what priority and deadline a job inherits
+// from its dependents.
+//
+// Serve runs its loop, runDependencies; the claim writer tells it of jobs that became ready and
+// the scheduler asks it for priorities, both with the lock of the cluster state held. It has no
+// state of its own: the job table holds the graph. It holds the slot of the audit log while a
+// batch of cancellations is in flight, and must not hold the lock during a request to the store.
 type dependencies struct {
 	*termScope
 	cancellations *cancellations
 }
 
-// runDependencies looks after jobs that wait for others. What became of a needed job that
-// is no longer live is looked up, and a withdrawal is carried to all that come
-// after it. Both begin with what the state service has, so a new leader goes on
-// where the last one stopped.
+// maxConcurrentLookups bounds the reads of end records in flight at once.
+const maxConcurrentLookups = 8
+
+// runDependencies looks up how dependencies ended that are no longer live, and propagates
+// cancellations. Both begin with what the store has, so that a new leader goes on where the
+// last one stopped.
 func (d *dependencies) runDependencies(ctx context.Context) error {
 	ticker := time.NewTicker(d.settings.Report() / 6)
 	defer ticker.Stop()
@@ -44,200 +53,182 @@
 	}
 }
 
-// maxConcurrentLookups bounds the reads under way at once.
-const maxConcurrentLookups = 8
-
-// lookUpEndings asks how needed jobs ended that this leader does not know.
+// lookUpEndings finds out how dependencies ended that the table does not know.
 func (d *dependencies) lookUpEndings(ctx context.Context) {
 	d.mu.Lock()
-	refs := d.jobs.UnresolvedDependencies()
+	jobIDs := d.jobs.UnresolvedDependencies()
 	d.mu.Unlock()
 	slots := make(chan struct{}, maxConcurrentLookups)
 	var wg sync.WaitGroup
 	var refused atomic.Bool
-	for _, ref := range refs {
+	for _, jobID := range jobIDs {
 		slots <- struct{}{}
 		if refused.Load() {
 			break // the rest is for the next round: others need the budget too
 		}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			item, err := d.store.Get(ctx, ledger.EndedKey(ref))
-			if err != nil {
-				// Not found: it is live, and the watch has yet to tell.
-				if !errors.Is(err, kvstore.ErrNotFound) {
-					refused.Store(true)
-				}
-				return
-			}
-			var ending ledger.EndRecord
-			if err := json.Unmarshal(item.Value, &ending); err != nil {
-				d.log.Error("ending", "job", ref, "err", err)
-				return
+			if err := d.lookUpEnding(ctx, jobID); err != nil {
+				refused.Store(true)
 			}
-			d.mu.Lock()
-			defer d.mu.Unlock()
-			d.jobsReady(d.jobs.ResolveDependency(ref, ending.Phase == wire.PhaseDone, time.UnixMilli(ending.EndedMS)))
 		})
 	}
 	wg.Wait()
 }
 
-// jobsReady notes jobs that now wait for no other.
+// lookUpEnding resolves a dependency if it has ended. It returns the error of a store that did
+// not answer.
+func (d *dependencies) lookUpEnding(ctx context.Context, jobID string) error {
+	item, err := d.store.Get(ctx, ledger.EndedKey(jobID))
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return nil // it is live, and the watch has yet to tell
+	}
+	if err != nil {
+		return err
+	}
+	var end ledger.EndRecord
+	if err := json.Unmarshal(item.Value, &end); err != nil {
+		d.log.Error("end record invalid", "job", jobID, "err", err)
+		return nil // nothing that a later read would change
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.jobsReady(d.jobs.ResolveDependency(jobID, end.Phase == wire.PhaseDone, time.UnixMilli(end.EndedMS)))
+	return nil
+}
+
+// jobsReady notes jobs that have no unmet dependency any more. The caller holds the lock of the
+// cluster state.
 func (d *dependencies) jobsReady(jobs []*ledger.Job) {
 	for _, job := range jobs {
-		d.log.Info("ready", "job", job.Ref, "class", job.Spec.Class, "waited_s", job.ReadyAt.Sub(job.ArrivedAt).Seconds())
+		waited := job.ReadyAt.Sub(job.ArrivedAt)
+		d.log.Info("job ready", "job", job.Ref, "class", job.Spec.Class, "waited_s", waited.Seconds())
 	}
 	if len(jobs) > 0 {
 		notify(d.scheduleSignal)
 	}
 }
 
-// propagateCancellations withdraws the jobs that come after a withdrawn one, a few in each
-// transaction. None of them has ever had a claim, for none was ready.
+// propagateCancellations cancels the dependents of cancelled jobs, a few in each transaction.
+// None of them has ever had a claim, for none was ready.
 func (d *dependencies) propagateCancellations(ctx context.Context) error {
 	for ctx.Err() == nil {
-		more, err := d.cancelNextDependents(ctx)
-		if !more || err != nil {
+		err := d.cancelNextDependents(ctx)
+		if errors.Is(err, errNothingToWrite) {
+			return nil
+		}
+		if err != nil {
 			return err
 		}
 	}
 	return ctx.Err()
 }
 
-// cancelNextDependents withdraws the next few, and tells whether there were any.
-func (d *dependencies) cancelNextDependents(ctx context.Context) (more bool, err error) {
+// dependentsBatch cancels jobs whose dependency was cancelled.
+type dependentsBatch struct {
+	*auditedBatch
+	cancelled []*ledger.Job
+}
+
+// cancelNextDependents cancels the next few dependents. It returns errNothingToWrite if there
+// are none.
+func (d *dependencies) cancelNextDependents(ctx context.Context) error {
 	if !d.auditLog.acquire(ctx) {
-		return false, ctx.Err()
+		return ctx.Err()
 	}
 	defer d.auditLog.release()
 	d.mu.Lock()
-	jobs, batch, err := d.nextDependents()
+	batch, err := d.nextDependents()
 	d.mu.Unlock()
-	if err != nil || len(jobs) == 0 {
-		return false, err
+	if err != nil {
+		return err
 	}
 	txn := wire.Txn{Compares: append(d.leadership.Compares(), batch.Compares...), Operations: batch.Operations}
 	for attempt := 0; ; attempt++ {
 		_, failed, err := d.store.Commit(ctx, txn)
 		if err == nil && len(failed) > 0 && len(batch.blocks) > 0 {
-			// Was it this very transaction, sent before?
-			var applied bool
-			if _, applied, err = batch.isStored(ctx, d.store); applied {
+			// Was it this very transaction, sent before, that made the compares fail?
+			var outcome txnOutcome
+			if outcome, err = batch.readOutcome(ctx, d.store); outcome.applied {
 				failed = nil
 			}
 		}
 		if err == nil {
-			return true, d.dependentsCancelled(jobs, batch, failed)
+			return d.dependentsCancelled(batch, failed)
 		}
 		if errors.Is(err, kvstore.ErrTooLarge) {
 			d.mu.Lock()
-			d.auditLog.resolve(batch, false, d.now())
+			d.auditLog.batchFailed(batch.auditedBatch)
 			d.mu.Unlock()
-			return true, nil // made again, for the limits in force
+			return nil // made again, for the limits in force
 		}
-		// Of unknown fate or not, the same is asked for again: a job that
-		// was withdrawn by it fails its guard then, which is as good.
+		// Whether its outcome is unknown or not, the same is asked for again: a job that
+		// was cancelled by it fails its compare then, which is as good.
 		if !kvstore.Backoff(ctx, attempt, d.settings.Report()/64, d.settings.Report()/4) {
-			return false, ctx.Err()
+			return ctx.Err()
 		}
 	}
 }
 
-// nextDependents makes the change that withdraws the next few jobs.
-func (d *dependencies) nextDependents() ([]*ledger.Job, *auditedBatch, error) {
-	batch := &auditedBatch{Batch: &ledger.Batch{}}
-	maxOps, now := d.settings.Facts.State.Least().TxnOps, d.now()
-	maxJobs := maxOps / 2
+// nextDependents makes the batch that cancels the next few dependents, or returns
+// errNothingToWrite. The caller holds the lock of the cluster state.
+func (d *dependencies) nextDependents() (*dependentsBatch, error) {
+	now, limits := d.now(), d.txnLimits()
+	maxJobs := limits.operations / 2
 	if d.auditLog != nil {
-		maxJobs = max(1, (maxOps-1)/2) // a change for the block that tells of them
+		maxJobs = max(1, (limits.operations-1)/2) // one operation for the block that records it
 	}
 	jobs := d.jobs.JobsToCancel(maxJobs)
+	if len(jobs) == 0 {
+		return nil, errNothingToWrite
+	}
+	batch := &auditedBatch{Batch: &ledger.Batch{}}
 	for _, job := range jobs {
 		record := job.Record()
-		data, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, now))
+		end, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, now))
 		if err != nil {
-			return nil, nil, fmt.Errorf("control: %s: %w", job.Ref, err)
+			return nil, fmt.Errorf("leader: encode end of job %s: %w", job.Ref, err)
 		}
-		batch.Compares = append(batch.Compares, wire.Compare{Key: ledger.LiveKey(job.Ref), ModRevision: job.ModRevision()})
-		batch.Operations = append(batch.Operations, wire.Operation{Delete: ledger.LiveKey(job.Ref)}, wire.Operation{Put: ledger.EndedKey(job.Ref), Value: data})
+		live := ledger.LiveKey(job.Ref)
+		batch.Compares = append(batch.Compares, wire.Compare{Key: live, ModRevision: job.ModRevision()})
+		batch.Operations = append(batch.Operations,
+			wire.Operation{Delete: live}, wire.Operation{Put: ledger.EndedKey(job.Ref), Value: end})
 	}
-	if len(jobs) == 0 {
-		return nil, nil, nil
+	err := d.auditLog.attachCancellations(batch, jobs, blockContext{d.leadership.Epoch(), now, limits})
+	if err != nil {
+		return nil, err
 	}
-	return jobs, batch, d.auditLog.attachCancellations(batch, jobs, d.leadership.Epoch(), now, maxOps, d.store.MaxValueBytes())
+	return &dependentsBatch{batch, jobs}, nil
 }
 
-func (d *dependencies) dependentsCancelled(jobs []*ledger.Job, batch *auditedBatch, failed []string) error {
+// dependentsCancelled takes in a batch whose outcome is known: failed are the keys whose
+// compares failed, none if it was applied.
+func (d *dependencies) dependentsCancelled(batch *dependentsBatch, failed []string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.auditLog.resolve(batch, len(failed) == 0, d.now())
+	applied := len(failed) == 0
+	if applied {
+		d.auditLog.batchCommitted(batch.auditedBatch, d.now())
+	} else {
+		d.auditLog.batchFailed(batch.auditedBatch)
+	}
 	if err := d.leadership.CheckCompares(failed); err != nil {
 		return err
 	}
-	if len(failed) == 0 {
+	if applied {
 		d.replica.Apply(0, batch.Operations...)
 	}
 	for _, key := range failed {
 		if strings.HasPrefix(key, audit.BlockPrefix) {
-			return fmt.Errorf("control: %s was written by another", key)
+			return fmt.Errorf("leader: cancel dependents: %w", &foreignWriteError{key})
 		}
 	}
-	for _, job := range jobs {
-		// A live key that is not as it was is gone: its user withdrew the
-		// job, for it cannot have been done.
-		if len(failed) == 0 || slices.Contains(failed, ledger.LiveKey(job.Ref)) {
+	for _, job := range batch.cancelled {
+		// A live key that is not as it was is gone: the user cancelled the job, for it
+		// cannot have been done.
+		if applied || slices.Contains(failed, ledger.LiveKey(job.Ref)) {
 			d.cancellations.cancelJob(job.Ref)
 		}
 	}
 	return nil
 }
-
-// inherited is what a job has from those that need it: the highest rank among them,
-// and the time by which it must be done for the last of them to be in time, the
-// steps between counted.
-func (d *dependencies) inherited(job *ledger.Job) *ledger.InheritedPriority {
-	if job.Inherited != nil {
-		return job.Inherited
-	}
-	inherited := &ledger.InheritedPriority{Priority: priorityLevel(job.Spec.Priority), Deadlines: make([]time.Time, len(d.settings.Facts.Objectives))}
-	for i, objective := range d.settings.Facts.Objectives {
-		if objective.Kind == "deadline" && objective.Class == job.Spec.Class && job.Spec.DeadlineSeconds > 0 {
-			inherited.Deadlines[i] = job.ArrivedAt.Add(time.Duration(job.Spec.DeadlineSeconds * max(objective.Times, 1) * float64(time.Second)))
-		}
-	}
-	for _, dependent := range d.jobs.Dependents(job) {
-		if dependent.Cancelled || dependent.CancelledUpstream() != "" {
-			continue
-		}
-		fromDependent := d.inherited(dependent)
-		inherited.Priority = min(inherited.Priority, fromDependent.Priority)
-		for i, due := range fromDependent.Deadlines {
-			if due.IsZero() {
-				continue
-			}
-			if due = due.Add(-d.stepDuration(dependent)); inherited.Deadlines[i].IsZero() || due.Before(inherited.Deadlines[i]) {
-				inherited.Deadlines[i] = due
-			}
-		}
-	}
-	if objective := job.Origin; objective != nil && objective.MaxPriority != "" {
-		// However high those that need it: not above what whoever submitted it may
-		// have. That is at least what was asked for, or it was not accepted.
-		inherited.Priority = max(inherited.Priority, priorityLevel(objective.MaxPriority))
-	}
-	job.Inherited = inherited
-	return inherited
-}
-
-// stepDuration is how long a job is expected to take once it is ready: until its
-// longest task is done, and the finish of one step known to the next.
-func (d *dependencies) stepDuration(job *ledger.Job) time.Duration {
-	return time.Duration(longestTaskRatio*job.Spec.ExpectedSeconds*float64(time.Second)) + d.settings.Report()/2
-}
-
-// longestTaskRatio is how long the last of a job's tasks takes, as a ratio to the mean.
-const longestTaskRatio = 1.5
-
-// effectivePriority is the rank that a job goes by.
-func (d *dependencies) effectivePriority(job *ledger.Job) int { return d.inherited(job).Priority }
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -40,21 +40,6 @@
 	placementResumedAt time.Time // when tasks were placed again
 }
 
-// suspectDataLoss notes that what the state service holds contradicts itself or what is known,
-// and ends the term: the next one puts it together anew.
-func (e *environment) suspectDataLoss(cause error) error {
-	e.dataLoss.Suspect(cause.Error())
-	return fmt.Errorf("%w: %w", dataloss.ErrIncarnationReplaced, cause)
-}
-
-// dataLossSuspected tells whether data may have been lost, so that nothing is ordered any more.
-func (e *environment) dataLossSuspected() bool {
-	if e.dataLoss == nil {
-		return false
-	}
-	return e.dataLoss.Suspicion().Active
-}
-
 // baseAttempt is the try above which a leader that rebuilds gives them out: epochs never come
 // again, so no try does.
 func (s *termScope) baseAttempt() uint64 { return s.firstEpoch << 16 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -51,6 +51,7 @@
 	jobWatcher    *jobWatcher
 	scheduler     *scheduler
 	claimWriter   *claimWriter
+	collector     *auditCollector
 	cancellations *cancellations
 	dependencies  *dependencies
 	storeReader   *storeReader
@@ -84,6 +85,7 @@
 		},
 		scheduler:     &scheduler{termScope: scope},
 		claimWriter:   &claimWriter{termScope: scope},
+		collector:     &auditCollector{termScope: scope},
 		cancellations: &cancellations{termScope: scope},
 		dependencies:  &dependencies{termScope: scope},
 		storeReader:   &storeReader{termScope: scope},
