--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -114,7 +114,7 @@
 	pathForm   = regexp.MustCompile(`^(?:cmd|internal|tools|deploy|docs)/[\w./-]+$`)
 	identForm  = regexp.MustCompile(`^([a-z]+)((?:\.[A-Za-z]\w*){1,2})(?:\(\))?$`)
 	testForm   = regexp.MustCompile(`\b(?:Test|Benchmark|Fuzz)[A-Z]\w*`)
-	statusPath = regexp.MustCompile("^(?:leading|history)\\.") // fields of the status page
+	statusPath = regexp.MustCompile(`^(?:leading|history)\.`) // fields of the status page
 )
 
 // faults lists what a document names that is not there.
