--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -25,7 +25,7 @@
 
 const (
 	kindPing kind = iota + 1
-	kindBeat
+	kindHeartbeat
 	kindOffer
 	kindUser
 	kindCounts
@@ -36,18 +36,18 @@
 	kindVersion // the program's version, and the peer's in answer
 
 	// Sent only to peers that are known to be of 0.3 or later.
-	kindHearing // how well a node hears workers, and the peer in answer
+	kindReachability // how well a node hears workers, and the peer in answer
 
 	// Sent only to peers that are known to be of 0.4 or later.
 	kindUserAs // a user's request with its token
 
 	// Sent only to peers that are known to be of 0.5 or later.
-	kindHistory // how a node takes the state service's history, and the peer in answer
-	kindCopy    // the leader's copy of what is stored, or changes of it
-	kindRecall  // asks for a page of what the peer remembers
+	kindStoreIncarnation // how a node takes the state service's history, and the peer in answer
+	kindReplicaPush      // the leader's copy of what is stored, or changes of it
+	kindReplicaPage      // asks for a page of what the peer remembers
 
 	// Sent only to peers that are known to be of 0.6 or later.
-	kindWithdrawn // withdrawals that users are told of, and the peer's in answer
+	kindCancellations // withdrawals that users are told of, and the peer's in answer
 )
 
 // ErrFormat says that a frame breaks the format.
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -31,17 +31,17 @@
 }
 
 var (
-	ping   = Ping{Node: "n", Epoch: 9, Leader: "m", Parts: []string{"m", "n"}, StateAge: time.Minute}
-	answer = BeatAnswer{
-		OK: true, Orders: wire.CommandBatch{Epoch: 4, Commands: []wire.Command{{Action: "stop", Task: "req-1/0", Attempt: 2, GraceSeconds: 1.5}}},
-		Learned: []agent.RuntimeSample{{JobType: "t", InstanceType: "big", Duration: time.Hour}},
+	ping   = Ping{Node: "n", Epoch: 9, Leader: "m", ShardOwners: []string{"m", "n"}, StoreSilence: time.Minute}
+	answer = HeartbeatAnswer{
+		OK: true, Commands: wire.CommandBatch{Epoch: 4, Commands: []wire.Command{{Action: "stop", Task: "req-1/0", Attempt: 2, GraceSeconds: 1.5}}},
+		Samples: []agent.RuntimeSample{{JobType: "t", InstanceType: "big", Duration: time.Hour}},
 	}
 	picks      = []placement.Pick{{Worker: "i-1", Ref: "req-1", Tier: 2, Cost: -0.5, Weight: 8}}
 	user       = UserRequest{Method: "POST", Path: "/v1/jobs", Body: []byte("{}")}
 	userAs     = UserRequest{Method: "POST", Path: "/v1/jobs", Body: []byte("{}"), Auth: "Bearer x"}
 	useranswer = UserAnswer{Status: 503, RetryAfter: "1", Body: []byte("x")}
-	hearing    = Hearing{Age: 3 * time.Second, Deaf: true}
-	past       = History{ID: "A", Doubted: true, Why: "x", Gen: 9}
+	hearing    = Reachability{SinceHeartbeat: 3 * time.Second, Isolated: true}
+	past       = StoreIncarnation{ID: "A", DataLossSuspected: true, Reason: "x", Revision: 9}
 	counts     = Counts{Known: true, Done: 3, Running: 4}
 )
 
@@ -53,15 +53,15 @@
 		decode func([]byte) (any, error)
 	}{
 		{"ping", ping, ping.encode(), func(b []byte) (any, error) { return decodePing(b) }},
-		{"report", report, encodeReport(report), func(b []byte) (any, error) { return decodeReport(b) }},
-		{"answer", answer, answer.encode(), func(b []byte) (any, error) { return decodeBeatAnswer(b) }},
+		{"report", report, encodeHeartbeat(report), func(b []byte) (any, error) { return decodeHeartbeat(b) }},
+		{"answer", answer, answer.encode(), func(b []byte) (any, error) { return decodeHeartbeatAnswer(b) }},
 		{"offer", offer, encodeOffer(&offer), func(b []byte) (any, error) { return decodeOffer(b) }},
 		{"picks", picks, encodePicks(picks), func(b []byte) (any, error) { return decodePicks(b) }},
 		{"user", user, user.encode(), func(b []byte) (any, error) { return decodeUserRequest(b) }},
 		{"user with a token", userAs, userAs.encodeAs(), func(b []byte) (any, error) { return decodeUserRequestAs(b) }},
 		{"user answer", useranswer, useranswer.encode(), func(b []byte) (any, error) { return decodeUserAnswer(b) }},
-		{"hearing", hearing, hearing.encode(), func(b []byte) (any, error) { return decodeHearing(b) }},
-		{"history", past, past.encode(), func(b []byte) (any, error) { return decodeHistory(b) }},
+		{"hearing", hearing, hearing.encode(), func(b []byte) (any, error) { return decodeReachability(b) }},
+		{"history", past, past.encode(), func(b []byte) (any, error) { return decodeStoreIncarnation(b) }},
 		{"counts", counts, counts.encode(), func(b []byte) (any, error) { return decodeCounts(b) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	f.Add(encodeReport(report))
+	f.Add(encodeHeartbeat(report))
 	f.Add(encodeOffer(&offer))
 	f.Add(hearing.encode())
 	wide := placement.Offer{Queues: offer.Queues}
@@ -116,8 +116,8 @@
 	}
 	f.Add(encodeOffer(&wide))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if r, err := decodeReport(b); err == nil {
-			if again, err := decodeReport(encodeReport(r)); err != nil || again.Worker != r.Worker || len(again.Tasks) != len(r.Tasks) {
+		if r, err := decodeHeartbeat(b); err == nil {
+			if again, err := decodeHeartbeat(encodeHeartbeat(r)); err != nil || again.Worker != r.Worker || len(again.Tasks) != len(r.Tasks) {
 				t.Fatalf("report changed: %v", err)
 			}
 		}
@@ -127,12 +127,12 @@
 			}
 		}
 		decodePing(b)
-		if h, err := decodeHearing(b); err == nil {
-			if again, err := decodeHearing(h.encode()); err != nil || again != h {
+		if h, err := decodeReachability(b); err == nil {
+			if again, err := decodeReachability(h.encode()); err != nil || again != h {
 				t.Fatalf("hearing changed: %v", err)
 			}
 		}
-		decodeBeatAnswer(b)
+		decodeHeartbeatAnswer(b)
 		decodePicks(b)
 		decodeUserRequest(b)
 		readFrame(bytes.NewReader(b))
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -39,8 +39,8 @@
 		decode func([]byte) (any, error)
 	}{
 		{"ping", kindPing, ping.encode(), ping, func(b []byte) (any, error) { return decodePing(b) }},
-		{"beat", kindBeat, encodeReport(report), report, func(b []byte) (any, error) { return decodeReport(b) }},
-		{"beat-answer", kindAnswer, answer.encode(), answer, func(b []byte) (any, error) { return decodeBeatAnswer(b) }},
+		{"beat", kindHeartbeat, encodeHeartbeat(report), report, func(b []byte) (any, error) { return decodeHeartbeat(b) }},
+		{"beat-answer", kindAnswer, answer.encode(), answer, func(b []byte) (any, error) { return decodeHeartbeatAnswer(b) }},
 		{"offer", kindOffer, encodeOffer(&one), one, func(b []byte) (any, error) { return decodeOffer(b) }},
 		{"picks", kindAnswer, encodePicks(picks), picks, func(b []byte) (any, error) { return decodePicks(b) }},
 		{"user", kindUser, user.encode(), user, func(b []byte) (any, error) { return decodeUserRequest(b) }},
@@ -76,23 +76,27 @@
 	pick    func(placement.Offer) []placement.Pick
 }
 
-func (n *node) Ping() Ping                                       { return Ping{Node: "n"} }
-func (n *node) Pinged(Ping)                                      {}
-func (n *node) Beat(context.Context, *wire.Heartbeat) BeatAnswer { return BeatAnswer{} }
-func (n *node) Pick(o placement.Offer) []placement.Pick          { return n.pick(o) }
-func (n *node) User(context.Context, UserRequest) UserAnswer     { return UserAnswer{} }
-func (n *node) Counts(string) (Counts, error)                    { return Counts{}, nil }
-func (n *node) Hearing() Hearing                                 { return Hearing{Age: time.Second, Deaf: true} }
+func (n *node) OwnStatus() Ping { return Ping{Node: "n"} }
+func (n *node) PeerStatus(Ping) {}
+func (n *node) HandleHeartbeat(context.Context, *wire.Heartbeat) HeartbeatAnswer {
+	return HeartbeatAnswer{}
+}
+func (n *node) PickTypes(o placement.Offer) []placement.Pick              { return n.pick(o) }
+func (n *node) HandleUserRequest(context.Context, UserRequest) UserAnswer { return UserAnswer{} }
+func (n *node) TaskCounts(string) (Counts, error)                         { return Counts{}, nil }
+func (n *node) WorkerReachability() Reachability {
+	return Reachability{SinceHeartbeat: time.Second, Isolated: true}
+}
 func (n *node) Version() string                                  { return n.version }
-func (n *node) History() History                                 { return History{} }
-func (n *node) Remembers(string, History)                        { n.told.Store(true) }
-func (n *node) Copy(*replica.Push) replica.Ack                   { return replica.Ack{} }
-func (n *node) Recall(replica.PageRequest) replica.Page          { return replica.Page{} }
-func (n *node) Withdrawn(*cancellation.Message) cancellation.Ack {
+func (n *node) StoreIncarnation() StoreIncarnation               { return StoreIncarnation{} }
+func (n *node) PeerStoreIncarnation(string, StoreIncarnation)    { n.told.Store(true) }
+func (n *node) ReceiveReplica(*replica.Push) replica.Ack         { return replica.Ack{} }
+func (n *node) ReadReplicaPage(replica.PageRequest) replica.Page { return replica.Page{} }
+func (n *node) ReceiveCancellations(*cancellation.Message) cancellation.Ack {
 	return cancellation.Ack{Accepted: true}
 }
-func (n *node) Reached(context.Context, string) {}
-func (n *node) Linked(context.Context, string)  {}
+func (n *node) PeerConnected(context.Context, string) {}
+func (n *node) PeerSynced(context.Context, string)    {}
 
 func refuse(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 
@@ -129,17 +133,17 @@
 				h := &node{version: "0.3.0"}
 				m := NewMesh([]settings.Member{{Node: "n", Endpoint: "n:1"}}, h, time.Second, 4, dial, quiet())
 				done := make(chan struct{})
-				go func() { defer close(done); m.links["n"].run(ctx, m.h) }()
+				go func() { defer close(done); m.links["n"].dialLoop(ctx, m.handler) }()
 				time.Sleep(10 * time.Second)
-				if s := m.Peers()["n"]; s.HearingKnown != tc.known || s.Hearing.Deaf != tc.known {
+				if s := m.Peers()["n"]; s.ReachabilityKnown != tc.known || s.Reachability.Isolated != tc.known {
 					t.Errorf("%+v", s)
 				}
 				// A token goes to those that know tokens: the others would take the
 				// request for somebody else's.
-				if _, err := m.User(ctx, "n", UserRequest{Method: "GET", Auth: "Bearer x"}); (err == nil) != tc.tokens {
+				if _, err := m.ForwardUserRequest(ctx, "n", UserRequest{Method: "GET", Auth: "Bearer x"}); (err == nil) != tc.tokens {
 					t.Errorf("a request with a token: %v", err)
 				}
-				if _, err := m.User(ctx, "n", UserRequest{Method: "GET"}); err != nil {
+				if _, err := m.ForwardUserRequest(ctx, "n", UserRequest{Method: "GET"}); err != nil {
 					t.Errorf("a request without: %v", err)
 				}
 				// Copies, and what is made of the history, go to those that know of them.
@@ -195,7 +199,7 @@
 		}
 		m := NewMesh([]settings.Member{{Node: "n", Endpoint: "n:1"}}, &node{version: "0.2.0"}, time.Second, 4, dial, quiet())
 		done := make(chan struct{})
-		go func() { defer close(done); m.links["n"].run(ctx, m.h) }()
+		go func() { defer close(done); m.links["n"].dialLoop(ctx, m.handler) }()
 		for i, want := range []string{"0.2.0", "", "0.2.0"} {
 			time.Sleep(10 * time.Second)
 			s := m.Peers()["n"]
--- a/internal/peer/golden_test.go
+++ b/internal/peer/golden_test.go
@@ -17,9 +17,9 @@
 // Every frame between controllers stays as it is sent today, byte for byte, and reads
 // back as what was sent. testdata/production has those of version 0.1.
 func TestGoldenFrames(t *testing.T) {
-	p, h, past := goldentest.Filled[Ping](), goldentest.Filled[Hearing](), goldentest.Filled[History]()
-	rep, ba := goldentest.Filled[wire.Heartbeat](), goldentest.Filled[BeatAnswer]()
-	ba.Orders.Incarnation = 0 // an answer has none
+	p, h, past := goldentest.Filled[Ping](), goldentest.Filled[Reachability](), goldentest.Filled[StoreIncarnation]()
+	rep, ba := goldentest.Filled[wire.Heartbeat](), goldentest.Filled[HeartbeatAnswer]()
+	ba.Commands.Incarnation = 0 // an answer has none
 	o, ps := goldentest.Filled[placement.Offer](), goldentest.Filled[[]placement.Pick]()
 	ur, ua, c := goldentest.Filled[UserRequest](), goldentest.Filled[UserAnswer](), goldentest.Filled[Counts]()
 	anonymous := ur
@@ -38,8 +38,8 @@
 	}{
 		{"ping", kindPing, p.encode(), p, decodePing},
 		{"ping answer", kindAnswer, p.encode(), p, decodePing},
-		{"beat", kindBeat, encodeReport(&rep), &rep, decodeReport},
-		{"beat answer", kindAnswer, ba.encode(), ba, decodeBeatAnswer},
+		{"beat", kindHeartbeat, encodeHeartbeat(&rep), &rep, decodeHeartbeat},
+		{"beat answer", kindAnswer, ba.encode(), ba, decodeHeartbeatAnswer},
 		{"offer", kindOffer, encodeOffer(&o), o, decodeOffer},
 		{"offer answer", kindAnswer, encodePicks(ps), ps, decodePicks},
 		{"user", kindUser, anonymous.encode(), anonymous, decodeUserRequest},
@@ -49,13 +49,13 @@
 		{"counts answer", kindAnswer, c.encode(), c, decodeCounts},
 		{"refuse", kindRefuse, nil, "", text},
 		{"version", kindVersion, []byte("0.6"), "0.6", text},
-		{"hearing", kindHearing, h.encode(), h, decodeHearing},
-		{"history", kindHistory, past.encode(), past, decodeHistory},
-		{"copy", kindCopy, push.Encode(), push, replica.DecodePush},
+		{"hearing", kindReachability, h.encode(), h, decodeReachability},
+		{"history", kindStoreIncarnation, past.encode(), past, decodeStoreIncarnation},
+		{"copy", kindReplicaPush, push.Encode(), push, replica.DecodePush},
 		{"copy answer", kindAnswer, ca.Encode(), ca, replica.DecodeAck},
-		{"recall", kindRecall, ask.Encode(), ask, replica.DecodePageRequest},
+		{"recall", kindReplicaPage, ask.Encode(), ask, replica.DecodePageRequest},
 		{"recall answer", kindAnswer, page.Encode(), page, replica.DecodePage},
-		{"withdrawn", kindWithdrawn, note.Encode(), note, cancellation.DecodeMessage},
+		{"withdrawn", kindCancellations, note.Encode(), note, cancellation.DecodeMessage},
 		{"withdrawn answer", kindAnswer, wa.Encode(), wa, cancellation.DecodeAck},
 	} {
 		var buf bytes.Buffer
--- a/internal/peer/messages.go
+++ b/internal/peer/messages.go
@@ -11,11 +11,11 @@
 
 // Ping tells a peer how this node stands.
 type Ping struct {
-	Node     string        `json:"Node"`
-	Epoch    uint64        `json:"Epoch"`    // highest known
-	Leader   string        `json:"Leader"`   // who leads under it
-	Parts    []string      `json:"Parts"`    // the part map under it
-	StateAge time.Duration `json:"StateAge"` // since the state service last answered here
+	Node         string        `json:"Node"`
+	Epoch        uint64        `json:"Epoch"`    // highest known
+	Leader       string        `json:"Leader"`   // who leads under it
+	ShardOwners  []string      `json:"Parts"`    // the part map under it
+	StoreSilence time.Duration `json:"StateAge"` // since the state service last answered here
 }
 
 func (p *Ping) encode() []byte {
@@ -23,67 +23,67 @@
 	e.Str(p.Node)
 	e.Uint(p.Epoch)
 	e.Str(p.Leader)
-	e.Strs(p.Parts)
-	e.Int(int64(p.StateAge))
+	e.Strs(p.ShardOwners)
+	e.Int(int64(p.StoreSilence))
 	return e.B
 }
 
 func decodePing(b []byte) (p Ping, err error) {
 	d := codec.Decoder{B: b}
-	p = Ping{Node: d.Str(), Epoch: d.Uint(), Leader: d.Str(), Parts: d.Strs(), StateAge: time.Duration(d.Int())}
+	p = Ping{Node: d.Str(), Epoch: d.Uint(), Leader: d.Str(), ShardOwners: d.Strs(), StoreSilence: time.Duration(d.Int())}
 	return p, d.Done()
 }
 
-// Hearing tells a peer how well this node hears workers.
-type Hearing struct {
-	Age  time.Duration `json:"Age"`  // since a worker last made itself heard here
-	Deaf bool          `json:"Deaf"` // workers do not reach this node, though they reach others
+// Reachability tells a peer how well this node hears workers.
+type Reachability struct {
+	SinceHeartbeat time.Duration `json:"Age"`  // since a worker last made itself heard here
+	Isolated       bool          `json:"Deaf"` // workers do not reach this node, though they reach others
 }
 
-func (h *Hearing) encode() []byte {
+func (h *Reachability) encode() []byte {
 	var e codec.Encoder
-	e.Int(int64(h.Age))
-	e.Bool(h.Deaf)
+	e.Int(int64(h.SinceHeartbeat))
+	e.Bool(h.Isolated)
 	return e.B
 }
 
-func decodeHearing(b []byte) (h Hearing, err error) {
+func decodeReachability(b []byte) (h Reachability, err error) {
 	d := codec.Decoder{B: b}
-	h = Hearing{Age: time.Duration(d.Int()), Deaf: d.Bool()}
+	h = Reachability{SinceHeartbeat: time.Duration(d.Int()), Isolated: d.Bool()}
 	return h, d.Done()
 }
 
-// History tells a peer how a node takes the state service's history.
-type History struct {
-	ID      string
-	Doubted bool // it may be lost, as far as this node knows
-	Why     string
-	Gen     uint64 // generation that it is known to have reached
+// StoreIncarnation tells a peer how a node takes the state service's history.
+type StoreIncarnation struct {
+	ID                string
+	DataLossSuspected bool // it may be lost, as far as this node knows
+	Reason            string
+	Revision          uint64 // generation that it is known to have reached
 }
 
-func (h *History) encode() []byte {
+func (h *StoreIncarnation) encode() []byte {
 	var e codec.Encoder
 	e.Str(h.ID)
-	e.Bool(h.Doubted)
-	e.Str(h.Why)
-	e.Uint(h.Gen)
+	e.Bool(h.DataLossSuspected)
+	e.Str(h.Reason)
+	e.Uint(h.Revision)
 	return e.B
 }
 
-func decodeHistory(b []byte) (h History, err error) {
+func decodeStoreIncarnation(b []byte) (h StoreIncarnation, err error) {
 	d := codec.Decoder{B: b}
-	h = History{ID: d.Str(), Doubted: d.Bool(), Why: d.Str(), Gen: d.Uint()}
+	h = StoreIncarnation{ID: d.Str(), DataLossSuspected: d.Bool(), Reason: d.Str(), Revision: d.Uint()}
 	return h, d.Done()
 }
 
-// BeatAnswer is the leader's answer to a report passed on by an owner.
-type BeatAnswer struct {
-	OK      bool // false: the leader may not answer it
-	Orders  wire.CommandBatch
-	Learned []agent.RuntimeSample // for the owner's table
+// HeartbeatAnswer is the leader's answer to a report passed on by an owner.
+type HeartbeatAnswer struct {
+	OK       bool // false: the leader may not answer it
+	Commands wire.CommandBatch
+	Samples  []agent.RuntimeSample // for the owner's table
 }
 
-func encodeReport(r *wire.Heartbeat) []byte {
+func encodeHeartbeat(r *wire.Heartbeat) []byte {
 	var e codec.Encoder
 	e.Str(r.Worker)
 	e.Str(r.Address)
@@ -109,7 +109,7 @@
 	return e.B
 }
 
-func decodeReport(b []byte) (*wire.Heartbeat, error) {
+func decodeHeartbeat(b []byte) (*wire.Heartbeat, error) {
 	d := codec.Decoder{B: b}
 	r := &wire.Heartbeat{
 		Worker: d.Str(), Address: d.Str(), InstanceType: d.Str(), Zone: d.Str(), Spot: d.Bool(),
@@ -125,20 +125,20 @@
 	return r, d.Done()
 }
 
-func (a *BeatAnswer) encode() []byte {
+func (a *HeartbeatAnswer) encode() []byte {
 	var e codec.Encoder
 	e.Bool(a.OK)
-	e.Uint(a.Orders.Epoch)
-	e.Uint(uint64(len(a.Orders.Commands)))
-	for i := range a.Orders.Commands {
-		o := &a.Orders.Commands[i]
+	e.Uint(a.Commands.Epoch)
+	e.Uint(uint64(len(a.Commands.Commands)))
+	for i := range a.Commands.Commands {
+		o := &a.Commands.Commands[i]
 		e.Str(o.Action)
 		e.Str(o.Task)
 		e.Uint(o.Attempt)
 		e.Float(o.GraceSeconds)
 	}
-	e.Uint(uint64(len(a.Learned)))
-	for _, l := range a.Learned {
+	e.Uint(uint64(len(a.Samples)))
+	for _, l := range a.Samples {
 		e.Str(l.JobType)
 		e.Str(l.InstanceType)
 		e.Int(int64(l.Duration))
@@ -146,15 +146,15 @@
 	return e.B
 }
 
-func decodeBeatAnswer(b []byte) (a BeatAnswer, err error) {
+func decodeHeartbeatAnswer(b []byte) (a HeartbeatAnswer, err error) {
 	d := codec.Decoder{B: b}
 	a.OK = d.Bool()
-	a.Orders = wire.CommandBatch{Epoch: d.Uint(), Commands: []wire.Command{}}
+	a.Commands = wire.CommandBatch{Epoch: d.Uint(), Commands: []wire.Command{}}
 	for range d.Items() {
-		a.Orders.Commands = append(a.Orders.Commands, wire.Command{Action: d.Str(), Task: d.Str(), Attempt: d.Uint(), GraceSeconds: d.Float()})
+		a.Commands.Commands = append(a.Commands.Commands, wire.Command{Action: d.Str(), Task: d.Str(), Attempt: d.Uint(), GraceSeconds: d.Float()})
 	}
 	for range d.Items() {
-		a.Learned = append(a.Learned, agent.RuntimeSample{JobType: d.Str(), InstanceType: d.Str(), Duration: time.Duration(d.Int())})
+		a.Samples = append(a.Samples, agent.RuntimeSample{JobType: d.Str(), InstanceType: d.Str(), Duration: time.Duration(d.Int())})
 	}
 	return a, d.Done()
 }
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -63,7 +63,7 @@
 				}
 				m := NewMesh([]settings.Member{{Node: "n", Endpoint: "n:1"}}, h, time.Second, 4, dial, quiet())
 				done := make(chan struct{})
-				go func() { defer close(done); m.links["n"].run(ctx, h) }()
+				go func() { defer close(done); m.links["n"].dialLoop(ctx, h) }()
 				time.Sleep(5 * time.Second)
 				ps, err := m.Pick(ctx, "n", &placement.Offer{Candidates: rooms(tc.rooms)})
 				if err != nil {
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -124,7 +124,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), d.set.Report()/2)
 	defer cancel()
-	a, err := d.mesh.User(ctx, node, peer.UserRequest{Method: r.Method, Path: r.URL.Path, Body: body, Auth: r.Header.Get("Authorization")})
+	a, err := d.mesh.ForwardUserRequest(ctx, node, peer.UserRequest{Method: r.Method, Path: r.URL.Path, Body: body, Auth: r.Header.Get("Authorization")})
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
 		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "state service"})
@@ -176,36 +176,36 @@
 
 // History, Remembers, Copy and Recall are what peers ask about data that may be lost.
 
-func (d *daemon) History() peer.History {
+func (d *daemon) StoreIncarnation() peer.StoreIncarnation {
 	suspicion := d.hist.Suspicion()
 	id := suspicion.IncarnationID
 	if !suspicion.Active {
 		id = d.hist.Current().ID
 	}
 	gen, _ := d.st.Revision()
-	return peer.History{ID: id, Doubted: suspicion.Active, Why: suspicion.Reason, Gen: gen}
+	return peer.StoreIncarnation{ID: id, DataLossSuspected: suspicion.Active, Reason: suspicion.Reason, Revision: gen}
 }
 
-func (d *daemon) Remembers(node string, h peer.History) {
-	d.hist.ObservePeer(node, dataloss.Suspicion{Active: h.Doubted, IncarnationID: h.ID, Reason: h.Why})
-	if !d.hist.Suspicion().Active && !h.Doubted && h.ID != "" && h.ID == d.hist.Current().ID {
-		d.st.ObserveRevision(h.Gen)
+func (d *daemon) PeerStoreIncarnation(node string, h peer.StoreIncarnation) {
+	d.hist.ObservePeer(node, dataloss.Suspicion{Active: h.DataLossSuspected, IncarnationID: h.ID, Reason: h.Reason})
+	if !d.hist.Suspicion().Active && !h.DataLossSuspected && h.ID != "" && h.ID == d.hist.Current().ID {
+		d.st.ObserveRevision(h.Revision)
 	}
 }
 
-func (d *daemon) Copy(p *replica.Push) replica.Ack { return d.copies.Receive(p) }
+func (d *daemon) ReceiveReplica(p *replica.Push) replica.Ack { return d.copies.Receive(p) }
 
-func (d *daemon) Recall(a replica.PageRequest) replica.Page { return d.copies.ReadPage(a) }
+func (d *daemon) ReadReplicaPage(a replica.PageRequest) replica.Page { return d.copies.ReadPage(a) }
 
 // Withdrawn, Reached and Linked have withdrawals known to all controllers.
 
-func (d *daemon) Withdrawn(n *cancellation.Message) cancellation.Ack {
+func (d *daemon) ReceiveCancellations(n *cancellation.Message) cancellation.Ack {
 	return d.gone.Receive(n, d.control)
 }
 
-func (d *daemon) Reached(ctx context.Context, node string) { d.teller.PeerConnected(ctx, node) }
+func (d *daemon) PeerConnected(ctx context.Context, node string) { d.teller.PeerConnected(ctx, node) }
 
-func (d *daemon) Linked(ctx context.Context, node string) { d.teller.SyncPeer(ctx, node) }
+func (d *daemon) PeerSynced(ctx context.Context, node string) { d.teller.SyncPeer(ctx, node) }
 
 // leads reads from the state service who leads now.
 func (d *daemon) leads(ctx context.Context) (string, error) {
@@ -219,32 +219,32 @@
 
 // Ping, Pinged, Beat, Pick, User and Counts are what peers ask of this node.
 
-func (d *daemon) Ping() peer.Ping {
+func (d *daemon) OwnStatus() peer.Ping {
 	m := d.el.ShardMap()
-	return peer.Ping{Node: d.set.Node, Epoch: m.Epoch, Leader: m.Leader, Parts: m.Owners, StateAge: d.st.SinceLastAnswer()}
+	return peer.Ping{Node: d.set.Node, Epoch: m.Epoch, Leader: m.Leader, ShardOwners: m.Owners, StoreSilence: d.st.SinceLastAnswer()}
 }
 
-func (d *daemon) Pinged(p peer.Ping) {
-	d.el.LearnShardMap(election.ShardMap{Epoch: p.Epoch, Leader: p.Leader, Owners: p.Parts})
+func (d *daemon) PeerStatus(p peer.Ping) {
+	d.el.LearnShardMap(election.ShardMap{Epoch: p.Epoch, Leader: p.Leader, Owners: p.ShardOwners})
 }
 
-func (d *daemon) Beat(ctx context.Context, r *wire.Heartbeat) peer.BeatAnswer {
+func (d *daemon) HandleHeartbeat(ctx context.Context, r *wire.Heartbeat) peer.HeartbeatAnswer {
 	out, learned, err := d.control.Heartbeat(ctx, r)
-	return peer.BeatAnswer{OK: err == nil, Orders: out, Learned: learned}
+	return peer.HeartbeatAnswer{OK: err == nil, Commands: out, Samples: learned}
 }
 
-func (d *daemon) Pick(o placement.Offer) []placement.Pick { return d.part.PickLocal(o) }
+func (d *daemon) PickTypes(o placement.Offer) []placement.Pick { return d.part.PickLocal(o) }
 
-func (d *daemon) Counts(ref string) (peer.Counts, error) {
+func (d *daemon) TaskCounts(ref string) (peer.Counts, error) {
 	c, ok, err := d.control.TaskCounts(ref)
 	return peer.Counts{Known: ok, Done: c.Done, Running: c.Running}, err
 }
 
-func (d *daemon) Hearing() peer.Hearing { return d.part.Hearing() }
+func (d *daemon) WorkerReachability() peer.Reachability { return d.part.Hearing() }
 
 func (d *daemon) Version() string { return Version }
 
-func (d *daemon) User(ctx context.Context, r peer.UserRequest) peer.UserAnswer {
+func (d *daemon) HandleUserRequest(ctx context.Context, r peer.UserRequest) peer.UserAnswer {
 	rec := &recorder{header: make(http.Header), status: http.StatusOK}
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.Path, newBody(r.Body))
 	if err != nil {
--- a/internal/shard/eligibility.go
+++ b/internal/shard/eligibility.go
@@ -16,9 +16,9 @@
 func (o *Owner) EligibleOwners(current []string) []string {
 	eligible := []string{o.config.Node}
 	for name, status := range o.links.Peers() {
-		stable := len(current) == 0 || slices.Contains(current, name) || o.now().Sub(status.Since) > 2*o.config.Report()
-		served := status.StateAge < o.storeRefusesAfter() || o.sinceStoreAnswer() > o.config.Report()/2
-		if status.Live && stable && !status.Hearing.Deaf && served {
+		stable := len(current) == 0 || slices.Contains(current, name) || o.now().Sub(status.LiveSince) > 2*o.config.Report()
+		served := status.StoreSilence < o.storeRefusesAfter() || o.sinceStoreAnswer() > o.config.Report()/2
+		if status.Live && stable && !status.Reachability.Isolated && served {
 			eligible = append(eligible, name)
 		}
 	}
@@ -39,7 +39,7 @@
 	for name, status := range o.links.Peers() {
 		// Every controller asks the store at least twice in a heartbeat interval, so that
 		// one that is served shows a fresh answer before long, and no other can.
-		if status.Live && status.StateAge < o.config.Report()/3 {
+		if status.Live && status.StoreSilence < o.config.Report()/3 {
 			return name, true
 		}
 	}
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -95,17 +95,17 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.config.Report()/leaderTimeoutFraction)
 	defer cancel()
-	answer, err := o.links.Beat(ctx, controller, heartbeat)
+	answer, err := o.links.ForwardHeartbeat(ctx, controller, heartbeat)
 	if err != nil {
 		return wire.CommandBatch{}, false, fmt.Errorf("ask leader %s: %w", controller, err)
 	}
 	if !answer.OK {
 		return wire.CommandBatch{}, true, fmt.Errorf("ask leader %s: %w", controller, leader.ErrNotLeading)
 	}
-	for _, sample := range answer.Learned {
+	for _, sample := range answer.Samples {
 		o.Learn(sample)
 	}
-	return answer.Orders, true, nil
+	return answer.Commands, true, nil
 }
 
 // mayExtend reports whether this controller may let tasks run on under the present epoch
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -49,21 +49,21 @@
 // peer, and stays so for a lease, twice as long each time: an isolated owner loses its
 // shard well before its workers' leases expire, and then cannot find out whether it would
 // hear them again.
-func (o *Owner) Hearing() peer.Hearing {
+func (o *Owner) Hearing() peer.Reachability {
 	now := o.now()
 	isOwner := slices.Contains(o.shardMap().Owners, o.config.Node)
 	return o.isolation.hearing(now, isOwner, o.links)
 }
 
 // IsIsolated reports whether this controller is cut off from workers that reach others.
-func (o *Owner) IsIsolated() bool { return o.Hearing().Deaf }
+func (o *Owner) IsIsolated() bool { return o.Hearing().Isolated }
 
 // PeersHearNoWorkers reports whether peers are connected and none of them has been hearing
 // workers either. Where all workers are cut off, this controller is not at fault.
 func (o *Owner) PeersHearNoWorkers() bool {
 	connected := false
 	for _, status := range o.links.Peers() {
-		if status.Live && !status.HearingKnown {
+		if status.Live && !status.ReachabilityKnown {
 			return false
 		}
 		connected = connected || status.Live
@@ -81,7 +81,7 @@
 	d.requests++
 }
 
-func (d *isolationDetector) hearing(now time.Time, isOwner bool, links PeerLinks) peer.Hearing {
+func (d *isolationDetector) hearing(now time.Time, isOwner bool, links PeerLinks) peer.Reachability {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	reached, reachedFor := d.peersReachedLocked(now, links)
@@ -106,7 +106,7 @@
 	if d.lastRequest.IsZero() {
 		age = lease
 	}
-	return peer.Hearing{Age: age, Deaf: now.Before(d.isolatedUntil)}
+	return peer.Reachability{SinceHeartbeat: age, Isolated: now.Before(d.isolatedUntil)}
 }
 
 // hasEnoughWorkersLocked reports whether so many workers report here that their common
@@ -133,8 +133,8 @@
 ) (reached bool, reachedFor time.Duration) {
 	interval := float64(d.config.Report())
 	for _, status := range links.Peers() {
-		justHeard := float64(status.Hearing.Age) < peerReachedWithin*interval
-		reached = reached || status.Live && status.HearingKnown && justHeard
+		justHeard := float64(status.Reachability.SinceHeartbeat) < peerReachedWithin*interval
+		reached = reached || status.Live && status.ReachabilityKnown && justHeard
 	}
 	if reached {
 		if float64(now.Sub(d.peersReachedAt)) > peersReachedLapse*interval {
--- a/internal/shard/isolation_test.go
+++ b/internal/shard/isolation_test.go
@@ -18,18 +18,18 @@
 		beats   int // in the lease before
 		silent  time.Duration
 		owner   bool
-		peer    peer.Hearing
+		peer    peer.Reachability
 		live    bool
 		want    bool
 		relapse bool // and again afterwards
 	}{
-		{"all were cut off, and a peer is heard again first", 100, 8 * report, true, peer.Hearing{}, true, false, false},
-		{"all is well", 100, report, true, peer.Hearing{}, true, false, false},
-		{"cut off from workers", 100, 2 * report, true, peer.Hearing{}, true, true, true},
-		{"so are all: the workers are gone", 100, 2 * report, true, peer.Hearing{Age: 2 * report}, true, false, false},
-		{"no peer to compare with", 100, 2 * report, true, peer.Hearing{}, false, false, false},
-		{"nobody reports here", 100, 2 * report, false, peer.Hearing{}, true, false, false},
-		{"too few to tell", 8, 2 * report, true, peer.Hearing{}, true, false, false},
+		{"all were cut off, and a peer is heard again first", 100, 8 * report, true, peer.Reachability{}, true, false, false},
+		{"all is well", 100, report, true, peer.Reachability{}, true, false, false},
+		{"cut off from workers", 100, 2 * report, true, peer.Reachability{}, true, true, true},
+		{"so are all: the workers are gone", 100, 2 * report, true, peer.Reachability{SinceHeartbeat: 2 * report}, true, false, false},
+		{"no peer to compare with", 100, 2 * report, true, peer.Reachability{}, false, false, false},
+		{"nobody reports here", 100, 2 * report, false, peer.Reachability{}, true, false, false},
+		{"too few to tell", 8, 2 * report, true, peer.Reachability{}, true, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			now := testTime
@@ -37,7 +37,7 @@
 			if tc.owner {
 				shardMap.Owners = append(shardMap.Owners, "me")
 			}
-			status := peer.Status{Live: tc.live, HearingKnown: true, Hearing: tc.peer}
+			status := peer.Status{Live: tc.live, ReachabilityKnown: true, Reachability: tc.peer}
 			owner := newTestOwner(t, shardMap, 0, &fakeLinks{peers: map[string]peer.Status{"a": status}})
 			owner.now = func() time.Time { return now }
 			owner.Hearing()
@@ -48,7 +48,7 @@
 			if got := owner.IsIsolated(); got != tc.want {
 				t.Fatalf("isolated: %v", got)
 			}
-			want := tc.live && (tc.peer.Age > report || tc.silent > 4*report || tc.silent < 7*report/4)
+			want := tc.live && (tc.peer.SinceHeartbeat > report || tc.silent > 4*report || tc.silent < 7*report/4)
 			if got := owner.PeersHearNoWorkers(); got != want {
 				t.Errorf("no peer hears a worker either: %v, want %v", got, want)
 			}
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -27,8 +27,8 @@
 
 // PeerLinks are the links to the other controllers.
 type PeerLinks interface {
-	// Beat has the leader, on another controller, answer a heartbeat.
-	Beat(ctx context.Context, controller string, heartbeat *wire.Heartbeat) (peer.BeatAnswer, error)
+	// ForwardHeartbeat has the leader, on another controller, answer a heartbeat.
+	ForwardHeartbeat(ctx context.Context, controller string, heartbeat *wire.Heartbeat) (peer.HeartbeatAnswer, error)
 	// Pick has another shard owner pick tasks for free capacity of its shard.
 	Pick(ctx context.Context, controller string, offer *placement.Offer) ([]placement.Pick, error)
 	// Peers returns what is known of each peer, by name.
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -20,12 +20,12 @@
 
 // fakeLinks are the links to the other controllers.
 type fakeLinks struct {
-	answer peer.BeatAnswer
+	answer peer.HeartbeatAnswer
 	err    error
 	peers  map[string]peer.Status
 }
 
-func (l *fakeLinks) Beat(context.Context, string, *wire.Heartbeat) (peer.BeatAnswer, error) {
+func (l *fakeLinks) ForwardHeartbeat(context.Context, string, *wire.Heartbeat) (peer.HeartbeatAnswer, error) {
 	return l.answer, l.err
 }
 
@@ -67,7 +67,7 @@
 	mine := election.ShardMap{Epoch: 7, Leader: "me", Owners: []string{"me"}}
 	theirs := election.ShardMap{Epoch: 7, Leader: "me", Owners: []string{"other"}}
 	remote := election.ShardMap{Epoch: 7, Leader: "boss", Owners: []string{"me"}}
-	passedOn := peer.BeatAnswer{OK: true, Orders: wire.CommandBatch{Epoch: 9}}
+	passedOn := peer.HeartbeatAnswer{OK: true, Commands: wire.CommandBatch{Epoch: 9}}
 	for _, tc := range []struct {
 		name     string
 		shardMap election.ShardMap
@@ -108,8 +108,8 @@
 // by itself.
 func TestHeartbeatDuringStoreOutage(t *testing.T) {
 	no, refused := errors.New("no"), peer.Status{Live: true}
-	served := map[string]peer.Status{"boss": {Live: true, Ping: peer.Ping{StateAge: 0}}}
-	refused.StateAge = time.Minute
+	served := map[string]peer.Status{"boss": {Live: true, Ping: peer.Ping{StoreSilence: 0}}}
+	refused.StoreSilence = time.Minute
 	down := map[string]peer.Status{"boss": refused}
 	for _, tc := range []struct {
 		name   string
@@ -154,7 +154,7 @@
 func TestEligibleOwners(t *testing.T) {
 	// a is the one peer, with the time since the store answered it and since it is live.
 	a := func(age, since time.Duration, live bool) map[string]peer.Status {
-		status := peer.Status{Ping: peer.Ping{StateAge: age}, Live: live, Since: testTime.Add(-since)}
+		status := peer.Status{Ping: peer.Ping{StoreSilence: age}, Live: live, LiveSince: testTime.Add(-since)}
 		return map[string]peer.Status{"a": status}
 	}
 	both, alone := []string{"a", "me"}, []string{"me"}
