--- a/internal/intake/check.go
+++ b/internal/intake/check.go
@@ -17,45 +17,45 @@
 	"rillflow/internal/wire"
 )
 
-var refForm = regexp.MustCompile(`^req-[0-9]{1,40}$`)
+var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,40}$`)
 
-// ValidRef tells whether a job id has the form users give it.
-func ValidRef(ref string) bool { return refForm.MatchString(ref) }
+// ValidJobID tells whether a job id has the form users give it.
+func ValidJobID(ref string) bool { return jobIDPattern.MatchString(ref) }
 
-const maxMembers = 100_000
+const maxTasks = 100_000
 
 // submission is a job as it arrives: pointers tell what is missing.
 type submission struct {
-	Ref       *string
-	Class     *string
-	Owner     *string
-	Shape     *string
-	Rank      *string
-	Members   *int
-	Cores     *float64
-	Accel     *float64
-	RAM       *float64
-	Bundle    *string
-	SizeGB    *float64
-	Flavors   *[]string
-	Locale    *string
-	SamePlace *bool
-	Scatter   *bool
-	Loaners   *bool
-	ExpectS   *float64
-	SnapshotS *float64
-	FlushS    *float64
-	DueS      *float64
-	Needs     []string
+	ID                        *string
+	Class                     *string
+	Team                      *string
+	Kind                      *string
+	Priority                  *string
+	TaskCount                 *int
+	CPUs                      *float64
+	GPUs                      *float64
+	MemoryGB                  *float64
+	Image                     *string
+	ImageGB                   *float64
+	InstanceTypes             *[]string
+	Zone                      *string
+	SingleZone                *bool
+	SpreadZones               *bool
+	AllowSpot                 *bool
+	ExpectedSeconds           *float64
+	CheckpointIntervalSeconds *float64
+	CheckpointSaveSeconds     *float64
+	DeadlineSeconds           *float64
+	DependsOn                 []string
 }
 
-// members are where a submission's members go, by their exact names.
-func (s *submission) members() map[string]any {
+// fields are where a submission's members go, by their exact names.
+func (submission *submission) fields() map[string]any {
 	return map[string]any{
-		"ref": &s.Ref, "jobclass": &s.Class, "owner": &s.Owner, "shape": &s.Shape, "rank": &s.Rank, "members": &s.Members,
-		"cores": &s.Cores, "accelerators": &s.Accel, "ram_gb": &s.RAM, "bundle": &s.Bundle, "size_gb": &s.SizeGB,
-		"flavors": &s.Flavors, "locale": &s.Locale, "same_place": &s.SamePlace, "scatter": &s.Scatter, "loaners": &s.Loaners,
-		"expect_s": &s.ExpectS, "snapshot_s": &s.SnapshotS, "flush_s": &s.FlushS, "due_s": &s.DueS, "waits_on": &s.Needs,
+		"ref": &submission.ID, "jobclass": &submission.Class, "owner": &submission.Team, "shape": &submission.Kind, "rank": &submission.Priority, "members": &submission.TaskCount,
+		"cores": &submission.CPUs, "accelerators": &submission.GPUs, "ram_gb": &submission.MemoryGB, "bundle": &submission.Image, "size_gb": &submission.ImageGB,
+		"flavors": &submission.InstanceTypes, "locale": &submission.Zone, "same_place": &submission.SingleZone, "scatter": &submission.SpreadZones, "loaners": &submission.AllowSpot,
+		"expect_s": &submission.ExpectedSeconds, "snapshot_s": &submission.CheckpointIntervalSeconds, "flush_s": &submission.CheckpointSaveSeconds, "due_s": &submission.DeadlineSeconds, "waits_on": &submission.DependsOn,
 	}
 }
 
@@ -64,8 +64,8 @@
 func Parse(body []byte) (job wire.Job, ref string, err error) {
 	var s submission
 	err = s.read(body)
-	if s.Ref != nil && ValidRef(*s.Ref) {
-		ref = *s.Ref
+	if s.ID != nil && ValidJobID(*s.ID) {
+		ref = *s.ID
 	}
 	if err != nil {
 		return job, ref, fmt.Errorf("malformed: %w", err)
@@ -76,14 +76,14 @@
 
 // read takes in a body, member by member: decoded into a struct, Cores would be taken for
 // cores, and of two the last. With an error it holds what could be read.
-func (s *submission) read(body []byte) error {
+func (submission *submission) read(body []byte) error {
 	d := json.NewDecoder(bytes.NewReader(body))
 	if t, err := d.Token(); err != nil {
 		return err
 	} else if t != json.Delim('{') {
 		return errors.New("not an object")
 	}
-	to, seen := s.members(), make(map[string]bool)
+	to, seen := submission.fields(), make(map[string]bool)
 	var errs []error
 	for d.More() {
 		t, err := d.Token()
@@ -114,7 +114,7 @@
 	return errors.Join(errs...)
 }
 
-func (s *submission) job() (j wire.Job, err error) {
+func (submission *submission) job() (j wire.Job, err error) {
 	var errs []error
 	bad := func(field, what string) { errs = append(errs, fmt.Errorf("%s: %s", field, what)) }
 	str := func(field string, p *string) string {
@@ -145,14 +145,14 @@
 		return *p
 	}
 	j = wire.Job{
-		ID: str("ref", s.Ref), Class: str("jobclass", s.Class), Team: str("owner", s.Owner),
-		Kind: str("shape", s.Shape), Priority: str("rank", s.Rank), Image: str("bundle", s.Bundle),
-		CPUs: num("cores", s.Cores, false), GPUs: num("accelerators", s.Accel, false),
-		MemoryGB: num("ram_gb", s.RAM, false), ImageGB: num("size_gb", s.SizeGB, false),
-		SingleZone: flag("same_place", s.SamePlace), SpreadZones: flag("scatter", s.Scatter), AllowSpot: flag("loaners", s.Loaners),
-		ExpectedSeconds: num("expect_s", s.ExpectS, false), CheckpointIntervalSeconds: num("snapshot_s", s.SnapshotS, false), CheckpointSaveSeconds: num("flush_s", s.FlushS, false),
-	}
-	if !ValidRef(j.ID) {
+		ID: str("ref", submission.ID), Class: str("jobclass", submission.Class), Team: str("owner", submission.Team),
+		Kind: str("shape", submission.Kind), Priority: str("rank", submission.Priority), Image: str("bundle", submission.Image),
+		CPUs: num("cores", submission.CPUs, false), GPUs: num("accelerators", submission.GPUs, false),
+		MemoryGB: num("ram_gb", submission.MemoryGB, false), ImageGB: num("size_gb", submission.ImageGB, false),
+		SingleZone: flag("same_place", submission.SingleZone), SpreadZones: flag("scatter", submission.SpreadZones), AllowSpot: flag("loaners", submission.AllowSpot),
+		ExpectedSeconds: num("expect_s", submission.ExpectedSeconds, false), CheckpointIntervalSeconds: num("snapshot_s", submission.CheckpointIntervalSeconds, false), CheckpointSaveSeconds: num("flush_s", submission.CheckpointSaveSeconds, false),
+	}
+	if !ValidJobID(j.ID) {
 		bad("ref", "wrong form")
 	}
 	if j.Kind != wire.KindArray && j.Kind != wire.KindService && j.Kind != wire.KindGang {
@@ -162,32 +162,32 @@
 		bad("rank", "unknown")
 	}
 	switch {
-	case s.Members == nil:
+	case submission.TaskCount == nil:
 		bad("members", "missing")
-	case *s.Members < 1 || *s.Members > maxMembers:
+	case *submission.TaskCount < 1 || *submission.TaskCount > maxTasks:
 		bad("members", "invalid")
 	default:
-		j.TaskCount = *s.Members
+		j.TaskCount = *submission.TaskCount
 	}
-	if s.Flavors != nil {
-		j.InstanceTypes = *s.Flavors
+	if submission.InstanceTypes != nil {
+		j.InstanceTypes = *submission.InstanceTypes
 		if len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, "") {
 			bad("flavors", "invalid")
 		}
 	}
-	if s.Locale != nil {
-		j.Zone = str("locale", s.Locale)
+	if submission.Zone != nil {
+		j.Zone = str("locale", submission.Zone)
 	}
-	if s.DueS != nil {
-		j.DeadlineSeconds = num("due_s", s.DueS, false)
+	if submission.DeadlineSeconds != nil {
+		j.DeadlineSeconds = num("due_s", submission.DeadlineSeconds, false)
 	}
-	for _, n := range s.Needs {
-		if !ValidRef(n) {
+	for _, n := range submission.DependsOn {
+		if !ValidJobID(n) {
 			bad("waits_on", "wrong form")
 			break
 		}
 	}
-	j.DependsOn = slices.Compact(slices.Sorted(slices.Values(s.Needs)))
+	j.DependsOn = slices.Compact(slices.Sorted(slices.Values(submission.DependsOn)))
 	return j, errors.Join(errs...)
 }
 
--- a/internal/intake/check_test.go
+++ b/internal/intake/check_test.go
@@ -103,12 +103,12 @@
 }
 
 func TestMemoryIsBounded(t *testing.T) {
-	m := newMemory(3)
+	m := newJobCache(3)
 	for _, r := range []string{"a", "b", "a", "c", "d"} {
-		m.put(r, known{JobStatus: wire.JobStatus{ID: r}})
+		m.put(r, knownJob{JobStatus: wire.JobStatus{ID: r}})
 	}
-	if _, ok := m.get("a"); ok || len(m.m) != 3 {
-		t.Errorf("%d kept", len(m.m))
+	if _, ok := m.get("a"); ok || len(m.jobs) != 3 {
+		t.Errorf("%d kept", len(m.jobs))
 	}
 	if p, ok := m.get("d"); !ok || p.ID != "d" {
 		t.Error("the newest is gone")
@@ -123,7 +123,7 @@
 		if err != nil {
 			return
 		}
-		if ref != j.ID || !ValidRef(ref) || j.TaskCount < 1 || j.TaskCount > maxMembers || j.CPUs < 0 {
+		if ref != j.ID || !ValidJobID(ref) || j.TaskCount < 1 || j.TaskCount > maxTasks || j.CPUs < 0 {
 			t.Fatalf("accepted %+v", j)
 		}
 		if _, err := json.Marshal(j); err != nil {
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -29,63 +29,63 @@
 // MaxBody is the protocol's limit on a request.
 const MaxBody = 64 << 10
 
-// Users answers users.
-type Users struct {
-	set    *settings.Settings
-	st     *kvstore.Client
-	types  *fleet.Catalogue
-	counts Counts
-	down   func() bool
-	full   func() bool
-	door   *access.Door
-	log    *slog.Logger
-	now    func() time.Time
-	ended  *memory
-	batch  *memory // jobs seen accepted that are no services
-	past   Past
-	copies *replica.Replica
-	herald Herald
+// API answers users.
+type API struct {
+	settings         *settings.Settings
+	store            *kvstore.Client
+	types            *fleet.Catalogue
+	taskCounts       TaskCounts
+	storeUnavailable func() bool
+	memoryFull       func() bool
+	authorizer       *access.Door
+	log              *slog.Logger
+	now              func() time.Time
+	finished         *jobCache
+	accepted         *jobCache // jobs seen accepted that are no services
+	dataLoss         DataLossState
+	replica          *replica.Replica
+	broadcaster      CancellationBroadcaster
 }
 
-// Herald has a committed withdrawal known to whoever must know before a user is told.
-type Herald interface {
+// CancellationBroadcaster has a committed withdrawal known to whoever must know before a user is told.
+type CancellationBroadcaster interface {
 	Broadcast(ctx context.Context, ref string) error
 }
 
-// known is what is told of a job, with whose it is where identities are on.
-type known struct {
+// knownJob is what is told of a job, with whose it is where identities are on.
+type knownJob struct {
 	wire.JobStatus
-	owner  string
-	herald bool // of a withdrawn job: a user may be told
+	team                     string
+	cancellationAcknowledged bool // of a withdrawn job: a user may be told
 }
 
-// Counts tells a job's counts, if the leader knows it; an error if it cannot be asked.
-type Counts func(ctx context.Context, ref string) (done, running int, ok bool, err error)
+// TaskCounts tells a job's counts, if the leader knows it; an error if it cannot be asked.
+type TaskCounts func(ctx context.Context, ref string) (done, running int, ok bool, err error)
 
 // New makes the users' side. counts tells a live job's counts where known; down
 // whether the state service has not answered for long; full whether memory is
 // short; door who may do what; past whether data may have been lost, and kept what this
 // node remembers of it.
-func New(set *settings.Settings, st *kvstore.Client, types *fleet.Catalogue, counts Counts, down, full func() bool, door *access.Door, past Past, kept *replica.Replica, herald Herald, now func() time.Time, log *slog.Logger) *Users {
-	return &Users{set: set, st: st, types: types, counts: counts, down: down, full: full, door: door, past: past, copies: kept, herald: herald, log: log, now: now, ended: newMemory(4096), batch: newMemory(4096)}
+func New(set *settings.Settings, st *kvstore.Client, types *fleet.Catalogue, counts TaskCounts, down, full func() bool, door *access.Door, past DataLossState, kept *replica.Replica, herald CancellationBroadcaster, now func() time.Time, log *slog.Logger) *API {
+	return &API{settings: set, store: st, types: types, taskCounts: counts, storeUnavailable: down, memoryFull: full, authorizer: door, dataLoss: past, replica: kept, broadcaster: herald, log: log, now: now, finished: newJobCache(4096), accepted: newJobCache(4096)}
 }
 
-// again tells whether to ask the state service once more after an error. What
+// shouldRetry tells whether to ask the state service once more after an error. What
 // it refuses is answered at once, with a time to come back: a user is not to be
 // kept waiting for what cannot be decided now. What got no answer, or came at a
 // busy moment, may well be settled within the user's patience.
-func (u *Users) again(ctx context.Context, err error, try int) bool {
-	if errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited) || u.down() {
+func (api *API) shouldRetry(ctx context.Context, err error, try int) bool {
+	if errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited) || api.storeUnavailable() {
 		return false
 	}
 	return kvstore.Backoff(ctx, try, 20*time.Millisecond, 200*time.Millisecond)
 }
 
 // Routes adds the users' requests to a mux.
-func (u *Users) Routes(mux *http.ServeMux) {
-	mux.HandleFunc("POST /v1/jobs", u.submit)
-	mux.HandleFunc("GET /v1/jobs/{ref}", u.poll)
-	mux.HandleFunc("POST /v1/jobs/{ref}/withdraw", u.withdraw)
+func (api *API) Routes(mux *http.ServeMux) {
+	mux.HandleFunc("POST /v1/jobs", api.submit)
+	mux.HandleFunc("GET /v1/jobs/{ref}", api.poll)
+	mux.HandleFunc("POST /v1/jobs/{ref}/withdraw", api.cancel)
 }
 
 func reply(w http.ResponseWriter, status int, v any) {
@@ -100,26 +100,26 @@
 	w.Write(b)
 }
 
-// busy tells the user to come back after the least time there is.
-func busy(w http.ResponseWriter, why string) { later(w, why, time.Second) }
+// replyBusy tells the user to come back after the least time there is.
+func replyBusy(w http.ResponseWriter, why string) { replyRetryAfter(w, why, time.Second) }
 
-// later tells the user to come back after some time.
-func later(w http.ResponseWriter, why string, after time.Duration) {
+// replyRetryAfter tells the user to come back after some time.
+func replyRetryAfter(w http.ResponseWriter, why string, after time.Duration) {
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: why})
 }
 
-// patience bounds what one request may wait for the state service: a user
+// withTimeout bounds what one request may wait for the state service: a user
 // waits 5 s for a submission and 2 s for a poll.
-func (u *Users) patience(r *http.Request, d time.Duration) (context.Context, context.CancelFunc) {
+func (api *API) withTimeout(r *http.Request, d time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(r.Context(), d)
 }
 
-func (u *Users) submit(w http.ResponseWriter, r *http.Request) {
+func (api *API) submit(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
-	ctx, cancel := u.patience(r, 2*time.Second)
+	ctx, cancel := api.withTimeout(r, 2*time.Second)
 	defer cancel()
-	who, ok := u.who(w, r)
+	who, ok := api.identify(w, r)
 	if !ok {
 		return
 	}
@@ -129,140 +129,140 @@
 	}
 	status := http.StatusBadRequest
 	if bad == nil {
-		bad = Runnable(&job, u.set, u.types.InstanceTypes())
+		bad = Runnable(&job, api.settings, api.types.InstanceTypes())
 		status = http.StatusUnprocessableEntity
 	}
 	if bad != nil {
-		u.refuse(ctx, w, who, ref, status, bad)
+		api.refuse(ctx, w, who, ref, status, bad)
 		return
 	}
 	ask := rights.Request{Do: rights.Submit, Owner: job.Team, Rank: job.Priority}
-	dec := u.door.Judge(who, ask, ref, "")
+	dec := api.authorizer.Judge(who, ask, ref, "")
 	if !dec.Allowed {
-		u.refuse(ctx, w, who, ref, http.StatusForbidden, errors.New(dec.Rule))
+		api.refuse(ctx, w, who, ref, http.StatusForbidden, errors.New(dec.Rule))
 		return
 	}
-	p, ok := u.final(ref)
+	p, ok := api.finishedState(ref)
 	if ok {
-		u.tell(ctx, w, who, p)
+		api.replyIfAllowed(ctx, w, who, p)
 		return
 	}
-	if u.full() {
+	if api.memoryFull() {
 		// What was taken is served on; a process that ends for memory serves
 		// nobody, and the next leader would be no better off.
-		later(w, "memory is short", u.set.Report())
+		replyRetryAfter(w, "memory is short", api.settings.Report())
 		return
 	}
-	began := u.now()
+	began := api.now()
 	var fresh bool
-	if bad, err = u.needs(ctx, who, &job); bad == nil && err == nil {
-		fresh, bad, err = u.accept(ctx, job, who, dec)
+	if bad, err = api.resolveDependencies(ctx, who, &job); bad == nil && err == nil {
+		fresh, bad, err = api.accept(ctx, job, who, dec)
 	}
 	if bad != nil {
 		status := http.StatusUnprocessableEntity
 		if errors.Is(bad, errDenied) {
 			status = http.StatusForbidden
 		}
-		u.refuse(ctx, w, who, ref, status, bad)
+		api.refuse(ctx, w, who, ref, status, bad)
 		return
 	}
-	if u.unauthorized(w, err) {
+	if api.replyUnauthorized(w, err) {
 		return
 	}
 	if err != nil {
-		u.log.Debug("submit", "job", ref, "err", err)
-		busy(w, "state service")
+		api.log.Debug("submit", "job", ref, "err", err)
+		replyBusy(w, "state service")
 		return
 	}
 	if fresh {
-		u.log.Info("accepted", "job", ref, "who", who.Name, "class", job.Class, "owner", job.Team, "tasks", job.TaskCount, "cores", job.CPUs, "ram_gb", job.MemoryGB, "expect_s", job.ExpectedSeconds, "due_s", job.DeadlineSeconds, "waits_on", job.DependsOn, "bundle", job.Image, "size_gb", job.ImageGB, "took_ms", u.now().Sub(began).Milliseconds())
+		api.log.Info("accepted", "job", ref, "who", who.Name, "class", job.Class, "owner", job.Team, "tasks", job.TaskCount, "cores", job.CPUs, "ram_gb", job.MemoryGB, "expect_s", job.ExpectedSeconds, "due_s", job.DeadlineSeconds, "waits_on", job.DependsOn, "bundle", job.Image, "size_gb", job.ImageGB, "took_ms", api.now().Sub(began).Milliseconds())
 		reply(w, http.StatusCreated, wire.JobStatus{ID: ref, Phase: wire.PhaseQueued})
 		return
 	}
-	if p, err = u.lookup(ctx, ref); err != nil {
-		busy(w, "state service")
+	if p, err = api.lookup(ctx, ref); err != nil {
+		replyBusy(w, "state service")
 		return
 	}
-	u.tell(ctx, w, who, p)
+	api.replyIfAllowed(ctx, w, who, p)
 }
 
-// who finds out who makes a request, or answers it.
-func (u *Users) who(w http.ResponseWriter, r *http.Request) (identity.Caller, bool) {
-	c, err := u.door.Who(r)
-	return c, !u.unauthorized(w, err)
+// identify finds out who makes a request, or answers it.
+func (api *API) identify(w http.ResponseWriter, r *http.Request) (identity.Caller, bool) {
+	c, err := api.authorizer.Who(r)
+	return c, !api.replyUnauthorized(w, err)
 }
 
-// unauthorized answers a request whose token does not hold, or cannot be checked.
-func (u *Users) unauthorized(w http.ResponseWriter, err error) bool {
+// replyUnauthorized answers a request whose token does not hold, or cannot be checked.
+func (api *API) replyUnauthorized(w http.ResponseWriter, err error) bool {
 	switch {
 	case errors.Is(err, identity.ErrToken):
 		w.Header().Set("WWW-Authenticate", `Bearer realm="rillflow"`)
 		reply(w, http.StatusUnauthorized, wire.ErrorResponse{Error: identity.ErrToken.Error()})
 	case errors.Is(err, identity.ErrStale):
-		later(w, "identities cannot be checked", u.set.Report())
+		replyRetryAfter(w, "identities cannot be checked", api.settings.Report())
 	default:
 		return false
 	}
 	return true
 }
 
-// tell answers with a job's state, if the caller may know it.
-func (u *Users) tell(ctx context.Context, w http.ResponseWriter, who identity.Caller, p known) {
-	if dec := u.door.Judge(who, rights.Request{Do: rights.Read, Owner: p.owner}, p.ID, ""); !dec.Allowed {
+// replyIfAllowed answers with a job's state, if the caller may know it.
+func (api *API) replyIfAllowed(ctx context.Context, w http.ResponseWriter, who identity.Caller, p knownJob) {
+	if dec := api.authorizer.Judge(who, rights.Request{Do: rights.Read, Owner: p.team}, p.ID, ""); !dec.Allowed {
 		reply(w, http.StatusForbidden, wire.ErrorResponse{Error: dec.Rule})
 		return
 	}
-	u.say(ctx, w, p)
+	api.replyStatus(ctx, w, p)
 }
 
-// say answers with a job's state. That it is withdrawn is a promise about its tasks, so
+// replyStatus answers with a job's state. That it is withdrawn is a promise about its tasks, so
 // it is said only once those know that must keep it; until then the user comes back.
-func (u *Users) say(ctx context.Context, w http.ResponseWriter, p known) {
-	if p.JobStatus.Phase == wire.PhaseCancelled && !p.herald {
-		if err := u.herald.Broadcast(ctx, p.ID); err != nil {
-			u.log.Info("withdrawn, and not told yet", "job", p.ID, "err", err)
-			busy(w, "withdrawn, to be known to all controllers")
+func (api *API) replyStatus(ctx context.Context, w http.ResponseWriter, p knownJob) {
+	if p.JobStatus.Phase == wire.PhaseCancelled && !p.cancellationAcknowledged {
+		if err := api.broadcaster.Broadcast(ctx, p.ID); err != nil {
+			api.log.Info("withdrawn, and not told yet", "job", p.ID, "err", err)
+			replyBusy(w, "withdrawn, to be known to all controllers")
 			return
 		}
-		p.herald = true
-		u.ended.put(p.ID, p)
+		p.cancellationAcknowledged = true
+		api.finished.put(p.ID, p)
 	}
 	reply(w, http.StatusOK, p.JobStatus)
 }
 
 // refuse answers a submission that cannot be taken. A job that is known is never
 // refused, whatever this body says.
-func (u *Users) refuse(ctx context.Context, w http.ResponseWriter, who identity.Caller, ref string, status int, bad error) {
+func (api *API) refuse(ctx context.Context, w http.ResponseWriter, who identity.Caller, ref string, status int, bad error) {
 	if ref != "" {
-		p, err := u.lookup(ctx, ref)
+		p, err := api.lookup(ctx, ref)
 		if err == nil {
-			u.tell(ctx, w, who, p)
+			api.replyIfAllowed(ctx, w, who, p)
 			return
 		}
 		if !errors.Is(err, kvstore.ErrNotFound) {
-			busy(w, "state service")
+			replyBusy(w, "state service")
 			return
 		}
 	}
 	if errors.Is(bad, ErrUndecided) {
-		busy(w, bad.Error())
+		replyBusy(w, bad.Error())
 		return
 	}
 	reply(w, status, wire.ErrorResponse{Error: bad.Error()})
 }
 
-// errLarge: what must be remembered of a job does not fit a value of the state
+// errTooLarge: what must be remembered of a job does not fit a value of the state
 // service.
-var errLarge = errors.New("the job is too large to be stored")
+var errTooLarge = errors.New("the job is too large to be stored")
 
 // accept stores a job unless it is there already, and reports whether it was
 // this call that did, or why the job can never be stored. Guards on both keys
 // decide between concurrent calls, and between an answer that was lost and its
 // repetition.
-func (u *Users) accept(ctx context.Context, job wire.Job, who identity.Caller, dec rights.Decision) (fresh bool, bad, err error) {
-	now, least := u.set.Facts.State, u.set.Facts.State.Least()
-	rec := ledger.JobRecord{Job: job, SubmittedMS: u.now().UnixMilli(), ChunkTasks: ledger.ChunkTasks(now.ValueKB, least.ValueKB)}
-	if err := u.door.Enter(&rec, who, dec); err != nil {
+func (api *API) accept(ctx context.Context, job wire.Job, who identity.Caller, dec rights.Decision) (fresh bool, bad, err error) {
+	now, least := api.settings.Facts.State, api.settings.Facts.State.Least()
+	rec := ledger.JobRecord{Job: job, SubmittedMS: api.now().UnixMilli(), ChunkTasks: ledger.ChunkTasks(now.ValueKB, least.ValueKB)}
+	if err := api.authorizer.Enter(&rec, who, dec); err != nil {
 		return false, nil, err
 	}
 	data, err := ledger.Encode(rec)
@@ -270,27 +270,27 @@
 		return false, nil, err
 	}
 	if float64(len(data)) > least.ValueKB*1024 {
-		return false, errLarge, nil
+		return false, errTooLarge, nil
 	}
-	if u.down() {
+	if api.storeUnavailable() {
 		return false, nil, kvstore.ErrRefused
 	}
 	put := wire.Operation{Put: ledger.LiveKey(job.ID), Value: data}
 	for try := 0; ; try++ {
 		var gen uint64
 		var failed []string
-		fence, err := u.fence()
-		if err == nil && u.unstored(job.ID) {
+		fence, err := api.compareIncarnation()
+		if err == nil && api.endNotRestored(job.ID) {
 			err = dataloss.ErrDataLossSuspected
 		}
 		if err == nil {
-			gen, failed, err = u.st.Commit(ctx, wire.Txn{
+			gen, failed, err = api.store.Commit(ctx, wire.Txn{
 				Compares:   slices.Concat([]wire.Compare{{Key: ledger.LiveKey(job.ID)}, {Key: ledger.EndedKey(job.ID)}}, fence, who.Guards),
 				Operations: []wire.Operation{put},
 			})
 		}
 		if err == nil && dataloss.CompareFailed(failed) {
-			u.past.Check()
+			api.dataLoss.RecheckStore()
 			err = dataloss.ErrDataLossSuspected
 		}
 		if err == nil && identity.Touched(failed) && !slices.Contains(failed, ledger.LiveKey(job.ID)) && !slices.Contains(failed, ledger.EndedKey(job.ID)) {
@@ -300,14 +300,14 @@
 		}
 		if err == nil {
 			if len(failed) == 0 {
-				u.copies.RecordOwnWrites(gen, put)
+				api.replica.RecordOwnWrites(gen, put)
 			}
 			if len(failed) == 0 && job.Kind != wire.KindService {
-				u.batch.put(job.ID, known{owner: job.Team})
+				api.accepted.put(job.ID, knownJob{team: job.Team})
 			}
 			return len(failed) == 0, nil, nil
 		}
-		if !u.again(ctx, err, try) && !u.opens(ctx, err, try) {
+		if !api.shouldRetry(ctx, err, try) && !api.awaitFirstLeader(ctx, err, try) {
 			return false, nil, err
 		}
 	}
@@ -315,57 +315,57 @@
 
 // lookup reads a job's state. ErrNotFound means that it was not accepted when
 // the live key was read: a job goes only from live to ended.
-func (u *Users) lookup(ctx context.Context, ref string) (known, error) {
-	if p, ok := u.final(ref); ok {
+func (api *API) lookup(ctx context.Context, ref string) (knownJob, error) {
+	if p, ok := api.finishedState(ref); ok {
 		return p, nil
 	}
-	if u.down() {
-		return known{}, kvstore.ErrRefused
+	if api.storeUnavailable() {
+		return knownJob{}, kvstore.ErrRefused
 	}
 	for try := 0; ; try++ {
 		// What is stored while data may have been lost may be older than what was told,
 		// and a node that has just begun cannot tell whether any was.
-		_, err := u.fence()
-		if err == nil && u.past.Young() {
+		_, err := api.compareIncarnation()
+		if err == nil && api.dataLoss.JustStarted() {
 			err = dataloss.ErrDataLossSuspected
 		}
-		var p known
-		before := u.glance(ref)
+		var p knownJob
+		before := api.replicaView(ref)
 		if err == nil {
-			p, err = u.read(ctx, ref, before)
+			p, err = api.read(ctx, ref, before)
 		}
 		if errors.Is(err, kvstore.ErrNotFound) {
-			p, err = u.absent(ctx, ref, before)
+			p, err = api.lookupLost(ctx, ref, before)
 		}
 		if err == nil || errors.Is(err, kvstore.ErrNotFound) {
 			return p, err
 		}
-		if !u.again(ctx, err, try) {
+		if !api.shouldRetry(ctx, err, try) {
 			return p, err
 		}
 	}
 }
 
-func (u *Users) read(ctx context.Context, ref string, before glance) (known, error) {
-	it, err := u.st.GetByListing(ctx, ledger.LiveKey(ref))
+func (api *API) read(ctx context.Context, ref string, before replicaView) (knownJob, error) {
+	it, err := api.store.GetByListing(ctx, ledger.LiveKey(ref))
 	if err == nil {
-		if p, ok := u.returned(ref, before); ok {
+		if p, ok := api.finishedButStoredLive(ref, before); ok {
 			return p, nil
 		}
 		// The answer may be the one that showed that the history went back, behind an end
 		// that another node told of and this one never heard of.
-		if _, err := u.fence(); err != nil {
-			return known{}, err
+		if _, err := api.compareIncarnation(); err != nil {
+			return knownJob{}, err
 		}
-		p := known{JobStatus: wire.JobStatus{ID: ref, Phase: wire.PhaseQueued}}
-		if !u.door.Open() {
+		p := knownJob{JobStatus: wire.JobStatus{ID: ref, Phase: wire.PhaseQueued}}
+		if !api.authorizer.Open() {
 			rec, err := ledger.DecodeJobRecord(it.Value)
 			if err != nil {
-				return known{}, fmt.Errorf("intake: %s: %w", ref, err)
+				return knownJob{}, fmt.Errorf("intake: %s: %w", ref, err)
 			}
-			p.owner = rec.Job.Team
+			p.team = rec.Job.Team
 		}
-		if done, running, ok, _ := u.counts(ctx, ref); ok {
+		if done, running, ok, _ := api.taskCounts(ctx, ref); ok {
 			p.Done, p.Running = &done, &running
 			if running > 0 {
 				p.JobStatus.Phase = wire.PhaseRunning
@@ -374,202 +374,202 @@
 		return p, nil
 	}
 	if !errors.Is(err, kvstore.ErrNotFound) {
-		return known{}, err
+		return knownJob{}, err
 	}
-	it, err = u.st.Get(ctx, ledger.EndedKey(ref))
+	it, err = api.store.Get(ctx, ledger.EndedKey(ref))
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
 	var e ledger.EndRecord
 	if err := json.Unmarshal(it.Value, &e); err != nil {
-		return known{}, fmt.Errorf("intake: %s: %w", ref, err)
+		return knownJob{}, fmt.Errorf("intake: %s: %w", ref, err)
 	}
-	return u.remember(ref, e), nil
+	return api.remember(ref, e), nil
 }
 
-func (u *Users) remember(ref string, e ledger.EndRecord) known {
+func (api *API) remember(ref string, e ledger.EndRecord) knownJob {
 	zero := 0
-	p := known{JobStatus: wire.JobStatus{ID: ref, Phase: e.Phase, Running: &zero}, owner: e.Team}
+	p := knownJob{JobStatus: wire.JobStatus{ID: ref, Phase: e.Phase, Running: &zero}, team: e.Team}
 	if e.Phase == wire.PhaseDone {
 		p.Done = &e.Tasks
 	}
-	if had, ok := u.ended.get(ref); ok {
-		p.herald = had.herald
+	if had, ok := api.finished.get(ref); ok {
+		p.cancellationAcknowledged = had.cancellationAcknowledged
 	}
-	u.ended.put(ref, p)
+	api.finished.put(ref, p)
 	return p
 }
 
-func (u *Users) poll(w http.ResponseWriter, r *http.Request) {
+func (api *API) poll(w http.ResponseWriter, r *http.Request) {
 	ref := r.PathValue("ref")
-	if !ValidRef(ref) {
+	if !ValidJobID(ref) {
 		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 		return
 	}
-	who, ok := u.who(w, r)
+	who, ok := api.identify(w, r)
 	if !ok {
 		return
 	}
-	ctx, cancel := u.patience(r, 1500*time.Millisecond)
+	ctx, cancel := api.withTimeout(r, 1500*time.Millisecond)
 	defer cancel()
-	p, err := u.lookup(ctx, ref)
+	p, err := api.lookup(ctx, ref)
 	switch {
 	case err == nil:
-		u.tell(ctx, w, who, p)
+		api.replyIfAllowed(ctx, w, who, p)
 	case errors.Is(err, kvstore.ErrNotFound):
 		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 	default:
-		busy(w, "state service")
+		replyBusy(w, "state service")
 	}
 }
 
-func (u *Users) withdraw(w http.ResponseWriter, r *http.Request) {
+func (api *API) cancel(w http.ResponseWriter, r *http.Request) {
 	ref := r.PathValue("ref")
-	if !ValidRef(ref) {
+	if !ValidJobID(ref) {
 		reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 		return
 	}
-	who, ok := u.who(w, r)
+	who, ok := api.identify(w, r)
 	if !ok {
 		return
 	}
-	ctx, cancel := u.patience(r, 2*time.Second)
+	ctx, cancel := api.withTimeout(r, 2*time.Second)
 	defer cancel()
 	for try := 0; ; try++ {
-		p, err := u.end(ctx, who, ref)
+		p, err := api.cancelJob(ctx, who, ref)
 		switch {
 		case err == nil:
-			u.say(ctx, w, p)
+			api.replyStatus(ctx, w, p)
 			return
 		case errors.Is(err, errDenied):
 			reply(w, http.StatusForbidden, wire.ErrorResponse{Error: err.Error()})
 			return
-		case u.unauthorized(w, err):
+		case api.replyUnauthorized(w, err):
 			return
 		case errors.Is(err, kvstore.ErrNotFound):
 			reply(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such job"})
 			return
-		case !u.again(ctx, err, try):
-			busy(w, "state service")
+		case !api.shouldRetry(ctx, err, try):
+			replyBusy(w, "state service")
 			return
 		}
 	}
 }
 
-var errMoved = errors.New("intake: the job moved on")
+var errJobChanged = errors.New("intake: the job moved on")
 
-// end withdraws a live job, once. The live key's stamp guards against the
+// cancelJob withdraws a live job, once. The live key's stamp guards against the
 // leader's claims and its last finish: whichever commits first holds.
-func (u *Users) end(ctx context.Context, who identity.Caller, ref string) (known, error) {
-	if p, ok := u.final(ref); ok {
-		_, err := u.may(who, rights.Withdraw, p.owner, ref)
+func (api *API) cancelJob(ctx context.Context, who identity.Caller, ref string) (knownJob, error) {
+	if p, ok := api.finishedState(ref); ok {
+		_, err := api.authorize(who, rights.Withdraw, p.team, ref)
 		return p, err
 	}
-	if u.down() {
-		return known{}, kvstore.ErrRefused
+	if api.storeUnavailable() {
+		return knownJob{}, kvstore.ErrRefused
 	}
-	fence, err := u.fence()
+	fence, err := api.compareIncarnation()
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
-	before := u.glance(ref)
-	it, err := u.st.Get(ctx, ledger.LiveKey(ref))
+	before := api.replicaView(ref)
+	it, err := api.store.Get(ctx, ledger.LiveKey(ref))
 	if errors.Is(err, kvstore.ErrNotFound) {
-		p, err := u.read(ctx, ref, before)
+		p, err := api.read(ctx, ref, before)
 		if errors.Is(err, kvstore.ErrNotFound) {
-			return u.endLost(ctx, who, ref, fence, before)
+			return api.cancelLostJob(ctx, who, ref, fence, before)
 		}
 		if err == nil {
-			_, err = u.may(who, rights.Withdraw, p.owner, ref)
+			_, err = api.authorize(who, rights.Withdraw, p.team, ref)
 		}
 		return p, err
 	}
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
-	if p, ok := u.returned(ref, before); ok {
-		_, err := u.may(who, rights.Withdraw, p.owner, ref)
+	if p, ok := api.finishedButStoredLive(ref, before); ok {
+		_, err := api.authorize(who, rights.Withdraw, p.team, ref)
 		return p, err
 	}
 	rec, err := ledger.DecodeJobRecord(it.Value)
 	if err != nil {
-		u.past.Doubt(fmt.Sprintf("the record of job %s cannot be read", ref))
-		return known{}, fmt.Errorf("intake: %s: %w: %w", ref, dataloss.ErrDataLossSuspected, err)
+		api.dataLoss.SuspectDataLoss(fmt.Sprintf("the record of job %s cannot be read", ref))
+		return knownJob{}, fmt.Errorf("intake: %s: %w: %w", ref, dataloss.ErrDataLossSuspected, err)
 	}
-	dec, err := u.may(who, rights.Withdraw, rec.Job.Team, ref)
+	dec, err := api.authorize(who, rights.Withdraw, rec.Job.Team, ref)
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
-	e := ledger.NewCancelledEndRecord(&rec, u.now())
+	e := ledger.NewCancelledEndRecord(&rec, api.now())
 	data, err := ledger.Encode(e)
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
-	told, err := u.door.Leave(rec, who, dec)
+	told, err := api.authorizer.Leave(rec, who, dec)
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
 	changes := []wire.Operation{{Delete: ledger.LiveKey(ref)}, {Put: ledger.EndedKey(ref), Value: data}}
-	gen, failed, err := u.st.Commit(ctx, wire.Txn{
+	gen, failed, err := api.store.Commit(ctx, wire.Txn{
 		Compares:   slices.Concat([]wire.Compare{{Key: ledger.LiveKey(ref), ModRevision: it.ModRevision}}, fence, who.Guards),
 		Operations: append(slices.Clone(changes), told...),
 	})
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
 	if dataloss.CompareFailed(failed) {
-		u.past.Check()
-		return known{}, dataloss.ErrDataLossSuspected
+		api.dataLoss.RecheckStore()
+		return knownJob{}, dataloss.ErrDataLossSuspected
 	}
 	if slices.Contains(failed, ledger.LiveKey(ref)) {
-		return known{}, errMoved
+		return knownJob{}, errJobChanged
 	}
 	if len(failed) > 0 {
-		return known{}, identity.ErrToken
+		return knownJob{}, identity.ErrToken
 	}
-	u.copies.RecordOwnWrites(gen, changes...)
-	return u.remember(ref, e), nil
+	api.replica.RecordOwnWrites(gen, changes...)
+	return api.remember(ref, e), nil
 }
 
 // errDenied: no rule allows it.
 var errDenied = errors.New("not allowed")
 
-// may decides on a deed, and notes it where it is not allowed.
-func (u *Users) may(who identity.Caller, do, owner, ref string) (rights.Decision, error) {
-	dec := u.door.Judge(who, rights.Request{Do: do, Owner: owner}, ref, "")
+// authorize decides on a deed, and notes it where it is not allowed.
+func (api *API) authorize(who identity.Caller, do, owner, ref string) (rights.Decision, error) {
+	dec := api.authorizer.Judge(who, rights.Request{Do: do, Owner: owner}, ref, "")
 	if dec.Allowed {
 		return dec, nil
 	}
 	return dec, fmt.Errorf("%w: %s %s: %s", errDenied, do, ref, dec.Rule)
 }
 
-// memory keeps final states, which never change, up to a number of them.
-type memory struct {
+// jobCache keeps final states, which never change, up to a number of them.
+type jobCache struct {
 	mu   sync.Mutex
 	max  int
-	m    map[string]known
+	jobs map[string]knownJob
 	ring []string
 	next int
 }
 
-func newMemory(n int) *memory {
-	return &memory{max: n, m: make(map[string]known), ring: make([]string, n)}
+func newJobCache(n int) *jobCache {
+	return &jobCache{max: n, jobs: make(map[string]knownJob), ring: make([]string, n)}
 }
 
-func (m *memory) get(ref string) (known, bool) {
+func (m *jobCache) get(ref string) (knownJob, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	p, ok := m.m[ref]
+	p, ok := m.jobs[ref]
 	return p, ok
 }
 
-func (m *memory) put(ref string, p known) {
+func (m *jobCache) put(ref string, p knownJob) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if _, ok := m.m[ref]; !ok {
-		delete(m.m, m.ring[m.next])
+	if _, ok := m.jobs[ref]; !ok {
+		delete(m.jobs, m.ring[m.next])
 		m.ring[m.next] = ref
 		m.next = (m.next + 1) % m.max
 	}
-	m.m[ref] = p
+	m.jobs[ref] = p
 }
--- a/internal/intake/needs_test.go
+++ b/internal/intake/needs_test.go
@@ -91,12 +91,12 @@
 }
 
 func (p *past) Fence() ([]wire.Compare, dataloss.Phase, error) { return nil, p.phase, p.err }
-func (p *past) Doubt(why string)                               { p.doubted = why }
-func (p *past) Check()                                         {}
-func (p *past) Lost() bool                                     { return p.lost }
-func (p *past) Fresh() bool                                    { return p.fresh }
-func (p *past) Young() bool                                    { return false }
-func (p *past) Fed() bool                                      { return p.fed }
+func (p *past) SuspectDataLoss(why string)                     { p.doubted = why }
+func (p *past) RecheckStore()                                  {}
+func (p *past) DataLost() bool                                 { return p.lost }
+func (p *past) NeverInitialized() bool                         { return p.fresh }
+func (p *past) JustStarted() bool                              { return false }
+func (p *past) ReplicaCurrent() bool                           { return p.fed }
 
 // herald stands in for those who must know of a withdrawal before a user does.
 type herald struct {
@@ -109,7 +109,7 @@
 	return h.err
 }
 
-func users(t *testing.T, k *keys) (*Users, *http.ServeMux) {
+func users(t *testing.T, k *keys) (*API, *http.ServeMux) {
 	srv := httptest.NewServer(k)
 	t.Cleanup(srv.Close)
 	set := &settings.Settings{Facts: settings.Facts{
@@ -147,8 +147,8 @@
 // taken is served on.
 func TestMemoryShort(t *testing.T) {
 	u, mux := users(t, &keys{m: map[string]string{"d/req-3": `{"phase":"done","tasks":4}`}})
-	u.set.Facts.Workers.ReportS = 2.5
-	u.full = func() bool { return true }
+	u.settings.Facts.Workers.ReportS = 2.5
+	u.memoryFull = func() bool { return true }
 	if rec := submit(mux, "req-10", nil, "", ""); rec.Code != 503 || rec.Header().Get("Retry-After") != "3" {
 		t.Errorf("submission: %d, Retry-After %q", rec.Code, rec.Header().Get("Retry-After"))
 	}
@@ -201,7 +201,7 @@
 		{"no reference", "req-10", []string{"nonsense"}, 400, nil},
 		{"more than a value holds", "req-10", many(100, 30), 422, nil},
 		{"as many done ones", "req-10", ended, 201, nil},
-		{"more than are looked up", "req-10", many(maxNeeds+1, 30), 422, nil},
+		{"more than are looked up", "req-10", many(maxDependencies+1, 30), 422, nil},
 		{"known, whatever it names", "req-6", []string{"req-8"}, 200, nil},
 		{"known and over, whatever it names", "req-7", []string{"req-7"}, 200, nil},
 	} {
--- a/internal/intake/past.go
+++ b/internal/intake/past.go
@@ -16,50 +16,50 @@
 	"rillflow/internal/wire"
 )
 
-// Past is what a request is decided under.
-type Past interface {
+// DataLossState is what a request is decided under.
+type DataLossState interface {
 	// Fence is the present history's guard and phase; an error while data may have
 	// been lost.
 	Fence() ([]wire.Compare, dataloss.Phase, error)
-	// Doubt notes that a key is gone that nobody removed.
-	Doubt(why string)
-	// Check has the history read anew: a guard on it did not hold.
-	Check()
-	// Lost tells whether an earlier history was lost.
-	Lost() bool
-	// Fresh tells whether this node knows of no history at all and doubts none.
-	Fresh() bool
-	// Fed tells whether this node's copy is of the present history and up to date.
-	Fed() bool
-	// Young tells whether this node has just begun and has no copy yet.
-	Young() bool
+	// SuspectDataLoss notes that a key is gone that nobody removed.
+	SuspectDataLoss(why string)
+	// RecheckStore has the history read anew: a guard on it did not hold.
+	RecheckStore()
+	// DataLost tells whether an earlier history was lost.
+	DataLost() bool
+	// NeverInitialized tells whether this node knows of no history at all and doubts none.
+	NeverInitialized() bool
+	// ReplicaCurrent tells whether this node's copy is of the present history and up to date.
+	ReplicaCurrent() bool
+	// JustStarted tells whether this node has just begun and has no copy yet.
+	JustStarted() bool
 }
 
-// glance is what this node remembered of a job before it asked the state service. Only
+// replicaView is what this node remembered of a job before it asked the state service. Only
 // what was known by then can be contradicted by the answer: while it is on its way, and
 // for long where the state service answers slowly, the job may be accepted, or end, and
 // this node hear of that first.
-type glance struct{ known, ended bool }
+type replicaView struct{ knowsJob, knowsEnd bool }
 
-func (u *Users) glance(ref string) glance {
-	_, ended := u.copies.Get(ledger.EndedKey(ref))
-	return glance{known: u.copies.KnowsJob(ref), ended: ended}
+func (api *API) replicaView(ref string) replicaView {
+	_, ended := api.replica.Get(ledger.EndedKey(ref))
+	return replicaView{knowsJob: api.replica.KnowsJob(ref), knowsEnd: ended}
 }
 
-// sure tells whether a job that is not stored never was accepted, as far as can be
+// confirmUnknown tells whether a job that is not stored never was accepted, as far as can be
 // known: while a history is put together again, and where this node remembers the job,
 // it may have been.
-func (u *Users) sure(ref string, before glance) error {
-	_, phase, err := u.past.Fence()
+func (api *API) confirmUnknown(ref string, before replicaView) error {
+	_, phase, err := api.dataLoss.Fence()
 	switch {
 	case err != nil:
 		return err
-	case phase == dataloss.PhaseComplete && before.known:
-		u.past.Doubt("job " + ref + " is gone without an end")
+	case phase == dataloss.PhaseComplete && before.knowsJob:
+		api.dataLoss.SuspectDataLoss("job " + ref + " is gone without an end")
 		return dataloss.ErrDataLossSuspected
-	case u.copies.KnowsJob(ref):
+	case api.replica.KnowsJob(ref):
 		return dataloss.ErrDataLossSuspected // it has come since: asked again, it is there
-	case phase != dataloss.PhaseComplete, !u.past.Fed():
+	case phase != dataloss.PhaseComplete, !api.dataLoss.ReplicaCurrent():
 		// Not all who may know were heard; and a node that has just begun remembers
 		// nothing yet.
 		return dataloss.ErrDataLossSuspected
@@ -67,119 +67,119 @@
 	return nil
 }
 
-// recall tells a job's end from memory, while the state service may lack it.
-func (u *Users) recall(ref string) (known, bool) {
-	if _, phase, err := u.past.Fence(); err == nil && phase != dataloss.PhaseRestoringResults && phase != dataloss.PhaseRecovering {
-		return known{}, false
+// finishedDuringRecovery tells a job's end from memory, while the state service may lack it.
+func (api *API) finishedDuringRecovery(ref string) (knownJob, bool) {
+	if _, phase, err := api.dataLoss.Fence(); err == nil && phase != dataloss.PhaseRestoringResults && phase != dataloss.PhaseRecovering {
+		return knownJob{}, false
 	}
-	return u.over(ref)
+	return api.finishedInReplica(ref)
 }
 
-// final tells a job's end where this node knows it: what it told before, or remembers.
-func (u *Users) final(ref string) (known, bool) {
-	if p, ok := u.ended.get(ref); ok {
+// finishedState tells a job's end where this node knows it: what it told before, or remembers.
+func (api *API) finishedState(ref string) (knownJob, bool) {
+	if p, ok := api.finished.get(ref); ok {
 		return p, true
 	}
-	return u.recall(ref)
+	return api.finishedDuringRecovery(ref)
 }
 
-// returned tells the end of a job that is stored as alive though this node remembers
+// finishedButStoredLive tells the end of a job that is stored as alive though this node remembers
 // that it is over: the state service went back behind its end, which the answer to a
 // read of a key does not show.
-func (u *Users) returned(ref string, before glance) (known, bool) {
-	p, ok := u.over(ref)
-	if ok && before.ended {
-		u.past.Doubt("job " + ref + " is alive again")
+func (api *API) finishedButStoredLive(ref string, before replicaView) (knownJob, bool) {
+	p, ok := api.finishedInReplica(ref)
+	if ok && before.knowsEnd {
+		api.dataLoss.SuspectDataLoss("job " + ref + " is alive again")
 	}
 	return p, ok
 }
 
-// over tells a job's end from this node's copy.
-func (u *Users) over(ref string) (known, bool) {
-	data, ok := u.copies.Get(ledger.EndedKey(ref))
+// finishedInReplica tells a job's end from this node's copy.
+func (api *API) finishedInReplica(ref string) (knownJob, bool) {
+	data, ok := api.replica.Get(ledger.EndedKey(ref))
 	if !ok {
-		return known{}, false
+		return knownJob{}, false
 	}
 	var e ledger.EndRecord
 	if json.Unmarshal(data, &e) != nil {
-		return known{}, false
+		return knownJob{}, false
 	}
-	return u.remember(ref, e), true
+	return api.remember(ref, e), true
 }
 
-// fence is the guard that a write carries. Nothing is written while a history is put
+// compareIncarnation is the guard that a write carries. Nothing is written while a history is put
 // together again.
-func (u *Users) fence() ([]wire.Compare, error) {
-	gs, phase, err := u.past.Fence()
+func (api *API) compareIncarnation() ([]wire.Compare, error) {
+	gs, phase, err := api.dataLoss.Fence()
 	if err == nil && phase == dataloss.PhaseRecovering {
 		err = dataloss.ErrDataLossSuspected
 	}
 	return gs, err
 }
 
-// opens waits for the first leader of all to begin a history: until then there is
+// awaitFirstLeader waits for the first leader of all to begin a history: until then there is
 // nothing to doubt, and a user's first job is not to be turned away.
-func (u *Users) opens(ctx context.Context, err error, try int) bool {
-	return errors.Is(err, dataloss.ErrDataLossSuspected) && !u.down() && u.past.Fresh() && kvstore.Backoff(ctx, try, 20*time.Millisecond, 100*time.Millisecond)
+func (api *API) awaitFirstLeader(ctx context.Context, err error, try int) bool {
+	return errors.Is(err, dataloss.ErrDataLossSuspected) && !api.storeUnavailable() && api.dataLoss.NeverInitialized() && kvstore.Backoff(ctx, try, 20*time.Millisecond, 100*time.Millisecond)
 }
 
-// unstored tells whether the job's end is known but may yet have to be stored again, so
+// endNotRestored tells whether the job's end is known but may yet have to be stored again, so
 // that the state service would take the job for new.
-func (u *Users) unstored(ref string) bool {
-	_, phase, err := u.past.Fence()
+func (api *API) endNotRestored(ref string) bool {
+	_, phase, err := api.dataLoss.Fence()
 	if err != nil || phase != dataloss.PhaseRestoringResults {
 		return err != nil
 	}
-	if _, ok := u.copies.Get(ledger.EndedKey(ref)); ok {
+	if _, ok := api.replica.Get(ledger.EndedKey(ref)); ok {
 		return true
 	}
-	return !u.past.Fed()
+	return !api.dataLoss.ReplicaCurrent()
 }
 
-// absent is what is told of a job that is not stored. One of which machines have tasks
+// lookupLost is what is told of a job that is not stored. One of which machines have tasks
 // was accepted, though nothing else is known of it.
-func (u *Users) absent(ctx context.Context, ref string, before glance) (known, error) {
-	if err := u.sure(ref, before); err != nil {
-		return known{}, err
+func (api *API) lookupLost(ctx context.Context, ref string, before replicaView) (knownJob, error) {
+	if err := api.confirmUnknown(ref, before); err != nil {
+		return knownJob{}, err
 	}
-	if !u.past.Lost() {
-		return known{}, kvstore.ErrNotFound
+	if !api.dataLoss.DataLost() {
+		return knownJob{}, kvstore.ErrNotFound
 	}
-	_, running, ok, err := u.counts(ctx, ref)
+	_, running, ok, err := api.taskCounts(ctx, ref)
 	if err != nil {
-		return known{}, fmt.Errorf("%w: the leader cannot be asked: %w", kvstore.ErrRefused, err)
+		return knownJob{}, fmt.Errorf("%w: the leader cannot be asked: %w", kvstore.ErrRefused, err)
 	}
 	if !ok {
-		return known{}, kvstore.ErrNotFound
+		return knownJob{}, kvstore.ErrNotFound
 	}
-	return known{JobStatus: wire.JobStatus{ID: ref, Phase: wire.PhaseRunning, Running: &running}}, nil
+	return knownJob{JobStatus: wire.JobStatus{ID: ref, Phase: wire.PhaseRunning, Running: &running}}, nil
 }
 
-// endLost withdraws a job of which there is nothing but tasks on machines.
-func (u *Users) endLost(ctx context.Context, who identity.Caller, ref string, fence []wire.Compare, before glance) (known, error) {
-	if _, err := u.absent(ctx, ref, before); err != nil {
-		return known{}, err
+// cancelLostJob withdraws a job of which there is nothing but tasks on machines.
+func (api *API) cancelLostJob(ctx context.Context, who identity.Caller, ref string, fence []wire.Compare, before replicaView) (knownJob, error) {
+	if _, err := api.lookupLost(ctx, ref, before); err != nil {
+		return knownJob{}, err
 	}
-	if _, err := u.may(who, rights.Withdraw, "", ref); err != nil {
-		return known{}, err
+	if _, err := api.authorize(who, rights.Withdraw, "", ref); err != nil {
+		return knownJob{}, err
 	}
-	e := ledger.NewLostEndRecord(ref, u.now())
+	e := ledger.NewLostEndRecord(ref, api.now())
 	data, err := ledger.Encode(e)
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
 	put := wire.Operation{Put: ledger.EndedKey(ref), Value: data}
-	gen, failed, err := u.st.Commit(ctx, wire.Txn{
+	gen, failed, err := api.store.Commit(ctx, wire.Txn{
 		Compares:   slices.Concat([]wire.Compare{{Key: ledger.LiveKey(ref)}, {Key: ledger.EndedKey(ref)}}, fence, who.Guards),
 		Operations: []wire.Operation{put},
 	})
 	if err != nil {
-		return known{}, err
+		return knownJob{}, err
 	}
 	if len(failed) > 0 {
-		u.past.Check()
-		return known{}, errMoved
+		api.dataLoss.RecheckStore()
+		return knownJob{}, errJobChanged
 	}
-	u.copies.RecordOwnWrites(gen, put)
-	return u.remember(ref, e), nil
+	api.replica.RecordOwnWrites(gen, put)
+	return api.remember(ref, e), nil
 }
--- a/internal/intake/past_test.go
+++ b/internal/intake/past_test.go
@@ -59,10 +59,10 @@
 				k.m[key] = v
 			}
 			u, mux := users(t, k)
-			u.past = &tc.past
-			u.counts = func(_ context.Context, ref string) (int, int, bool, error) { return 0, 3, ref == "req-7", nil }
+			u.dataLoss = &tc.past
+			u.taskCounts = func(_ context.Context, ref string) (int, int, bool, error) { return 0, 3, ref == "req-7", nil }
 			for key, v := range tc.copied {
-				u.copies.Apply(1, wire.Operation{Put: key, Value: []byte(v)})
+				u.replica.Apply(1, wire.Operation{Put: key, Value: []byte(v)})
 			}
 			verb, ref, _ := strings.Cut(tc.ask, " ")
 			rec := httptest.NewRecorder()
@@ -116,12 +116,12 @@
 			}
 			u, mux := users(t, k)
 			p := &past{phase: dataloss.PhaseComplete, fed: true}
-			u.past = p
+			u.dataLoss = p
 			k.late = func() {
 				if tc.meanwhile.Put == "" {
 					p.err = dataloss.ErrDataLossSuspected
 				}
-				u.copies.Apply(1, tc.meanwhile)
+				u.replica.Apply(1, tc.meanwhile)
 			}
 			path := "/v1/jobs/req-1"
 			if tc.ask == "POST" {
--- a/internal/intake/told_test.go
+++ b/internal/intake/told_test.go
@@ -15,7 +15,7 @@
 	k := &keys{m: map[string]string{}}
 	u, mux := users(t, k)
 	h := &herald{err: errors.New("the leader does not know")}
-	u.herald = h
+	u.broadcaster = h
 	if rec := submit(mux, "req-1", nil, "", ""); rec.Code != 201 {
 		t.Fatalf("submitted: %d", rec.Code)
 	}
@@ -47,7 +47,7 @@
 			t.Errorf("%s once it was told: %d, %v", how, code, h.told)
 		}
 	}
-	if p, ok := u.ended.get("req-1"); !ok || p.JobStatus.Phase != wire.PhaseCancelled {
+	if p, ok := u.finished.get("req-1"); !ok || p.JobStatus.Phase != wire.PhaseCancelled {
 		t.Errorf("%+v", p)
 	}
 }
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -155,19 +155,21 @@
 	return d.hist.Fence(d.el.LegacyLeader())
 }
 
-func (d *daemon) Doubt(why string) { d.hist.Suspect(why) }
+func (d *daemon) SuspectDataLoss(why string) { d.hist.Suspect(why) }
 
-func (d *daemon) Check() { d.hist.Recheck() }
+func (d *daemon) RecheckStore() { d.hist.Recheck() }
 
-func (d *daemon) Lost() bool { return d.hist.Current().DataLost }
+func (d *daemon) DataLost() bool { return d.hist.Current().DataLost }
 
-func (d *daemon) Fresh() bool {
+func (d *daemon) NeverInitialized() bool {
 	return !d.hist.Suspicion().Active && d.hist.Current().ID == "" && d.copies.Empty()
 }
 
-func (d *daemon) Young() bool { return time.Since(d.began) < 2*d.set.Report() && !d.Fed() }
+func (d *daemon) JustStarted() bool {
+	return time.Since(d.began) < 2*d.set.Report() && !d.ReplicaCurrent()
+}
 
-func (d *daemon) Fed() bool {
+func (d *daemon) ReplicaCurrent() bool {
 	if d.el.LegacyLeader() {
 		return true // such a leader feeds nobody, and nothing better is to be had
 	}
