--- /dev/null
+++ b/internal/serve/connectionlimiter.go
@@ -0,0 +1,40 @@
+package serve
+
+import (
+	"net"
+	"net/http"
+	"sync/atomic"
+)
+
+// connectionLimiter counts the open connections of the front address. Workers keep theirs, so a
+// controller that answers for all machines, with the others gone, could be held by more
+// than it has sockets for: those that find no place time out, and their leases with them.
+type connectionLimiter struct {
+	open           atomic.Int64
+	keepAliveLimit int64 // from here on answers to workers end their connections
+}
+
+// keepAliveShare is up to which share of the front's sockets connections are kept open. The rest
+// is for those that come and go.
+const keepAliveShare = 0.9
+
+func newConnectionLimiter(limit int) *connectionLimiter {
+	return &connectionLimiter{keepAliveLimit: int64(keepAliveShare * float64(limit))}
+}
+
+// track follows a connection; it is an http.Server's ConnState.
+func (c *connectionLimiter) track(_ net.Conn, s http.ConnState) {
+	switch s {
+	case http.StateNew:
+		c.open.Add(1)
+	case http.StateClosed, http.StateHijacked:
+		c.open.Add(-1)
+	}
+}
+
+// closeIfCrowded ends the connection behind an answer where there are too many to keep.
+func (c *connectionLimiter) closeIfCrowded(w http.ResponseWriter) {
+	if c.open.Load() > c.keepAliveLimit {
+		w.Header().Set("Connection", "close")
+	}
+}
--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -27,13 +27,13 @@
 )
 
 // routes are all requests at the front address.
-func (d *daemon) routes() http.Handler {
+func (controller *controller) routes() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /healthz", d.health)
-	mux.HandleFunc("POST /agent/beat", d.beat)
-	mux.HandleFunc("GET /operator/status", d.status)
-	mux.HandleFunc("/v1/jobs", d.user)
-	mux.HandleFunc("/v1/jobs/", d.user)
+	mux.HandleFunc("GET /healthz", controller.health)
+	mux.HandleFunc("POST /agent/beat", controller.handleHeartbeat)
+	mux.HandleFunc("GET /operator/status", controller.status)
+	mux.HandleFunc("/v1/jobs", controller.handleUser)
+	mux.HandleFunc("/v1/jobs/", controller.handleUser)
 	return mux
 }
 
@@ -41,18 +41,18 @@
 // of use while a peer can serve its users; one that no peer hears either is
 // cut off, and others serve better. When all are refused it is an outage: to
 // leave the balancer then would only make coming back slower.
-func (d *daemon) health(w http.ResponseWriter, _ *http.Request) {
-	if d.part.StoreRefuses() && len(d.set.Members) > 0 && !d.part.HasLivePeer() {
+func (controller *controller) health(w http.ResponseWriter, _ *http.Request) {
+	if controller.shard.StoreRefuses() && len(controller.settings.Members) > 0 && !controller.shard.HasLivePeer() {
 		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "cut off"})
 		return
 	}
 	reply(w, http.StatusOK, struct{}{})
 }
 
-// beat answers a worker's report, or says who may.
-func (d *daemon) beat(w http.ResponseWriter, r *http.Request) {
-	d.part.RecordRequest()
-	d.crowd.ease(w)
+// handleHeartbeat answers a worker's report, or says who may.
+func (controller *controller) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	controller.shard.RecordRequest()
+	controller.connections.closeIfCrowded(w)
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, agent.MaxHeartbeatBytes))
 	var rep wire.Heartbeat
 	if err == nil {
@@ -62,58 +62,58 @@
 		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "malformed report"})
 		return
 	}
-	d.shown(rep.Epoch)
-	out, err := d.part.Heartbeat(r.Context(), &rep, d.control)
+	controller.observeEpoch(rep.Epoch)
+	out, err := controller.shard.Heartbeat(r.Context(), &rep, controller.leader)
 	if err == nil {
 		reply(w, http.StatusOK, out)
 		return
 	}
 	var notOwner *shard.NotOwnerError
-	if errors.As(err, &notOwner) && notOwner.RedirectTarget != "" && notOwner.RedirectTarget != d.set.Node {
+	if errors.As(err, &notOwner) && notOwner.RedirectTarget != "" && notOwner.RedirectTarget != controller.settings.Node {
 		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: notOwner.RedirectTarget})
 		return
 	}
 	reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "not entitled"})
 }
 
-// shown notes an epoch that a worker has seen. One that the state service has not given
+// observeEpoch notes an epoch that a worker has seen. One that the state service has not given
 // out was given out in a history that is lost.
-func (d *daemon) shown(epoch uint64) {
-	d.el.ObserveEpoch(epoch)
-	if v := d.hist.Current(); v.InitialPhase == dataloss.PhaseProvisional && epoch > 0 && epoch < v.Epoch {
+func (controller *controller) observeEpoch(epoch uint64) {
+	controller.elector.ObserveEpoch(epoch)
+	if v := controller.dataLoss.Current(); v.InitialPhase == dataloss.PhaseProvisional && epoch > 0 && epoch < v.Epoch {
 		// The history began with nothing, so nobody can have seen an earlier epoch.
-		d.hist.Suspect(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
+		controller.dataLoss.Suspect(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
 	}
-	if epoch > d.el.ShardMap().Epoch {
+	if epoch > controller.elector.ShardMap().Epoch {
 		select {
-		case d.asks <- epoch:
+		case controller.unknownEpochs <- epoch:
 		default: // one question at a time is enough
 		}
 	}
 }
 
-// outdone asks the state service whether it knows of the epochs that workers show.
-func (d *daemon) outdone(ctx context.Context) error {
+// verifyUnknownEpochs asks the state service whether it knows of the epochs that workers show.
+func (controller *controller) verifyUnknownEpochs(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case epoch := <-d.asks:
-			stored, err := d.el.ReadShardMap(ctx)
-			if err == nil && stored.Epoch < epoch && epoch > d.el.ShardMap().Epoch {
-				d.hist.Suspect(fmt.Sprintf("workers have seen epoch %d, and %d is stored", epoch, stored.Epoch))
+		case epoch := <-controller.unknownEpochs:
+			stored, err := controller.elector.ReadShardMap(ctx)
+			if err == nil && stored.Epoch < epoch && epoch > controller.elector.ShardMap().Epoch {
+				controller.dataLoss.Suspect(fmt.Sprintf("workers have seen epoch %d, and %d is stored", epoch, stored.Epoch))
 			}
-			kvstore.Backoff(ctx, 0, d.set.Report()/8, d.set.Report()/8)
+			kvstore.Backoff(ctx, 0, controller.settings.Report()/8, controller.settings.Report()/8)
 		}
 	}
 }
 
-// user serves a user's request here, or through a peer when the state service
+// handleUser serves a user's request here, or through a peer when the state service
 // refuses this node alone.
-func (d *daemon) user(w http.ResponseWriter, r *http.Request) {
-	node, alone := d.part.StoreServesPeerOnly()
+func (controller *controller) handleUser(w http.ResponseWriter, r *http.Request) {
+	node, alone := controller.shard.StoreServesPeerOnly()
 	if !alone {
-		d.users.ServeHTTP(w, r)
+		controller.users.ServeHTTP(w, r)
 		return
 	}
 	// One more than may be: the peer sees that it is too large.
@@ -122,9 +122,9 @@
 		reply(w, http.StatusBadRequest, wire.ErrorResponse{Error: "broken body"})
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), d.set.Report()/2)
+	ctx, cancel := context.WithTimeout(r.Context(), controller.settings.Report()/2)
 	defer cancel()
-	a, err := d.mesh.ForwardUserRequest(ctx, node, peer.UserRequest{Method: r.Method, Path: r.URL.Path, Body: body, Auth: r.Header.Get("Authorization")})
+	a, err := controller.peers.ForwardUserRequest(ctx, node, peer.UserRequest{Method: r.Method, Path: r.URL.Path, Body: body, Auth: r.Header.Get("Authorization")})
 	if err != nil {
 		w.Header().Set("Retry-After", "1")
 		reply(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "state service"})
@@ -133,86 +133,94 @@
 	if a.RetryAfter != "" {
 		w.Header().Set("Retry-After", a.RetryAfter)
 	}
-	send(w, a.Status, a.Body)
+	writeJSON(w, a.Status, a.Body)
 }
 
-// counts tells a live job's counts: the leader has them.
-func (d *daemon) counts(ctx context.Context, ref string) (done, running int, ok bool, err error) {
-	leader := d.el.ShardMap().Leader
-	c, ok, err := d.control.TaskCounts(ref)
-	if ok || leader == d.set.Node {
+// lookupTaskCounts tells a live job's counts: the leader has them.
+func (controller *controller) lookupTaskCounts(ctx context.Context, ref string) (done, running int, ok bool, err error) {
+	leader := controller.elector.ShardMap().Leader
+	c, ok, err := controller.leader.TaskCounts(ref)
+	if ok || leader == controller.settings.Node {
 		return c.Done, c.Running, ok, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, d.set.Report()/12)
+	ctx, cancel := context.WithTimeout(ctx, controller.settings.Report()/12)
 	defer cancel()
-	p, err := d.mesh.Counts(ctx, leader, ref)
+	p, err := controller.peers.Counts(ctx, leader, ref)
 	return p.Done, p.Running, p.Known, err
 }
 
 // Fence, Doubt, Check, Lost, Fresh, Fed and Young are what users' requests are decided under.
 
-func (d *daemon) Fence() ([]wire.Compare, dataloss.Phase, error) {
-	return d.hist.Fence(d.el.LegacyLeader())
+func (controller *controller) Fence() ([]wire.Compare, dataloss.Phase, error) {
+	return controller.dataLoss.Fence(controller.elector.LegacyLeader())
 }
 
-func (d *daemon) SuspectDataLoss(why string) { d.hist.Suspect(why) }
+func (controller *controller) SuspectDataLoss(why string) { controller.dataLoss.Suspect(why) }
 
-func (d *daemon) RecheckStore() { d.hist.Recheck() }
+func (controller *controller) RecheckStore() { controller.dataLoss.Recheck() }
 
-func (d *daemon) DataLost() bool { return d.hist.Current().DataLost }
+func (controller *controller) DataLost() bool { return controller.dataLoss.Current().DataLost }
 
-func (d *daemon) NeverInitialized() bool {
-	return !d.hist.Suspicion().Active && d.hist.Current().ID == "" && d.copies.Empty()
+func (controller *controller) NeverInitialized() bool {
+	return !controller.dataLoss.Suspicion().Active && controller.dataLoss.Current().ID == "" && controller.replica.Empty()
 }
 
-func (d *daemon) JustStarted() bool {
-	return time.Since(d.began) < 2*d.set.Report() && !d.ReplicaCurrent()
+func (controller *controller) JustStarted() bool {
+	return time.Since(controller.startedAt) < 2*controller.settings.Report() && !controller.ReplicaCurrent()
 }
 
-func (d *daemon) ReplicaCurrent() bool {
-	if d.el.LegacyLeader() {
+func (controller *controller) ReplicaCurrent() bool {
+	if controller.elector.LegacyLeader() {
 		return true // such a leader feeds nobody, and nothing better is to be had
 	}
-	return d.copies.Head().Incarnation == d.hist.Current().ID && (d.el.Leader() == d.set.Node || d.copies.HeardLeaderWithin(2*d.set.Report()))
+	return controller.replica.Head().Incarnation == controller.dataLoss.Current().ID && (controller.elector.Leader() == controller.settings.Node || controller.replica.HeardLeaderWithin(2*controller.settings.Report()))
 }
 
 // History, Remembers, Copy and Recall are what peers ask about data that may be lost.
 
-func (d *daemon) StoreIncarnation() peer.StoreIncarnation {
-	suspicion := d.hist.Suspicion()
+func (controller *controller) StoreIncarnation() peer.StoreIncarnation {
+	suspicion := controller.dataLoss.Suspicion()
 	id := suspicion.IncarnationID
 	if !suspicion.Active {
-		id = d.hist.Current().ID
+		id = controller.dataLoss.Current().ID
 	}
-	gen, _ := d.st.Revision()
+	gen, _ := controller.store.Revision()
 	return peer.StoreIncarnation{ID: id, DataLossSuspected: suspicion.Active, Reason: suspicion.Reason, Revision: gen}
 }
 
-func (d *daemon) PeerStoreIncarnation(node string, h peer.StoreIncarnation) {
-	d.hist.ObservePeer(node, dataloss.Suspicion{Active: h.DataLossSuspected, IncarnationID: h.ID, Reason: h.Reason})
-	if !d.hist.Suspicion().Active && !h.DataLossSuspected && h.ID != "" && h.ID == d.hist.Current().ID {
-		d.st.ObserveRevision(h.Revision)
+func (controller *controller) PeerStoreIncarnation(node string, h peer.StoreIncarnation) {
+	controller.dataLoss.ObservePeer(node, dataloss.Suspicion{Active: h.DataLossSuspected, IncarnationID: h.ID, Reason: h.Reason})
+	if !controller.dataLoss.Suspicion().Active && !h.DataLossSuspected && h.ID != "" && h.ID == controller.dataLoss.Current().ID {
+		controller.store.ObserveRevision(h.Revision)
 	}
 }
 
-func (d *daemon) ReceiveReplica(p *replica.Push) replica.Ack { return d.copies.Receive(p) }
+func (controller *controller) ReceiveReplica(p *replica.Push) replica.Ack {
+	return controller.replica.Receive(p)
+}
 
-func (d *daemon) ReadReplicaPage(a replica.PageRequest) replica.Page { return d.copies.ReadPage(a) }
+func (controller *controller) ReadReplicaPage(a replica.PageRequest) replica.Page {
+	return controller.replica.ReadPage(a)
+}
 
 // Withdrawn, Reached and Linked have withdrawals known to all controllers.
 
-func (d *daemon) ReceiveCancellations(n *cancellation.Message) cancellation.Ack {
-	return d.gone.Receive(n, d.control)
+func (controller *controller) ReceiveCancellations(n *cancellation.Message) cancellation.Ack {
+	return controller.cancellations.Receive(n, controller.leader)
 }
 
-func (d *daemon) PeerConnected(ctx context.Context, node string) { d.teller.PeerConnected(ctx, node) }
+func (controller *controller) PeerConnected(ctx context.Context, node string) {
+	controller.broadcaster.PeerConnected(ctx, node)
+}
 
-func (d *daemon) PeerSynced(ctx context.Context, node string) { d.teller.SyncPeer(ctx, node) }
+func (controller *controller) PeerSynced(ctx context.Context, node string) {
+	controller.broadcaster.SyncPeer(ctx, node)
+}
 
-// leads reads from the state service who leads now.
-func (d *daemon) leads(ctx context.Context) (string, error) {
-	m, err := d.el.ReadShardMap(ctx)
-	if known := d.el.ShardMap().Epoch; err == nil && m.Epoch != known {
+// readLeader reads from the state service who leads now.
+func (controller *controller) readLeader(ctx context.Context) (string, error) {
+	m, err := controller.elector.ReadShardMap(ctx)
+	if known := controller.elector.ShardMap().Epoch; err == nil && m.Epoch != known {
 		// Another was elected since, or the state service is behind what is known.
 		err = fmt.Errorf("epoch %d is stored, %d is known", m.Epoch, known)
 	}
@@ -221,32 +229,36 @@
 
 // Ping, Pinged, Beat, Pick, User and Counts are what peers ask of this node.
 
-func (d *daemon) OwnStatus() peer.Ping {
-	m := d.el.ShardMap()
-	return peer.Ping{Node: d.set.Node, Epoch: m.Epoch, Leader: m.Leader, ShardOwners: m.Owners, StoreSilence: d.st.SinceLastAnswer()}
+func (controller *controller) OwnStatus() peer.Ping {
+	m := controller.elector.ShardMap()
+	return peer.Ping{Node: controller.settings.Node, Epoch: m.Epoch, Leader: m.Leader, ShardOwners: m.Owners, StoreSilence: controller.store.SinceLastAnswer()}
 }
 
-func (d *daemon) PeerStatus(p peer.Ping) {
-	d.el.LearnShardMap(election.ShardMap{Epoch: p.Epoch, Leader: p.Leader, Owners: p.ShardOwners})
+func (controller *controller) PeerStatus(p peer.Ping) {
+	controller.elector.LearnShardMap(election.ShardMap{Epoch: p.Epoch, Leader: p.Leader, Owners: p.ShardOwners})
 }
 
-func (d *daemon) HandleHeartbeat(ctx context.Context, r *wire.Heartbeat) peer.HeartbeatAnswer {
-	out, learned, err := d.control.Heartbeat(ctx, r)
+func (controller *controller) HandleHeartbeat(ctx context.Context, r *wire.Heartbeat) peer.HeartbeatAnswer {
+	out, learned, err := controller.leader.Heartbeat(ctx, r)
 	return peer.HeartbeatAnswer{OK: err == nil, Commands: out, Samples: learned}
 }
 
-func (d *daemon) PickTypes(o placement.Offer) []placement.Pick { return d.part.PickLocal(o) }
+func (controller *controller) PickTypes(o placement.Offer) []placement.Pick {
+	return controller.shard.PickLocal(o)
+}
 
-func (d *daemon) TaskCounts(ref string) (peer.Counts, error) {
-	c, ok, err := d.control.TaskCounts(ref)
+func (controller *controller) TaskCounts(ref string) (peer.Counts, error) {
+	c, ok, err := controller.leader.TaskCounts(ref)
 	return peer.Counts{Known: ok, Done: c.Done, Running: c.Running}, err
 }
 
-func (d *daemon) WorkerReachability() peer.Reachability { return d.part.Hearing() }
+func (controller *controller) WorkerReachability() peer.Reachability {
+	return controller.shard.Hearing()
+}
 
-func (d *daemon) Version() string { return Version }
+func (controller *controller) Version() string { return Version }
 
-func (d *daemon) HandleUserRequest(ctx context.Context, r peer.UserRequest) peer.UserAnswer {
+func (controller *controller) HandleUserRequest(ctx context.Context, r peer.UserRequest) peer.UserAnswer {
 	rec := &recorder{header: make(http.Header), status: http.StatusOK}
 	req, err := http.NewRequestWithContext(ctx, r.Method, r.Path, newBody(r.Body))
 	if err != nil {
@@ -255,47 +267,47 @@
 	if r.Auth != "" {
 		req.Header.Set("Authorization", r.Auth)
 	}
-	d.users.ServeHTTP(rec, req)
+	controller.users.ServeHTTP(rec, req)
 	return peer.UserAnswer{Status: rec.status, RetryAfter: rec.header.Get("Retry-After"), Body: rec.body}
 }
 
 // Status is what the operator's status page tells.
 type Status struct {
-	Node     string                 `json:"node"`
-	Version  string                 `json:"version"`
-	Map      election.ShardMap      `json:"map"`
-	UpS      float64                `json:"up_s"`
-	StateS   float64                `json:"state_silent_s"`
-	Requests int64                  `json:"state_requests"`
-	Lower    bool                   `json:"lower_limits"` // of the state service, as announced
-	Peers    map[string]peer.Status `json:"peers"`
-	MemoryMB float64                `json:"memory_mb"`
-	Full     bool                   `json:"memory_short"` // new jobs and machines are turned away
-	Rates    []placement.RateRow    `json:"rates"`
-	Leading  *leader.Status         `json:"leading,omitempty"`
-	History  HistoryStatus          `json:"history"`
-}
-
-// HistoryStatus is how a controller takes the state service's history, and what it
+	Controller         string                 `json:"node"`
+	Version            string                 `json:"version"`
+	ShardMap           election.ShardMap      `json:"map"`
+	UptimeSeconds      float64                `json:"up_s"`
+	StoreSilentSeconds float64                `json:"state_silent_s"`
+	StoreRequests      int64                  `json:"state_requests"`
+	LimitsLowered      bool                   `json:"lower_limits"` // of the state service, as announced
+	Peers              map[string]peer.Status `json:"peers"`
+	MemoryMB           float64                `json:"memory_mb"`
+	MemoryFull         bool                   `json:"memory_short"` // new jobs and machines are turned away
+	Rates              []placement.RateRow    `json:"rates"`
+	Leading            *leader.Status         `json:"leading,omitempty"`
+	Incarnation        IncarnationStatus      `json:"history"`
+}
+
+// IncarnationStatus is how a controller takes the state service's history, and what it
 // remembers of it.
-type HistoryStatus struct {
-	ID       string         `json:"id"`
-	Phase    dataloss.Phase `json:"phase"`
-	Doubted  string         `json:"doubted,omitempty"`
-	Copy     replica.Head   `json:"copy"`
-	Bytes    int            `json:"copy_bytes"`
-	EndsLeft int            `json:"ends_without_room,omitempty"`
-}
-
-func (d *daemon) histories() HistoryStatus {
-	v := d.hist.Current()
-	s := HistoryStatus{ID: v.ID, Phase: v.Phase, Doubted: d.hist.Suspicion().Reason, Copy: d.copies.Head()}
-	_, s.Bytes, s.EndsLeft = d.copies.Usage()
+type IncarnationStatus struct {
+	ID                  string         `json:"id"`
+	Phase               dataloss.Phase `json:"phase"`
+	SuspectedBecause    string         `json:"doubted,omitempty"`
+	Replica             replica.Head   `json:"copy"`
+	ReplicaBytes        int            `json:"copy_bytes"`
+	FinishedJobsLeftOut int            `json:"ends_without_room,omitempty"`
+}
+
+func (controller *controller) incarnationStatus() IncarnationStatus {
+	v := controller.dataLoss.Current()
+	s := IncarnationStatus{ID: v.ID, Phase: v.Phase, SuspectedBecause: controller.dataLoss.Suspicion().Reason, Replica: controller.replica.Head()}
+	_, s.ReplicaBytes, s.FinishedJobsLeftOut = controller.replica.Usage()
 	return s
 }
 
-func (d *daemon) status(w http.ResponseWriter, r *http.Request) {
-	who, err := d.door.Who(r)
+func (controller *controller) status(w http.ResponseWriter, r *http.Request) {
+	who, err := controller.authorizer.Who(r)
 	if err != nil {
 		status := http.StatusUnauthorized
 		if errors.Is(err, identity.ErrStale) {
@@ -304,14 +316,14 @@
 		reply(w, status, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	if dec := d.door.May(who, rights.Request{Do: rights.Status}); !dec.Allowed {
+	if dec := controller.authorizer.May(who, rights.Request{Do: rights.Status}); !dec.Allowed {
 		reply(w, http.StatusForbidden, wire.ErrorResponse{Error: dec.Rule})
 		return
 	}
 	reply(w, http.StatusOK, Status{
-		Node: d.set.Node, Version: Version, Map: d.el.ShardMap(), UpS: time.Since(d.began).Seconds(),
-		StateS: d.st.SinceLastAnswer().Seconds(), Requests: d.st.RequestCount(), Lower: d.st.LimitsLowered(), Peers: d.mesh.Peers(),
-		MemoryMB: float64(d.memory.Held()) / (1 << 20), Full: d.memory.High(), Rates: d.part.Rates(), Leading: d.control.Status(), History: d.histories(),
+		Controller: controller.settings.Node, Version: Version, ShardMap: controller.elector.ShardMap(), UptimeSeconds: time.Since(controller.startedAt).Seconds(),
+		StoreSilentSeconds: controller.store.SinceLastAnswer().Seconds(), StoreRequests: controller.store.RequestCount(), LimitsLowered: controller.store.LimitsLowered(), Peers: controller.peers.Peers(),
+		MemoryMB: float64(controller.memory.Held()) / (1 << 20), MemoryFull: controller.memory.High(), Rates: controller.shard.Rates(), Leading: controller.leader.Status(), Incarnation: controller.incarnationStatus(),
 	})
 }
 
@@ -320,10 +332,10 @@
 	if err != nil {
 		status, b = http.StatusInternalServerError, []byte("{}")
 	}
-	send(w, status, b)
+	writeJSON(w, status, b)
 }
 
-func send(w http.ResponseWriter, status int, body []byte) {
+func writeJSON(w http.ResponseWriter, status int, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
--- a/internal/sim/network_test.go
+++ b/internal/sim/network_test.go
@@ -123,13 +123,13 @@
 	n.cond.Broadcast()
 }
 
-func (n *network) at(host string) serve.Net {
-	return serve.Net{
+func (n *network) at(host string) serve.Network {
+	return serve.Network{
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) { return n.dial(ctx, host, addr) },
 		Listen: func(addr string) (net.Listener, error) {
 			return n.listen(host, addr), nil
 		},
-		Day: func() time.Time { return time.Now().Add(clockOff[host]) },
+		WallClock: func() time.Time { return time.Now().Add(clockOff[host]) },
 	}
 }
 
