--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -98,8 +98,8 @@
 	if instanceTypes == nil || !fleetKnown {
 		return fleet.Plan{}
 	}
-	machines := a.planMachines(now)
-	return a.planner.Plan(instanceTypes, machines, a.demand(machines, now), now)
+	instances := a.planInstances(now)
+	return a.planner.Plan(instanceTypes, instances, a.demand(instances, now), now)
 }
 
 // markIdleReleased marks the instances that the plan releases, and returns their names; not
@@ -169,7 +169,7 @@
 			})
 		}
 		for _, claim := range a.jobs.ClaimsOnWorker(name) {
-			a.freeClaim(claim, "machine returned")
+			a.freeClaim(claim, freedReleased)
 		}
 		if worker := a.workers[name]; worker != nil {
 			a.removeWorker(worker)
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		if _, leaving := c.released[worker.Name]; !leaving {
-			c.autoscaler.noteRelease(worker.Name, "withdrawn task", now)
+			c.autoscaler.noteRelease(worker.Name, releaseOverdueTask, now)
 		}
 		names = append(names, worker.Name)
 	}
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -10,31 +10,31 @@
 	"rillflow/internal/wire"
 )
 
-// planMachines shows the fleet to the planner.
-func (a *autoscaler) planMachines(now time.Time) []fleet.Instance {
-	machines := make([]fleet.Instance, 0, len(a.workers))
+// planInstances shows the fleet to the planner.
+func (a *autoscaler) planInstances(now time.Time) []fleet.Instance {
+	instances := make([]fleet.Instance, 0, len(a.workers))
 	var candidates []*candidate // shared, so that no place is counted for two workers
 	for _, worker := range a.workersByName {
 		if worker.InstanceType == "" {
 			continue
 		}
-		machine := a.planMachine(worker, now)
-		machine.CanMoveReplicas = func() bool {
+		instance := a.planInstance(worker, now)
+		instance.CanMoveReplicas = func() bool {
 			if candidates == nil {
 				candidates = a.scheduler.candidates(now)
 			}
 			return a.drainer.replicasMovable(worker, candidates, now)
 		}
-		machines = append(machines, machine)
+		instances = append(instances, instance)
 	}
-	return machines
+	return instances
 }
 
-// planMachine shows one worker to the planner.
-func (a *autoscaler) planMachine(worker *agent.Worker, now time.Time) fleet.Instance {
+// planInstance shows one worker to the planner.
+func (a *autoscaler) planInstance(worker *agent.Worker, now time.Time) fleet.Instance {
 	_, leaving := a.released[worker.Name]
 	claims := a.jobs.ClaimsOnWorker(worker.Name)
-	machine := fleet.Instance{
+	instance := fleet.Instance{
 		Name:         worker.Name,
 		InstanceType: worker.InstanceType,
 		Zone:         worker.Zone,
@@ -48,14 +48,14 @@
 	}
 	for _, claim := range claims {
 		if claim.Job.Spec.Kind == wire.KindService {
-			machine.Replicas++
-			machine.ReplicaCores += claim.Job.Spec.CPUs
+			instance.Replicas++
+			instance.ReplicaCores += claim.Job.Spec.CPUs
 		}
 	}
-	if machine.Up && len(worker.Tasks) == 0 && len(claims) == 0 {
-		machine.IdleSince = worker.IdleSince
+	if instance.Up && len(worker.Tasks) == 0 && len(claims) == 0 {
+		instance.IdleSince = worker.IdleSince
 	}
-	return machine
+	return instance
 }
 
 // demandSum adds up the work on hand.
@@ -68,14 +68,14 @@
 }
 
 // demand sums up the work on hand, with what runs on unreachable workers left out.
-func (a *autoscaler) demand(machines []fleet.Instance, now time.Time) fleet.Demand {
+func (a *autoscaler) demand(instances []fleet.Instance, now time.Time) fleet.Demand {
 	sum := &demandSum{
 		Demand:     fleet.Demand{ZoneBoundCores: make(map[string]float64), FailoverCores: make(map[string]float64)},
 		spotCores:  make(map[string]float64),
 		pacedCores: make(map[string]float64),
 		shapeIndex: make(map[string]int), waitingShapes: make(map[int]bool),
 	}
-	unreachable := a.unreachableTasks(machines)
+	unreachable := a.unreachableTasks(instances)
 	a.noteScaledAheadTeams()
 	zones := a.instanceTypes.Zones()
 	for _, job := range a.jobs.Jobs() {
@@ -100,14 +100,14 @@
 // unreachableTasks counts by job the tasks on unreachable workers. They cannot run elsewhere
 // as yet. A task of a service that no controller keeps alive there will have to, so there is
 // to be capacity for it: it is not counted.
-func (a *autoscaler) unreachableTasks(machines []fleet.Instance) map[*ledger.Job]int {
+func (a *autoscaler) unreachableTasks(instances []fleet.Instance) map[*ledger.Job]int {
 	tasks := make(map[*ledger.Job]int)
-	for _, machine := range machines {
-		if !machine.Partitioned {
+	for _, instance := range instances {
+		if !instance.Partitioned {
 			continue
 		}
-		for _, claim := range a.jobs.ClaimsOnWorker(machine.Name) {
-			if claim.Job.Spec.Kind != wire.KindService || a.settings.Covered(machine.Zone) {
+		for _, claim := range a.jobs.ClaimsOnWorker(instance.Name) {
+			if claim.Job.Spec.Kind != wire.KindService || a.settings.Covered(instance.Zone) {
 				tasks[claim.Job]++
 			}
 		}
--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -43,7 +43,7 @@
 				continue
 			}
 			claim.Stopping = true
-			d.auditLog.enqueueTask(now, audit.Stopped, claim, "the cloud takes the machine", "")
+			d.auditLog.enqueueTask(now, audit.Stopped, claim, stopReclaimed, "")
 			worker.WakeSender()
 			d.log.Debug("task drained", "task", claim.Task(), "worker", worker.Name, "left_s", secondsLeft)
 		}
@@ -125,7 +125,7 @@
 		target.allocate(job)
 		moved[job.Ref] = true
 		claim.Stopping = true
-		d.auditLog.enqueueTask(now, audit.Stopped, claim, "its machine is drained", "")
+		d.auditLog.enqueueTask(now, audit.Stopped, claim, stopDrained, "")
 		worker.WakeSender()
 	}
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -10,18 +10,6 @@
 	"rillflow/internal/wire"
 )
 
-// Why instances are released; the audit log and operators read these words.
-const (
-	releaseUnanswered  = "again" // an earlier release was not answered
-	releaseFailed      = "failed"
-	releaseOverdueTask = "withdrawn task"
-	releaseExpired     = "lease over"
-	releaseSilent      = "silent"
-	releaseNeverUp     = "never up"
-	releaseFailsTasks  = "fails tasks"
-	releaseIdle        = "idle"
-)
-
 // Limits of the failure monitor.
 const (
 	minWorkersToJudge = 4 // workers that must fall silent together before this controller blames itself
@@ -92,7 +80,7 @@
 		for _, claim := range m.jobs.ClaimsOnWorker(worker.Name) {
 			// A claim of an incarnation that was not heard of yet says nothing of this lease.
 			if claim.Incarnation <= worker.Incarnation {
-				m.freeClaim(claim, "lease over")
+				m.freeClaim(claim, freedLeaseExpired)
 			}
 		}
 	}
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -118,7 +118,7 @@
 	for _, claim := range h.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Incarnation < heartbeat.Incarnation {
 			h.dropImageFetch(claim, worker)
-			h.freeClaim(claim, "new tenure")
+			h.freeClaim(claim, freedNewIncarnation)
 		}
 	}
 }
@@ -204,7 +204,7 @@
 	for task, claim := range claims {
 		_, present := seen[task]
 		if !present && notWanted(claim) && !worker.CommandInFlight && worker.SeenEpoch > claim.StartEpoch {
-			h.freeClaim(claim, "no launch can reach the machine")
+			h.freeClaim(claim, freedNeverStarted)
 		}
 	}
 }
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -14,11 +14,11 @@
 // Shards are the controllers that share the workers among them, this one included.
 type Shards interface {
 	// Pick has a shard owner pick tasks for the workers it is offered.
-	Pick(ctx context.Context, node string, o placement.Offer) ([]placement.Pick, error)
+	Pick(ctx context.Context, owner string, offer placement.Offer) ([]placement.Pick, error)
 	// Learn takes in how long a task ran on a worker of this controller's own shard.
-	Learn(f agent.RuntimeSample)
+	Learn(sample agent.RuntimeSample)
 	// EligibleOwners are the controllers that may own a shard now, given those that do.
-	EligibleOwners(have []string) []string
+	EligibleOwners(owners []string) []string
 	// StoreServesPeerOnly tells whether the store refuses this controller but serves a peer,
 	// and which.
 	StoreServesPeerOnly() (string, bool)
@@ -89,7 +89,7 @@
 			continue
 		}
 		if peer, alone := k.shards.StoreServesPeerOnly(); alone {
-			k.elector.StepDown(k.settings.Lease()/4, "the state service serves "+peer+" but not this node")
+			k.elector.StepDown(k.settings.Lease()/4, "the store serves "+peer+" but not this controller")
 			continue
 		}
 		// A raise without an answer may have been carried out late: shard owners then know
--- a/internal/leader/taskevents.go
+++ b/internal/leader/taskevents.go
@@ -41,7 +41,7 @@
 	}
 	h.log.Debug("task ended", "task", claim.Task(), "worker", worker.Name, "cause", cause)
 	if job.Cancelled {
-		h.freeClaim(claim, "ended, withdrawn")
+		h.freeClaim(claim, freedCancelled)
 		return
 	}
 	if job.IsGang() && cause != wire.ExitDone {
@@ -51,17 +51,17 @@
 	case wire.ExitDone:
 		h.taskDone(claim, worker, now)
 	case wire.ExitFailed:
-		h.freeClaim(claim, "failed")
+		h.freeClaim(claim, freedFailed)
 		h.faults.countFailure(job, worker, now)
 	case wire.ExitNoCapacity:
-		h.freeClaim(claim, "refused: no room")
+		h.freeClaim(claim, freedNoCapacity)
 		worker.StartBackoffUntil = now.Add(h.settings.Report())
 	case wire.ExitDuplicate, wire.ExitUnknownTask:
-		h.freeClaim(claim, "refused: "+cause)
+		h.freeClaim(claim, freedRefused+cause)
 		job.ConsecutiveFailures++
 		job.RetryAt = now.Add(h.faults.retryDelay(job.ConsecutiveFailures))
 	default: // stopped on command
-		h.freeClaim(claim, "halted")
+		h.freeClaim(claim, freedStopped)
 	}
 }
 
@@ -73,7 +73,7 @@
 			continue
 		}
 		other.Stopping = true
-		h.auditLog.enqueueTask(now, audit.Stopped, other, "a member of the gang ended", "")
+		h.auditLog.enqueueTask(now, audit.Stopped, other, stopGangEnded, "")
 		if worker := h.workers[other.Worker]; worker != nil {
 			worker.WakeSender()
 		}
@@ -85,7 +85,7 @@
 func (h *heartbeatReconciler) taskDone(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
 	job := claim.Job
 	if job.Spec.Kind == wire.KindService {
-		h.freeClaim(claim, "ended")
+		h.freeClaim(claim, freedEnded)
 		return
 	}
 	worker.FailedJobs = nil
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -17,21 +17,26 @@
 
 // Leadership is the won election that a leader term rests on.
 type Leadership interface {
+	// Epoch is the fencing token of the leadership. It only rises.
 	Epoch() uint64
+	// ShardMap is the shard map of the current epoch.
 	ShardMap() election.ShardMap
-	// Compares are the guards of every write: they hold only while this controller leads.
+	// Compares go with every write to the store: they hold only while this controller leads.
 	Compares() []wire.Compare
 	// CheckCompares returns an error if the failed compares show that the leadership is lost.
 	CheckCompares(failed []string) error
+	// Incarnation is the incarnation of the stored data, and how far its recovery is.
 	Incarnation() dataloss.IncarnationState
 	// PreviousMap is the shard map of the leader before.
 	PreviousMap() election.ShardMap
-	AdvancePhase(ctx context.Context, p dataloss.Phase) error
+	// AdvancePhase takes the recovery of lost data to its next phase.
+	AdvancePhase(ctx context.Context, phase dataloss.Phase) error
 	// LeaseHeld tells whether nobody else can lead at the given time.
 	LeaseHeld(now time.Time) bool
 	// SteppedDown is since when the term only waits for its successor, if it does.
 	SteppedDown() (since time.Time, ok bool)
-	RaiseEpoch(ctx context.Context, parts []string) error
+	// RaiseEpoch raises the epoch, and with it announces the shard owners.
+	RaiseEpoch(ctx context.Context, owners []string) error
 }
 
 // leaderTerm is the runtime of one leader term: the shared scope, and one component for
@@ -40,26 +45,26 @@
 	*termScope
 	ready chan struct{} // closed once the claims are read
 
-	registry      *workerRegistry
-	heartbeats    *heartbeatReconciler
-	commander     *commander
-	failures      *failureMonitor
-	faults        *faultTracker
-	drainer       *drainer
-	autoscaler    *autoscaler
-	shardKeeper   *shardKeeper
-	jobWatcher    *jobWatcher
-	scheduler     *scheduler
-	claimWriter   *claimWriter
-	collector     *auditCollector
-	cancellations *cancellations
-	dependencies  *dependencies
-	storeReader   *storeReader
-	loader        *loader
-	recovery      *dataRecovery
-	orphans       *orphanTracker
-	scrubber      *scrubber
-	status        *statusView
+	registry      *workerRegistry      // finds and adds workers
+	heartbeats    *heartbeatReconciler // compares reported tasks with claims
+	commander     *commander           // sends commands between heartbeats
+	failures      *failureMonitor      // expired leases; failed, silent and unreachable workers
+	faults        *faultTracker        // workers and jobs that fail tasks
+	drainer       *drainer             // moves tasks off workers that are to go
+	autoscaler    *autoscaler          // requests and releases instances
+	shardKeeper   *shardKeeper         // epoch and shard map
+	jobWatcher    *jobWatcher          // new and ended jobs, as they are committed
+	scheduler     *scheduler           // places waiting tasks
+	claimWriter   *claimWriter         // writes claims and ends
+	collector     *auditCollector      // takes in audit entries that other controllers leave
+	cancellations *cancellations       // cancelled jobs
+	dependencies  *dependencies        // jobs that wait for others
+	storeReader   *storeReader         // reads until the store answers
+	loader        *loader              // fills the cluster state at the start
+	recovery      *dataRecovery        // writes back lost data
+	orphans       *orphanTracker       // tasks of jobs that no record tells of
+	scrubber      *scrubber            // looks for lost keys
+	status        *statusView          // what operators and users are shown
 }
 
 // newLeaderTerm makes the components of a term and connects them. It starts nothing.
