--- /dev/null
+++ b/internal/leader/fakes_test.go
@@ -0,0 +1,59 @@
+package leader
+
+import (
+	"context"
+	"time"
+
+	"rillflow/internal/agent"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
+	"rillflow/internal/placement"
+	"rillflow/internal/wire"
+)
+
+// fakeLeadership stands in for a leadership that nobody contests.
+type fakeLeadership struct{ shards election.ShardMap }
+
+func (f *fakeLeadership) Epoch() uint64 { return f.shards.Epoch }
+
+func (f *fakeLeadership) ShardMap() election.ShardMap { return f.shards }
+
+func (f *fakeLeadership) Compares() []wire.Compare { return []wire.Compare{{}} }
+
+func (f *fakeLeadership) Incarnation() dataloss.IncarnationState {
+	return dataloss.IncarnationState{Phase: dataloss.PhaseComplete}
+}
+
+func (f *fakeLeadership) CheckCompares(failed []string) error {
+	if election.LeaderCompareFailed(failed) {
+		return election.ErrDeposed
+	}
+	return nil
+}
+
+func (f *fakeLeadership) SteppedDown() (time.Time, bool) { return time.Time{}, false }
+
+func (f *fakeLeadership) PreviousMap() election.ShardMap { return election.ShardMap{} }
+
+func (f *fakeLeadership) AdvancePhase(context.Context, dataloss.Phase) error { return nil }
+
+func (f *fakeLeadership) LeaseHeld(time.Time) bool { return true }
+
+func (f *fakeLeadership) RaiseEpoch(context.Context, []string) error { return nil }
+
+// idleOwners learns nothing and picks nothing.
+type idleOwners struct{}
+
+func (idleOwners) Learn(agent.RuntimeSample) {}
+
+func (idleOwners) Pick(context.Context, string, placement.Offer) ([]placement.Pick, error) {
+	return nil, nil
+}
+
+func (idleOwners) EligibleOwners(have []string) []string { return have }
+
+func (idleOwners) StoreServesPeerOnly() (string, bool) { return "", false }
+
+func (idleOwners) StoreRefuses() bool { return false }
+
+func (idleOwners) PeersHearNoWorkers() bool { return false }
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -17,63 +16,17 @@
 	"pgregory.net/rapid"
 
 	"rillflow/internal/agent"
-	"rillflow/internal/dataloss"
 	"rillflow/internal/election"
 	"rillflow/internal/fleet"
 	"rillflow/internal/ledger"
-	"rillflow/internal/placement"
 	"rillflow/internal/replica"
 	"rillflow/internal/settings"
 	"rillflow/internal/wire"
 )
 
-// fakeLeadership stands in for a leadership that nobody contests.
-type fakeLeadership struct{ shards election.ShardMap }
-
-func (f *fakeLeadership) Epoch() uint64               { return f.shards.Epoch }
-func (f *fakeLeadership) ShardMap() election.ShardMap { return f.shards }
-func (f *fakeLeadership) Compares() []wire.Compare    { return []wire.Compare{{}} }
-func (f *fakeLeadership) Incarnation() dataloss.IncarnationState {
-	return dataloss.IncarnationState{Phase: dataloss.PhaseComplete}
-}
-func (f *fakeLeadership) CheckCompares(failed []string) error {
-	if election.LeaderCompareFailed(failed) {
-		return election.ErrDeposed
-	}
-	return nil
-}
-func (f *fakeLeadership) SteppedDown() (time.Time, bool)                     { return time.Time{}, false }
-func (f *fakeLeadership) PreviousMap() election.ShardMap                     { return election.ShardMap{} }
-func (f *fakeLeadership) AdvancePhase(context.Context, dataloss.Phase) error { return nil }
-func (f *fakeLeadership) LeaseHeld(time.Time) bool                           { return true }
-func (f *fakeLeadership) RaiseEpoch(context.Context, []string) error         { return nil }
-
-// idleOwners learns nothing and picks nothing.
-type idleOwners struct{}
-
-func (idleOwners) Learn(agent.RuntimeSample) {}
-func (idleOwners) Pick(context.Context, string, placement.Offer) ([]placement.Pick, error) {
-	return nil, nil
-}
-func (idleOwners) EligibleOwners(have []string) []string { return have }
-func (idleOwners) StoreServesPeerOnly() (string, bool)   { return "", false }
-func (idleOwners) StoreRefuses() bool                    { return false }
-func (idleOwners) PeersHearNoWorkers() bool              { return false }
-
-// modelWorker is a worker as it really is.
-type modelWorker struct {
-	name, zone                   string
-	epoch, incarnation, sequence uint64
-	answeredAt                   time.Time // of the last answered report
-	tasks                        map[string]*wire.TaskStatus
-	lateCommands                 []wire.CommandBatch // commands held in the network
-	lateHeartbeats               []wire.Heartbeat    // and reports
-	released                     bool
-}
-
-// model drives a leader against workers, a second controller in the zone of half
-// of them, and a network that loses, holds and delivers late; it checks the
-// protocol's rules against what is really on the machines.
+// model drives a leader against workers, a second controller in the zone of half of them,
+// and a network that loses, delays and reorders messages. It checks the protocol's
+// invariants against the tasks that really run.
 type model struct {
 	t             *rapid.T
 	leader        *leaderTerm
@@ -82,11 +35,11 @@
 	revision      uint64
 	workers       []*modelWorker
 	knownShards   election.ShardMap // what the second controller knows
-	deposedLeader *leaderTerm       // an earlier leader that does not know it is one
+	deposedLeader *leaderTerm       // an earlier leader that does not know that it was deposed
 	store         map[string][]byte
 	jobs          []string
-	completed     map[string]bool // tasks that completed
-	limit         float64
+	completed     map[string]bool // tasks that ended well
+	limit         float64         // the team's quota, in CPUs and tasks
 	set           *settings.Settings
 }
 
@@ -95,54 +48,86 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{t: t, now: now, completed: map[string]bool{}, store: map[string][]byte{}, limit: 5, term: &fakeLeadership{election.ShardMap{Epoch: 1, Leader: "n", Owners: []string{"m", "n"}, ZoneFallback: true}}}
+	m := &model{t: t, now: now, completed: map[string]bool{}, store: map[string][]byte{}, limit: 5}
+	m.term = &fakeLeadership{m.nextShardMap([]string{"m", "n"})}
 	m.knownShards = m.term.shards
-	m.set = &settings.Settings{Node: "n", Zone: "a", Operator: operator, Members: []settings.Member{{Node: "m", Zone: "b"}}, Facts: settings.Facts{
-		Workers: settings.Workers{ReportS: 3, LeaseS: 30, CancelS: 50},
-		Teams:   []settings.Team{{Name: "t", CPUs: m.limit, CPUsMax: m.limit}},
-		State:   settings.State{TxnOps: 16, ValueKB: 16},
-	}}
-	for i, zone := range []string{"a", "b", "a", "b"} {
-		m.workers = append(m.workers, &modelWorker{name: fmt.Sprint("i-", i), zone: zone, incarnation: 1, answeredAt: now, tasks: map[string]*wire.TaskStatus{}})
+	m.set = &settings.Settings{
+		Node: "n", Zone: "a", Operator: operator, Members: []settings.Member{{Node: "m", Zone: "b"}},
+		Facts: settings.Facts{
+			Workers: settings.Workers{ReportS: 3, LeaseS: 30, CancelS: 50},
+			Teams:   []settings.Team{{Name: "t", CPUs: m.limit, CPUsMax: m.limit}},
+			State:   settings.State{TxnOps: 16, ValueKB: 16},
+		},
 	}
-	for i, tasks := range []int{3, 2, 4} {
-		ref := fmt.Sprint("req-", i)
-		m.jobs = append(m.jobs, ref)
-		record := ledger.JobRecord{Job: wire.Job{ID: ref, Team: "t", Kind: wire.KindArray, Priority: "standard", TaskCount: tasks, CPUs: 1, ExpectedSeconds: 5}, ChunkTasks: 2}
-		if i == 1 {
-			record.Job.Kind = wire.KindService
-		}
-		data, err := ledger.Encode(record)
-		if err != nil {
-			t.Fatal(err)
-		}
-		m.store[ledger.LiveKey(ref)] = data
+	for i, zone := range []string{"a", "b", "a", "b"} {
+		m.workers = append(m.workers, &modelWorker{
+			name: fmt.Sprint("i-", i), zone: zone, incarnation: 1, answeredAt: now, tasks: map[string]*wire.TaskStatus{},
+		})
 	}
+	m.submit(3, wire.KindArray)
+	m.submit(2, wire.KindService)
+	m.submit(4, wire.KindArray)
 	m.startTerm()
 	return m
 }
 
-// startTerm makes a reign of what is stored, as a new leader does.
+// submit stores a job.
+func (m *model) submit(tasks int, kind string) {
+	ref := fmt.Sprint("req-", len(m.jobs))
+	m.jobs = append(m.jobs, ref)
+	data, err := ledger.Encode(ledger.JobRecord{ChunkTasks: 2, Job: wire.Job{
+		ID: ref, Team: "t", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 1, ExpectedSeconds: 5,
+	}})
+	if err != nil {
+		m.t.Fatal(err)
+	}
+	m.store[ledger.LiveKey(ref)] = data
+}
+
+// nextShardMap is the shard map of the next epoch with the given owners.
+func (m *model) nextShardMap(owners []string) election.ShardMap {
+	epoch := uint64(1)
+	if m.term != nil {
+		epoch += m.term.shards.Epoch
+	}
+	return election.ShardMap{Epoch: epoch, Leader: "n", Owners: owners, ZoneFallback: true}
+}
+
+// startTerm makes a leader term from what is stored, as a new leader does.
 func (m *model) startTerm() {
 	catalogue := fleet.NewCatalogue(nil, time.Minute, nil)
 	catalogue.Set([]wire.InstanceType{{Name: "m", CPUs: 4, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.t.Cleanup(cancel)
-	env := &environment{settings: m.set, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1 << 20), log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now }}
+	env := &environment{
+		settings: m.set, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1 << 20),
+		log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now },
+	}
 	m.leader = newLeaderTerm(ctx, env, m.term, m.term.shards.Epoch, nil)
 	m.leader.jobs = ledger.New("w", m.set.Facts.Teams)
 	close(m.leader.ready)
+	m.loadTable()
+	for _, worker := range m.workers {
+		view := agent.NewWorker(worker.name) // a late heartbeat may come of one that was released
+		view.InstanceType = "m"
+		m.leader.addWorker(view)
+		m.leader.registry.assignOwner(view, m.term.shards)
+	}
+}
+
+// loadTable reads the stored jobs and claims into the leader's job table.
+func (m *model) loadTable() {
 	keys := slices.Sorted(maps.Keys(m.store))
-	for _, k := range keys {
-		if strings.HasPrefix(k, ledger.LivePrefix) {
-			if err := m.leader.addJob(k, m.store[k], 1); err != nil {
+	for _, key := range keys {
+		if strings.HasPrefix(key, ledger.LivePrefix) {
+			if err := m.leader.addJob(key, m.store[key], 1); err != nil {
 				m.t.Fatal(err)
 			}
 		}
 	}
-	for _, k := range keys {
-		ref, ok := ledger.JobOfChunkKey(k)
-		if !ok || !strings.HasPrefix(k, ledger.ChunkPrefix) {
+	for _, key := range keys {
+		ref, ok := ledger.JobOfChunkKey(key)
+		if !ok || !strings.HasPrefix(key, ledger.ChunkPrefix) {
 			continue
 		}
 		if m.leader.jobs.Job(ref) == nil {
@@ -150,241 +135,28 @@
 				m.t.Fatal(err)
 			}
 		}
-		if err := m.leader.jobs.LoadChunk(k, m.store[k], m.revision, m.leader.firstEpoch-1); err != nil {
+		if err := m.leader.jobs.LoadChunk(key, m.store[key], m.revision, m.leader.firstEpoch-1); err != nil {
 			m.t.Fatal(err)
 		}
 	}
 	m.leader.jobs.FinishLoading()
-	for _, worker := range m.workers {
-		view := agent.NewWorker(worker.name) // a late report may come of one that is gone
-		view.InstanceType = "m"
-		m.leader.addWorker(view)
-		m.leader.registry.assignOwner(view, m.term.shards)
-	}
 }
 
-// changeLeader puts a new leader in place of the present one, which answers on for
-// whoever has not seen the new epoch, but whose writes all fail.
+// changeLeader puts a new leader in place of the present one, which goes on answering
+// workers that have not seen the new epoch, but whose writes all fail.
 func (m *model) changeLeader() {
 	if rapid.IntRange(0, 3).Draw(m.t, "rarely") > 0 {
 		return
 	}
 	m.deposedLeader = m.leader
 	m.deposedLeader.leadership = &fakeLeadership{m.term.shards}
-	m.term = &fakeLeadership{election.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: m.term.shards.Owners, ZoneFallback: true}}
+	m.term = &fakeLeadership{m.nextShardMap(m.term.shards.Owners)}
 	m.startTerm()
 }
 
 func (m *model) drawWorker() *modelWorker { return rapid.SampledFrom(m.workers).Draw(m.t, "worker") }
 
-// heartbeat is what a worker says now; its lease may be over.
-func (w *modelWorker) heartbeat() wire.Heartbeat {
-	w.sequence++
-	heartbeat := wire.Heartbeat{Worker: w.name, Address: "x", InstanceType: "m", Zone: w.zone, Incarnation: w.incarnation, Sequence: w.sequence, Epoch: w.epoch}
-	for _, task := range w.tasks {
-		heartbeat.Tasks = append(heartbeat.Tasks, *task)
-	}
-	slices.SortFunc(heartbeat.Tasks, func(a, b wire.TaskStatus) int { return int(a.Attempt) - int(b.Attempt) })
-	return heartbeat
-}
-
-// execute carries orders out and checks what a start can break.
-func (m *model) execute(worker *modelWorker, commands []wire.Command) {
-	for _, command := range commands {
-		task := worker.tasks[command.Task]
-		switch command.Action {
-		case wire.ActionStart:
-			if task != nil && (task.Attempt == command.Attempt || task.Phase != wire.TaskExited) {
-				continue
-			}
-			m.checkStart(worker, command)
-			worker.tasks[command.Task] = &wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Phase: wire.PhaseRunning}
-		case wire.ActionStop:
-			if task != nil && task.Attempt == command.Attempt && task.Phase != wire.TaskExited {
-				task.Phase, task.ExitReason = wire.TaskExited, wire.ExitStopped
-			}
-		case wire.ActionForget:
-			if task != nil && task.Attempt == command.Attempt && task.Phase == wire.TaskExited {
-				delete(worker.tasks, command.Task)
-			}
-		}
-	}
-}
-
-func (m *model) checkStart(worker *modelWorker, command wire.Command) {
-	used := 1.0
-	for _, other := range m.workers {
-		for name, task := range other.tasks {
-			if other.released || task.Phase == wire.TaskExited {
-				continue
-			}
-			used++
-			if name == command.Task && other != worker {
-				m.t.Fatalf("ran_twice: %s starts on %s while on %s", name, worker.name, other.name)
-			}
-		}
-	}
-	if used > m.limit {
-		m.t.Fatalf("quota: %v of %v", used, m.limit)
-	}
-}
-
-// deliverAnswer is a 200 to a report that was sent at a time.
-func (m *model) deliverAnswer(worker *modelWorker, heartbeat wire.Heartbeat, answer wire.CommandBatch) {
-	if worker.released || worker.incarnation != heartbeat.Incarnation || answer.Epoch < worker.epoch {
-		return
-	}
-	worker.epoch, worker.answeredAt = answer.Epoch, m.now
-	m.execute(worker, answer.Commands)
-}
-
-// askLeader has the leader answer a report, which may come from the past.
-func (m *model) askLeader(heartbeat wire.Heartbeat) (wire.CommandBatch, error) {
-	answer, _, err := runnerOf(m.leader).Heartbeat(context.Background(), &heartbeat)
-	return answer, err
-}
-
-// sendHeartbeats reports to the owner as far as the network lets it: to the leader itself, to
-// the second controller that asks the leader, or to that one behind a cut, which
-// then answers its own and its zone's workers under the map that it knows.
-func (m *model) sendHeartbeats() {
-	for _, worker := range m.workers {
-		if !worker.released && rapid.IntRange(0, 2).Draw(m.t, "now") > 0 {
-			m.sendHeartbeat(worker, rapid.SampledFrom([]string{"leader", "leader", "asks", "asks", "cut", "held", "old"}).Draw(m.t, "way"))
-		}
-	}
-}
-
-// partitionZone plays a cut of the second controller's zone: for some time it alone answers
-// there, while the leader hears the rest and goes on with its work. It may have
-// noticed that the other is gone, and once it is over it asks the workers.
-func (m *model) partitionZone() {
-	if rapid.Bool().Draw(m.t, "noticed") {
-		m.term.shards = election.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: []string{"n"}, ZoneFallback: true}
-		for _, view := range m.leader.workers {
-			m.leader.registry.assignOwner(view, m.term.shards)
-		}
-	}
-	defer func() {
-		for _, worker := range m.workers {
-			m.pollWorker(worker)
-		}
-		m.leader.failures.expireLeases(m.now)
-	}()
-	for range rapid.IntRange(2, 8).Draw(m.t, "beats") {
-		m.advance(rapid.IntRange(4, 7).Draw(m.t, "seconds"))
-		m.place()
-		m.write()
-		for _, worker := range m.workers {
-			switch {
-			case worker.released:
-			case worker.zone == "b":
-				m.sendHeartbeat(worker, "cut")
-			default:
-				m.sendHeartbeat(worker, "leader")
-				m.sendHeartbeat(worker, "asks")
-			}
-		}
-	}
-}
-
-func (m *model) sendHeartbeat(worker *modelWorker, route string) {
-	heartbeat := worker.heartbeat()
-	lost := rapid.IntRange(0, 4).Draw(m.t, "answer lost") == 0
-	var answer wire.CommandBatch
-	err := errors.New("nobody")
-	switch route {
-	case "leader":
-		if m.term.shards.Owner(worker.name) == "n" {
-			answer, err = m.askLeader(heartbeat)
-		}
-	case "asks":
-		if m.knownShards.Owner(worker.name) == "m" && heartbeat.Epoch <= m.knownShards.Epoch {
-			answer, err = m.askLeader(heartbeat)
-		}
-	case "cut":
-		owned := m.knownShards.Owner(worker.name) == "m" || m.knownShards.ZoneFallback && worker.zone == "b" && slices.Contains(m.knownShards.Owners, "m")
-		if owned && heartbeat.Epoch <= m.knownShards.Epoch {
-			answer, err = wire.CommandBatch{Epoch: m.knownShards.Epoch}, nil
-		}
-	case "old":
-		if m.deposedLeader != nil {
-			answer, _, err = runnerOf(m.deposedLeader).Heartbeat(context.Background(), &heartbeat)
-		}
-	case "held":
-		worker.lateHeartbeats = append(worker.lateHeartbeats, heartbeat)
-	}
-	if err == nil && !lost {
-		m.deliverAnswer(worker, heartbeat, answer)
-	}
-}
-
-// deliverLateHeartbeat delivers a report of the past, whose answer the worker drops.
-func (m *model) deliverLateHeartbeat() {
-	worker := m.drawWorker()
-	if len(worker.lateHeartbeats) == 0 || m.term.shards.Owner(worker.name) != "n" {
-		return
-	}
-	heartbeat := worker.lateHeartbeats[0]
-	worker.lateHeartbeats = worker.lateHeartbeats[1:]
-	_, _ = m.askLeader(heartbeat)
-}
-
-// sendCommands sends what is due straight to a worker.
-func (m *model) sendCommands() {
-	worker := m.drawWorker()
-	view := m.leader.workers[worker.name]
-	if view == nil || view.Incarnation == 0 || view.CommandInFlight {
-		return
-	}
-	epoch := m.term.Epoch()
-	commands := view.Commands(m.leader.jobs.ClaimsOnWorker(worker.name), epoch, false)
-	if len(commands) == 0 {
-		return
-	}
-	direct := wire.CommandBatch{Epoch: epoch, Incarnation: view.Incarnation, Commands: commands}
-	if rapid.Bool().Draw(m.t, "held") {
-		worker.lateCommands = append(worker.lateCommands, direct)
-		view.UnresolvedEpoch = max(view.UnresolvedEpoch, epoch)
-		return
-	}
-	m.deliverCommands(worker, direct)
-}
-
-// deliverCommands is a direct command that arrives; the report after it may be lost.
-func (m *model) deliverCommands(worker *modelWorker, direct wire.CommandBatch) {
-	if worker.released || direct.Epoch < worker.epoch || direct.Incarnation != worker.incarnation {
-		return
-	}
-	worker.epoch = direct.Epoch
-	m.execute(worker, direct.Commands)
-	if heartbeat := worker.heartbeat(); rapid.Bool().Draw(m.t, "seen") {
-		m.leader.heartbeats.applyHeartbeat(&heartbeat)
-	}
-}
-
-func (m *model) deliverLateCommands() {
-	worker := m.drawWorker()
-	if len(worker.lateCommands) > 0 {
-		direct := worker.lateCommands[0]
-		worker.lateCommands = worker.lateCommands[1:]
-		m.deliverCommands(worker, direct)
-	}
-}
-
-// poll shows a worker the epoch and takes in its report.
-func (m *model) poll() { m.pollWorker(m.drawWorker()) }
-
-func (m *model) pollWorker(worker *modelWorker) {
-	if worker.released {
-		return
-	}
-	heartbeat := worker.heartbeat()
-	m.leader.heartbeats.applyHeartbeat(&heartbeat)
-	m.deliverCommands(worker, wire.CommandBatch{Epoch: m.term.Epoch(), Incarnation: worker.incarnation})
-}
-
-// place claims a task for a host that may take it.
+// place claims tasks of a job for a worker that may take them.
 func (m *model) place() {
 	job := m.leader.jobs.Job(rapid.SampledFrom(m.jobs).Draw(m.t, "job"))
 	worker := m.drawWorker()
@@ -396,12 +168,15 @@
 	}
 }
 
+// write writes a batch of the job table's changes, unless the write fails or its answer is lost.
 func (m *model) write() {
-	batch := m.leader.jobs.NextBatch(ledger.BatchLimits{MaxOperations: rapid.IntRange(3, 16).Draw(m.t, "ops"), MaxBytes: 1 << 16, MaxValueBytes: 1 << 14}, m.now)
+	operations := rapid.IntRange(3, 16).Draw(m.t, "ops")
+	limits := ledger.BatchLimits{MaxOperations: operations, MaxBytes: 1 << 16, MaxValueBytes: 1 << 14}
+	batch := m.leader.jobs.NextBatch(limits, m.now)
 	if batch == nil {
 		return
 	}
-	for _, guard := range batch.Compares { // the live key of a withdrawn job is gone
+	for _, guard := range batch.Compares { // the live key of a cancelled job is gone
 		if _, ok := m.store[guard.Key]; !ok && strings.HasPrefix(guard.Key, ledger.LivePrefix) {
 			m.leader.jobs.BatchFailed(batch)
 			return
@@ -419,40 +194,48 @@
 		delete(m.store, operation.Delete)
 	}
 	if rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0 {
-		// The leader dies without knowing that it was applied.
+		// The leader crashes without knowing that the batch was applied.
 		m.deposedLeader = nil
-		m.term = &fakeLeadership{election.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: m.term.shards.Owners, ZoneFallback: true}}
+		m.term = &fakeLeadership{m.nextShardMap(m.term.shards.Owners)}
 		m.startTerm()
 		return
 	}
 	for _, job := range m.leader.jobs.BatchCommitted(batch, m.revision+10).Ended {
 		for i := range job.Spec.TaskCount {
 			if name := (ledger.Task{JobRef: job.Ref, Index: i}).String(); !m.completed[name] {
-				m.t.Fatalf("not_done: %s is over without %s", job.Ref, name)
+				m.t.Fatalf("not_done: %s ended without %s", job.Ref, name)
 			}
 		}
 	}
 }
 
-// raiseEpoch moves the epoch on, with the second controller an owner or not.
+// raiseEpoch raises the epoch, with the second controller a shard owner or not.
 func (m *model) raiseEpoch() {
 	owners := []string{"m", "n"}
 	if rapid.Bool().Draw(m.t, "alone") {
 		owners = owners[1:]
 	}
-	m.term.shards = election.ShardMap{Epoch: m.term.shards.Epoch + 1, Leader: "n", Owners: owners, ZoneFallback: true}
+	m.setOwners(owners)
+}
+
+// setOwners raises the epoch with the given shard owners.
+func (m *model) setOwners(owners []string) {
+	m.term.shards = m.nextShardMap(owners)
 	for _, view := range m.leader.workers {
 		m.leader.registry.assignOwner(view, m.term.shards)
 	}
 }
 
+// learnShardMap has the second controller learn the present shard map.
 func (m *model) learnShardMap() { m.knownShards = m.term.shards }
 
-// pass lets time pass; a worker's clock may be slow by one part in 2,000.
+// wait lets some time pass.
 func (m *model) wait() {
 	m.advance(rapid.SampledFrom([]int{1, 1, 2, 2, 3, 8, 32}).Draw(m.t, "seconds"))
 }
 
+// advance moves the clock on and expires leases; a worker's clock may be slow by one part in
+// 2,000.
 func (m *model) advance(seconds int) {
 	m.now = m.now.Add(time.Duration(seconds) * time.Second)
 	for _, worker := range m.workers {
@@ -464,23 +247,7 @@
 	m.leader.failures.expireLeases(m.now)
 }
 
-func (m *model) finishTask() {
-	worker := m.drawWorker()
-	for _, name := range slices.Sorted(func(yield func(string) bool) {
-		for n := range worker.tasks {
-			if !yield(n) {
-				return
-			}
-		}
-	}) {
-		if task := worker.tasks[name]; task.Phase == wire.PhaseRunning && !worker.released {
-			task.Phase, task.ExitReason = wire.TaskExited, wire.ExitDone
-			m.completed[name] = true
-			return
-		}
-	}
-}
-
+// cancelJob cancels a job as its user does, rarely.
 func (m *model) cancelJob() {
 	if rapid.IntRange(0, 9).Draw(m.t, "rarely") == 0 {
 		ref := rapid.SampledFrom(m.jobs).Draw(m.t, "job")
@@ -500,7 +267,7 @@
 	}
 }
 
-// releaseFaulty returns what the leader finds faulty: the cloud takes it at once.
+// releaseFaulty releases the workers that the leader finds faulty: the cloud ends them at once.
 func (m *model) releaseFaulty() {
 	for _, name := range m.leader.failures.faultyWorkers(m.now) {
 		for _, worker := range m.workers {
@@ -518,21 +285,48 @@
 	}
 }
 
-// Whatever is lost, held or late, and whoever answers behind a cut, no task is on
-// two machines, no team is over its limit, and nothing is done that is not.
+// TestSafetyInvariants: whatever is lost, delayed or reordered, and whoever answers behind a
+// partition, no task runs on two workers, no team exceeds its quota, and no job ends before
+// its tasks are done.
 func TestSafetyInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
-		step := func(action func()) func(*rapid.T) { return func(rt *rapid.T) { m.t = rt; action() } }
-		beat, place, write, command := step(m.sendHeartbeats), step(m.place), step(m.write), step(m.sendCommands)
-		t.Repeat(map[string]func(*rapid.T){
-			"beat": beat, "beat again": beat, "beat once more": beat, "place": place, "place again": place, "write": write, "write again": write,
-			"command": command, "late command": step(m.deliverLateCommands), "late report": step(m.deliverLateHeartbeat), "poll": step(m.poll), "raise": step(m.raiseEpoch),
-			"learn": step(m.learnShardMap), "wait": step(m.wait), "wait again": step(m.wait), "finish": step(m.finishTask), "withdraw": step(m.cancelJob), "return": step(m.releaseFaulty), "take over": step(m.changeLeader), "cut off": step(m.partitionZone),
-		})
+		t.Repeat(m.actions())
 	})
 }
 
+// actions are the steps that a run draws from, the frequent ones more than once. The number
+// before a name keeps the order, by which rapid draws.
+func (m *model) actions() map[string]func(*rapid.T) {
+	actions := make(map[string]func(*rapid.T))
+	for _, action := range []struct {
+		name  string
+		times int
+		run   func()
+	}{
+		{"send heartbeats", 3, m.sendHeartbeats},
+		{"send commands", 1, m.sendCommands},
+		{"partition zone", 1, m.partitionZone},
+		{"finish task", 1, m.finishTask},
+		{"deliver late commands", 1, m.deliverLateCommands},
+		{"deliver late heartbeat", 1, m.deliverLateHeartbeat},
+		{"learn shard map", 1, m.learnShardMap},
+		{"place", 2, m.place},
+		{"poll", 1, m.poll},
+		{"raise epoch", 1, m.raiseEpoch},
+		{"release faulty", 1, m.releaseFaulty},
+		{"change leader", 1, m.changeLeader},
+		{"wait", 2, m.wait},
+		{"cancel job", 1, m.cancelJob},
+		{"write", 2, m.write},
+	} {
+		for range action.times {
+			actions[fmt.Sprintf("%02d %s", len(actions), action.name)] = func(t *rapid.T) { m.t = t; action.run() }
+		}
+	}
+	return actions
+}
+
 // TestMain has the property tests draw the same cases every time unless told
 // otherwise: -rapid.seed and -rapid.checks search further.
 func TestMain(m *testing.M) {
--- /dev/null
+++ b/internal/leader/modelworker_test.go
@@ -0,0 +1,249 @@
+package leader
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"slices"
+	"time"
+
+	"pgregory.net/rapid"
+
+	"rillflow/internal/wire"
+)
+
+// modelWorker is a worker as it really is, whatever the leader knows of it.
+type modelWorker struct {
+	name, zone                   string
+	epoch, incarnation, sequence uint64
+	answeredAt                   time.Time // when the last answered heartbeat was sent
+	tasks                        map[string]*wire.TaskStatus
+	lateCommands                 []wire.CommandBatch // held in the network
+	lateHeartbeats               []wire.Heartbeat    // held in the network
+	released                     bool
+}
+
+// heartbeat is what a worker reports now; its lease may have expired.
+func (w *modelWorker) heartbeat() wire.Heartbeat {
+	w.sequence++
+	heartbeat := wire.Heartbeat{
+		Worker: w.name, Address: "x", InstanceType: "m", Zone: w.zone,
+		Incarnation: w.incarnation, Sequence: w.sequence, Epoch: w.epoch,
+	}
+	for _, task := range w.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, *task)
+	}
+	slices.SortFunc(heartbeat.Tasks, func(a, b wire.TaskStatus) int { return int(a.Attempt) - int(b.Attempt) })
+	return heartbeat
+}
+
+// execute carries commands out and checks the invariants that a start can break.
+func (m *model) execute(worker *modelWorker, commands []wire.Command) {
+	for _, command := range commands {
+		task := worker.tasks[command.Task]
+		switch command.Action {
+		case wire.ActionStart:
+			if task != nil && (task.Attempt == command.Attempt || task.Phase != wire.TaskExited) {
+				continue
+			}
+			m.checkStart(worker, command)
+			worker.tasks[command.Task] = &wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Phase: wire.PhaseRunning}
+		case wire.ActionStop:
+			if task != nil && task.Attempt == command.Attempt && task.Phase != wire.TaskExited {
+				task.Phase, task.ExitReason = wire.TaskExited, wire.ExitStopped
+			}
+		case wire.ActionForget:
+			if task != nil && task.Attempt == command.Attempt && task.Phase == wire.TaskExited {
+				delete(worker.tasks, command.Task)
+			}
+		}
+	}
+}
+
+// checkStart fails the test if a task starts while it runs elsewhere or beyond the quota.
+func (m *model) checkStart(worker *modelWorker, command wire.Command) {
+	used := 1.0
+	for _, other := range m.workers {
+		for name, task := range other.tasks {
+			if other.released || task.Phase == wire.TaskExited {
+				continue
+			}
+			used++
+			if name == command.Task && other != worker {
+				m.t.Fatalf("ran_twice: %s starts on %s while on %s", name, worker.name, other.name)
+			}
+		}
+	}
+	if used > m.limit {
+		m.t.Fatalf("quota: %v of %v", used, m.limit)
+	}
+}
+
+// deliverAnswer delivers the answer to a heartbeat, which renews the worker's lease.
+func (m *model) deliverAnswer(worker *modelWorker, heartbeat wire.Heartbeat, answer wire.CommandBatch) {
+	if worker.released || worker.incarnation != heartbeat.Incarnation || answer.Epoch < worker.epoch {
+		return
+	}
+	worker.epoch, worker.answeredAt = answer.Epoch, m.now
+	m.execute(worker, answer.Commands)
+}
+
+// askLeader has the leader answer a heartbeat, which may be a late one.
+func (m *model) askLeader(heartbeat wire.Heartbeat) (wire.CommandBatch, error) {
+	answer, _, err := runnerOf(m.leader).Heartbeat(context.Background(), &heartbeat)
+	return answer, err
+}
+
+// sendHeartbeats has workers send heartbeats to their owner as far as the network allows: to
+// the leader itself, to the second controller, which asks the leader, or to that one while it
+// is partitioned and answers its own and its zone's workers under the shard map that it knows.
+func (m *model) sendHeartbeats() {
+	routes := []string{"leader", "leader", "forwarded", "forwarded", "partitioned", "delayed", "deposed"}
+	for _, worker := range m.workers {
+		if !worker.released && rapid.IntRange(0, 2).Draw(m.t, "now") > 0 {
+			m.sendHeartbeat(worker, rapid.SampledFrom(routes).Draw(m.t, "route"))
+		}
+	}
+}
+
+// partitionZone partitions the second controller's zone: for some time that controller alone
+// answers there, while the leader hears the rest and goes on with its work. The leader may
+// have noticed that the other is unreachable; once the partition heals it polls the workers.
+func (m *model) partitionZone() {
+	if rapid.Bool().Draw(m.t, "noticed") {
+		m.setOwners([]string{"n"})
+	}
+	defer func() {
+		for _, worker := range m.workers {
+			m.pollWorker(worker)
+		}
+		m.leader.failures.expireLeases(m.now)
+	}()
+	for range rapid.IntRange(2, 8).Draw(m.t, "rounds") {
+		m.advance(rapid.IntRange(4, 7).Draw(m.t, "seconds"))
+		m.place()
+		m.write()
+		for _, worker := range m.workers {
+			switch {
+			case worker.released:
+			case worker.zone == "b":
+				m.sendHeartbeat(worker, "partitioned")
+			default:
+				m.sendHeartbeat(worker, "leader")
+				m.sendHeartbeat(worker, "forwarded")
+			}
+		}
+	}
+}
+
+// sendHeartbeat sends one heartbeat by a route; its answer may be lost.
+func (m *model) sendHeartbeat(worker *modelWorker, route string) {
+	heartbeat := worker.heartbeat()
+	lost := rapid.IntRange(0, 4).Draw(m.t, "answer lost") == 0
+	var answer wire.CommandBatch
+	err := errors.New("nobody")
+	switch route {
+	case "leader":
+		if m.term.shards.Owner(worker.name) == "n" {
+			answer, err = m.askLeader(heartbeat)
+		}
+	case "forwarded":
+		if m.knownShards.Owner(worker.name) == "m" && heartbeat.Epoch <= m.knownShards.Epoch {
+			answer, err = m.askLeader(heartbeat)
+		}
+	case "partitioned":
+		owned := m.knownShards.Owner(worker.name) == "m" ||
+			m.knownShards.ZoneFallback && worker.zone == "b" && slices.Contains(m.knownShards.Owners, "m")
+		if owned && heartbeat.Epoch <= m.knownShards.Epoch {
+			answer, err = wire.CommandBatch{Epoch: m.knownShards.Epoch}, nil
+		}
+	case "deposed":
+		if m.deposedLeader != nil {
+			answer, _, err = runnerOf(m.deposedLeader).Heartbeat(context.Background(), &heartbeat)
+		}
+	case "delayed":
+		worker.lateHeartbeats = append(worker.lateHeartbeats, heartbeat)
+	}
+	if err == nil && !lost {
+		m.deliverAnswer(worker, heartbeat, answer)
+	}
+}
+
+// deliverLateHeartbeat delivers a delayed heartbeat, whose answer the worker drops.
+func (m *model) deliverLateHeartbeat() {
+	worker := m.drawWorker()
+	if len(worker.lateHeartbeats) == 0 || m.term.shards.Owner(worker.name) != "n" {
+		return
+	}
+	heartbeat := worker.lateHeartbeats[0]
+	worker.lateHeartbeats = worker.lateHeartbeats[1:]
+	_, _ = m.askLeader(heartbeat)
+}
+
+// sendCommands sends the commands that are due directly to a worker, or delays them.
+func (m *model) sendCommands() {
+	worker := m.drawWorker()
+	view := m.leader.workers[worker.name]
+	if view == nil || view.Incarnation == 0 || view.CommandInFlight {
+		return
+	}
+	epoch := m.term.Epoch()
+	commands := view.Commands(m.leader.jobs.ClaimsOnWorker(worker.name), epoch, false)
+	if len(commands) == 0 {
+		return
+	}
+	direct := wire.CommandBatch{Epoch: epoch, Incarnation: view.Incarnation, Commands: commands}
+	if rapid.Bool().Draw(m.t, "delayed") {
+		worker.lateCommands = append(worker.lateCommands, direct)
+		view.UnresolvedEpoch = max(view.UnresolvedEpoch, epoch)
+		return
+	}
+	m.deliverCommands(worker, direct)
+}
+
+// deliverCommands delivers direct commands; the heartbeat that answers them may be lost.
+func (m *model) deliverCommands(worker *modelWorker, direct wire.CommandBatch) {
+	if worker.released || direct.Epoch < worker.epoch || direct.Incarnation != worker.incarnation {
+		return
+	}
+	worker.epoch = direct.Epoch
+	m.execute(worker, direct.Commands)
+	if heartbeat := worker.heartbeat(); rapid.Bool().Draw(m.t, "seen") {
+		m.leader.heartbeats.applyHeartbeat(&heartbeat)
+	}
+}
+
+// deliverLateCommands delivers delayed commands.
+func (m *model) deliverLateCommands() {
+	worker := m.drawWorker()
+	if len(worker.lateCommands) > 0 {
+		direct := worker.lateCommands[0]
+		worker.lateCommands = worker.lateCommands[1:]
+		m.deliverCommands(worker, direct)
+	}
+}
+
+// poll polls any worker.
+func (m *model) poll() { m.pollWorker(m.drawWorker()) }
+
+// pollWorker shows a worker the epoch and takes in its heartbeat.
+func (m *model) pollWorker(worker *modelWorker) {
+	if worker.released {
+		return
+	}
+	heartbeat := worker.heartbeat()
+	m.leader.heartbeats.applyHeartbeat(&heartbeat)
+	m.deliverCommands(worker, wire.CommandBatch{Epoch: m.term.Epoch(), Incarnation: worker.incarnation})
+}
+
+// finishTask ends a running task well.
+func (m *model) finishTask() {
+	worker := m.drawWorker()
+	for _, name := range slices.Sorted(maps.Keys(worker.tasks)) {
+		if task := worker.tasks[name]; task.Phase == wire.PhaseRunning && !worker.released {
+			task.Phase, task.ExitReason = wire.TaskExited, wire.ExitDone
+			m.completed[name] = true
+			return
+		}
+	}
+}
