--- a/internal/leader/offer_test.go
+++ b/internal/leader/offer_test.go
@@ -8,7 +8,7 @@
 	"rillflow/internal/placement"
 )
 
-// partitionedOwners are parts of which one owner is out of reach.
+// partitionedOwners are shards of which one owner is unreachable.
 type partitionedOwners struct {
 	idleOwners
 	unreachable string
@@ -27,13 +27,15 @@
 	return picks, nil
 }
 
-// The rooms of an owner that is out of reach do not stand empty until the part map is
-// without it: the leader picks for them.
+// TestPicksWhenOwnerUnreachable: the workers of an unreachable owner do not stand idle until the
+// shard map is without it: the leader picks for them.
 func TestPicksWhenOwnerUnreachable(t *testing.T) {
 	leader := newTestTerm(t)
 	owners := &partitionedOwners{unreachable: "far"}
 	leader.shards = owners
-	picks := leader.scheduler.offers.requestPicks(t.Context(), map[string]*placement.Offer{"far": {Candidates: []placement.Candidate{{Worker: "h0"}, {Worker: "h1"}}}})
+	picks := leader.scheduler.offers.requestPicks(t.Context(), map[string]*placement.Offer{
+		"far": {Candidates: []placement.Candidate{{Worker: "h0"}, {Worker: "h1"}}},
+	})
 	if len(picks) != 2 || len(owners.asked) != 2 || owners.asked[1] != leader.settings.Node {
 		t.Errorf("%d picks, asked %v", len(picks), owners.asked)
 	}
