--- /dev/null
+++ b/internal/ledger/batch_test.go
@@ -0,0 +1,199 @@
+package ledger
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"rillflow/internal/settings"
+	"rillflow/internal/wire"
+)
+
+// A finish is told to the worker as reapable only once durable.
+func TestClaimStaysUntilFinishIsDurable(t *testing.T) {
+	table := New("w", testTeams())
+	job := table.AddJob("req-1", newJobRecord("b", wire.KindArray, 1, 1), 7)
+	claim, _ := table.Claim(job, "h", 1, "x")
+	batch := table.NextBatch(batchLimits(16), now)
+	if r := table.BatchCommitted(batch, 8); len(r.Claims) != 1 || !claim.Committed {
+		t.Fatalf("claims %v", r.Claims)
+	}
+	table.Finish(claim)
+	if table.ClaimsOnWorker("h")[claim.Task()] == nil {
+		t.Fatal("the claim went before its finish was durable")
+	}
+	batch = table.NextBatch(batchLimits(16), now)
+	var keys []string
+	for _, c := range batch.Operations {
+		keys = append(keys, c.Put+c.Delete)
+	}
+	if got := strings.Join(keys, " "); got != "c/req-1/0 j/req-1 d/req-1" {
+		t.Errorf("wrote %s", got)
+	}
+	if r := table.BatchCommitted(batch, 9); len(r.Finished) != 1 || len(r.Ended) != 1 {
+		t.Errorf("result %+v", r)
+	}
+	if table.ClaimsOnWorker("h") != nil || table.Job("req-1") != nil {
+		t.Error("something is left of a job that is done")
+	}
+}
+
+// A claim never reaches the store once its job is withdrawn: the guard on the
+// live key fails, and the claim, never launched, is dropped.
+func TestCancelBeforeCommit(t *testing.T) {
+	table := New("w", testTeams())
+	job := table.AddJob("req-1", newJobRecord("b", wire.KindService, 2, 1), 7)
+	if _, err := table.Claim(job, "h", 1, "x"); err != nil {
+		t.Fatal(err)
+	}
+	batch := table.NextBatch(batchLimits(16), now)
+	guarded := false
+	for _, g := range batch.Compares {
+		guarded = guarded || g.Key == "j/req-1" && g.ModRevision == 7
+	}
+	if !guarded {
+		t.Fatal("a claim is not guarded on its job being live")
+	}
+	table.Cancel("req-1")
+	if len(table.ClaimsOnWorker("h")) != 1 {
+		t.Fatal("the fate of a claim being written is not known yet")
+	}
+	table.BatchFailed(batch)
+	if len(table.ClaimsOnWorker("h")) != 0 || table.Usage("b").CPUs != 0 {
+		t.Error("the claim outlived its failed write")
+	}
+}
+
+// A claim that may have been launched stands after a withdrawal until proof.
+func TestCancelAfterStart(t *testing.T) {
+	table := New("w", testTeams())
+	job := table.AddJob("req-1", newJobRecord("b", wire.KindService, 1, 1), 7)
+	claim, _ := table.Claim(job, "h", 1, "x")
+	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 8)
+	claim.StartSent = true
+	table.Cancel("req-1")
+	if table.Usage("b").CPUs != 1 {
+		t.Fatal("a task that may run no longer counts")
+	}
+	table.Free(claim, now)
+	batch := table.NextBatch(batchLimits(16), now)
+	if batch == nil || len(batch.Operations) != 1 || batch.Operations[0].Delete != "c/req-1/0" {
+		t.Fatalf("batch %+v", batch)
+	}
+	table.BatchCommitted(batch, 9)
+	if table.Job("req-1") != nil {
+		t.Error("the job is not forgotten")
+	}
+}
+
+// A job withdrawn after its last task finished but before that was durable
+// leaves nothing behind.
+func TestCancelWhileFinishing(t *testing.T) {
+	table := New("w", testTeams())
+	job := table.AddJob("req-1", newJobRecord("b", wire.KindArray, 1, 1), 7)
+	claim, _ := table.Claim(job, "h", 1, "x")
+	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 8)
+	table.Finish(claim)
+	batch := table.NextBatch(batchLimits(16), now)
+	table.BatchFailed(batch)
+	table.Cancel("req-1")
+	for range 3 {
+		if batch := table.NextBatch(batchLimits(16), now); batch != nil {
+			table.BatchCommitted(batch, 10)
+		}
+	}
+	if table.Job("req-1") != nil || table.Usage("b").CPUs != 0 {
+		t.Error("something is left")
+	}
+}
+
+func TestBatchLimits(t *testing.T) {
+	table := New("w", []settings.Team{{Name: "a", CPUsMax: 1e6}})
+	job := table.AddJob("req-1", newJobRecord("a", wire.KindArray, 1000, 1), 7)
+	for range 1000 {
+		table.Claim(job, "host-with-a-name", 1, "zone-with-a-name")
+	}
+	seen := 0
+	for batch := table.NextBatch(BatchLimits{MaxOperations: 12, MaxBytes: 8 << 10, MaxValueBytes: 16 << 10}, now); batch != nil; batch = table.NextBatch(BatchLimits{MaxOperations: 12, MaxBytes: 8 << 10, MaxValueBytes: 16 << 10}, now) {
+		if len(batch.Operations) > 12 {
+			t.Fatalf("%d changes in a batch", len(batch.Operations))
+		}
+		for _, c := range batch.Operations {
+			if len(c.Value) > 1<<10 {
+				t.Fatalf("a value of %d bytes", len(c.Value))
+			}
+		}
+		seen += len(table.BatchCommitted(batch, 9).Claims)
+	}
+	if seen != 1000 {
+		t.Errorf("%d claims became durable", seen)
+	}
+}
+
+// Where not all fits a batch, claims go first: their tasks wait for it.
+func TestClaimsWrittenFirst(t *testing.T) {
+	table := New("w", testTeams())
+	old := table.AddJob("req-1", JobRecord{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}, ChunkTasks: 4}, 1)
+	claim, err := table.Claim(old, "h1", 1, "a")
+	if err != nil {
+		t.Fatal(err)
+	}
+	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 2)
+	table.Finish(claim)
+	if table.HasUrgentWrites() {
+		t.Error("a finish alone is urgent")
+	}
+	young := table.AddJob("req-2", JobRecord{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}, ChunkTasks: 4}, 3)
+	if _, err := table.Claim(young, "h1", 1, "a"); err != nil {
+		t.Fatal(err)
+	}
+	if !table.HasUrgentWrites() {
+		t.Error("a claim is not urgent")
+	}
+	if batch := table.NextBatch(batchLimits(1), now); len(batch.JobRefs()) != 1 || batch.JobRefs()[0] != "req-2" {
+		t.Errorf("first %v, want the claim", batch.JobRefs())
+	}
+}
+
+// What others wait for is written first, and alone while the budget is short:
+// the end of a needed job, then claims, then other ends, then plain finishes.
+func TestWriteOrder(t *testing.T) {
+	table := newDependencyTable("1", "2", "3 1")
+	table.AddJob("req-4", JobRecord{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 3, CPUs: 1}, ChunkTasks: 4}, 9)
+	held := map[string]*Claim{}
+	for _, ref := range []string{"req-4", "req-2", "req-1"} {
+		claim, err := table.Claim(table.Job(ref), "h", 1, "x")
+		if err != nil {
+			t.Fatal(err)
+		}
+		held[ref] = claim
+	}
+	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 10)
+	for _, ref := range []string{"req-4", "req-2", "req-1"} {
+		table.Finish(held[ref])
+	}
+	table.AddJob("req-5", newJobRecord("b", wire.KindArray, 1, 1), 12)
+	if _, err := table.Claim(table.Job("req-5"), "h", 1, "x"); err != nil {
+		t.Fatal(err)
+	}
+	idle := batchLimits(3)
+	idle.NonUrgentOnly = true
+	batch := table.NextBatch(idle, now)
+	if got := fmt.Sprint(batch.JobRefs()); got != "[req-4]" {
+		t.Errorf("of what nothing waits for, %s is written", got)
+	}
+	table.BatchFailed(batch)
+	var got []string
+	lim := batchLimits(3)
+	for lim.UrgentOnly = true; table.HasUrgentWrites(); {
+		batch := table.NextBatch(lim, now)
+		got = append(got, batch.JobRefs()...)
+		table.BatchCommitted(batch, 11)
+	}
+	if fmt.Sprint(got) != "[req-1 req-5 req-2]" {
+		t.Errorf("written %v, want the needed job's end, the claim, the other end, and no plain finish", got)
+	}
+	if batch := table.NextBatch(batchLimits(3), now); batch == nil || batch.JobRefs()[0] != "req-4" {
+		t.Error("the finish is not written in the end")
+	}
+}
