--- a/internal/ledger/batch_test.go
+++ b/internal/ledger/batch_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"strings"
 	"testing"
 
@@ -9,14 +10,14 @@
 	"rillflow/internal/wire"
 )
 
-// A finish is told to the worker as reapable only once durable.
+// A worker is told to forget a finished task only once the finish is durable.
 func TestClaimStaysUntilFinishIsDurable(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindArray, 1, 1), 7)
 	claim, _ := table.Claim(job, "h", 1, "x")
 	batch := table.NextBatch(batchLimits(16), now)
-	if r := table.BatchCommitted(batch, 8); len(r.Claims) != 1 || !claim.Committed {
-		t.Fatalf("claims %v", r.Claims)
+	if result := table.BatchCommitted(batch, 8); len(result.Claims) != 1 || !claim.Committed {
+		t.Fatalf("claims %v", result.Claims)
 	}
 	table.Finish(claim)
 	if table.ClaimsOnWorker("h")[claim.Task()] == nil {
@@ -24,22 +25,22 @@
 	}
 	batch = table.NextBatch(batchLimits(16), now)
 	var keys []string
-	for _, c := range batch.Operations {
-		keys = append(keys, c.Put+c.Delete)
+	for _, operation := range batch.Operations {
+		keys = append(keys, operation.Put+operation.Delete)
 	}
 	if got := strings.Join(keys, " "); got != "c/req-1/0 j/req-1 d/req-1" {
 		t.Errorf("wrote %s", got)
 	}
-	if r := table.BatchCommitted(batch, 9); len(r.Finished) != 1 || len(r.Ended) != 1 {
-		t.Errorf("result %+v", r)
+	if result := table.BatchCommitted(batch, 9); len(result.Finished) != 1 || len(result.Ended) != 1 {
+		t.Errorf("result %+v", result)
 	}
 	if table.ClaimsOnWorker("h") != nil || table.Job("req-1") != nil {
 		t.Error("something is left of a job that is done")
 	}
 }
 
-// A claim never reaches the store once its job is withdrawn: the guard on the
-// live key fails, and the claim, never launched, is dropped.
+// A claim never reaches the store once its job is cancelled: the comparison of the live key fails,
+// and the claim, whose task was never started, is freed.
 func TestCancelBeforeCommit(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindService, 2, 1), 7)
@@ -47,12 +48,8 @@
 		t.Fatal(err)
 	}
 	batch := table.NextBatch(batchLimits(16), now)
-	guarded := false
-	for _, g := range batch.Compares {
-		guarded = guarded || g.Key == "j/req-1" && g.ModRevision == 7
-	}
-	if !guarded {
-		t.Fatal("a claim is not guarded on its job being live")
+	if !slices.Contains(batch.Compares, wire.Compare{Key: "j/req-1", ModRevision: 7}) {
+		t.Fatal("the write of a claim does not depend on its job being live")
 	}
 	table.Cancel("req-1")
 	if len(table.ClaimsOnWorker("h")) != 1 {
@@ -64,7 +61,7 @@
 	}
 }
 
-// A claim that may have been launched stands after a withdrawal until proof.
+// A claim whose task may have been started stands after a cancellation until proof.
 func TestCancelAfterStart(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindService, 1, 1), 7)
@@ -86,8 +83,7 @@
 	}
 }
 
-// A job withdrawn after its last task finished but before that was durable
-// leaves nothing behind.
+// A job cancelled after its last task finished but before that was durable leaves nothing behind.
 func TestCancelWhileFinishing(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindArray, 1, 1), 7)
@@ -107,20 +103,22 @@
 	}
 }
 
+// A batch keeps within its limits, and all claims become durable in the end.
 func TestBatchLimits(t *testing.T) {
 	table := New("w", []settings.Team{{Name: "a", CPUsMax: 1e6}})
 	job := table.AddJob("req-1", newJobRecord("a", wire.KindArray, 1000, 1), 7)
 	for range 1000 {
 		table.Claim(job, "host-with-a-name", 1, "zone-with-a-name")
 	}
+	limits := BatchLimits{MaxOperations: 12, MaxBytes: 8 << 10, MaxValueBytes: 16 << 10}
 	seen := 0
-	for batch := table.NextBatch(BatchLimits{MaxOperations: 12, MaxBytes: 8 << 10, MaxValueBytes: 16 << 10}, now); batch != nil; batch = table.NextBatch(BatchLimits{MaxOperations: 12, MaxBytes: 8 << 10, MaxValueBytes: 16 << 10}, now) {
-		if len(batch.Operations) > 12 {
-			t.Fatalf("%d changes in a batch", len(batch.Operations))
+	for batch := table.NextBatch(limits, now); batch != nil; batch = table.NextBatch(limits, now) {
+		if len(batch.Operations) > limits.MaxOperations {
+			t.Fatalf("%d operations in a batch", len(batch.Operations))
 		}
-		for _, c := range batch.Operations {
-			if len(c.Value) > 1<<10 {
-				t.Fatalf("a value of %d bytes", len(c.Value))
+		for _, operation := range batch.Operations {
+			if len(operation.Value) > 1<<10 {
+				t.Fatalf("a value of %d bytes", len(operation.Value))
 			}
 		}
 		seen += len(table.BatchCommitted(batch, 9).Claims)
@@ -133,7 +131,9 @@
 // Where not all fits a batch, claims go first: their tasks wait for it.
 func TestClaimsWrittenFirst(t *testing.T) {
 	table := New("w", testTeams())
-	old := table.AddJob("req-1", JobRecord{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}, ChunkTasks: 4}, 1)
+	record := newJobRecord("b", wire.KindArray, 4, 1)
+	record.ChunkTasks = 4
+	old := table.AddJob("req-1", record, 1)
 	claim, err := table.Claim(old, "h1", 1, "a")
 	if err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 	if table.HasUrgentWrites() {
 		t.Error("a finish alone is urgent")
 	}
-	young := table.AddJob("req-2", JobRecord{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}, ChunkTasks: 4}, 3)
+	young := table.AddJob("req-2", record, 3)
 	if _, err := table.Claim(young, "h1", 1, "a"); err != nil {
 		t.Fatal(err)
 	}
@@ -155,11 +155,13 @@
 	}
 }
 
-// What others wait for is written first, and alone while the budget is short:
-// the end of a needed job, then claims, then other ends, then plain finishes.
+// What others wait for is written first, and alone where only the urgent is asked for: the end of
+// a job that others depend on, then claims, then other ends, then plain finishes.
 func TestWriteOrder(t *testing.T) {
 	table := newDependencyTable("1", "2", "3 1")
-	table.AddJob("req-4", JobRecord{Job: wire.Job{Team: "b", Kind: wire.KindArray, TaskCount: 3, CPUs: 1}, ChunkTasks: 4}, 9)
+	unfinished := newJobRecord("b", wire.KindArray, 3, 1)
+	unfinished.ChunkTasks = 4
+	table.AddJob("req-4", unfinished, 9)
 	held := map[string]*Claim{}
 	for _, ref := range []string{"req-4", "req-2", "req-1"} {
 		claim, err := table.Claim(table.Job(ref), "h", 1, "x")
@@ -184,14 +186,15 @@
 	}
 	table.BatchFailed(batch)
 	var got []string
-	lim := batchLimits(3)
-	for lim.UrgentOnly = true; table.HasUrgentWrites(); {
-		batch := table.NextBatch(lim, now)
+	urgent := batchLimits(3)
+	urgent.UrgentOnly = true
+	for table.HasUrgentWrites() {
+		batch := table.NextBatch(urgent, now)
 		got = append(got, batch.JobRefs()...)
 		table.BatchCommitted(batch, 11)
 	}
 	if fmt.Sprint(got) != "[req-1 req-5 req-2]" {
-		t.Errorf("written %v, want the needed job's end, the claim, the other end, and no plain finish", got)
+		t.Errorf("written %v, want the end that others wait for, the claim, the other end, and no plain finish", got)
 	}
 	if batch := table.NextBatch(batchLimits(3), now); batch == nil || batch.JobRefs()[0] != "req-4" {
 		t.Error("the finish is not written in the end")
--- a/internal/ledger/compat_test.go
+++ b/internal/ledger/compat_test.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/json"
+	"fmt"
 	"os"
 	"path/filepath"
 	"reflect"
@@ -12,8 +13,8 @@
 	"rillflow/internal/wire"
 )
 
-// testdata/production holds what version 0.1 wrote. It must stay readable, and
-// what that version could have written is still written as it was.
+// readGolden reads from testdata/production, which holds what version 0.1 wrote. It must stay
+// readable, and what that version could have written is still written as it was.
 func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", "production", name))
@@ -24,10 +25,13 @@
 }
 
 var goldenJob = wire.Job{
-	ID: "req-000412", Class: "train", Team: "b", Kind: "batch", Priority: "urgent", TaskCount: 70, CPUs: 8, GPUs: 1, MemoryGB: 64,
-	Image: "img-07", ImageGB: 6.2, InstanceTypes: []string{"g8"}, Zone: "a", SingleZone: true, AllowSpot: true, ExpectedSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900,
+	ID: "req-000412", Class: "train", Team: "b", Kind: "batch", Priority: "urgent",
+	TaskCount: 70, CPUs: 8, GPUs: 1, MemoryGB: 64, Image: "img-07", ImageGB: 6.2,
+	InstanceTypes: []string{"g8"}, Zone: "a", SingleZone: true, AllowSpot: true,
+	ExpectedSeconds: 240, CheckpointIntervalSeconds: 30, CheckpointSaveSeconds: 4, DeadlineSeconds: 900,
 }
 
+// What version 0.1 stored is read, and written as it was.
 func TestReadProductionData(t *testing.T) {
 	record, err := DecodeJobRecord(readGolden(t, "record.json"))
 	want := JobRecord{Job: goldenJob, SubmittedMS: 1790000000123, ChunkTasks: 64}
@@ -35,27 +39,14 @@
 		t.Errorf("record %+v, %v", record, err)
 	}
 	if out, _ := Encode(want); !bytes.Equal(out, readGolden(t, "record.json")) {
-		t.Errorf("a job that needs no other is written as %s", out)
+		t.Errorf("a job without dependencies is written as %s", out)
 	}
-	table := New("w", testTeams())
-	job := table.AddJob("req-000412", record, 1)
-	for _, number := range []string{"0", "1"} {
-		if err := table.LoadChunk("c/req-000412/"+number, readGolden(t, "chunk-"+number+".json"), 5, 6); err != nil {
-			t.Fatal(err)
-		}
-	}
-	table.FinishLoading()
-	if !job.DependenciesMet() || job.DoneTasks() != 8 || job.ClaimedTasks() != 58 || job.WaitingTasks() != 4 {
-		t.Errorf("ready %v, %d done, %d active, %d waiting", job.DependenciesMet(), job.DoneTasks(), job.ClaimedTasks(), job.WaitingTasks())
-	}
-	if claim := table.ClaimsOnWorker("i-000235")[Task{"req-000412", 5}]; claim == nil || claim.Incarnation != 3 || claim.Attempt != 6 || claim.Zone != "a" {
-		t.Errorf("claim of task 5: %+v", claim)
-	}
-	c, err := decodeChunk(readGolden(t, "chunk-0.json"), 1)
+	chunk := readGolden(t, "chunk-0.json")
+	state, err := decodeChunk(chunk, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if out, err := c.encode(WriterOf(readGolden(t, "chunk-0.json")), 16<<10); err != nil || !bytes.Equal(out, readGolden(t, "chunk-0.json")) {
+	if out, err := state.encode(WriterOf(chunk), 16<<10); err != nil || !bytes.Equal(out, chunk) {
 		t.Errorf("a chunk is written as %s, %v", out, err)
 	}
 	for name, want := range map[string]EndRecord{
@@ -69,8 +60,35 @@
 	}
 }
 
-// What version 0.1 takes of an ending and of a job's record: its own structures,
-// as far as its ledger goes by them.
+// A new leader takes over what version 0.1 stored.
+func TestLoadProductionData(t *testing.T) {
+	record, err := DecodeJobRecord(readGolden(t, "record.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	table := New("w", testTeams())
+	job := table.AddJob("req-000412", record, 1)
+	for _, number := range []string{"0", "1"} {
+		if err := table.LoadChunk("c/req-000412/"+number, readGolden(t, "chunk-"+number+".json"), 5, 6); err != nil {
+			t.Fatal(err)
+		}
+	}
+	table.FinishLoading()
+	if !job.DependenciesMet() {
+		t.Error("the job waits for others")
+	}
+	done, claimed, waiting := job.DoneTasks(), job.ClaimedTasks(), job.WaitingTasks()
+	if done != 8 || claimed != 58 || waiting != 4 {
+		t.Errorf("%d done, %d claimed, %d waiting", done, claimed, waiting)
+	}
+	want := ClaimRecord{Worker: "i-000235", Incarnation: 3, Attempt: 6, Zone: "a"}
+	if claim := table.ClaimsOnWorker("i-000235")[Task{"req-000412", 5}]; claim == nil || claim.ClaimRecord != want {
+		t.Errorf("claim of task 5: %+v", claim)
+	}
+}
+
+// What version 0.1 reads of an end record and of a job record: its own structures, as far as it
+// goes by them.
 type (
 	recordV01 struct {
 		Job   jobV01 `json:"job"`
@@ -93,6 +111,7 @@
 	}
 )
 
+// What is stored now is read by version 0.1.
 func TestProductionReadsRecords(t *testing.T) {
 	job := jobV01{"b", "batch", 70, 8, 1, 64}
 	record := JobRecord{Job: goldenJob, SubmittedMS: 5, ChunkTasks: 40}
@@ -110,11 +129,11 @@
 	}
 	var end endRecordV01
 	if err := json.Unmarshal(out, &end); err != nil || end != (endRecordV01{wire.PhaseCancelled, 70, job, 40}) {
-		t.Errorf("ending read as %+v, %v", end, err)
+		t.Errorf("end record read as %+v, %v", end, err)
 	}
 }
 
-// An ending fits the least value however large the submission was.
+// An end record fits the least value however large the submission was.
 func TestEndRecordIsSmall(t *testing.T) {
 	record := JobRecord{Job: goldenJob, ChunkTasks: 64}
 	record.Job.Class, record.Job.Image = strings.Repeat("x", 200), strings.Repeat("y", 200)
@@ -127,15 +146,15 @@
 	}
 }
 
-// Chunks laid out under the limits of today stay writable under the announced
-// ones, with all their tasks claimed; new ones fit them in the plain form.
+// Chunks laid out under the limits of today stay writable under the announced ones, with all their
+// tasks claimed; new ones fit them in the plain form.
 func TestLowerLimits(t *testing.T) {
 	const least = 2 << 10
 	for _, tc := range []struct {
-		name  string
-		tasks int
-		host  string
-		plain bool
+		name       string
+		tasks      int
+		nameFormat string // of workers
+		plain      bool
 	}{
 		{"laid out by version 0.1", ChunkTasks(16, 16), "i-%06d", false},
 		{"the same with long names", ChunkTasks(16, 16), "machine-of-the-annex-%06d", false},
@@ -147,20 +166,21 @@
 			table := New("host-1.12", testTeams())
 			job := table.AddJob("req-1", record, 1)
 			for i := range tc.tasks {
-				if _, err := table.Claim(job, workerName(tc.host, i), 1, "daejeon-annex"); err != nil {
+				if _, err := table.Claim(job, fmt.Sprintf(tc.nameFormat, i), 1, "daejeon-annex"); err != nil {
 					t.Fatal(err)
 				}
 			}
-			batch := table.NextBatch(BatchLimits{MaxOperations: 4, MaxBytes: 40 << 10, MaxValueBytes: 16 << 10}, now)
-			if big := len(batch.Operations[0].Value) > least; big == tc.plain {
-				t.Fatalf("a chunk of %d tasks takes %d bytes: the case shows nothing", tc.tasks, len(batch.Operations[0].Value))
+			limits := batchLimits(4)
+			batch := table.NextBatch(limits, now)
+			if size := len(batch.Operations[0].Value); (size > least) == tc.plain {
+				t.Fatalf("a chunk of %d tasks takes %d bytes: the case shows nothing", tc.tasks, size)
 			}
 			table.BatchCommitted(batch, 2)
-			held := table.ClaimsOfJob(job)
-			for _, claim := range held[:3] {
+			for _, claim := range table.ClaimsOfJob(job)[:3] {
 				table.Finish(claim)
 			}
-			batch = table.NextBatch(BatchLimits{MaxOperations: 4, MaxBytes: 40 << 10, MaxValueBytes: least}, now)
+			limits.MaxValueBytes = least
+			batch = table.NextBatch(limits, now)
 			if batch == nil || len(batch.Operations) != 1 || len(batch.Operations[0].Value) > least {
 				t.Fatalf("after the fall: %+v", batch)
 			}
@@ -170,20 +190,27 @@
 			if writer := WriterOf(batch.Operations[0].Value); writer != batch.Writer {
 				t.Errorf("written by %q", writer)
 			}
-			n := New("n", testTeams())
-			readBack := n.AddJob("req-1", record, 1)
-			if err := n.LoadChunk(batch.Operations[0].Put, batch.Operations[0].Value, 3, 1); err != nil {
-				t.Fatal(err)
-			}
-			n.FinishLoading()
-			if readBack.DoneTasks() != 3 || readBack.ClaimedTasks() != tc.tasks-3 {
-				t.Errorf("read back: %d done, %d active", readBack.DoneTasks(), readBack.ClaimedTasks())
-			}
-			for _, claim := range table.ClaimsOfJob(job) {
-				if got := n.ClaimsOnWorker(claim.Worker)[claim.Task()]; got == nil || got.ClaimRecord != claim.ClaimRecord {
-					t.Errorf("claim of %s read back as %+v", claim.Task(), got)
-				}
-			}
+			checkReadsBack(t, table, job, batch.Operations[0])
 		})
 	}
 }
+
+// checkReadsBack checks that a new leader reads a job's only chunk as the old one knows it.
+func checkReadsBack(t *testing.T, table *Table, job *Job, put wire.Operation) {
+	t.Helper()
+	successor := New("n", testTeams())
+	loaded := successor.AddJob(job.Ref, job.Record(), 1)
+	if err := successor.LoadChunk(put.Put, put.Value, 3, 1); err != nil {
+		t.Fatal(err)
+	}
+	successor.FinishLoading()
+	if loaded.DoneTasks() != 3 || loaded.ClaimedTasks() != job.chunkTasks-3 {
+		t.Errorf("read back: %d done, %d claimed", loaded.DoneTasks(), loaded.ClaimedTasks())
+	}
+	for _, claim := range table.ClaimsOfJob(job) {
+		got := successor.ClaimsOnWorker(claim.Worker)[claim.Task()]
+		if got == nil || got.ClaimRecord != claim.ClaimRecord {
+			t.Errorf("claim of %s read back as %+v", claim.Task(), got)
+		}
+	}
+}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -14,7 +14,7 @@
 // What is stored of jobs and claims stays as it is written today, key and value.
 // testdata/production has what version 0.1 wrote; here are the fields added since.
 func TestGoldenStored(t *testing.T) {
-	rec := goldentest.Filled[JobRecord]()
+	record := goldentest.Filled[JobRecord]()
 	least := JobRecord{Job: wire.Job{ID: "req-1"}, ChunkTasks: 8}
 	at := time.UnixMilli(1_764_600_000_123)
 	stored := ChunkRecord{
@@ -36,17 +36,17 @@
 	}
 	var out strings.Builder
 	line := func(key, value string) { fmt.Fprintf(&out, "%s\t%s\n", key, value) }
-	line(LiveKey("req-1"), goldentest.JSON(t, rec))
+	line(LiveKey("req-1"), goldentest.JSON(t, record))
 	line(LiveKey("req-1"), goldentest.JSON(t, least))
 	line(ChunkKey("req-1", 3), string(chunk))
 	line(EndedKey("req-1"), goldentest.JSON(t, goldentest.Filled[EndRecord]()))
 	line(EndedKey("req-1"), goldentest.JSON(t, EndRecord{Phase: wire.PhaseDone, Tasks: 4}))
-	line(EndedKey("req-1"), goldentest.JSON(t, NewCancelledEndRecord(&rec, at)))
+	line(EndedKey("req-1"), goldentest.JSON(t, NewCancelledEndRecord(&record, at)))
 	line(EndedKey("req-1"), goldentest.JSON(t, NewLostEndRecord("req-1", at)))
 	goldentest.Check(t, "stored.txt", out.String())
 }
 
-// A packed chunk as written today stays readable. Its bytes are the compressor's affair.
+// A packed chunk as written today stays readable. Its bytes are up to the compressor.
 func TestGoldenPackedChunk(t *testing.T) {
 	want := ChunkRecord{LastAttempt: 400, Done: map[int]bool{70: true}, Claims: make(map[int]ClaimRecord), AuditBlock: 5}
 	for i := range 64 {
--- a/internal/ledger/origin.go
+++ b/internal/ledger/origin.go
@@ -21,8 +21,8 @@
 	Seal        []byte `json:"seal,omitempty"`
 }
 
-// ErrInvalidSeal: the seal of a job record is missing or not of its content. Audit entries
-// store this text, and that of Verify's other errors: it must not change.
+// ErrInvalidSeal reports that the seal of a job record is missing or not of its content. Audit
+// entries store this text, and that of Verify's other errors: it must not change.
 var ErrInvalidSeal = errors.New("ledger: the record's seal does not hold")
 
 // Sign seals a record together with its origin.
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -7,68 +7,81 @@
 	"rillflow/internal/wire"
 )
 
-// A claim of a history that was lost counts, and goes only for a later try or by proof; a
-// task that a machine has is taken in once; tries go on where none was given out.
+// A claim read after a loss of data counts, and goes only for a later attempt or by proof; a task
+// that a worker has is adopted once; attempts go on where none was given out.
 func TestAdoptOrphan(t *testing.T) {
-	const base = 1 << 20
-	claim := func(worker string, attempt uint64) ClaimRecord {
+	const minAttempt = 1 << 20
+	on := func(worker string, attempt uint64) ClaimRecord {
 		return ClaimRecord{Worker: worker, Incarnation: 1, Attempt: attempt, Zone: "a"}
 	}
+	confirm := func(_ *Table, job *Job) { job.claims[0].Unconfirmed = false }
+	cancel := func(table *Table, _ *Job) { table.Cancel("r") }
 	for _, tc := range []struct {
-		name  string
-		index int
-		c     ClaimRecord
-		prep  func(table *Table, job *Job)
-		taken bool
-		used  float64 // CPUs after
+		name    string
+		task    int
+		record  ClaimRecord
+		prepare func(table *Table, job *Job)
+		adopted bool
+		used    float64 // CPUs after
 	}{
-		{"not known to be there", 3, claim("b", 7), nil, true, 2},
-		{"a later try than is remembered", 0, claim("b", 7), nil, true, 1},
-		{"an earlier one", 0, claim("b", 1), nil, false, 1},
-		{"the same try elsewhere", 0, claim("b", 2), nil, false, 1},
-		{"a later try of what was seen on its machine", 0, claim("b", 7), func(table *Table, job *Job) { job.claims[0].Unconfirmed = false }, false, 1},
-		{"of a task that is done", 1, claim("b", 7), nil, false, 1},
-		{"of a job that is withdrawn", 3, claim("b", 7), func(table *Table, job *Job) { table.Cancel("r") }, false, 1},
-		{"no task of the job", 6, claim("b", 7), nil, false, 1},
+		{"not known to be there", 3, on("b", 7), nil, true, 2},
+		{"a later attempt than is stored", 0, on("b", 7), nil, true, 1},
+		{"an earlier one", 0, on("b", 1), nil, false, 1},
+		{"the same attempt elsewhere", 0, on("b", 2), nil, false, 1},
+		{"a later attempt of what was seen on its worker", 0, on("b", 7), confirm, false, 1},
+		{"of a task that is done", 1, on("b", 7), nil, false, 1},
+		{"of a job that is cancelled", 3, on("b", 7), cancel, false, 1},
+		{"no task of the job", 6, on("b", 7), nil, false, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			table := New("w", []settings.Team{{Name: "t", CPUsMax: 10}})
-			job := table.AddJob("r", JobRecord{Job: wire.Job{ID: "r", Team: "t", Kind: wire.KindArray, TaskCount: 6, CPUs: 1}, ChunkTasks: 4}, 3)
-			data, err := ChunkRecord{LastAttempt: 2, Done: map[int]bool{1: true}, Claims: map[int]ClaimRecord{0: claim("a", 2)}}.Encode("w", 1<<10)
-			if err != nil {
-				t.Fatal(err)
+			table, job := newLoadedTable(t, ChunkRecord{
+				LastAttempt: 2, Done: map[int]bool{1: true}, Claims: map[int]ClaimRecord{0: on("a", 2)},
+			})
+			table.MarkClaimsUnconfirmed(minAttempt)
+			if tc.prepare != nil {
+				tc.prepare(table, job)
 			}
-			if err := table.LoadChunk(ChunkKey("r", 0), data, 4, 8); err != nil {
-				t.Fatal(err)
+			if got := table.AdoptOrphan(job, tc.task, tc.record, 8); (got != nil) != tc.adopted {
+				t.Fatalf("adopted: %v", got)
 			}
-			table.FinishLoading()
-			table.MarkClaimsUnconfirmed(base)
-			if tc.prep != nil {
-				tc.prep(table, job)
+			if used := table.Usage("t").CPUs; used != tc.used {
+				t.Errorf("the team uses %v, want %v", used, tc.used)
 			}
-			if got := table.AdoptOrphan(job, tc.index, tc.c, 8); (got != nil) != tc.taken {
-				t.Fatalf("taken: %v", got)
-			}
-			if u := table.Usage("t").CPUs; u != tc.used {
-				t.Errorf("the team uses %v, want %v", u, tc.used)
-			}
-			if tc.taken {
-				if table.AdoptOrphan(job, tc.index, tc.c, 8) != nil {
-					t.Error("taken in twice")
+			if tc.adopted {
+				if table.AdoptOrphan(job, tc.task, tc.record, 8) != nil {
+					t.Error("adopted twice")
 				}
 				if n := job.WaitingTasks() + job.ClaimedTasks() + job.DoneTasks(); n != 6 {
 					t.Errorf("%d tasks in all", n)
 				}
 			}
 			for job.WaitingTasks() > 0 {
-				h, err := table.Claim(job, "n", 1, "a")
+				claim, err := table.Claim(job, "n", 1, "a")
 				if err != nil {
 					t.Fatal(err)
 				}
-				if h.Attempt <= base || h.Index == tc.index && tc.taken {
-					t.Errorf("task %d is claimed as try %d", h.Index, h.Attempt)
+				if claim.Attempt <= minAttempt || claim.Index == tc.task && tc.adopted {
+					t.Errorf("task %d is claimed as attempt %d", claim.Index, claim.Attempt)
 				}
 			}
 		})
 	}
 }
+
+// newLoadedTable loads a job of six tasks with its first chunk.
+func newLoadedTable(t *testing.T, chunk ChunkRecord) (*Table, *Job) {
+	t.Helper()
+	table := New("w", []settings.Team{{Name: "t", CPUsMax: 10}})
+	record := newJobRecord("t", wire.KindArray, 6, 1)
+	record.ChunkTasks = 4
+	job := table.AddJob("r", record, 3)
+	data, err := chunk.Encode("w", 1<<10)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := table.LoadChunk(ChunkKey("r", 0), data, 4, 8); err != nil {
+		t.Fatal(err)
+	}
+	table.FinishLoading()
+	return table, job
+}
--- a/internal/ledger/table_test.go
+++ b/internal/ledger/table_test.go
@@ -27,32 +27,38 @@
 }
 
 func TestCheckClaim(t *testing.T) {
+	array := func(tasks int) JobRecord { return newJobRecord("b", wire.KindArray, tasks, 1) }
+	service := func(tasks int) JobRecord { return newJobRecord("b", wire.KindService, tasks, 1) }
+	large := newJobRecord("a", wire.KindArray, 9, 4)
+	inZoneY := func(job *wire.Job) { job.Zone = "y" }
+	spread := func(job *wire.Job) { job.SpreadZones = true }
+	singleZone := func(job *wire.Job) { job.SingleZone = true }
 	for _, tc := range []struct {
-		name  string
-		rec   JobRecord
-		tweak func(*wire.Job)
-		zones []string // claims made before
-		zone  string
-		want  error
+		name   string
+		record JobRecord
+		tweak  func(*wire.Job)
+		zones  []string // of claims made before
+		zone   string
+		want   error
 	}{
-		{"plain", newJobRecord("b", wire.KindArray, 4, 1), nil, nil, "x", nil},
-		{"limit reached by one's own claims", newJobRecord("a", wire.KindArray, 9, 4), nil, []string{"x", "x", "y", "y"}, "x", ErrQuotaExceeded},
-		{"just within the limit", newJobRecord("a", wire.KindArray, 9, 4), nil, []string{"x", "x", "y"}, "x", nil},
-		{"none left", newJobRecord("b", wire.KindArray, 1, 1), nil, []string{"x"}, "x", ErrNoWaitingTask},
+		{"plain", array(4), nil, nil, "x", nil},
+		{"limit reached by one's own claims", large, nil, []string{"x", "x", "y", "y"}, "x", ErrQuotaExceeded},
+		{"just within the limit", large, nil, []string{"x", "x", "y"}, "x", nil},
+		{"none left", array(1), nil, []string{"x"}, "x", ErrNoWaitingTask},
 		{"unknown team", newJobRecord("c", wire.KindArray, 1, 1), nil, nil, "x", ErrQuotaExceeded},
-		{"locale", newJobRecord("b", wire.KindArray, 1, 1), func(job *wire.Job) { job.Zone = "y" }, nil, "x", ErrZoneNotAllowed},
-		{"scatter: 5 of 9", newJobRecord("b", wire.KindService, 9, 1), func(job *wire.Job) { job.SpreadZones = true }, []string{"x", "x", "x", "x"}, "x", nil},
-		{"scatter: not 6 of 9", newJobRecord("b", wire.KindService, 9, 1), func(job *wire.Job) { job.SpreadZones = true }, []string{"x", "x", "x", "x", "x"}, "x", ErrZoneNotAllowed},
-		{"scatter: 1 of 1", newJobRecord("b", wire.KindService, 1, 1), func(job *wire.Job) { job.SpreadZones = true }, nil, "x", nil},
-		{"same place", newJobRecord("b", wire.KindArray, 3, 1), func(job *wire.Job) { job.SingleZone = true }, []string{"y"}, "x", ErrZoneNotAllowed},
-		{"same place kept", newJobRecord("b", wire.KindArray, 3, 1), func(job *wire.Job) { job.SingleZone = true }, []string{"x"}, "x", nil},
+		{"zone", array(1), inZoneY, nil, "x", ErrZoneNotAllowed},
+		{"spread: 5 of 9", service(9), spread, []string{"x", "x", "x", "x"}, "x", nil},
+		{"spread: not 6 of 9", service(9), spread, []string{"x", "x", "x", "x", "x"}, "x", ErrZoneNotAllowed},
+		{"spread: 1 of 1", service(1), spread, nil, "x", nil},
+		{"single zone", array(3), singleZone, []string{"y"}, "x", ErrZoneNotAllowed},
+		{"single zone kept", array(3), singleZone, []string{"x"}, "x", nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			table := New("w", testTeams())
 			if tc.tweak != nil {
-				tc.tweak(&tc.rec.Job)
+				tc.tweak(&tc.record.Job)
 			}
-			job := table.AddJob("req-1", tc.rec, 1)
+			job := table.AddJob("req-1", tc.record, 1)
 			for i, zone := range tc.zones {
 				if _, err := table.Claim(job, fmt.Sprint("h", i), 1, zone); err != nil {
 					t.Fatal(err)
@@ -65,8 +71,7 @@
 	}
 }
 
-// A claim whose task's fate is unknown counts in the quota and the spread
-// until it is freed.
+// A claim counts in the quota and the spread until it is freed, whatever is known of its task.
 func TestClaimCountsUntilFreed(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("a", wire.KindArray, 9, 16), 1)
@@ -79,35 +84,36 @@
 	}
 	table.Free(claim, now)
 	table.Free(claim, now) // a second proof changes nothing
-	if u := table.Usage("a"); u.CPUs != 0 {
-		t.Errorf("usage %v after freeing", u)
+	if usage := table.Usage("a"); usage.CPUs != 0 {
+		t.Errorf("usage %v after freeing", usage)
 	}
 	again, err := table.Claim(job, "g", 1, "x")
 	if err != nil || again.Index != claim.Index || again.Attempt <= claim.Attempt {
-		t.Errorf("claimed again as %+v, %v: the try must rise", again, err)
+		t.Errorf("claimed again as %+v, %v: the attempt must rise", again, err)
 	}
 }
 
-// A task that is over is gone from its machine: before its finish is durable its
-// team may claim another in its place, and once it is, nothing is freed twice.
+// A finished task is gone from its worker: before that is durable its team may claim another in
+// its place, and once it is, nothing is given back twice.
 func TestFinishedTaskUsesNothing(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("a", wire.KindArray, 3, 16), 1)
 	claim, _ := table.Claim(job, "h", 1, "x")
 	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 2)
 	table.Finish(claim)
-	if u := table.Usage("a"); u.CPUs != 0 {
-		t.Fatalf("%v CPUs", u.CPUs)
+	if usage := table.Usage("a"); usage.CPUs != 0 {
+		t.Fatalf("%v CPUs", usage.CPUs)
 	}
 	if _, err := table.Claim(job, "g", 1, "x"); err != nil {
 		t.Fatal(err)
 	}
 	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 3)
-	if u := table.Usage("a"); u.CPUs != 16 {
-		t.Errorf("%v CPUs, want one task's", u.CPUs)
+	if usage := table.Usage("a"); usage.CPUs != 16 {
+		t.Errorf("%v CPUs, want one task's", usage.CPUs)
 	}
 }
 
+// The tasks of a gang have one attempt number, which rises with each start of the gang.
 func TestGangSharesAttempt(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindGang, 20, 1), 7)
@@ -123,24 +129,26 @@
 		}
 		for _, claim := range table.ClaimsOfJob(job) {
 			if table.CanClaimGang(job) {
-				t.Fatal("a gang may start while members of its last start are left")
+				t.Fatal("a gang may start while claims of its last start are left")
 			}
 			table.Free(claim, now)
 		}
 	}
 }
 
-// What a host's claims take, and how many are not durable, is kept as they come
-// and go; counted afresh it is the same.
+// What a worker's claims take, and how many of a chunk are not durable, is kept as they come and
+// go; counted afresh it is the same.
 func TestCountersEqualRecount(t *testing.T) {
 	table := New("w", []settings.Team{{Name: "t", CPUs: 1e6, CPUsMax: 1e6}})
 	rnd := rand.New(rand.NewPCG(3, 4))
 	var held []*Claim
-	for i := range 2000 {
+	for step := range 2000 {
 		ref := fmt.Sprintf("req-%d", rnd.IntN(12))
 		job := table.Job(ref)
 		if job == nil {
-			job = table.AddJob(ref, JobRecord{Job: wire.Job{Team: "t", Kind: wire.KindArray, TaskCount: 40, CPUs: 0.1 + float64(rnd.IntN(9)), MemoryGB: 1.3}, ChunkTasks: 8}, uint64(i+1))
+			record := newJobRecord("t", wire.KindArray, 40, 0.1+float64(rnd.IntN(9)))
+			record.Job.MemoryGB = 1.3
+			job = table.AddJob(ref, record, uint64(step+1))
 		}
 		switch action := rnd.IntN(10); {
 		case action < 5:
@@ -154,7 +162,7 @@
 		case action < 9:
 			if batch := table.NextBatch(batchLimits(16), now); batch != nil {
 				if rnd.IntN(4) > 0 {
-					table.BatchCommitted(batch, uint64(10000+i))
+					table.BatchCommitted(batch, uint64(10000+step))
 				} else {
 					table.BatchFailed(batch)
 				}
@@ -164,31 +172,43 @@
 				table.Cancel(ref)
 			}
 		}
-		for _, job := range table.Jobs() {
-			for n, c := range job.chunks {
-				fresh := 0
-				for i := n * job.chunkTasks; i < (n+1)*job.chunkTasks; i++ {
-					if claim := job.claims[i]; claim != nil && !claim.Committed {
-						fresh++
-					}
-				}
-				if fresh != c.uncommitted {
-					t.Fatalf("step %d, %s/%d: %d claims not durable, counted %d", i, job.Ref, n, c.uncommitted, fresh)
+		recountUncommitted(t, table, step)
+		recountResources(t, table, step)
+	}
+}
+
+func recountUncommitted(t *testing.T, table *Table, step int) {
+	t.Helper()
+	for _, job := range table.Jobs() {
+		for index, chunk := range job.chunks {
+			want := 0
+			for task := index * job.chunkTasks; task < (index+1)*job.chunkTasks; task++ {
+				if claim := job.claims[task]; claim != nil && !claim.Committed {
+					want++
 				}
 			}
-		}
-		for n := range 5 {
-			worker := fmt.Sprintf("h%d", n)
-			var want Resources
-			for _, claim := range table.ClaimsOnWorker(worker) {
-				if !claim.Finished {
-					want.add(&claim.Job.Spec, 1)
-				}
+			if chunk.uncommitted != want {
+				t.Fatalf("step %d, %s/%d: %d claims not durable, counted %d", step, job.Ref, index, chunk.uncommitted, want)
 			}
-			got := table.UsedOnWorker(worker)
-			if math.Abs(got.CPUs-want.CPUs) > 1e-9 || math.Abs(got.MemoryGB-want.MemoryGB) > 1e-9 || got.GPUs != want.GPUs {
-				t.Fatalf("step %d, %s: %+v, counted %+v", i, worker, got, want)
+		}
+	}
+}
+
+func recountResources(t *testing.T, table *Table, step int) {
+	t.Helper()
+	const tolerance = 1e-9
+	for i := range 5 {
+		worker := fmt.Sprintf("h%d", i)
+		var want Resources
+		for _, claim := range table.ClaimsOnWorker(worker) {
+			if !claim.Finished {
+				want.add(&claim.Job.Spec, 1)
 			}
 		}
+		got := table.UsedOnWorker(worker)
+		offCPUs, offMemory := math.Abs(got.CPUs-want.CPUs), math.Abs(got.MemoryGB-want.MemoryGB)
+		if offCPUs > tolerance || offMemory > tolerance || got.GPUs != want.GPUs {
+			t.Fatalf("step %d, %s: %+v, counted %+v", step, worker, got, want)
+		}
 	}
 }
--- a/internal/ledger/takeover_test.go
+++ b/internal/ledger/takeover_test.go
@@ -4,6 +4,7 @@
 	"encoding/json"
 	"fmt"
 	"math/rand/v2"
+	"strings"
 	"testing"
 
 	"rillflow/internal/settings"
@@ -23,29 +24,50 @@
 	}
 }
 
-// TestTakeover runs a job through random claims, ends, finishes and failed
-// writes, and has a new leader read what is stored after each write: it must
-// find each durable claim, every durable finish and no task twice.
+// write applies all that the table has to write, and returns the revision of the last batch.
+func (s fakeStore) write(t *testing.T, table *Table, operations int, revision uint64) uint64 {
+	t.Helper()
+	limits := batchLimits(operations)
+	for batch := table.NextBatch(limits, now); batch != nil; batch = table.NextBatch(limits, now) {
+		revision++
+		for _, operation := range batch.Operations {
+			if len(operation.Value) > limits.MaxValueBytes/4 {
+				t.Fatalf("a value of %d bytes", len(operation.Value))
+			}
+		}
+		s.apply(batch)
+		table.BatchCommitted(batch, revision)
+	}
+	return revision
+}
+
+// loadChunks loads the stored chunks as a new leader would.
+func (s fakeStore) loadChunks(t *testing.T, table *Table) {
+	t.Helper()
+	for key, data := range s {
+		if strings.HasPrefix(key, EndedPrefix) {
+			continue
+		}
+		if err := table.LoadChunk(key, data, 9, 1); err != nil {
+			t.Fatal(err)
+		}
+	}
+	table.FinishLoading()
+}
+
+// TestTakeover runs a job through random claims, ends, finishes and failed writes, and has a new
+// leader read what is stored after each write: it must find each durable claim, every durable
+// finish and no task twice.
 func TestTakeover(t *testing.T) {
+	const tasks = 30
 	for seed := range uint64(40) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
-		s := fakeStore{}
+		store := fakeStore{}
 		table := New("w", testTeams())
-		record := newJobRecord("b", wire.KindArray, 30, 1)
+		record := newJobRecord("b", wire.KindArray, tasks, 1)
 		job := table.AddJob("req-1", record, 1)
-		durable := map[int]ClaimRecord{}
 		for step := uint64(2); table.Job("req-1") != nil && step < 3000; step++ {
-			switch held := table.ClaimsOfJob(job); {
-			case rnd.IntN(2) == 0 && job.WaitingTasks() > 0:
-				table.Claim(job, fmt.Sprint("h", rnd.IntN(4)), 1, "x")
-			case len(held) > 0:
-				if claim := held[rnd.IntN(len(held))]; !claim.Committed || claim.Finished {
-				} else if rnd.IntN(2) == 0 {
-					table.Finish(claim)
-				} else {
-					table.Free(claim, now)
-				}
-			}
+			claimOrEndTask(table, job, rnd)
 			batch := table.NextBatch(batchLimits(4), now)
 			if batch == nil {
 				continue
@@ -54,156 +76,150 @@
 				table.BatchFailed(batch)
 				continue
 			}
-			s.apply(batch)
+			store.apply(batch)
 			table.BatchCommitted(batch, step)
-			clear(durable)
-			for _, claim := range table.ClaimsOfJob(job) {
-				if claim.Committed && !claim.Finished {
-					durable[claim.Index] = claim.ClaimRecord
-				}
-			}
-			if s["d/req-1"] != nil {
+			if store["d/req-1"] != nil {
 				continue
 			}
-			n := New("n", testTeams())
-			k := n.AddJob("req-1", record, 1)
-			for key, data := range s {
-				if err := n.LoadChunk(key, data, 5, 1); err != nil {
-					t.Fatal(err)
+			successor := New("n", testTeams())
+			loaded := successor.AddJob("req-1", record, 1)
+			store.loadChunks(t, successor)
+			for _, claim := range table.ClaimsOfJob(job) {
+				if !claim.Committed || claim.Finished {
+					continue
 				}
-			}
-			n.FinishLoading()
-			for i, c := range durable {
-				if got := n.ClaimsOnWorker(c.Worker)[Task{"req-1", i}]; got == nil || got.ClaimRecord != c {
-					t.Fatalf("seed %d: durable claim of task %d on %s is not found", seed, i, c.Worker)
+				got := successor.ClaimsOnWorker(claim.Worker)[claim.Task()]
+				if got == nil || got.ClaimRecord != claim.ClaimRecord {
+					t.Fatalf("seed %d: durable claim of task %d on %s is not found", seed, claim.Index, claim.Worker)
 				}
 			}
-			if n := k.WaitingTasks() + k.ClaimedTasks() + k.DoneTasks(); n != 30 {
+			if n := loaded.WaitingTasks() + loaded.ClaimedTasks() + loaded.DoneTasks(); n != tasks {
 				t.Fatalf("seed %d: %d tasks accounted for", seed, n)
 			}
 		}
-		if table.Job("req-1") != nil || len(s) != 1 {
-			t.Fatalf("seed %d: the job did not end: %v", seed, s)
+		if table.Job("req-1") != nil || len(store) != 1 {
+			t.Fatalf("seed %d: the job did not end: %v", seed, store)
 		}
 	}
 }
 
-// The largest job the protocol allows runs to its end in small values and
-// batches, and a leader that takes over midway goes on from there.
+// claimOrEndTask claims a task, or has a claimed one finish or fail.
+func claimOrEndTask(table *Table, job *Job, rnd *rand.Rand) {
+	held := table.ClaimsOfJob(job)
+	if rnd.IntN(2) == 0 && job.WaitingTasks() > 0 {
+		table.Claim(job, fmt.Sprint("h", rnd.IntN(4)), 1, "x")
+		return
+	}
+	if len(held) == 0 {
+		return
+	}
+	claim := held[rnd.IntN(len(held))]
+	if !claim.Committed || claim.Finished {
+		return
+	}
+	if rnd.IntN(2) == 0 {
+		table.Finish(claim)
+	} else {
+		table.Free(claim, now)
+	}
+}
+
+// The largest job the protocol allows runs to its end in small values and batches, and a leader
+// that takes over midway goes on from there.
 func TestLargestJob(t *testing.T) {
-	const n = 100_000
-	teams := []settings.Team{{Name: "a", CPUsMax: 500}}
-	record := JobRecord{Job: wire.Job{Team: "a", Kind: wire.KindArray, TaskCount: n, CPUs: 1}, ChunkTasks: ChunkTasks(16, 16)}
-	s := fakeStore{}
+	const (
+		tasks          = 100_000
+		running        = 500 // at a time, by quota
+		takeoverRound  = 100
+		operationLimit = 16
+	)
+	teams := []settings.Team{{Name: "a", CPUsMax: running}}
+	record := newJobRecord("a", wire.KindArray, tasks, 1)
+	record.ChunkTasks = ChunkTasks(16, 16)
+	store := fakeStore{}
 	table := New("w", teams)
 	job := table.AddJob("req-1", record, 1)
 	revision := uint64(1)
-	flush := func() {
-		for batch := table.NextBatch(batchLimits(16), now); batch != nil; batch = table.NextBatch(batchLimits(16), now) {
-			revision++
-			for _, c := range batch.Operations {
-				if len(c.Value) > 16<<10/4 {
-					t.Fatalf("a value of %d bytes", len(c.Value))
-				}
-			}
-			s.apply(batch)
-			table.BatchCommitted(batch, revision)
-		}
-	}
 	for round := 0; table.Job("req-1") != nil; round++ {
-		for i := 0; ; i++ {
+		for i := 0; table.CheckClaim(job, "zone") == nil; i++ {
 			if _, err := table.Claim(job, fmt.Sprintf("i-%06d", i%50), 1, "zone"); err != nil {
-				break
+				t.Fatal(err)
 			}
 		}
-		flush()
-		if round == 100 {
+		revision = store.write(t, table, operationLimit, revision)
+		if round == takeoverRound {
 			table = New("x", teams)
 			job = table.AddJob("req-1", record, 1)
-			for key, data := range s {
-				if err := table.LoadChunk(key, data, revision, 1); err != nil {
-					t.Fatal(err)
-				}
-			}
-			table.FinishLoading()
-			if job.DoneTasks() != 100*500 || job.ClaimedTasks() != 500 || job.WaitingTasks() != n-101*500 {
-				t.Fatalf("took over %d done, %d active, %d waiting", job.DoneTasks(), job.ClaimedTasks(), job.WaitingTasks())
+			store.loadChunks(t, table)
+			done, claimed, waiting := job.DoneTasks(), job.ClaimedTasks(), job.WaitingTasks()
+			if done != round*running || claimed != running || waiting != tasks-(round+1)*running {
+				t.Fatalf("took over %d done, %d claimed, %d waiting", done, claimed, waiting)
 			}
 		}
 		for _, claim := range table.ClaimsOfJob(job) {
 			table.Finish(claim)
 		}
-		flush()
-		if round > n/500 {
+		revision = store.write(t, table, operationLimit, revision)
+		if round > tasks/running {
 			t.Fatal("the job does not end")
 		}
 	}
-	if len(s) != 1 {
-		t.Errorf("%d keys are left of a job that is done", len(s))
+	if len(store) != 1 {
+		t.Errorf("%d keys are left of a job that is done", len(store))
 	}
 }
 
-// A leader may end between the transaction in which a job is done and those
-// that remove its other chunks. The next one finds claims in them, of tasks that
-// are done: it drops them with the chunk. Endings of version 0.1 do not tell the
-// size of the chunks.
+// A leader may end between the transaction in which a job is done and those that delete its other
+// chunks. The next one finds claims in them, of tasks that are done: it drops them with the chunk.
+// End records of version 0.1 do not tell the size of the chunks.
 func TestDoneJobWithStoredChunks(t *testing.T) {
-	for _, ops := range []int{4, 6} {
-		for _, ending := range []string{"", `{"phase":"done","tasks":70}`} {
-			table := New("w", testTeams())
-			record := newJobRecord("b", wire.KindArray, 70, 1)
-			record.ChunkTasks = 16
-			store := fakeStore{}
-			job := table.AddJob("req-1", record, 1)
-			revision := uint64(1)
-			write := func() *Batch {
-				batch := table.NextBatch(batchLimits(ops), now)
-				if batch != nil {
-					revision++
-					store.apply(batch)
-					table.BatchCommitted(batch, revision)
-				}
-				return batch
-			}
-			for i := range 70 {
-				if _, err := table.Claim(job, workerName("h%d", i%5), 1, "x"); err != nil {
-					t.Fatal(err)
-				}
-			}
-			for write() != nil {
-			}
-			for _, claim := range table.ClaimsOfJob(job) {
-				table.Finish(claim)
-			}
-			write() // done, and no more
-			if store["d/req-1"] == nil || len(store) < 2 {
-				t.Fatalf("with %d changes nothing is left to find", ops)
-			}
-			if ending == "" {
-				ending = string(store["d/req-1"])
+	for _, operations := range []int{4, 6} {
+		for _, endV01 := range []string{"", `{"phase":"done","tasks":70}`} {
+			store := endWithChunksLeft(t, operations)
+			end := endV01
+			if end == "" {
+				end = string(store["d/req-1"])
 			}
 			successor := New("n", testTeams())
-			if err := successor.AddEndedJob("req-1", []byte(ending)); err != nil {
+			if err := successor.AddEndedJob("req-1", []byte(end)); err != nil {
 				t.Fatal(err)
 			}
-			for key, data := range store {
-				if key != "d/req-1" {
-					if err := successor.LoadChunk(key, data, 9, 1); err != nil {
-						t.Fatal(err)
-					}
-				}
-			}
-			successor.FinishLoading()
+			store.loadChunks(t, successor)
 			if workers := successor.ClaimedWorkers(); len(workers) != 0 {
 				t.Errorf("claims on %v", workers)
 			}
-			for batch := successor.NextBatch(batchLimits(ops), now); batch != nil; batch = successor.NextBatch(batchLimits(ops), now) {
-				store.apply(batch)
-				successor.BatchCommitted(batch, 10)
-			}
+			store.write(t, successor, operations, 9)
 			if len(store) != 1 || len(successor.Jobs()) != 0 {
 				t.Errorf("%d keys are left", len(store))
 			}
 		}
 	}
 }
+
+// endWithChunksLeft is what is stored when a leader ends right after the transaction that ends a
+// job of several chunks.
+func endWithChunksLeft(t *testing.T, operations int) fakeStore {
+	t.Helper()
+	const tasks = 70
+	table := New("w", testTeams())
+	record := newJobRecord("b", wire.KindArray, tasks, 1)
+	record.ChunkTasks = 16
+	job := table.AddJob("req-1", record, 1)
+	for i := range tasks {
+		if _, err := table.Claim(job, fmt.Sprintf("h%d", i%5), 1, "x"); err != nil {
+			t.Fatal(err)
+		}
+	}
+	store := fakeStore{}
+	revision := store.write(t, table, operations, 1)
+	for _, claim := range table.ClaimsOfJob(job) {
+		table.Finish(claim)
+	}
+	batch := table.NextBatch(batchLimits(operations), now) // done, and no more
+	store.apply(batch)
+	table.BatchCommitted(batch, revision+1)
+	if store["d/req-1"] == nil || len(store) < 2 {
+		t.Fatalf("with %d operations nothing is left to find", operations)
+	}
+	return store
+}
