--- a/internal/sim/services_test.go
+++ b/internal/sim/services_test.go
@@ -482,7 +482,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if h, ok := c.hosts[n]; ok && !c.w.ended() {
-		h.Phase = wire.PhaseRunning
+		h.Phase = wire.InstanceRunning
 		c.hosts[n] = h
 		c.w.start(h)
 	}
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -77,7 +77,7 @@
 	if t.timer != nil {
 		t.timer.Stop()
 	}
-	if t.Phase == wire.PhaseRunning {
+	if t.Phase == wire.TaskRunning {
 		k.w.off(t.TaskStatus.Task, k.h.Name)
 	}
 	t.Phase, t.ExitReason = wire.TaskExited, cause
@@ -281,7 +281,7 @@
 		k.w.broke("mute: %s starts on %s, which has reached no controller for %v", id, k.h.Name, long)
 		k.w.mu.Unlock()
 	}
-	t.Phase = wire.PhaseRunning
+	t.Phase = wire.TaskRunning
 	k.nudge()
 	if j.Kind == wire.KindArray {
 		if k.w.isDone(id) { // the result was kept
@@ -302,7 +302,7 @@
 		return
 	}
 	k.expire()
-	if t.Phase == wire.PhaseRunning && k.tasks[t.TaskStatus.Task] == t {
+	if t.Phase == wire.TaskRunning && k.tasks[t.TaskStatus.Task] == t {
 		k.finish(t, wire.ExitDone)
 		k.w.complete(id)
 		k.nudge()
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -44,7 +44,7 @@
 		"job phases: " + strings.Join([]string{PhaseQueued, PhaseRunning, PhaseDone, PhaseCancelled}, " "),
 		"shapes: " + strings.Join([]string{KindArray, KindService, KindGang}, " "),
 		"ranks: " + strings.Join(Priorities(), " "),
-		"task phases: " + strings.Join([]string{TaskFetching, PhaseRunning, TaskSaving, TaskExited}, " "),
+		"task phases: " + strings.Join([]string{TaskFetching, TaskRunning, TaskSaving, TaskExited}, " "),
 		"causes: " + strings.Join([]string{
 			ExitDone, ExitStopped, ExitFailed, ExitNoCapacity, ExitDuplicate, ExitUnknownTask,
 		}, " "),
--- /dev/null
+++ b/internal/wire/job.go
@@ -0,0 +1,61 @@
+package wire
+
+// Job is a submission that was checked. It is stored in this form too.
+type Job struct {
+	ID       string `json:"ref"`
+	Class    string `json:"jobclass"`
+	Team     string `json:"owner"` // whose quota applies
+	Kind     string `json:"shape"`
+	Priority string `json:"rank"`
+
+	TaskCount int     `json:"members"`
+	CPUs      float64 `json:"cores"` // of each task, as GPUs and MemoryGB
+	GPUs      float64 `json:"accelerators"`
+	MemoryGB  float64 `json:"ram_gb"`
+	Image     string  `json:"bundle"`
+	ImageGB   float64 `json:"size_gb"`
+
+	InstanceTypes []string `json:"flavors,omitempty"` // allowed; none: any
+	Zone          string   `json:"locale,omitempty"`  // the only one allowed; "": any
+	SingleZone    bool     `json:"same_place,omitempty"`
+	SpreadZones   bool     `json:"scatter,omitempty"`
+	AllowSpot     bool     `json:"loaners,omitempty"`
+
+	ExpectedSeconds           float64 `json:"expect_s"` // run time of a task, by its owner's estimate
+	CheckpointIntervalSeconds float64 `json:"snapshot_s,omitempty"`
+	CheckpointSaveSeconds     float64 `json:"flush_s,omitempty"`
+	DeadlineSeconds           float64 `json:"due_s,omitempty"` // since the submission; 0: none
+
+	DependsOn []string `json:"waits_on,omitempty"` // jobs that must be done before
+}
+
+// Kinds of a job.
+const (
+	KindArray   = "batch"    // independent tasks, each runs to completion
+	KindService = "standing" // replicas that run until the job is cancelled
+	KindGang    = "ensemble" // all of its tasks start together
+)
+
+// Priorities returns the priorities of jobs, the highest first.
+func Priorities() []string { return []string{"production", "urgent", "standard", "idle"} }
+
+// JobStatus is the answer to a submission, a poll or a cancellation.
+type JobStatus struct {
+	ID      string `json:"ref"`
+	Phase   string `json:"phase"`
+	Done    *int   `json:"done,omitempty"`
+	Running *int   `json:"running,omitempty"`
+}
+
+// Phases of a job.
+const (
+	PhaseQueued    = "queued"
+	PhaseRunning   = "running"
+	PhaseDone      = "done"
+	PhaseCancelled = "withdrawn"
+)
+
+// ErrorResponse is the body of a refusal.
+type ErrorResponse struct {
+	Error string `json:"error"`
+}
--- /dev/null
+++ b/internal/wire/store.go
@@ -0,0 +1,67 @@
+package wire
+
+import "encoding/json"
+
+// KeyValue is a key of the store with its value.
+type KeyValue struct {
+	Key         string          `json:"path"`
+	Value       json.RawMessage `json:"data"`
+	ModRevision uint64          `json:"stamp"`  // of the key's last change
+	LeaseID     uint64          `json:"ticket"` // 0: none
+}
+
+// RangeResponse is a listing of keys with a prefix, ordered by key.
+type RangeResponse struct {
+	Items    []KeyValue `json:"items"`
+	More     bool       `json:"more"`
+	Revision uint64     `json:"generation"`
+}
+
+// StoreRevision returns the store's revision at the time of the answer.
+func (response *RangeResponse) StoreRevision() uint64 { return response.Revision }
+
+// Compare is a condition of a transaction: the key's last change must be of this
+// revision. 0 means that the key must not exist.
+type Compare struct {
+	Key         string `json:"path"`
+	ModRevision uint64 `json:"stamp"`
+}
+
+// Operation is a put or a delete: in a transaction, and as an event of a watch.
+type Operation struct {
+	Put         string          `json:"put,omitempty"`
+	Delete      string          `json:"remove,omitempty"`
+	Value       json.RawMessage `json:"data,omitempty"`
+	LeaseID     uint64          `json:"ticket,omitempty"`
+	ModRevision uint64          `json:"stamp,omitempty"` // in an event only
+}
+
+// Txn is a transaction: compare and swap, all or nothing.
+type Txn struct {
+	Compares   []Compare   `json:"guards"`
+	Operations []Operation `json:"apply"`
+}
+
+// TxnResponse is the answer to a transaction.
+type TxnResponse struct {
+	Revision   uint64   `json:"generation"`
+	FailedKeys []string `json:"failed"` // whose compares failed; none: it was committed
+}
+
+// StoreRevision returns the store's revision at the time of the answer.
+func (response *TxnResponse) StoreRevision() uint64 { return response.Revision }
+
+// Lease is a lease of the store: a request with its time to live, an answer with its ID.
+type Lease struct {
+	TTLMillis int64  `json:"life_ms,omitempty"`
+	ID        uint64 `json:"ticket,omitempty"`
+}
+
+// WatchResponse holds the changes since the revision that a watch asked for.
+type WatchResponse struct {
+	Revision uint64      `json:"generation"`
+	Events   []Operation `json:"log"`
+}
+
+// StoreRevision returns the store's revision at the time of the answer.
+func (response *WatchResponse) StoreRevision() uint64 { return response.Revision }
