--- a/internal/leader/commander.go
+++ b/internal/leader/commander.go
@@ -122,7 +122,7 @@
 		}
 		worker := c.registry.worker(instance.Name)
 		overdue := worker.LastHeartbeat.IsZero() && now.Sub(c.startedAt) > c.settings.Report()/2 ||
-			!worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) > 3*c.settings.Report()/2
+			!worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) > c.heartbeatLateAfter()
 		if overdue && !worker.Polling && len(pollable) < maxPolls {
 			worker.Polling = true
 			worker.Address, worker.InstanceType, worker.Spot = instance.Address, instance.InstanceType, instance.Spot
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -37,7 +37,7 @@
 // monitorLoop looks after what only time brings: leases that expire, workers that do
 // not turn to this leader, commands to be given again.
 func (m *failureMonitor) monitorLoop(ctx context.Context) error {
-	ticker := time.NewTicker(m.settings.Report() / 6)
+	ticker := time.NewTicker(m.monitorInterval())
 	defer ticker.Stop()
 	for {
 		select {
@@ -108,7 +108,7 @@
 // may have been replaced it releases only instances on which a cancelled task would outlive
 // its time: that ends tasks, and can start none.
 func (m *failureMonitor) releaseFaultyLoop(ctx context.Context) error {
-	for sleep(ctx, m.settings.Report()/6) {
+	for sleep(ctx, m.monitorInterval()) {
 		m.mu.Lock()
 		now := m.now()
 		leaseHeld := m.leadership.LeaseHeld(now)
@@ -188,7 +188,7 @@
 	wasUp := !worker.LastHeartbeat.IsZero() || !worker.ListedRunningAt.IsZero()
 	reclaimed := !worker.ReclaimAt.IsZero() && now.After(worker.ReclaimAt)
 	return wasUp && m.silentFor(worker, now) > silenceLimit ||
-		reclaimed && m.silentFor(worker, now) > 3*m.settings.Report()/2
+		reclaimed && m.silentFor(worker, now) > m.heartbeatLateAfter()
 }
 
 // neverUp tells whether an instance has taken several times as long to boot as its type does.
--- a/internal/leader/jobwatcher.go
+++ b/internal/leader/jobwatcher.go
@@ -28,7 +28,7 @@
 			return err // a new term reads everything afresh
 		}
 		if err != nil {
-			kvstore.Backoff(ctx, attempt, w.settings.Report()/32, w.settings.Report()/4)
+			w.backOffRead(ctx, attempt)
 			attempt++
 			continue
 		}
--- a/internal/leader/scope.go
+++ b/internal/leader/scope.go
@@ -102,18 +102,3 @@
 	s.auditLog.enqueueTask(now, audit.Lost, claim, reason, "")
 	s.jobs.Free(claim, now)
 }
-
-// clockDriftDivisor bounds how fast clocks run apart: by one part in so many.
-const clockDriftDivisor = 500
-
-// leaseOverAfter is after which time without an answer a lease is over by any clock.
-func (s *termScope) leaseOverAfter() time.Duration {
-	return s.settings.Lease() + s.settings.Lease()/clockDriftDivisor + s.settings.Report()/3
-}
-
-// leaseRenewed tells whether a worker's heartbeat was answered lately. Nothing else renews its
-// lease: a worker that answers direct commands but reaches no controller loses whatever it is
-// given. Callers hold mu.
-func (s *termScope) leaseRenewed(worker *agent.Worker, now time.Time) bool {
-	return !worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) < 5*s.settings.Report()/2
-}
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -73,7 +73,7 @@
 // could have had one.
 func (k *shardKeeper) watchShardOwners(ctx context.Context) error {
 	refusedAt := k.startedAt
-	for sleep(ctx, k.settings.Report()/6) {
+	for sleep(ctx, k.monitorInterval()) {
 		now := k.now()
 		known := k.elector.ShardMap()
 		if known.Epoch > k.leadership.Epoch() && known.Leader != k.settings.Node {
@@ -83,13 +83,13 @@
 			refusedAt = now
 		}
 		if since, ok := k.leadership.SteppedDown(); ok {
-			if now.Sub(since) > k.settings.Lease()/4 && now.Sub(refusedAt) > k.settings.Lease()/4 {
+			if now.Sub(since) > k.successorPatience() && now.Sub(refusedAt) > k.successorPatience() {
 				return errNoSuccessor
 			}
 			continue
 		}
 		if peer, alone := k.shards.StoreServesPeerOnly(); alone {
-			k.elector.StepDown(k.settings.Lease()/4, "the store serves "+peer+" but not this controller")
+			k.elector.StepDown(k.successorPatience(), "the store serves "+peer+" but not this controller")
 			continue
 		}
 		// A raise without an answer may have been carried out late: shard owners then know
