--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -231,6 +231,63 @@
 	}
 }
 
+// logged calls f with each message that a Go file logs at the level info or above.
+func logged(t *testing.T, path string, f func(message string)) {
+	t.Helper()
+	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ast.Inspect(file, func(n ast.Node) bool {
+		call, ok := n.(*ast.CallExpr)
+		if !ok || len(call.Args) == 0 {
+			return true
+		}
+		method, ok := call.Fun.(*ast.SelectorExpr)
+		literal, text := call.Args[0].(*ast.BasicLit)
+		if !ok || !text || literal.Kind != token.STRING {
+			return true
+		}
+		switch method.Sel.Name {
+		case "Info", "Warn", "Error":
+			message, err := strconv.Unquote(literal.Value)
+			if err != nil {
+				t.Fatal(err)
+			}
+			f(message)
+		}
+		return true
+	})
+}
+
+// Every log message from the level info on is in docs/operations.md.
+func TestLogMessages(t *testing.T) {
+	text, err := os.ReadFile(filepath.Join(root, "docs", "operations.md"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	section, _, _ := strings.Cut(string(text), "\n### Messages until")
+	files, err := filepath.Glob(filepath.Join(root, "internal/*/*.go"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	messages := 0
+	for _, path := range files {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		logged(t, path, func(message string) {
+			messages++
+			if !strings.Contains(section, "| `"+message+"` |") {
+				t.Errorf("%s logs %q, which docs/operations.md does not list", path, message)
+			}
+		})
+	}
+	if messages < 20 {
+		t.Errorf("%d messages found: the check shows nothing", messages)
+	}
+}
+
 // The check itself finds what is wrong.
 func TestFaultsAreFound(t *testing.T) {
 	c := readCode(t)
