--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -68,7 +68,7 @@
 		}
 		preemptedInZone[target.worker.Zone]++
 		victim.Stopping = true
-		reason := fmt.Sprintf("rank %s gives way to %s",
+		reason := fmt.Sprintf(stopPreempted,
 			priorityName(p.dependencies.effectivePriority(victim.Job)), priorityName(p.dependencies.effectivePriority(job)))
 		p.auditLog.enqueueTask(now, audit.Stopped, victim, reason, job.Ref)
 		target.worker.WakeSender()
@@ -107,10 +107,10 @@
 	return bestTarget, bestClaim
 }
 
-// givesWay reports whether a claim's task may be stopped for a job of a priority and tier: its
-// claim is durable, it is not ending anyway, and it stands behind by priority and by tier.
+// givesWay reports whether a claim's task may be stopped for a job of a priority and tier: it can
+// be stopped at all, and it stands behind by priority and by tier.
 func (p *preemptor) givesWay(claim *ledger.Claim, priority, tier int) bool {
-	return !claim.Finished && !claim.Stopping && claim.Committed && !claim.Job.Cancelled && !claim.Job.IsGang() &&
+	return stoppable(claim) &&
 		p.dependencies.effectivePriority(claim.Job) > priority && p.ranking.tier(claim.Job) > tier
 }
 
--- a/internal/leader/reasons.go
+++ b/internal/leader/reasons.go
@@ -8,6 +8,7 @@
 	stopGangEnded = "a member of the gang ended"
 	stopReclaimed = "the cloud takes the machine" // by a termination notice
 	stopDrained   = "its machine is drained"
+	stopPreempted = "rank %s gives way to %s" // the priorities of the stopped and of the preempting job
 )
 
 // Why a claim was freed: what proves that its task is gone.
