--- a/internal/recovery/merge_test.go
+++ b/internal/recovery/merge_test.go
@@ -129,6 +129,12 @@
 			inReplica("j/r", record, "c/r/0", chunk(1, nil, claims{0: claimOn("a", 1)})),
 			inStore("j/r", record, "c/r/0", damaged),
 		}, true, "", "0#1@a", 0, "c/r/0", "", ""},
+		{"a damaged chunk, known nowhere", []Source{
+			inStore("j/r", record, "c/r/0", damaged),
+		}, true, "", "", 0, "", "c/r/0", ""},
+		{"a damaged chunk of a job that is done", []Source{
+			inStore("d/r", done, "c/r/0", damaged),
+		}, false, "done", "", 0, "", "", ""},
 		{"claims without a job", []Source{
 			inStore("c/r/0", chunk(1, nil, claims{0: claimOn("a", 1)})),
 		}, false, "", "", 0, "-c/r/0", "", "r"},
