--- a/internal/cancellation/broadcast.go
+++ b/internal/cancellation/broadcast.go
@@ -91,15 +91,15 @@
 	return fmt.Errorf("%w: current leader %s has not accepted it", ErrNotAcknowledged, leader)
 }
 
-// answers sums up what the peers answered to one cancellation.
-type answers struct {
+// peerAnswers sums up what the peers answered to one cancellation.
+type peerAnswers struct {
 	mu                 sync.Mutex // guards all below while answers arrive
 	allAccepted        bool
 	launchesUnresolved bool            // a leader knows, but has launches under way
 	acceptedAsLeader   map[string]bool // by peer
 }
 
-func (a *answers) add(peer string, ack Ack) {
+func (a *peerAnswers) add(peer string, ack Ack) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.allAccepted = a.allAccepted && ack.Accepted
@@ -109,8 +109,8 @@
 
 // sendToAll sends a cancellation to all peers at once and waits for their answers. A peer
 // that cannot be reached counts as one that has not accepted.
-func (b *Broadcaster) sendToAll(ctx context.Context, jobID string) *answers {
-	result := &answers{allAccepted: true, acceptedAsLeader: make(map[string]bool)}
+func (b *Broadcaster) sendToAll(ctx context.Context, jobID string) *peerAnswers {
+	result := &peerAnswers{allAccepted: true, acceptedAsLeader: make(map[string]bool)}
 	var wg sync.WaitGroup
 	for _, peer := range b.Cancellations.options.Peers {
 		wg.Go(func() {
--- a/internal/cancellation/set_test.go
+++ b/internal/cancellation/set_test.go
@@ -137,7 +137,7 @@
 	type peers = fakeLink
 	for _, tc := range []struct {
 		name   string
-		self   bool // this node leads
+		self   bool // this controller leads
 		peers  peers
 		leader string // as the store has it; "": it refuses
 		ok     bool
--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,4 +1,4 @@
-// Package failuredetector decides what the silence of workers is put down to. A worker
+// Package failuredetector decides what the silence of workers is attributed to. A worker
 // that is silent alone has most likely failed. When most of a zone, most of what one
 // controller answers, or everything is silent at once, the network is cut instead, and
 // the tasks there run on.
@@ -19,7 +19,7 @@
 	SilentFor  time.Duration // since anything came from it, or could have come
 }
 
-// Fault is what a worker's silence is put down to.
+// Fault is what a worker's silence is attributed to.
 type Fault int
 
 // Faults, from the narrowest to the widest.
--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -28,7 +28,7 @@
 	return out
 }
 
-// The silence of workers is put down to the widest group that is silent.
+// The silence of workers is attributed to the widest group that is silent.
 func TestFaultOf(t *testing.T) {
 	inZone := func(_ int, worker Observation) bool { return worker.Zone == "b" }
 	for _, tc := range []struct {
@@ -98,7 +98,7 @@
 	}
 	detector.Observe(back, now.Add(testRecoveryGrace+time.Second))
 	if f, _ := detector.FaultOf(last); f != FaultWorker {
-		t.Errorf("still put down to the %v", f)
+		t.Errorf("still attributed to the %v", f)
 	}
 }
 
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -8,19 +8,19 @@
 const pageBytes = 192 << 10
 
 // Push is what the leader sends a follower: the changes since what it has, or a page of a
-// whole replica.
+// full replica.
 type Push struct {
 	Head
-	Whole bool // a page of a whole replica
+	Full  bool // a page of a full replica
 	First bool // the first page
 	Last  bool // the last page
-	// From is the sequence number that the changes follow. With a page of a whole replica
+	// From is the sequence number that the changes follow. With a page of a full replica
 	// it is the replica's own.
 	From    uint64
 	Entries []Entry
 }
 
-// Ack is a follower's answer: what it has now. The leader sends a whole replica if that
+// Ack is a follower's answer: what it has now. The leader sends a full replica if that
 // comes from another leader, or is behind the changes that the leader still keeps.
 type Ack struct{ Head }
 
@@ -65,7 +65,7 @@
 	for range d.Items() {
 		entry := Entry{Key: d.Str()}
 		if d.Bool() {
-			entry.Data = append([]byte{}, d.Bytes()...) // a copy: the frame is reused
+			entry.Data = append([]byte{}, d.Bytes()...) // a copy, so that the frame is not retained
 		}
 		entries = append(entries, entry)
 	}
@@ -76,7 +76,7 @@
 func (p *Push) Encode() []byte {
 	var e codec.Encoder
 	p.Head.encode(&e)
-	e.Bool(p.Whole)
+	e.Bool(p.Full)
 	e.Bool(p.First)
 	e.Bool(p.Last)
 	e.Uint(p.From)
@@ -88,7 +88,7 @@
 func DecodePush(body []byte) (push Push, err error) {
 	d := codec.Decoder{B: body}
 	push = Push{
-		Head: decodeHead(&d), Whole: d.Bool(), First: d.Bool(), Last: d.Bool(),
+		Head: decodeHead(&d), Full: d.Bool(), First: d.Bool(), Last: d.Bool(),
 		From: d.Uint(), Entries: decodeEntries(&d),
 	}
 	return push, d.Done()
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -8,7 +8,7 @@
 	"rillflow/internal/ledger"
 )
 
-// incomingTree is a whole replica of which not all pages have arrived.
+// incomingTree is a full replica of which not all pages have arrived.
 type incomingTree struct {
 	head Head
 	txn  *iradix.Txn[[]byte]
@@ -20,7 +20,7 @@
 	defer r.mu.Unlock()
 	switch {
 	case push.Epoch < r.head.Epoch || r.leading && push.Epoch <= r.head.Epoch:
-	case push.Whole:
+	case push.Full:
 		r.receivePageLocked(push)
 	case push.Epoch == r.head.Epoch && push.Incarnation == r.head.Incarnation && push.From == r.head.Seq:
 		r.receiveChangesLocked(push)
@@ -28,7 +28,7 @@
 	return Ack{r.head}
 }
 
-// receivePageLocked takes in a page of a whole replica, which takes effect with its last
+// receivePageLocked takes in a page of a full replica, which takes effect with its last
 // page. The caller holds r.mu.
 func (r *Replica) receivePageLocked(push *Push) {
 	if push.First {
@@ -67,7 +67,7 @@
 	r.pruneOwnWritesLocked()
 }
 
-// retainEndsLocked adds the ended jobs that are known here to a whole replica of the same
+// retainEndsLocked adds the ended jobs that are known here to a full replica of the same
 // incarnation: its leader may have started with fewer. The caller holds r.mu.
 func (r *Replica) retainEndsLocked(txn *iradix.Txn[[]byte]) {
 	r.tree.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool {
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -80,7 +80,7 @@
 	droppedEnds int // ended jobs for which there was no room
 	recent      []sequencedEntry
 	leading     bool          // this controller feeds the replica
-	incoming    *incomingTree // a whole replica of which not all pages have arrived
+	incoming    *incomingTree // a full replica of which not all pages have arrived
 	lastPush    time.Time     // by the leader, taken into this replica
 
 	previous            *Tree  // of an earlier incarnation, until the present one is complete
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -59,11 +59,11 @@
 
 // pushOnce sends a follower what it lacks, as Replicate does at a tick with news.
 func pushOnce(leader *Replica, peer *lossyPeer, acknowledged *Head) {
-	push, whole := leader.nextPush(*acknowledged)
+	push, full := leader.nextPush(*acknowledged)
 	var ack Ack
 	var err error
-	if whole {
-		ack, err = leader.pushWhole(context.Background(), peer, "f")
+	if full {
+		ack, err = leader.pushFull(context.Background(), peer, "f")
 	} else {
 		ack, err = peer.Push(context.Background(), "f", &push)
 	}
@@ -198,7 +198,7 @@
 }
 
 // A large replica is sent in pages, and arrives whole.
-func TestWholeReplicaInPages(t *testing.T) {
+func TestFullReplicaInPages(t *testing.T) {
 	leader, follower := New(1<<30), New(1<<30)
 	big := string(make([]byte, 40<<10))
 	leader.StartLeading("h", 1, 1, New(0).tree)
@@ -218,8 +218,8 @@
 // No payload, however malformed, does more than fail.
 func FuzzMessages(f *testing.F) {
 	push := Push{
-		Head:  Head{Incarnation: "h", Epoch: 1, Seq: 2},
-		Whole: true, First: true, Entries: []Entry{{"j/a", []byte("1")}, {Key: "j/b"}},
+		Head: Head{Incarnation: "h", Epoch: 1, Seq: 2},
+		Full: true, First: true, Entries: []Entry{{"j/a", []byte("1")}, {Key: "j/b"}},
 	}
 	f.Add(push.Encode())
 	request := PageRequest{After: "j/", Source: 1}
--- a/internal/replica/replicate.go
+++ b/internal/replica/replicate.go
@@ -44,7 +44,7 @@
 
 // replicateOnce sends a follower what it lacks.
 func (r *Replica) replicateOnce(ctx context.Context, peers Peers, f *follower) {
-	push, needsWhole := r.nextPush(f.acknowledged)
+	push, needsFull := r.nextPush(f.acknowledged)
 	if f.acknowledged.Epoch > push.Epoch {
 		// It follows a later leader. Should that one's term be over, the next answer says so.
 		f.acknowledged = Head{}
@@ -53,8 +53,8 @@
 	var ack Ack
 	var err error
 	switch {
-	case needsWhole:
-		ack, err = r.pushWhole(ctx, peers, f.controller)
+	case needsFull:
+		ack, err = r.pushFull(ctx, peers, f.controller)
 	case f.skipsTick(&push):
 		return
 	default:
@@ -78,9 +78,9 @@
 	return false
 }
 
-// nextPush returns the changes that a follower lacks. needsWhole means that they are no
-// longer kept, or do not lead there, so that it needs a whole replica.
-func (r *Replica) nextPush(acknowledged Head) (push Push, needsWhole bool) {
+// nextPush returns the changes that a follower lacks. needsFull means that they are no
+// longer kept, or do not lead there, so that it needs a full replica.
+func (r *Replica) nextPush(acknowledged Head) (push Push, needsFull bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	push = Push{Head: r.head, From: acknowledged.Seq}
@@ -103,10 +103,10 @@
 	return push, false
 }
 
-// pushWhole sends a whole replica, page by page.
-func (r *Replica) pushWhole(ctx context.Context, peers Peers, controller string) (Ack, error) {
+// pushFull sends a full replica, page by page.
+func (r *Replica) pushFull(ctx context.Context, peers Peers, controller string) (Ack, error) {
 	tree, head := r.Tree()
-	push := Push{Head: head, Whole: true, First: true, From: head.Seq}
+	push := Push{Head: head, Full: true, First: true, From: head.Seq}
 	for after := ""; ; push.First = false {
 		push.Entries, after = readPage(tree, after)
 		push.Last = after == ""
