--- /dev/null
+++ b/internal/kvstore/backoff.go
@@ -0,0 +1,24 @@
+package kvstore
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+)
+
+// maxDoublings bounds how often Backoff doubles its base, so that it can't overflow.
+const maxDoublings = 16
+
+// Backoff sleeps with full jitter: for a random part of the base, doubled per attempt, up to the
+// limit. It returns false if ctx ends first.
+func Backoff(ctx context.Context, attempt int, base, limit time.Duration) bool {
+	delay := min(base<<min(attempt, maxDoublings), limit)
+	timer := time.NewTimer(time.Duration(rand.Int64N(int64(delay) + 1)))
+	defer timer.Stop()
+	select {
+	case <-ctx.Done():
+		return false
+	case <-timer.C:
+		return true
+	}
+}
--- /dev/null
+++ b/internal/kvstore/requests.go
@@ -0,0 +1,146 @@
+package kvstore
+
+import (
+	"context"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"rillflow/internal/wire"
+)
+
+// listPageSize is how many keys List asks for at once.
+const listPageSize = 1000
+
+// Get reads a key. The error is ErrNotFound if there is none.
+func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
+	var item wire.KeyValue
+	err := c.do(ctx, call{operation: "get", key: key, method: http.MethodGet, path: "/store/" + key, answer: &item})
+	return item, err
+}
+
+// GetByListing reads a key as Get does, by a listing that begins with it. Unlike Get's, this
+// answer tells the store's revision also if the key is there, so a rollback shows.
+func (c *Client) GetByListing(ctx context.Context, key string) (wire.KeyValue, error) {
+	item, err := c.First(ctx, key)
+	if err == nil && item.Key != key {
+		err = &RequestError{Operation: "get", Key: key, Outcome: ErrNotFound}
+	}
+	return item, err
+}
+
+// First reads the first key under a prefix. The error is ErrNotFound if there is none.
+func (c *Client) First(ctx context.Context, prefix string) (wire.KeyValue, error) {
+	items, _, err := c.Page(ctx, prefix, "", 1)
+	if err != nil {
+		return wire.KeyValue{}, err
+	}
+	if len(items) == 0 {
+		return wire.KeyValue{}, &RequestError{Operation: "get first under", Key: prefix, Outcome: ErrNotFound}
+	}
+	return items[0], nil
+}
+
+// List reads all keys under a prefix, in pages, and returns the revision of the first. The items
+// may hold later changes already: events after that revision are to be applied by mod revision.
+func (c *Client) List(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
+	after := ""
+	for first := true; ; first = false {
+		page, err := c.listPage(ctx, prefix, after, listPageSize, c.timeout)
+		if err != nil {
+			return nil, 0, err
+		}
+		if first {
+			revision = page.Revision
+		}
+		items = append(items, page.Items...)
+		if !page.More || len(page.Items) == 0 {
+			return items, revision, nil
+		}
+		after = page.Items[len(page.Items)-1].Key
+	}
+}
+
+// Page reads up to so many of the keys under a prefix that follow a key, and returns the key after
+// which the next page begins; "" if there is none.
+func (c *Client) Page(
+	ctx context.Context, prefix, after string, limit int,
+) (items []wire.KeyValue, next string, err error) {
+	page, err := c.listPage(ctx, prefix, after, limit, 0)
+	if err != nil {
+		return nil, "", err
+	}
+	if n := len(page.Items); page.More && n > 0 {
+		next = page.Items[n-1].Key
+	}
+	return page.Items, next, nil
+}
+
+// listPage asks for one page of a listing, which may take so much longer than the usual timeout.
+func (c *Client) listPage(
+	ctx context.Context, prefix, after string, limit int, extraTime time.Duration,
+) (page wire.RangeResponse, err error) {
+	query := url.Values{"under": {prefix}, "limit": {strconv.Itoa(limit)}}
+	if after != "" {
+		query.Set("after", after)
+	}
+	err = c.do(ctx, call{
+		operation: "list", key: prefix,
+		method: http.MethodGet, path: "/store?" + query.Encode(), answer: &page, extraTime: extraTime,
+	})
+	return page, err
+}
+
+// Commit runs a transaction once and returns the revision that it made. With a nil error, failed
+// names the keys whose compares did not hold; if there are none, the transaction was applied.
+func (c *Client) Commit(ctx context.Context, txn wire.Txn) (revision uint64, failed []string, err error) {
+	if txn.Compares == nil {
+		txn.Compares = []wire.Compare{} // the store wants lists, not null
+	}
+	if txn.Operations == nil {
+		txn.Operations = []wire.Operation{}
+	}
+	var result wire.TxnResponse
+	err = c.do(ctx, call{
+		operation: "commit", key: firstKey(txn),
+		method: http.MethodPost, path: "/commit", body: txn, answer: &result, writes: len(txn.Operations),
+	})
+	if err != nil {
+		return 0, nil, err
+	}
+	return result.Revision, result.FailedKeys, nil
+}
+
+// firstKey is the key that a transaction writes first, by which errors name it.
+func firstKey(txn wire.Txn) string {
+	if len(txn.Operations) == 0 {
+		return ""
+	}
+	return txn.Operations[0].Put + txn.Operations[0].Delete // it has one of them
+}
+
+// GrantLease takes a lease and returns its ID. Keys written with it are removed when it ends.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error) {
+	var lease wire.Lease
+	err = c.do(ctx, call{
+		operation: "grant lease",
+		method:    http.MethodPost, path: "/grants", body: wire.Lease{TTLMillis: ttl.Milliseconds()}, answer: &lease,
+	})
+	return lease.ID, err
+}
+
+// RenewLease gives a lease its full time again. The error is ErrNotFound if it has ended.
+func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
+	id := strconv.FormatUint(leaseID, 10)
+	return c.do(ctx, call{
+		operation: "renew lease", key: id,
+		method: http.MethodPost, path: "/grants/" + id + "/extend", body: struct{}{},
+	})
+}
+
+// RevokeLease ends a lease.
+func (c *Client) RevokeLease(ctx context.Context, leaseID uint64) error {
+	id := strconv.FormatUint(leaseID, 10)
+	return c.do(ctx, call{operation: "revoke lease", key: id, method: http.MethodDelete, path: "/grants/" + id})
+}
--- a/internal/kvstore/revision_test.go
+++ b/internal/kvstore/revision_test.go
@@ -1,19 +1,14 @@
 package kvstore
 
 import (
-	"context"
-	"errors"
 	"fmt"
-	"net"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
 )
 
-// revisionServer is a service that answers with the generation that it is given, for keys and
-// changes alike.
+// revisionServer is a store that answers every request with the revision that it is given.
 type revisionServer struct{ revision uint64 }
 
 func (s *revisionServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -32,117 +27,75 @@
 	}
 }
 
-// An answer of an earlier generation than was known when it was asked for is told once;
-// what may have other reasons is not.
+// An answer of an earlier revision than was known when it was asked for is reported once; what may
+// have other reasons is not.
 func TestRevisionRollback(t *testing.T) {
 	type step struct {
-		ask string
-		gen uint64
+		request  string
+		revision uint64 // that the store answers with
 	}
 	for _, tc := range []struct {
-		name  string
-		steps []step
-		told  []uint64 // generations that were gone back to
+		name      string
+		steps     []step
+		rollbacks []uint64 // revisions that were gone back to
 	}{
-		{"forth", []step{{"miss", 5}, {"list", 9}, {"miss", 9}}, nil},
+		{"forward", []step{{"miss", 5}, {"list", 9}, {"miss", 9}}, nil},
 		{"back, by a key that is not there", []step{{"miss", 9}, {"miss", 3}, {"miss", 4}}, []uint64{3}},
 		{"back, by a list", []step{{"list", 9}, {"list", 3}}, []uint64{3}},
-		{"back, by a key that is there", []step{{"look", 9}, {"look", 3}}, []uint64{3}},
+		{"back, by a key that is there", []step{{"list key", 9}, {"list key", 3}}, []uint64{3}},
 		{"back twice", []step{{"miss", 9}, {"miss", 3}, {"miss", 7}, {"list", 1}}, []uint64{3, 1}},
-		{"a stamp is reached", []step{{"here", 9}, {"miss", 3}}, []uint64{3}},
-		{"an old stamp means nothing", []step{{"miss", 9}, {"here", 3}, {"miss", 9}}, nil},
+		{"a mod revision was reached", []step{{"hit", 9}, {"miss", 3}}, []uint64{3}},
+		{"an old mod revision means nothing", []step{{"miss", 9}, {"hit", 3}, {"miss", 9}}, nil},
 		{"a quiet watch may tell of its last change", []step{{"miss", 9}, {"watch", 3}, {"miss", 9}}, nil},
 		{"what a watch told was reached", []step{{"miss", 1}, {"watch", 9}, {"miss", 3}}, []uint64{3}},
-		{"nothing is told by nothing", []step{{"miss", 9}, {"miss", 0}, {"miss", 9}}, nil},
+		{"no revision tells nothing", []step{{"miss", 9}, {"miss", 0}, {"miss", 9}}, nil},
 		{"what a peer knows was reached", []step{{"miss", 1}, {"peer", 9}, {"miss", 3}}, []uint64{3}},
-		{"another history begins below", []step{{"miss", 9}, {"turn", 0}, {"miss", 3}, {"miss", 2}}, []uint64{2}},
+		{"another incarnation begins below", []step{{"miss", 9}, {"incarnation", 0}, {"miss", 3}, {"miss", 2}}, []uint64{2}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			s := &revisionServer{}
-			srv := httptest.NewServer(s)
-			defer srv.Close()
-			var d net.Dialer
-			c := New(Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e5, Limits: Limits{WritesPerSecond: 1e5}, Timeout: time.Minute, Dial: d.DialContext})
-			var got []uint64
-			c.OnRollback(func(_, gen uint64) { got = append(got, gen) })
+			server := &revisionServer{}
+			client := serve(t, server)
+			var rollbacks []uint64
+			client.OnRollback(func(_, got uint64) { rollbacks = append(rollbacks, got) })
 			ctx := t.Context()
-			for _, st := range tc.steps {
-				s.revision = st.gen
-				switch st.ask {
+			for _, step := range tc.steps {
+				server.revision = step.revision
+				switch step.request {
 				case "miss":
-					c.Get(ctx, "none")
-				case "here":
-					c.Get(ctx, "here")
-				case "look":
-					c.GetByListing(ctx, "here")
+					client.Get(ctx, "none")
+				case "hit":
+					client.Get(ctx, "here")
+				case "list key":
+					client.GetByListing(ctx, "here")
 				case "list":
-					c.List(ctx, "j/")
+					client.List(ctx, "j/")
 				case "watch":
-					c.Watch(ctx, "j/", 1, time.Second)
+					client.Watch(ctx, "j/", 1, time.Second)
 				case "peer":
-					c.ObserveRevision(st.gen)
-				case "turn":
-					c.StartIncarnation()
+					client.ObserveRevision(step.revision)
+				case "incarnation":
+					client.StartIncarnation()
 				}
 			}
-			if fmt.Sprint(got) != fmt.Sprint(tc.told) {
-				t.Errorf("told of %v, want %v", got, tc.told)
+			if fmt.Sprint(rollbacks) != fmt.Sprint(tc.rollbacks) {
+				t.Errorf("rollbacks to %v, want %v", rollbacks, tc.rollbacks)
 			}
 		})
 	}
 }
 
-// What was asked before the history went back tells nothing of the one after: its answer
-// may come late.
+// What was asked before a rollback tells nothing of the incarnation after it: its answer may come
+// late.
 func TestLateAnswerAfterRollback(t *testing.T) {
-	f := revisionFloor{incarnationEnded: make(chan struct{})}
+	floor := revisionFloor{incarnationEnded: make(chan struct{})}
 	rollbacks := 0
-	f.onRollback = func(uint64, uint64) { rollbacks++ }
-	f.observe(9, 0, 0)
-	f.observe(2, 0, 9)
-	f.observe(11, 0, 9) // asked before, answered after
-	f.observe(5, 0, 9)  // so was this, by the history that came after
-	f.observe(3, 1, 2)
-	if rollbacks != 1 || f.latest != 3 {
-		t.Errorf("%d times back, at %d", rollbacks, f.latest)
-	}
-}
-
-// A watch of a history that is gone ends at once, and one after a generation that the
-// present one has not reached is not begun: the log would tell of nothing for long.
-func TestWatchEndsOnRollback(t *testing.T) {
-	block := make(chan struct{})
-	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.Path == "/changes" {
-			select {
-			case <-block:
-			case <-r.Context().Done():
-			}
-		}
-		fmt.Fprint(w, `{"generation":7,"items":[]}`)
-	}))
-	defer srv.Close()
-	defer close(block)
-	var d net.Dialer
-	c := New(Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e5, Limits: Limits{WritesPerSecond: 1e5}, Timeout: time.Minute, Dial: d.DialContext})
-	c.List(t.Context(), "j/")
-	if _, err := c.Watch(t.Context(), "j/", 8, time.Hour); !errors.Is(err, ErrCompacted) {
-		t.Errorf("after a generation to come: %v", err)
-	}
-	ended := make(chan error, 1)
-	go func() {
-		_, err := c.Watch(context.WithoutCancel(t.Context()), "j/", 7, time.Hour)
-		ended <- err
-	}()
-	for turned := false; !turned; {
-		c.StartIncarnation()
-		select {
-		case err := <-ended:
-			if !errors.Is(err, ErrCompacted) {
-				t.Errorf("when the history turns: %v", err)
-			}
-			turned = true
-		default:
-		}
+	floor.onRollback = func(uint64, uint64) { rollbacks++ }
+	floor.observe(9, position{})
+	floor.observe(2, position{revision: 9})
+	floor.observe(11, position{revision: 9}) // asked before, answered after
+	floor.observe(5, position{revision: 9})  // so was this, by the incarnation that came after
+	floor.observe(3, position{revision: 2, incarnation: 1})
+	if rollbacks != 1 || floor.position.revision != 3 {
+		t.Errorf("%d rollbacks, at %d", rollbacks, floor.position.revision)
 	}
 }
