--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -20,7 +20,7 @@
 
 // autoscaler requests and releases instances.
 //
-// It runs scaleLoop; the failure monitor has it release instances. Its state is guarded by
+// Its loop is runAutoscaler; the failure monitor has it release instances. Its state is guarded by
 // mu, which is not held while the cloud is asked. What to scale is the planner's decision;
 // the autoscaler shows it the fleet and the demand, and carries its plan out. It must not act
 // while another controller may lead.
@@ -36,9 +36,9 @@
 	scaledAheadTeams map[string]bool // teams whose work is scaled out ahead of need
 }
 
-// scaleLoop keeps the fleet: it reads the instance list, releases what is idle, and
+// runAutoscaler keeps the fleet: it reads the instance list, releases what is idle, and
 // requests what is needed.
-func (a *autoscaler) scaleLoop(ctx context.Context) error {
+func (a *autoscaler) runAutoscaler(ctx context.Context) error {
 	budgeted := time.Duration(float64(time.Second) * requestsPerInterval / a.settings.Facts.Cloud.RPS)
 	interval := max(a.settings.Report()/2, budgeted)
 	for round := 0; ; round++ {
--- a/internal/leader/commander.go
+++ b/internal/leader/commander.go
@@ -36,9 +36,9 @@
 	heardBefore time.Time // the worker's last heartbeat
 }
 
-// commandLoop commands one worker directly whenever it is woken, so that nothing waits
+// runCommands commands one worker directly whenever it is woken, so that nothing waits
 // for the worker's next heartbeat. It ends once the worker is removed.
-func (c *commander) commandLoop(ctx context.Context, worker *agent.Worker) error {
+func (c *commander) runCommands(ctx context.Context, worker *agent.Worker) error {
 	for attempt := 0; ; {
 		select {
 		case <-ctx.Done():
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -20,7 +20,7 @@
 // be reached. It frees claims only where a lease is surely over by every clock; whatever else
 // it suspects leads to the release of the instance, whose answer is the proof.
 //
-// It runs two loops, monitorLoop and releaseFaultyLoop. The autoscaler asks which workers are
+// Its loops are runMonitor and runReleases. The autoscaler asks which workers are
 // unreachable. Its state is guarded by mu.
 type failureMonitor struct {
 	*termScope
@@ -34,9 +34,9 @@
 	detector *failuredetector.Detector
 }
 
-// monitorLoop looks after what only time brings: leases that expire, workers that do
+// runMonitor looks after what only time brings: leases that expire, workers that do
 // not turn to this leader, commands to be given again.
-func (m *failureMonitor) monitorLoop(ctx context.Context) error {
+func (m *failureMonitor) runMonitor(ctx context.Context) error {
 	ticker := time.NewTicker(m.monitorInterval())
 	defer ticker.Stop()
 	for {
@@ -103,11 +103,11 @@
 		!m.shards.PeersHearNoWorkers()
 }
 
-// releaseFaultyLoop releases faulty instances. It is a loop of its own: what ran on a dead
+// runReleases releases faulty instances. It is a loop of its own: what ran on a dead
 // worker waits for the release, and scaling out can take many requests. Where this leader
 // may have been replaced it releases only instances on which a cancelled task would outlive
 // its time: that ends tasks, and can start none.
-func (m *failureMonitor) releaseFaultyLoop(ctx context.Context) error {
+func (m *failureMonitor) runReleases(ctx context.Context) error {
 	for sleep(ctx, m.monitorInterval()) {
 		m.mu.Lock()
 		now := m.now()
--- a/internal/leader/jobwatcher.go
+++ b/internal/leader/jobwatcher.go
@@ -11,7 +11,7 @@
 )
 
 // jobWatcher takes in jobs as they are committed to the store: new ones, and those that left
-// the live keys. It runs watchJobs, and changes the job table and the replica under mu. It
+// the live keys. Its loop, watchJobs, changes the job table and the replica under mu. It
 // must not take a job for finished: only the claim writer's own commit does that.
 type jobWatcher struct {
 	*termScope
--- a/internal/leader/registry.go
+++ b/internal/leader/registry.go
@@ -21,7 +21,7 @@
 		worker = agent.NewWorker(name)
 		r.assignOwner(worker, r.leadership.ShardMap())
 		r.addWorker(worker)
-		r.group.Go(func() error { return r.commander.commandLoop(r.ctx, worker) })
+		r.group.Go(func() error { return r.commander.runCommands(r.ctx, worker) })
 	}
 	return worker
 }
--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	term.startLoops(
-		term.failures.monitorLoop, term.shardKeeper.raiseEpochs, term.shardKeeper.watchShardOwners,
+		term.failures.runMonitor, term.shardKeeper.raiseEpochs, term.shardKeeper.watchShardOwners,
 		term.recovery.feedReplicas,
 	)
 	if err := term.recovery.restoreLiveData(groupCtx); err != nil {
@@ -109,7 +109,7 @@
 	term.startLoops(
 		func(ctx context.Context) error { return term.jobWatcher.watchJobs(ctx, revision) },
 		term.claimWriter.runClaimWriter, term.scheduler.runScheduler, term.dependencies.runDependencies,
-		term.autoscaler.scaleLoop, term.failures.releaseFaultyLoop, term.collector.watchPendingAudit,
+		term.autoscaler.runAutoscaler, term.failures.runReleases, term.collector.watchPendingAudit,
 		term.recovery.finishRecovery, term.scrubber.runAntiEntropy, term.orphans.resolveOrphans,
 	)
 	notify(term.scheduleSignal)
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -32,7 +32,7 @@
 var errNoSuccessor = errors.New("leader: stepped down, and no other controller leads")
 
 // shardKeeper keeps the epoch and the shard map up to date, and ends the term when another
-// controller leads or should. It runs two loops, raiseEpochs and watchShardOwners. Who owns
+// controller leads or should. Its loops are raiseEpochs and watchShardOwners. Who owns
 // a worker's shard is changed under mu; the epoch is the leadership's.
 type shardKeeper struct {
 	*termScope
