--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -1,83 +1,86 @@
 package agent
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
 	"time"
 
+	"rillflow/internal/jsonhttp"
 	"rillflow/internal/wire"
 )
 
-// ErrNotSent: the command surely did not reach the worker.
-var ErrNotSent = errors.New("agent: not sent")
+// ErrNotSent is matched by the error of commands that surely did not reach the worker.
+var ErrNotSent = errors.New("not sent")
 
-// MaxHeartbeatBytes bounds a worker's report; 100,000 tasks never are on one machine.
+// MaxHeartbeatBytes bounds a worker's heartbeat. It is far more than the tasks of one worker take.
 const MaxHeartbeatBytes = 1 << 20
 
-// CommandClient sends commands straight to workers.
+// maxConnsPerWorker bounds the connections open to one worker.
+const maxConnsPerWorker = 2
+
+// CommandClient sends commands straight to workers, outside the answers to their heartbeats. It is
+// safe for concurrent use.
 type CommandClient struct {
-	httpClient *http.Client
-	timeout    time.Duration
+	http    *jsonhttp.Client
+	timeout time.Duration
 }
 
-// NewCommandClient makes a sender that gives a worker so long to answer, and keeps so
-// many connections open between commands: with one for each of hundreds of
-// workers, a leader was seen to run out of sockets.
-func NewCommandClient(timeout time.Duration, maxIdleConns int, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CommandClient {
-	return &CommandClient{timeout: timeout, httpClient: &http.Client{Transport: &http.Transport{
-		DialContext: dial, MaxIdleConns: max(1, maxIdleConns), MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2,
-		IdleConnTimeout: time.Minute, DisableCompression: true,
-	}}}
+// NewCommandClient returns a client that gives a worker so long to answer. It keeps so many
+// connections open between commands: with one for each of hundreds of workers, a leader was seen
+// to run out of sockets.
+func NewCommandClient(timeout time.Duration, maxIdleConns int, dial jsonhttp.DialFunc) *CommandClient {
+	return &CommandClient{
+		http: jsonhttp.New(jsonhttp.Options{
+			Dial:                  dial,
+			MaxIdleConns:          max(1, maxIdleConns),
+			MaxIdleConnsPerServer: 1,
+			MaxConnsPerServer:     maxConnsPerWorker,
+			MaxResponseBytes:      MaxHeartbeatBytes,
+		}),
+		timeout: timeout,
+	}
 }
 
-// Send sends commands. The worker's report is returned also when it refused
-// them (409). An error other than ErrNotSent leaves their fate unknown.
-func (client *CommandClient) Send(ctx context.Context, addr string, commands wire.CommandBatch) (heartbeat *wire.Heartbeat, refused bool, err error) {
-	body, err := json.Marshal(commands)
-	if err != nil {
-		return nil, false, fmt.Errorf("%w: %v", ErrNotSent, err)
-	}
-	return client.exchange(ctx, http.MethodPost, "http://"+addr+"/do", bytes.NewReader(body))
+// Send sends commands. The worker's heartbeat is returned also when it refused them (409). An
+// error other than ErrNotSent leaves their outcome unknown.
+func (c *CommandClient) Send(
+	ctx context.Context, addr string, commands wire.CommandBatch,
+) (heartbeat *wire.Heartbeat, refused bool, err error) {
+	return c.exchange(ctx, http.MethodPost, "http://"+addr+"/do", commands)
 }
 
-// Status asks a worker for its report.
-func (client *CommandClient) Status(ctx context.Context, addr string) (*wire.Heartbeat, error) {
-	heartbeat, _, err := client.exchange(ctx, http.MethodGet, "http://"+addr+"/status", nil)
+// Status asks a worker for its heartbeat.
+func (c *CommandClient) Status(ctx context.Context, addr string) (*wire.Heartbeat, error) {
+	heartbeat, _, err := c.exchange(ctx, http.MethodGet, "http://"+addr+"/status", nil)
 	return heartbeat, err
 }
 
-func (client *CommandClient) exchange(ctx context.Context, method, url string, body io.Reader) (*wire.Heartbeat, bool, error) {
-	ctx, cancel := context.WithTimeout(ctx, client.timeout)
+// exchange sends a request to a worker, which answers every one with its heartbeat.
+func (c *CommandClient) exchange(
+	ctx context.Context, method, url string, body any,
+) (heartbeat *wire.Heartbeat, refused bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, url, body)
+	request, err := jsonhttp.NewRequest(ctx, method, url, body)
 	if err != nil {
-		return nil, false, fmt.Errorf("%w: %v", ErrNotSent, err)
+		return nil, false, fmt.Errorf("agent: %w: %w", ErrNotSent, err)
 	}
-	response, err := client.httpClient.Do(request)
-	if err != nil {
-		var opErr *net.OpError
-		if errors.As(err, &opErr) && opErr.Op == "dial" {
-			return nil, false, fmt.Errorf("%w: %v", ErrNotSent, err)
-		}
-		return nil, false, fmt.Errorf("agent: %w", err)
-	}
-	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, MaxHeartbeatBytes))
-	if err != nil {
+	response, err := c.http.Do(request)
+	switch {
+	case errors.Is(err, jsonhttp.ErrNotConnected):
+		return nil, false, fmt.Errorf("agent: %w: %w", ErrNotSent, err)
+	case err != nil:
 		return nil, false, fmt.Errorf("agent: %w", err)
 	}
-	if response.StatusCode != http.StatusOK && response.StatusCode != http.StatusConflict {
-		return nil, false, fmt.Errorf("agent: status %d", response.StatusCode)
+	refused = response.StatusCode == http.StatusConflict
+	if response.StatusCode != http.StatusOK && !refused {
+		return nil, false, fmt.Errorf("agent: %w", response.StatusError())
 	}
-	var heartbeat wire.Heartbeat
-	if err := json.Unmarshal(data, &heartbeat); err != nil {
+	heartbeat = new(wire.Heartbeat)
+	if err := response.Decode(heartbeat); err != nil {
 		return nil, false, fmt.Errorf("agent: %w", err)
 	}
-	return &heartbeat, response.StatusCode == http.StatusConflict, nil
+	return heartbeat, refused, nil
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -11,14 +11,14 @@
 
 // Workers are asked as they are today: methods, paths and bodies.
 func TestGoldenRequests(t *testing.T) {
-	rec := goldentest.NewRecorder(t)
+	recorder := goldentest.NewRecorder(t)
 	var dialer net.Dialer
-	d := NewCommandClient(time.Minute, 1, dialer.DialContext)
-	if _, _, err := d.Send(t.Context(), rec.Addr(), goldentest.Filled[wire.CommandBatch]()); err != nil {
+	client := NewCommandClient(time.Minute, 1, dialer.DialContext)
+	if _, _, err := client.Send(t.Context(), recorder.Addr(), goldentest.Filled[wire.CommandBatch]()); err != nil {
 		t.Error(err)
 	}
-	if _, err := d.Status(t.Context(), rec.Addr()); err != nil {
+	if _, err := client.Status(t.Context(), recorder.Addr()); err != nil {
 		t.Error(err)
 	}
-	goldentest.Check(t, "requests.txt", rec.Requests())
+	goldentest.Check(t, "requests.txt", recorder.Requests())
 }
