--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -39,8 +39,8 @@
 	limits.MaxClaims = (limits.MaxValueBytes - blockOverhead) / bytesPerClaim
 }
 
-// attach adds to a batch the blocks that record it, what is queued and what is pending. The
-// caller holds the slot and the lock of the cluster state.
+// attach adds to a batch the blocks that record it, what is queued and what is pending.
+// Callers hold the slot and mu.
 func (a *auditWriter) attach(batch *auditedBatch, common blockContext) error {
 	if a == nil {
 		return nil
@@ -103,7 +103,7 @@
 }
 
 // attachCancellations adds to a batch that cancels jobs for a dependency that was cancelled
-// the blocks that record it. The caller holds the slot and the lock of the cluster state.
+// the blocks that record it. Callers hold the slot and mu.
 func (a *auditWriter) attachCancellations(batch *auditedBatch, jobs []*ledger.Job, common blockContext) error {
 	if a == nil {
 		return nil
@@ -143,8 +143,7 @@
 	return nil
 }
 
-// batchCommitted notes that a batch was applied. The caller holds the slot and the lock of the
-// cluster state.
+// batchCommitted notes that a batch was applied. Callers hold the slot and mu.
 func (a *auditWriter) batchCommitted(batch *auditedBatch, now time.Time) {
 	if a == nil {
 		return
@@ -164,8 +163,7 @@
 	}
 }
 
-// batchFailed notes that a batch was surely not applied. The caller holds the slot and the
-// lock of the cluster state.
+// batchFailed notes that a batch was surely not applied. Callers hold the slot and mu.
 func (a *auditWriter) batchFailed(batch *auditedBatch) {
 	if a == nil {
 		return
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -27,9 +27,9 @@
 //
 // The components of a term queue entries. The claim writer and the dependencies write blocks,
 // one of them at a time: whoever holds the slot, from acquire to release, owns head and
-// lastKey and may have a transaction in flight. The other state is guarded by the lock of the
-// cluster state, which may be taken while the slot is held, never the other way round. Of the
-// store auditWriter itself only reads the newest block, when the term begins.
+// lastKey and may have a transaction in flight. The other state is guarded by mu, which may be
+// taken while the slot is held, never the other way round. Of the store auditWriter itself only
+// reads the newest block, when the term begins.
 type auditWriter struct {
 	keys       *keyring.Ring
 	controller string // its name, for the blocks it writes
@@ -145,7 +145,7 @@
 	return block.Key, nil
 }
 
-// enqueue queues an entry. The caller holds the lock of the cluster state.
+// enqueue queues an entry. Callers hold mu.
 func (a *auditWriter) enqueue(now time.Time, entry audit.Entry) {
 	if a == nil {
 		return
@@ -180,8 +180,8 @@
 	return true
 }
 
-// enqueueTask queues an entry about a claim, if the log tells of the claim. The caller holds
-// the lock of the cluster state.
+// enqueueTask queues an entry about a claim, if the log tells of the claim. Callers
+// hold mu.
 func (a *auditWriter) enqueueTask(now time.Time, action audit.Act, claim *ledger.Claim, reason, beneficiary string) {
 	if a == nil || !claim.Audited {
 		return
@@ -207,8 +207,7 @@
 		(len(a.queue) >= maxEntriesPerBatch/2 || audit.Size(a.queue) > maxValueBytes/2)
 }
 
-// takePending takes in a pending entry that another controller wrote. The caller holds the
-// lock of the cluster state.
+// takePending takes in a pending entry that another controller wrote. Callers hold mu.
 func (a *auditWriter) takePending(key string, data json.RawMessage, revision uint64) {
 	pending, err := audit.ReadSlip(a.keys, key, data)
 	if err != nil {
@@ -221,7 +220,7 @@
 }
 
 // dropPending tells whether a compare that failed was of a pending entry, which then is no
-// more. The caller holds the lock of the cluster state.
+// more. Callers hold mu.
 func (a *auditWriter) dropPending(key string) bool {
 	if a == nil || !strings.HasPrefix(key, audit.SlipPrefix) {
 		return false
--- a/internal/leader/claimwriter.go
+++ b/internal/leader/claimwriter.go
@@ -13,9 +13,9 @@
 // ends of jobs, in one batch after the other, each with the audit blocks that record it.
 //
 // Serve runs its loop, runClaimWriter; everybody else only wakes it by writeSignal. Its own
-// state is guarded by the lock of the cluster state. It holds the slot of the audit log from
-// the making of a batch until the outcome is known, and must not hold the lock during a
-// request to the store: the table is told of an outcome only once that is sure.
+// state is guarded by mu. It holds the slot of the audit log from the making of a batch until
+// the outcome is known, and must not hold mu during a request to the store: the table is told
+// of an outcome only once that is sure.
 type claimWriter struct {
 	*termScope
 	cancellations *cancellations
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -22,9 +22,9 @@
 // from its dependents.
 //
 // Serve runs its loop, runDependencies; the claim writer tells it of jobs that became ready and
-// the scheduler asks it for priorities, both with the lock of the cluster state held. It has no
-// state of its own: the job table holds the graph. It holds the slot of the audit log while a
-// batch of cancellations is in flight, and must not hold the lock during a request to the store.
+// the scheduler asks it for priorities, both with mu held. It has no state of its own: the job
+// table holds the graph. It holds the slot of the audit log while a batch of cancellations is in
+// flight, and must not hold mu during a request to the store.
 type dependencies struct {
 	*termScope
 	cancellations *cancellations
@@ -97,8 +97,7 @@
 	return nil
 }
 
-// jobsReady notes jobs that have no unmet dependency any more. The caller holds the lock of the
-// cluster state.
+// jobsReady notes jobs that have no unmet dependency any more. Callers hold mu.
 func (d *dependencies) jobsReady(jobs []*ledger.Job) {
 	for _, job := range jobs {
 		waited := job.ReadyAt.Sub(job.ArrivedAt)
@@ -171,7 +170,7 @@
 }
 
 // nextDependents makes the batch that cancels the next few dependents, or returns
-// errNothingToWrite. The caller holds the lock of the cluster state.
+// errNothingToWrite. Callers hold mu.
 func (d *dependencies) nextDependents() (*dependentsBatch, error) {
 	now, limits := d.now(), d.txnLimits()
 	maxJobs := limits.operations / 2
--- a/internal/leader/inheritance.go
+++ b/internal/leader/inheritance.go
@@ -13,7 +13,7 @@
 // for each deadline objective the time by which the job must be done for the last of them to
 // be in time, the steps between counted. It is kept with the job until its dependents change.
 //
-// The scheduler calls it with the lock of the cluster state held.
+// Callers hold mu.
 func (d *dependencies) inherited(job *ledger.Job) *ledger.InheritedPriority {
 	if job.Inherited != nil {
 		return job.Inherited
