--- a/internal/leader/dataloss.go
+++ b/internal/leader/dataloss.go
@@ -1,12 +1,9 @@
 package leader
 
 import (
-	"context"
-	"errors"
 	"fmt"
 
 	"rillflow/internal/dataloss"
-	"rillflow/internal/kvstore"
 )
 
 // foreignWriteError says that a key which only the leader writes was written by another.
@@ -37,13 +34,3 @@
 	}
 	return e.dataLoss.Suspicion().Active
 }
-
-// requireEnding reads how a job ended whose live key is deleted, however long that takes.
-// A job leaves its live key only with an end record: one without it was lost.
-func (r *storeReader) requireEnding(ctx context.Context, jobID string) ([]byte, error) {
-	end, err := r.readEnding(ctx, jobID)
-	if errors.Is(err, kvstore.ErrNotFound) {
-		return nil, r.suspectDataLoss(&missingEndError{jobID})
-	}
-	return end, err
-}
--- a/internal/leader/jobwatcher.go
+++ b/internal/leader/jobwatcher.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 
 	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
@@ -96,14 +95,11 @@
 func (w *jobWatcher) readEndings(ctx context.Context, jobIDs []string) ([]wire.Operation, error) {
 	var endings []wire.Operation
 	for _, jobID := range jobIDs {
-		data, err := w.storeReader.readEnding(ctx, jobID)
-		if errors.Is(err, kvstore.ErrNotFound) {
-			return nil, w.suspectDataLoss(fmt.Errorf("job %s is gone without an end", jobID))
-		}
+		end, err := w.storeReader.requireEnding(ctx, jobID)
 		if err != nil {
 			return nil, err
 		}
-		endings = append(endings, endingOps(jobID, data)...)
+		endings = append(endings, endingOps(jobID, end)...)
 	}
 	return endings, nil
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"maps"
-	"strings"
 
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 
@@ -17,12 +16,12 @@
 	"rillflow/internal/wire"
 )
 
-// storeReader reads from the store until it answers.
-type storeReader struct {
-	*termScope
-}
-
-// loader fills the cluster state when a term begins.
+// loader fills the job table and the replica when a term begins: with what the store holds or,
+// where it lost data, with what was put together from all sources.
+//
+// The term calls load once, before any loop of its own runs and before heartbeats are answered. The
+// loader reads without mu and takes it to fill the table. It writes nothing to the store: what
+// is to be stored again is left to the recovery, whose progress the loader sets.
 type loader struct {
 	*termScope
 	recovery    *dataRecovery
@@ -30,90 +29,96 @@
 	storeReader *storeReader
 }
 
-// listAll reads all keys under a prefix, however long that takes.
-func (r *storeReader) listAll(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
-	err = r.retry(ctx, func() (bool, error) {
-		items, revision, err = r.store.List(ctx, prefix)
-		return err == nil, err
-	})
-	return items, revision, err
-}
-
-// retry asks until an answer settles the matter, and gives its error.
-func (r *storeReader) retry(ctx context.Context, ask func() (settled bool, err error)) error {
-	for attempt := 0; ; attempt++ {
-		if settled, err := ask(); settled {
-			return err
-		}
-		if !kvstore.Backoff(ctx, attempt, r.settings.Report()/32, r.settings.Report()/4) {
-			return ctx.Err()
-		}
-	}
+// loadedState is what a term begins with.
+type loadedState struct {
+	revision  uint64            // at which the live jobs were read
+	jobs      []wire.KeyValue   // live jobs
+	chunks    []wire.KeyValue   // claims
+	endings   map[string][]byte // end records that the replica may lack, by job
+	recovered map[string][]byte // recovered end records by job; nil: none were to be recovered
 }
 
-// load reads the jobs and claims, and puts them together with what is remembered where
-// data was lost. It returns the generation to follow the jobs from.
+// load reads the jobs and claims, and recovers them where data was lost. It returns the
+// revision from which the jobs are to be watched.
 func (l *loader) load(ctx context.Context) (uint64, error) {
-	jobs, revision, err := l.storeReader.listAll(ctx, ledger.LivePrefix)
+	state, err := l.readStored(ctx)
 	if err != nil {
 		return 0, err
 	}
-	chunks, _, err := l.storeReader.listAll(ctx, ledger.ChunkPrefix)
-	if err != nil {
-		return 0, err
-	}
-	view := l.leadership.Incarnation()
-	ended := make(map[string][]byte) // that this node was not told of
-	if view.Phase != dataloss.PhaseRecovering {
-		if ended, err = l.compareWithReplica(ctx, jobs, chunks); err != nil {
+	incarnation := l.leadership.Incarnation()
+	if incarnation.Phase != dataloss.PhaseRecovering {
+		if state.endings, err = l.compareWithReplica(ctx, state); err != nil {
 			return 0, err
 		}
 	}
-	var merged recovery.Result
-	if view.Phase == dataloss.PhaseRecovering || view.Phase == dataloss.PhaseRestoringResults {
-		if merged, err = l.mergeSources(ctx, view.Phase, jobs, chunks); err != nil {
+	if incarnation.Phase == dataloss.PhaseRecovering || incarnation.Phase == dataloss.PhaseRestoringResults {
+		merged, err := l.mergeSources(ctx, incarnation.Phase, state)
+		if err != nil {
 			return 0, err
 		}
+		state.recovered = merged.Ends
+		if incarnation.Phase == dataloss.PhaseRecovering {
+			state.jobs, state.chunks = toItems(merged.LiveJobs), toItems(merged.Chunks)
+		}
 	}
-	if view.Phase == dataloss.PhaseRecovering {
-		jobs, chunks = toItems(merged.LiveJobs), toItems(merged.Chunks)
-	}
-	orphaned, err := l.endingsOfOrphanedClaims(ctx, jobs, chunks, merged.Ends)
+	orphaned, err := l.endingsOfOrphanedClaims(ctx, state)
 	if err != nil {
 		return 0, err
 	}
-	maps.Copy(ended, orphaned)
-	return revision, l.populate(view, revision, jobs, chunks, merged.Ends, ended)
+	maps.Copy(state.endings, orphaned)
+	return state.revision, l.populate(incarnation, state)
+}
+
+// readStored reads the live jobs and the claims.
+func (l *loader) readStored(ctx context.Context) (*loadedState, error) {
+	state := &loadedState{endings: make(map[string][]byte)}
+	var err error
+	if state.jobs, state.revision, err = l.storeReader.listAll(ctx, ledger.LivePrefix); err != nil {
+		return nil, err
+	}
+	if state.chunks, _, err = l.storeReader.listAll(ctx, ledger.ChunkPrefix); err != nil {
+		return nil, err
+	}
+	return state, nil
 }
 
-// endingsOfOrphanedClaims are the ends of jobs of which there are claims but no live record: each was
-// done or withdrawn, and the tasks of a withdrawn one may still run and count. A job that
-// has neither record nor end was lost: no claim is made before its job is stored, and
-// none at all while a new leader reads.
-func (l *loader) endingsOfOrphanedClaims(ctx context.Context, jobs, chunks []wire.KeyValue, recovered map[string][]byte) (map[string][]byte, error) {
-	live, endings := make(map[string]bool, len(jobs)), make(map[string][]byte)
-	for _, item := range jobs {
+// liveJobs returns the names of the live jobs.
+func (s *loadedState) liveJobs() map[string]bool {
+	live := make(map[string]bool, len(s.jobs))
+	for _, item := range s.jobs {
 		live[item.Key[len(ledger.LivePrefix):]] = true
 	}
-	for _, item := range chunks {
-		ref, ok := ledger.JobOfChunkKey(item.Key)
-		if _, seen := endings[ref]; !ok || live[ref] || seen {
+	return live
+}
+
+// endingsOfOrphanedClaims returns the end records of jobs that have claims but no live record.
+// Each was done or cancelled, and the tasks of a cancelled one may still run and count. A job
+// that has neither record was lost: no claim is made before its job is stored, and none at all
+// while a new leader reads.
+func (l *loader) endingsOfOrphanedClaims(ctx context.Context, state *loadedState) (map[string][]byte, error) {
+	live, endings := state.liveJobs(), make(map[string][]byte)
+	for _, item := range state.chunks {
+		jobID, ok := ledger.JobOfChunkKey(item.Key)
+		if _, seen := endings[jobID]; !ok || live[jobID] || seen {
 			continue
 		}
-		data, err := recovered[ref], error(nil)
-		if data == nil {
-			data, err = l.storeReader.readEnding(ctx, ref)
-		}
-		if errors.Is(err, kvstore.ErrNotFound) {
-			return nil, l.suspectDataLoss(fmt.Errorf("claims of job %s without its record", ref))
-		} else if err != nil {
-			return nil, err
+		end := state.recovered[jobID]
+		if end == nil {
+			var err error
+			end, err = l.storeReader.readEnding(ctx, jobID)
+			if errors.Is(err, kvstore.ErrNotFound) {
+				return nil, l.suspectDataLoss(fmt.Errorf("claims of job %s without its record", jobID))
+			}
+			if err != nil {
+				return nil, err
+			}
 		}
-		endings[ref] = data
+		endings[jobID] = end
 	}
 	return endings, nil
 }
 
+// toItems makes recovered values of what the store would have answered.
 func toItems(values []recovery.Value) []wire.KeyValue {
 	items := make([]wire.KeyValue, len(values))
 	for i, value := range values {
@@ -122,166 +127,84 @@
 	return items
 }
 
-// populate makes the ledger and this node's copy of what was read or put together.
-func (l *loader) populate(view dataloss.IncarnationState, revision uint64, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) error {
+// populate fills the job table and this controller's replica.
+func (l *loader) populate(incarnation dataloss.IncarnationState, state *loadedState) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, item := range jobs {
-		if err := l.addJob(item.Key, item.Value, item.ModRevision); err != nil {
-			return l.suspectDataLoss(err)
-		}
+	if err := l.addJobs(state); err != nil {
+		return l.suspectDataLoss(err)
 	}
-	for _, item := range chunks {
-		ref, _ := ledger.JobOfChunkKey(item.Key)
-		if data := endings[ref]; data != nil && l.jobs.Job(ref) == nil {
-			if err := l.jobs.AddEndedJob(ref, data); err != nil {
-				return l.suspectDataLoss(err)
-			}
-		}
-	}
-	for _, item := range chunks {
-		if ref, _ := ledger.JobOfChunkKey(item.Key); l.jobs.Job(ref) == nil {
-			l.log.Error("claims without a job", "key", item.Key)
-			continue
-		}
-		if err := l.jobs.LoadChunk(item.Key, item.Value, item.ModRevision, l.firstEpoch-1); err != nil {
-			return l.suspectDataLoss(err)
-		}
+	if err := l.addClaims(state.chunks); err != nil {
+		return l.suspectDataLoss(err)
 	}
 	l.jobs.FinishLoading()
-	if view.Phase == dataloss.PhaseRecovering {
+	if incarnation.Phase == dataloss.PhaseRecovering {
 		l.jobs.MarkClaimsUnconfirmed(l.baseAttempt())
 	}
 	for _, worker := range l.jobs.ClaimedWorkers() {
 		l.registry.worker(worker)
 	}
-	l.replica.StartLeading(view.ID, l.firstEpoch, revision, l.replicaTree(view, jobs, chunks, recovered, endings))
-	if view.Phase == dataloss.PhaseComplete {
-		l.replica.MarkComplete(view.ID)
+	l.replica.StartLeading(incarnation.ID, l.firstEpoch, state.revision, l.replicaTree(incarnation, state))
+	if incarnation.Phase == dataloss.PhaseComplete {
+		l.replica.MarkComplete(incarnation.ID)
 	}
-	l.log.Info("loaded", "epoch", l.firstEpoch, "jobs", len(l.jobs.Jobs()), "claimed_hosts", len(l.workers))
+	l.log.Info("state loaded", "epoch", l.firstEpoch, "jobs", len(l.jobs.Jobs()), "claimed_workers", len(l.workers))
 	return nil
 }
 
-// replicaTree is what the copies are to hold: what was read, with the ends that are known.
-func (l *loader) replicaTree(view dataloss.IncarnationState, jobs, chunks []wire.KeyValue, recovered, endings map[string][]byte) *replica.Tree {
-	txn := iradix.New[[]byte]().Txn()
-	if known, head := l.replica.Tree(); head.Incarnation == view.ID && recovered == nil {
-		known.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool { txn.Insert(key, value); return false })
-	}
-	for _, byJob := range []map[string][]byte{endings, recovered} {
-		for ref, data := range byJob {
-			if data != nil {
-				txn.Insert([]byte(ledger.EndedKey(ref)), data)
-			}
+// addJobs adds to the table the live jobs, and ended ones that have claims. Callers hold mu.
+func (l *loader) addJobs(state *loadedState) error {
+	for _, item := range state.jobs {
+		if err := l.addJob(item.Key, item.Value, item.ModRevision); err != nil {
+			return err
 		}
 	}
-	for _, items := range [][]wire.KeyValue{jobs, chunks} {
-		for _, item := range items {
-			txn.Insert([]byte(item.Key), item.Value)
+	for _, item := range state.chunks {
+		jobID, _ := ledger.JobOfChunkKey(item.Key)
+		if end := state.endings[jobID]; end != nil && l.jobs.Job(jobID) == nil {
+			if err := l.jobs.AddEndedJob(jobID, end); err != nil {
+				return err
+			}
 		}
 	}
-	return txn.Commit()
-}
-
-// readEnding reads how a job ended, however long that takes.
-func (r *storeReader) readEnding(ctx context.Context, ref string) ([]byte, error) {
-	var item wire.KeyValue
-	err := r.retry(ctx, func() (bool, error) {
-		var err error
-		item, err = r.store.Get(ctx, ledger.EndedKey(ref))
-		return err == nil || errors.Is(err, kvstore.ErrNotFound), err
-	})
-	return item.Value, err
+	return nil
 }
 
-// maxEndingLookups bounds the ends that one comparison looks up.
-const maxEndingLookups = 64
-
-// compareWithReplica holds what was read against what this node remembers of the same history. A
-// key that nobody can have removed and that is not there is proof of a loss. It costs a
-// few reads where the copy is behind, and gives the ends that it lacks.
-func (l *loader) compareWithReplica(ctx context.Context, jobs, chunks []wire.KeyValue) (map[string][]byte, error) {
-	ended := make(map[string][]byte)
-	tree, head := l.replica.Tree()
-	if head.Incarnation == "" || head.Incarnation != l.leadership.Incarnation().ID {
-		return ended, nil
-	}
-	live, stored := make(map[string]bool, len(jobs)), make(map[string]bool, len(chunks))
-	for _, item := range jobs {
-		live[item.Key[len(ledger.LivePrefix):]] = true
-	}
+// addClaims adds claims to the table. Callers hold mu.
+func (l *loader) addClaims(chunks []wire.KeyValue) error {
 	for _, item := range chunks {
-		stored[item.Key] = true
-	}
-	var missing []string
-	var lost string
-	tree.Root().WalkPrefix([]byte(ledger.LivePrefix), func(key, _ []byte) bool {
-		if ref := string(key[len(ledger.LivePrefix):]); !live[ref] {
-			missing = append(missing, ref)
-		}
-		return len(missing) >= maxEndingLookups
-	})
-	tree.Root().WalkPrefix([]byte(ledger.ChunkPrefix), func(key, _ []byte) bool {
-		// Chunks go only once their job is over.
-		if ref, ok := ledger.JobOfChunkKey(string(key)); ok && live[ref] && !stored[string(key)] {
-			lost = string(key)
-		}
-		return lost != ""
-	})
-	if lost != "" {
-		return nil, l.suspectDataLoss(fmt.Errorf("%s is gone though its job is not over", lost))
-	}
-	for _, ref := range missing {
-		data, err := l.storeReader.readEnding(ctx, ref)
-		if errors.Is(err, kvstore.ErrNotFound) {
-			return nil, l.suspectDataLoss(fmt.Errorf("job %s is gone without an end", ref))
+		if jobID, _ := ledger.JobOfChunkKey(item.Key); l.jobs.Job(jobID) == nil {
+			l.log.Error("claims without job", "key", item.Key)
+			continue
 		}
-		if err != nil {
-			return nil, err
+		if err := l.jobs.LoadChunk(item.Key, item.Value, item.ModRevision, l.firstEpoch-1); err != nil {
+			return err
 		}
-		ended[ref] = data
 	}
-	return ended, nil
+	return nil
 }
 
-// mergeSources puts the history together from the state service and all that is remembered.
-func (l *loader) mergeSources(ctx context.Context, phase dataloss.Phase, jobs, chunks []wire.KeyValue) (recovery.Result, error) {
-	ended, _, err := l.storeReader.listAll(ctx, ledger.EndedPrefix)
-	if err != nil {
-		return recovery.Result{}, err
-	}
-	full := phase == dataloss.PhaseRecovering
-	head := l.replica.Head()
-	before := l.leadership.PreviousMap()
-	exact := full && before.Leader == l.settings.Node && head.Epoch > 0 && l.replica.HoldsAllLaunches()
-	collectCtx, cancel := context.WithTimeout(ctx, l.settings.Report())
-	trees, missing := replica.Collect(collectCtx, l.replicaPeers, l.replicaPeers.Followers())
-	cancel()
-	var sources []recovery.Source
-	for _, tree := range append(l.replica.Sources(), trees...) {
-		var source recovery.Source
-		tree.Root().Walk(func(key, value []byte) bool {
-			// While ends are still to be written, all that is alive is stored.
-			if full || strings.HasPrefix(string(key), ledger.EndedPrefix) {
-				source.Values = append(source.Values, recovery.Value{Key: string(key), Data: value})
-			}
+// replicaTree is what the replicas are to hold: what was loaded, and the end records that are
+// known.
+func (l *loader) replicaTree(incarnation dataloss.IncarnationState, state *loadedState) *replica.Tree {
+	txn := iradix.New[[]byte]().Txn()
+	if known, head := l.replica.Tree(); head.Incarnation == incarnation.ID && state.recovered == nil {
+		known.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool {
+			txn.Insert(key, value)
 			return false
 		})
-		sources = append(sources, source)
 	}
-	store := recovery.Source{FromStore: true}
-	for _, items := range [][]wire.KeyValue{jobs, chunks, ended} {
-		for _, item := range items {
-			store.Values = append(store.Values, recovery.Value{Key: item.Key, Data: item.Value, ModRevision: item.ModRevision})
+	for _, endings := range []map[string][]byte{state.endings, state.recovered} {
+		for jobID, end := range endings {
+			if end != nil {
+				txn.Insert([]byte(ledger.EndedKey(jobID)), end)
+			}
 		}
 	}
-	merged, err := recovery.Merge(append(sources, store), fmt.Sprintf("%s.%d.r", l.settings.Node, l.firstEpoch), l.baseAttempt(), l.store.MaxValueBytes())
-	if err != nil {
-		return merged, err
+	for _, items := range [][]wire.KeyValue{state.jobs, state.chunks} {
+		for _, item := range items {
+			txn.Insert([]byte(item.Key), item.Value)
+		}
 	}
-	l.recovery.progress = &recoveryProgress{pending: merged.Writes, recovered: merged.Recovered, exact: exact, full: full, missingPeers: missing, damagedKeys: merged.Damaged, orphanedClaims: merged.OrphanedJobs}
-	l.log.Warn("rebuilding", "phase", phase, "sources", len(sources)+1, "missing", missing, "jobs", merged.Recovered.Jobs, "ends", merged.Recovered.Ends,
-		"claims", merged.Recovered.Claims, "writes", len(merged.Writes), "exact", exact, "damaged", merged.Damaged, "orphans", merged.OrphanedJobs)
-	return merged, nil
+	return txn.Commit()
 }
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -4,6 +4,7 @@
 	"context"
 	"errors"
 	"slices"
+	"time"
 
 	"rillflow/internal/agent"
 	"rillflow/internal/dataloss"
@@ -12,7 +13,14 @@
 	"rillflow/internal/wire"
 )
 
-// orphanTracker follows tasks of jobs that no record tells of.
+// orphanTracker keeps the tasks of jobs of which no record is left: they were accepted in a
+// part of the data that was lost. The tasks run on until the user submits the job again, and
+// they are adopted, or cancels it.
+//
+// Serve runs its loop, resolveOrphans. The heartbeat reconciler asks it whether a task is an
+// orphan, the job watcher has it adopt the tasks of a job that came, the status counts them; all
+// hold mu, which guards its state. It must not have a task stopped that may be of a job that was
+// accepted, and must not hold mu during a request to the store.
 type orphanTracker struct {
 	*termScope
 	heartbeats *heartbeatReconciler
@@ -20,22 +28,23 @@
 	orphanedJobs map[string]*orphanedJob
 }
 
-// orphanedJob is a job of which nothing is known but that machines have tasks of it: it was
-// accepted in a part of the history that was lost. Its tasks run on until its user
-// submits it again or withdraws it.
+// orphanedJob is a job of which nothing is known but that workers have tasks of it.
 type orphanedJob struct {
-	ended bool // it has an end: what is left of it may go
+	ended bool // it has an end record: what is left of it may go
 }
 
-// maxOrphanedJobs bounds the traces that are followed; more are kept on their machines all
-// the same.
+// maxOrphanedJobs bounds the orphaned jobs that are tracked. The tasks of more are kept on
+// their workers all the same.
 const maxOrphanedJobs = 4096
 
-// isOrphan tells whether a task on a machine is of a job that may have been lost, so that
-// it is to be left alone.
+// isOrphan tells whether a task on a worker is of a job that may have been lost, so that it is
+// to be left alone. Callers hold mu.
 func (o *orphanTracker) isOrphan(task ledger.Task) bool {
-	if view := o.leadership.Incarnation(); !view.DataLost && view.Phase != dataloss.PhaseProvisional || o.jobs.Job(task.JobRef) != nil {
-		return false // a history that has just begun may be a loss that is yet to show
+	incarnation := o.leadership.Incarnation()
+	// An incarnation that has just begun may be a loss that is yet to show.
+	mayBeLost := incarnation.DataLost || incarnation.Phase == dataloss.PhaseProvisional
+	if !mayBeLost || o.jobs.Job(task.JobRef) != nil {
+		return false
 	}
 	orphan := o.orphanedJobs[task.JobRef]
 	if orphan == nil && len(o.orphanedJobs) < maxOrphanedJobs {
@@ -45,73 +54,93 @@
 	return orphan == nil || !orphan.ended
 }
 
-// resolveOrphans finds out what became of jobs that only machines know.
+// resolveOrphans finds out which orphaned jobs have ended.
 func (o *orphanTracker) resolveOrphans(ctx context.Context) error {
 	for sleep(ctx, o.settings.Report()/2) {
 		o.mu.Lock()
-		var unresolved []string
-		for ref, orphan := range o.orphanedJobs {
-			if !orphan.ended {
-				unresolved = append(unresolved, ref)
-			}
-		}
+		unresolved := o.unresolvedJobs()
 		o.reserveForOrphans()
 		o.mu.Unlock()
-		slices.Sort(unresolved)
-		for _, ref := range unresolved[:min(len(unresolved), maxEndingLookups)] {
-			_, err := o.store.Get(ctx, ledger.EndedKey(ref))
-			if err != nil && !errors.Is(err, kvstore.ErrNotFound) {
-				break
-			}
+		for _, jobID := range unresolved[:min(len(unresolved), maxEndingLookups)] {
+			ended, err := o.hasEnded(ctx, jobID)
 			if err != nil {
-				if _, ok := o.replica.Get(ledger.EndedKey(ref)); !ok {
-					continue
-				}
+				break // the store refuses: the rest is for the next round
 			}
-			o.mu.Lock()
-			if orphan := o.orphanedJobs[ref]; orphan != nil { // else it was submitted again meanwhile
-				orphan.ended = true
+			if ended {
+				o.letGo(jobID)
 			}
-			o.eachTaskOf(ref, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
-				status.Orphaned = false
-				worker.Tasks[task] = status
-				worker.WakeSender()
-			})
-			o.mu.Unlock()
 		}
 	}
 	return ctx.Err()
 }
 
-// eachTaskOf goes through the tasks of a job on all machines.
-func (o *orphanTracker) eachTaskOf(ref string, visit func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus)) {
+// unresolvedJobs returns the orphaned jobs that have no end record as far as is known, in
+// order. Callers hold mu.
+func (o *orphanTracker) unresolvedJobs() []string {
+	var jobIDs []string
+	for jobID, orphan := range o.orphanedJobs {
+		if !orphan.ended {
+			jobIDs = append(jobIDs, jobID)
+		}
+	}
+	slices.Sort(jobIDs)
+	return jobIDs
+}
+
+// hasEnded tells whether a job has an end record, in the store or in the replica, whose end
+// records may still have to be stored again.
+func (o *orphanTracker) hasEnded(ctx context.Context, jobID string) (bool, error) {
+	_, err := o.store.Get(ctx, ledger.EndedKey(jobID))
+	if errors.Is(err, kvstore.ErrNotFound) {
+		_, remembered := o.replica.Get(ledger.EndedKey(jobID))
+		return remembered, nil
+	}
+	return err == nil, err
+}
+
+// letGo has the workers end the tasks of a job that has ended.
+func (o *orphanTracker) letGo(jobID string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	if orphan := o.orphanedJobs[jobID]; orphan != nil { // else it was submitted again meanwhile
+		orphan.ended = true
+	}
+	o.eachTaskOf(jobID, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
+		status.Orphaned = false
+		worker.Tasks[task] = status
+		worker.WakeSender()
+	})
+}
+
+// eachTaskOf visits the tasks of a job on all workers. Callers hold mu.
+func (o *orphanTracker) eachTaskOf(jobID string, visit func(*agent.Worker, ledger.Task, agent.TaskStatus)) {
 	for _, worker := range o.workersByName {
 		for task, status := range worker.Tasks {
-			if task.JobRef == ref {
+			if task.JobRef == jobID {
 				visit(worker, task, status)
 			}
 		}
 	}
 }
 
-// reserveForOrphans counts what tasks of unknown jobs may take against every team's limit: all
-// that their machines have beside what is claimed.
+// reserveForOrphans counts what orphaned tasks may use against every team's quota limit: all
+// that their workers have beside what is claimed. Callers hold mu.
 func (o *orphanTracker) reserveForOrphans() {
-	var cores, accel float64
+	var cpus, gpus float64
 	for _, worker := range o.workersByName {
 		instanceType := o.instanceTypes.InstanceTypes()[worker.InstanceType]
-		if instanceType == nil || !o.hasOrphan(worker) {
+		if instanceType == nil || !hasOrphan(worker) {
 			continue
 		}
 		used := o.jobs.UsedOnWorker(worker.Name)
-		cores += max(0, instanceType.CPUs-used.CPUs)
-		accel += max(0, instanceType.GPUs-used.GPUs)
+		cpus += max(0, instanceType.CPUs-used.CPUs)
+		gpus += max(0, instanceType.GPUs-used.GPUs)
 	}
-	o.jobs.Reserve(cores, accel)
+	o.jobs.Reserve(cpus, gpus)
 }
 
-// hasOrphan tells whether a host has a task of an unknown job.
-func (o *orphanTracker) hasOrphan(worker *agent.Worker) bool {
+// hasOrphan tells whether a worker has an orphaned task that has not exited.
+func hasOrphan(worker *agent.Worker) bool {
 	for _, status := range worker.Tasks {
 		if status.Orphaned && status.Phase != wire.TaskExited {
 			return true
@@ -120,45 +149,57 @@
 	return false
 }
 
-// adoptOrphans claims the tasks of a job that was submitted again, where machines have them.
-func (o *orphanTracker) adoptOrphans(ref string) {
-	if o.orphanedJobs[ref] == nil {
+// adoptOrphans claims the tasks of a job that was submitted again, where workers have them.
+// Callers hold mu.
+func (o *orphanTracker) adoptOrphans(jobID string) {
+	if o.orphanedJobs[jobID] == nil {
 		return
 	}
-	delete(o.orphanedJobs, ref)
-	job, now, adopted := o.jobs.Job(ref), o.now(), 0
-	o.eachTaskOf(ref, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
+	delete(o.orphanedJobs, jobID)
+	now, adopted := o.now(), 0
+	o.eachTaskOf(jobID, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
 		if !status.Orphaned {
 			return
 		}
 		status.Orphaned = false
 		worker.Tasks[task] = status
-		if status.Phase == wire.TaskExited && status.EndCause != wire.ExitDone {
-			return
-		}
-		claim := o.jobs.AdoptOrphan(job, task.Index, ledger.ClaimRecord{Worker: worker.Name, Incarnation: worker.Incarnation, Attempt: status.Attempt, Zone: worker.Zone}, o.firstEpoch-1)
-		if claim == nil {
-			return
-		}
-		adopted++
-		switch status.Phase {
-		case wire.PhaseRunning:
-			claim.RunningSince = status.Since
-		case wire.TaskExited:
-			o.heartbeats.taskEnded(claim, worker, status.EndCause, now)
+		if o.adoptOrphan(worker, task, status, now) {
+			adopted++
 		}
 	})
-	o.log.Info("known again", "job", ref, "tasks", adopted)
+	o.log.Info("orphaned tasks adopted", "job", jobID, "tasks", adopted)
 	o.reserveForOrphans()
 }
 
-// runningOrphans counts the tasks of an unknown job that run, if there is a trace of it.
-func (o *orphanTracker) runningOrphans(ref string) (running int, ok bool) {
-	orphan := o.orphanedJobs[ref]
+// adoptOrphan claims one task for the worker that has it, and tells whether it could. Callers
+// hold mu.
+func (o *orphanTracker) adoptOrphan(
+	worker *agent.Worker, task ledger.Task, status agent.TaskStatus, now time.Time,
+) bool {
+	if status.Phase == wire.TaskExited && status.EndCause != wire.ExitDone {
+		return false // it starts again like any other
+	}
+	claim := o.adoptClaim(o.jobs.Job(task.JobRef), task.Index, worker, status.Attempt)
+	if claim == nil {
+		return false
+	}
+	switch status.Phase {
+	case wire.PhaseRunning:
+		claim.RunningSince = status.Since
+	case wire.TaskExited:
+		o.heartbeats.taskEnded(claim, worker, status.EndCause, now)
+	}
+	return true
+}
+
+// runningOrphans counts the running tasks of an orphaned job. tracked tells whether the job is
+// one. Callers hold mu.
+func (o *orphanTracker) runningOrphans(jobID string) (running int, tracked bool) {
+	orphan := o.orphanedJobs[jobID]
 	if orphan == nil || orphan.ended {
 		return 0, false
 	}
-	o.eachTaskOf(ref, func(_ *agent.Worker, _ ledger.Task, status agent.TaskStatus) {
+	o.eachTaskOf(jobID, func(_ *agent.Worker, _ ledger.Task, status agent.TaskStatus) {
 		if status.Phase == wire.PhaseRunning {
 			running++
 		}
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -11,8 +11,12 @@
 	"rillflow/internal/wire"
 )
 
-// awaitOrphanReports waits for the machines that may have tasks of jobs that nobody remembers: no
-// longer than their leases last.
+// ErrWorkersUnreported: nothing is known of a job, but not all workers that may have its tasks
+// have reported in this term.
+var ErrWorkersUnreported = errors.New("leader: not all workers have reported")
+
+// awaitOrphanReports waits for the workers that may have tasks of jobs that nobody remembers,
+// for no longer than their leases last.
 func (r *dataRecovery) awaitOrphanReports(ctx context.Context) error {
 	for r.progress.full {
 		r.mu.Lock()
@@ -28,25 +32,15 @@
 	return nil
 }
 
-// ErrWorkersUnreported: nothing is known of a job, but not all machines that may have its tasks were
-// heard in this term.
-var ErrWorkersUnreported = errors.New("control: not all machines were heard")
-
-// allWorkersReported tells whether all machines that may have tasks were heard in this term, or their
-// leases are over: what only machines know is known by then.
-func (r *dataRecovery) allWorkersReported(now time.Time) bool {
-	elapsed := now.Sub(r.startedAt)
-	return elapsed > r.settings.Lease()+r.settings.Report() ||
-		elapsed > max(settings.Seconds(2*r.settings.Facts.Cloud.ListLagS), r.settings.Report()) && len(r.unreportedWorkers()) == 0
-}
-
-// awaitEarlierEpochs waits until everybody who might know of an earlier history was heard: all
-// machines that are up, or a lease. A worker that has seen an epoch ends it at once.
+// awaitEarlierEpochs waits until everybody was heard who might know of an earlier incarnation
+// of the store: all workers that are up, or for a lease. A worker that has seen an epoch of it
+// ends the term at once.
 func (r *dataRecovery) awaitEarlierEpochs(ctx context.Context) error {
 	for sleep(ctx, r.settings.Report()/2) {
 		r.mu.Lock()
-		now := r.now()
-		done := now.Sub(r.startedAt) > r.settings.Lease() || len(r.instances) > 0 && now.Sub(r.startedAt) > r.settings.Report() && len(r.unreportedWorkers()) == 0
+		elapsed := r.now().Sub(r.startedAt)
+		done := elapsed > r.settings.Lease() ||
+			len(r.instances) > 0 && elapsed > r.settings.Report() && len(r.unreportedWorkers()) == 0
 		r.mu.Unlock()
 		if done {
 			return nil
@@ -55,8 +49,21 @@
 	return ctx.Err()
 }
 
-// unreportedWorkers are machines that are up, or have claims, and that have not come to this
-// leader yet: whatever they have may still be ordered by an earlier one.
+// listLag is how long the cloud may take to list an instance, with a margin.
+func (r *dataRecovery) listLag() time.Duration {
+	return settings.Seconds(2 * r.settings.Facts.Cloud.ListLagS)
+}
+
+// allWorkersReported tells whether all workers that may have tasks have reported in this term,
+// or their leases are over: what only workers know is known by then. Callers hold mu.
+func (r *dataRecovery) allWorkersReported(now time.Time) bool {
+	elapsed := now.Sub(r.startedAt)
+	return elapsed > r.settings.Lease()+r.settings.Report() ||
+		elapsed > max(r.listLag(), r.settings.Report()) && len(r.unreportedWorkers()) == 0
+}
+
+// unreportedWorkers returns the workers that are up, or have claims, and have not come to this
+// leader yet: an earlier one may still command them. Callers hold mu.
 func (r *dataRecovery) unreportedWorkers() []string {
 	var names []string
 	for _, worker := range r.workersByName {
@@ -65,15 +72,17 @@
 		}
 		instance, listed := r.instances[worker.Name]
 		up := listed && instance.Phase == wire.PhaseRunning || len(r.jobs.ClaimsOnWorker(worker.Name)) > 0
-		if up && (worker.LastHeartbeat.IsZero() && worker.LastUpdate.IsZero() || worker.SeenEpoch < r.firstEpoch) {
+		heard := !worker.LastHeartbeat.IsZero() || !worker.LastUpdate.IsZero()
+		if up && (!heard || worker.SeenEpoch < r.firstEpoch) {
 			names = append(names, worker.Name)
 		}
 	}
 	return names
 }
 
-// placementOnHold tells whether nothing may be placed yet: some machine may have a task that
-// nobody remembers. For a job that came after the loss no such task can be.
+// placementOnHold tells whether nothing may be placed yet: some worker may have a task that
+// nobody remembers. For a job that came after the loss no such task can be; see jobOnHold. The
+// hold is lifted for good by the first call that finds it over. Callers hold mu.
 func (r *dataRecovery) placementOnHold(now time.Time) bool {
 	progress := r.progress
 	if progress == nil || !progress.full || !progress.placementResumedAt.IsZero() {
@@ -82,31 +91,30 @@
 	if progress.durableAt.IsZero() {
 		return true
 	}
-	listLag := settings.Seconds(2 * r.settings.Facts.Cloud.ListLagS)
+	unreported := r.unreportedWorkers()
 	elapsed := now.Sub(r.startedAt)
 	if elapsed < r.settings.Lease()+r.settings.Report() {
-		if !progress.exact && elapsed < listLag || len(r.unreportedWorkers()) > 0 {
+		if !progress.exact && elapsed < r.listLag() || len(unreported) > 0 {
 			return true
 		}
 	}
-	unreported := r.unreportedWorkers()
 	if len(unreported) > 0 && !progress.exact {
-		return false // see withheld
+		return false // jobOnHold still withholds the jobs of before the loss
 	}
 	progress.placementResumedAt = now
-	r.log.Info("placing again", "after_s", elapsed.Seconds(), "unheard", len(unreported))
+	r.log.Info("placement resumed", "after_s", elapsed.Seconds(), "unreported", len(unreported))
 	return false
 }
 
-// jobOnHold tells whether a job's tasks may be on a machine that has not been heard
-// since data was lost, though nobody remembers them.
+// jobOnHold tells whether a job's tasks may be on a worker that has not reported since data was
+// lost, though nobody remembers them. Callers hold mu.
 func (r *dataRecovery) jobOnHold(job *ledger.Job) bool {
 	progress := r.progress
 	return progress != nil && progress.full && progress.placementResumedAt.IsZero() && !job.ArrivalSeen
 }
 
-// adoptReported takes in a report where claims are of a history that was lost: what the
-// machine shows is there, whatever is remembered of it.
+// adoptReported takes in what a worker shows of a task whose claim may have been lost: what the
+// worker shows is there, whatever is remembered of it. Callers hold mu.
 func (r *dataRecovery) adoptReported(worker *agent.Worker, task ledger.Task, status wire.TaskStatus) {
 	job := r.jobs.Job(task.JobRef)
 	if job == nil {
@@ -117,10 +125,20 @@
 		claim.Unconfirmed = false
 		return
 	}
-	if r.progress == nil || !r.progress.full || status.Phase == wire.TaskExited && status.ExitReason != wire.ExitDone {
+	unfinished := status.Phase == wire.TaskExited && status.ExitReason != wire.ExitDone
+	if r.progress == nil || !r.progress.full || unfinished {
 		return
 	}
-	if claim := r.jobs.AdoptOrphan(job, task.Index, ledger.ClaimRecord{Worker: worker.Name, Incarnation: worker.Incarnation, Attempt: status.Attempt, Zone: worker.Zone}, r.firstEpoch-1); claim != nil {
-		r.log.Info("known from its machine", "task", task, "try", status.Attempt, "host", worker.Name, "phase", status.Phase)
+	if r.adoptClaim(job, task.Index, worker, status.Attempt) != nil {
+		r.log.Info("task adopted from worker",
+			"task", task, "attempt", status.Attempt, "worker", worker.Name, "phase", status.Phase)
 	}
 }
+
+// adoptClaim claims a task for the worker that has it, under the epoch of before the term. It
+// returns nil if the task cannot be claimed. Callers hold mu.
+func (s *termScope) adoptClaim(job *ledger.Job, index int, worker *agent.Worker, attempt uint64) *ledger.Claim {
+	return s.jobs.AdoptOrphan(job, index, ledger.ClaimRecord{
+		Worker: worker.Name, Incarnation: worker.Incarnation, Attempt: attempt, Zone: worker.Zone,
+	}, s.firstEpoch-1)
+}
--- /dev/null
+++ b/internal/leader/replicafeeder.go
@@ -0,0 +1,53 @@
+package leader
+
+import (
+	"context"
+	"slices"
+	"time"
+)
+
+// pushesPerHeartbeat is how often in a heartbeat interval changes are sent to a follower.
+const pushesPerHeartbeat = 12
+
+// replicaFeeder sends this controller's replica to its followers.
+//
+// Serve runs its loop, feedReplicas, which alone uses its state: a replication for each
+// follower. It does not take mu: the replica has its own lock.
+type replicaFeeder struct {
+	*termScope
+
+	cancels map[string]context.CancelFunc // ends the replication to a follower
+}
+
+// feedReplicas keeps a replication running for every follower.
+func (f *replicaFeeder) feedReplicas(ctx context.Context) error {
+	for {
+		followers := f.replicaPeers.Followers()
+		for _, follower := range followers {
+			if f.cancels[follower] == nil {
+				f.replicate(ctx, follower)
+			}
+		}
+		for follower, cancel := range f.cancels {
+			if !slices.Contains(followers, follower) {
+				cancel()
+				delete(f.cancels, follower)
+			}
+		}
+		if !sleep(ctx, f.settings.Report()/2) {
+			return ctx.Err()
+		}
+	}
+}
+
+// replicate starts the replication to a follower.
+func (f *replicaFeeder) replicate(ctx context.Context, follower string) {
+	replicateCtx, cancel := context.WithCancel(ctx)
+	f.cancels[follower] = cancel
+	interval := f.settings.Report() / time.Duration(pushesPerHeartbeat)
+	f.group.Go(func() error {
+		// It ends with its context only. That is no failure of the term.
+		_ = f.replica.Replicate(replicateCtx, f.replicaPeers, follower, interval)
+		return nil
+	})
+}
--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -99,7 +99,7 @@
 	}
 	term.startLoops(
 		term.failures.runMonitor, term.shardKeeper.raiseEpochs, term.shardKeeper.watchShardOwners,
-		term.recovery.feedReplicas,
+		term.replicaFeeder.feedReplicas,
 	)
 	if err := term.recovery.restoreLiveData(groupCtx); err != nil {
 		err = fmt.Errorf("recovery: %w", err)
--- /dev/null
+++ b/internal/leader/storereader.go
@@ -0,0 +1,67 @@
+package leader
+
+import (
+	"context"
+	"errors"
+
+	"rillflow/internal/kvstore"
+	"rillflow/internal/ledger"
+	"rillflow/internal/wire"
+)
+
+// storeReader asks the store until it answers, however long that takes: for reads without which
+// a term cannot go on. The loader, the recovery, the job watcher, the claim writer and the
+// scrubber call it, none with mu held. It has no state of its own.
+type storeReader struct {
+	*termScope
+}
+
+// retry makes a request until its error is final or ctx ends, and returns that error.
+func (r *storeReader) retry(ctx context.Context, isFinal func(error) bool, request func() error) error {
+	for attempt := 0; ; attempt++ {
+		if err := request(); isFinal(err) {
+			return err
+		}
+		if !kvstore.Backoff(ctx, attempt, r.settings.Report()/32, r.settings.Report()/4) {
+			return ctx.Err()
+		}
+	}
+}
+
+// listAll reads all keys under a prefix, and the revision at which they were read.
+func (r *storeReader) listAll(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
+	succeeded := func(err error) bool { return err == nil }
+	err = r.retry(ctx, succeeded, func() error {
+		var err error
+		items, revision, err = r.store.List(ctx, prefix)
+		return err
+	})
+	return items, revision, err
+}
+
+// readEnding reads the end record of a job. Its error is kvstore.ErrNotFound if there is none.
+func (r *storeReader) readEnding(ctx context.Context, jobID string) ([]byte, error) {
+	var item wire.KeyValue
+	answered := func(err error) bool { return err == nil || errors.Is(err, kvstore.ErrNotFound) }
+	err := r.retry(ctx, answered, func() error {
+		var err error
+		item, err = r.store.Get(ctx, ledger.EndedKey(jobID))
+		return err
+	})
+	return item.Value, err
+}
+
+// requireEnding reads the end record of a job whose live key is deleted. A job leaves its live
+// key only with an end record: that of one without it was lost.
+func (r *storeReader) requireEnding(ctx context.Context, jobID string) ([]byte, error) {
+	end, err := r.readEnding(ctx, jobID)
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return nil, r.suspectDataLoss(&missingEndError{jobID})
+	}
+	return end, err
+}
+
+// endingOps are the operations by which a job ended.
+func endingOps(jobID string, end []byte) []wire.Operation {
+	return []wire.Operation{{Put: ledger.EndedKey(jobID), Value: end}, {Delete: ledger.LiveKey(jobID)}}
+}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -62,6 +62,7 @@
 	storeReader   *storeReader         // reads until the store answers
 	loader        *loader              // fills the cluster state at the start
 	recovery      *dataRecovery        // writes back lost data
+	replicaFeeder *replicaFeeder       // sends the replica to followers
 	orphans       *orphanTracker       // tasks of jobs that no record tells of
 	scrubber      *scrubber            // looks for lost keys
 	status        *statusView          // what operators and users are shown
@@ -96,6 +97,7 @@
 		storeReader:   &storeReader{termScope: scope},
 		loader:        &loader{termScope: scope},
 		recovery:      &dataRecovery{termScope: scope},
+		replicaFeeder: &replicaFeeder{termScope: scope, cancels: make(map[string]context.CancelFunc)},
 		orphans:       &orphanTracker{termScope: scope, orphanedJobs: make(map[string]*orphanedJob)},
 		scrubber:      &scrubber{termScope: scope},
 		status:        &statusView{termScope: scope},
