--- a/internal/leader/antientropy.go
+++ b/internal/leader/antientropy.go
@@ -7,6 +7,7 @@
 	"fmt"
 	"slices"
 	"strings"
+	"time"
 
 	"rillflow/internal/kvstore"
 	"rillflow/internal/ledger"
@@ -15,112 +16,176 @@
 	"rillflow/internal/wire"
 )
 
-// scrubber looks for keys that the store has lost.
+// scrubber looks for keys that the store has lost without a trace: it walks the keys that this
+// controller's replica has, and reads a few at a time from the store.
+//
+// Serve runs its loop, runAntiEntropy, and nobody else calls it. Its only state is the loop's
+// cursor. It takes mu for a look at a job, and must not hold it during a request to the store.
+// It writes nothing to the store: it ends the term if data is lost, and the next one recovers it.
 type scrubber struct {
 	*termScope
 	recovery    *dataRecovery
 	storeReader *storeReader
 }
 
-// runAntiEntropy looks for keys that were lost without a trace: it walks what this node
-// remembers and asks for a few keys at a time.
+// Pace of the scrubber.
+const (
+	keysPerHeartbeat       = 200 // looked at in a heartbeat interval
+	firstRoundAcceleration = 5   // times as many keys at once in the first look at the end records
+	maxSuspectsPerPage     = 8   // keys of a page that are looked up again
+)
+
+// scrubPrefixes are walked in this order, over and over. End records come first: those of
+// before this term are known to nobody else if the leader has just begun.
+var scrubPrefixes = []string{ledger.EndedPrefix, ledger.LivePrefix, ledger.ChunkPrefix}
+
+// scrubCursor is how far the scrubber has come.
+type scrubCursor struct {
+	prefix   int    // index in scrubPrefixes
+	after    string // the last key looked at under it; "": none
+	interval time.Duration
+	keys     int // to be looked at in an interval
+}
+
+// scrubPage is a range of keys as the store has them.
+type scrubPage struct {
+	prefix string
+	after  string // the range begins behind this key
+	last   string // its last key; "": it goes to the end of the prefix
+	items  []wire.KeyValue
+}
+
+// runAntiEntropy compares one page of keys after the other.
 func (s *scrubber) runAntiEntropy(ctx context.Context) error {
-	// Ends first, and fast: those before this term are known to nobody else if the
-	// leader has just begun.
-	prefixes := []string{ledger.EndedPrefix, ledger.LivePrefix, ledger.ChunkPrefix}
-	after, current, interval, limit := "", 0, s.settings.Report()/8, 5*keysPerHeartbeat
-	for sleep(ctx, interval) {
+	cursor := scrubCursor{interval: s.settings.Report() / 8, keys: firstRoundAcceleration * keysPerHeartbeat}
+	for sleep(ctx, cursor.interval) {
 		before, _ := s.replica.Tree()
-		page, next, err := s.store.Page(ctx, prefixes[current], after, limit)
+		prefix := scrubPrefixes[cursor.prefix]
+		items, last, err := s.store.Page(ctx, prefix, cursor.after, cursor.keys)
 		if err != nil {
 			continue
 		}
-		if err := s.checkPage(ctx, before, prefixes[current], after, next, page); err != nil {
+		page := scrubPage{prefix: prefix, after: cursor.after, last: last, items: items}
+		if err := s.checkPage(ctx, before, page); err != nil {
 			return err
 		}
-		if prefixes[current] == ledger.EndedPrefix {
-			s.addEndings(page)
+		if prefix == ledger.EndedPrefix {
+			s.addEndings(items)
 		}
-		if after = next; after == "" {
-			current = (current + 1) % len(prefixes)
-			interval, limit = s.settings.Report(), keysPerHeartbeat
+		if cursor.after = last; last == "" {
+			cursor.prefix = (cursor.prefix + 1) % len(scrubPrefixes)
+			cursor.interval, cursor.keys = s.settings.Report(), keysPerHeartbeat
 		}
 	}
 	return ctx.Err()
 }
 
-// keysPerHeartbeat is how many keys are looked at in a report interval.
-const keysPerHeartbeat = 200
-
-// addEndings adds ends of earlier terms to the copy.
-func (s *scrubber) addEndings(page []wire.KeyValue) {
+// addEndings adds end records of earlier terms to the replica.
+func (s *scrubber) addEndings(items []wire.KeyValue) {
 	var ops []wire.Operation
-	for _, item := range page {
-		if _, ok := s.replica.Get(item.Key); !ok {
+	for _, item := range items {
+		if _, known := s.replica.Get(item.Key); !known {
 			ops = append(ops, wire.Operation{Put: item.Key, Value: item.Value})
 		}
 	}
 	s.replica.Apply(0, ops...)
 }
 
-// checkPage finds what was remembered before a page was read, still is, and is not in it.
-func (s *scrubber) checkPage(ctx context.Context, before *replica.Tree, prefix, after, next string, page []wire.KeyValue) error {
-	present := make(map[string]bool, len(page))
-	for _, it := range page {
-		present[it.Key] = true
-		if strings.HasPrefix(prefix, ledger.EndedPrefix) {
-			continue
-		}
-		if old, ok := s.replica.Get(it.Key); ok && string(old) != string(it.Value) && !json.Valid(it.Value) {
-			return s.suspectDataLoss(fmt.Errorf("%s cannot be read", it.Key))
-		}
-	}
-	var lost []string
-	it := before.Root().Iterator()
-	it.SeekLowerBound([]byte(max(prefix, after+"\x00")))
-	for key, _, ok := it.Next(); ok && strings.HasPrefix(string(key), prefix) && (next == "" || string(key) <= next); key, _, ok = it.Next() {
-		if !present[string(key)] {
-			lost = append(lost, string(key))
+// checkPage ends the term if a value of a page cannot be read, or a key is lost: the replica had
+// it before the page was read, still has it, and the page has not.
+func (s *scrubber) checkPage(ctx context.Context, before *replica.Tree, page scrubPage) error {
+	if page.prefix != ledger.EndedPrefix {
+		for _, item := range page.items {
+			if s.isDamaged(item) {
+				return s.suspectDataLoss(fmt.Errorf("%s cannot be read", item.Key))
+			}
 		}
 	}
-	for _, key := range lost[:min(len(lost), 8)] {
-		if prefix == ledger.EndedPrefix && s.endingPending(key) {
-			continue
-		}
-		if _, err := s.store.Get(ctx, key); !errors.Is(err, kvstore.ErrNotFound) {
-			continue
-		}
-		// Removed by somebody meanwhile, and the copy is yet to be told?
-		if !sleep(ctx, s.settings.Report()/4) {
-			return ctx.Err()
-		}
-		if _, still := s.replica.Get(key); !still || prefix == ledger.ChunkPrefix && s.chunkRemovable(key) {
-			continue
+	missing := page.missingKeys(before)
+	for _, key := range missing[:min(len(missing), maxSuspectsPerPage)] {
+		lost, err := s.isLost(ctx, page.prefix, key)
+		if err != nil {
+			return err
 		}
-		if _, err := s.store.Get(ctx, key); errors.Is(err, kvstore.ErrNotFound) {
-			if ref, ok := strings.CutPrefix(key, ledger.LivePrefix); ok {
-				if _, err := s.storeReader.readEnding(ctx, ref); !errors.Is(err, kvstore.ErrNotFound) {
-					continue
-				}
-			}
+		if lost {
 			return s.suspectDataLoss(fmt.Errorf("%s is gone though nobody removed it", key))
 		}
 	}
 	return nil
 }
 
-// chunkRemovable tells whether the job of a chunk is over, so that the chunk may go.
+// isDamaged tells whether a value is not what the replica has, and no JSON.
+func (s *scrubber) isDamaged(item wire.KeyValue) bool {
+	known, ok := s.replica.Get(item.Key)
+	return ok && string(known) != string(item.Value) && !json.Valid(item.Value)
+}
+
+// missingKeys returns the keys of a tree that belong in a page and are not there.
+func (p *scrubPage) missingKeys(tree *replica.Tree) []string {
+	present := make(map[string]bool, len(p.items))
+	for _, item := range p.items {
+		present[item.Key] = true
+	}
+	var missing []string
+	iterator := tree.Root().Iterator()
+	iterator.SeekLowerBound([]byte(max(p.prefix, p.after+"\x00")))
+	for key, _, ok := iterator.Next(); ok && p.covers(string(key)); key, _, ok = iterator.Next() {
+		if !present[string(key)] {
+			missing = append(missing, string(key))
+		}
+	}
+	return missing
+}
+
+// covers tells whether a key behind the beginning of a page belongs in it.
+func (p *scrubPage) covers(key string) bool {
+	return strings.HasPrefix(key, p.prefix) && (p.last == "" || key <= p.last)
+}
+
+// isLost tells whether a key that was missing in a page is surely lost: not just deleted, nor
+// yet to be stored again. A store that does not answer proves nothing.
+func (s *scrubber) isLost(ctx context.Context, prefix, key string) (bool, error) {
+	if prefix == ledger.EndedPrefix && s.endingPending(key) || !s.isAbsent(ctx, key) {
+		return false, nil
+	}
+	// Deleted by somebody meanwhile, and the replica is yet to be told?
+	if !sleep(ctx, s.settings.Report()/4) {
+		return false, ctx.Err()
+	}
+	_, remembered := s.replica.Get(key)
+	if !remembered || prefix == ledger.ChunkPrefix && s.chunkRemovable(key) || !s.isAbsent(ctx, key) {
+		return false, nil
+	}
+	jobID, isJob := strings.CutPrefix(key, ledger.LivePrefix)
+	if !isJob {
+		return true, nil
+	}
+	_, err := s.storeReader.readEnding(ctx, jobID)
+	return errors.Is(err, kvstore.ErrNotFound), nil
+}
+
+// isAbsent tells whether the store says that it has no such key.
+func (s *scrubber) isAbsent(ctx context.Context, key string) bool {
+	_, err := s.store.Get(ctx, key)
+	return errors.Is(err, kvstore.ErrNotFound)
+}
+
+// chunkRemovable tells whether the job of a chunk of claims is over, so that the chunk may go.
 func (s *scrubber) chunkRemovable(key string) bool {
-	ref, _ := ledger.JobOfChunkKey(key)
+	jobID, _ := ledger.JobOfChunkKey(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	job := s.jobs.Job(ref)
+	job := s.jobs.Job(jobID)
 	return job == nil || job.Cancelled || job.Finished
 }
 
-// endingPending tells whether an end is yet to be stored again.
+// endingPending tells whether an end record is yet to be stored again.
 func (s *scrubber) endingPending(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.recovery.progress != nil && slices.ContainsFunc(s.recovery.progress.pending, func(write recovery.Write) bool { return write.Key == key })
+	if s.recovery.progress == nil {
+		return false
+	}
+	isOfKey := func(write recovery.Write) bool { return write.Key == key }
+	return slices.ContainsFunc(s.recovery.progress.pending, isOfKey)
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -1,81 +1,41 @@
 package leader
 
-import (
-	"slices"
-	"time"
-
-	"github.com/HdrHistogram/hdrhistogram-go"
-
-	"rillflow/internal/ledger"
-)
-
 // statusView shows the state of a term to operators and users.
+//
+// The Runner calls it, with mu held, for the status page and for the counts of jobs. It has no
+// state of its own and must not change any.
 type statusView struct {
 	*termScope
-	recovery *dataRecovery
-	orphans  *orphanTracker
-}
-
-// latencies keeps how long things took, in milliseconds.
-type latencies struct {
-	start *hdrhistogram.Histogram // from ready to running
-}
-
-func newLatencies() *latencies {
-	return &latencies{start: hdrhistogram.New(1, int64(time.Hour/time.Millisecond), 2)}
+	heartbeats *heartbeatReconciler
+	faults     *faultTracker
+	scheduler  *scheduler
+	recovery   *dataRecovery
+	orphans    *orphanTracker
 }
 
 // TaskCounts are a job's tasks for display.
 type TaskCounts struct{ Done, Running int }
 
-// TaskCounts tells a live job's counts if this controller leads.
-//
-// ErrNotLeading: another may know. ErrUnheard: machines that were not heard yet may.
-func (r *Runner) TaskCounts(ref string) (counts TaskCounts, known bool, err error) {
-	term := r.current.Load()
-	if term == nil {
-		return TaskCounts{}, false, ErrNotLeading
-	}
-	term.mu.Lock()
-	defer term.mu.Unlock()
-	job := term.jobs.Job(ref)
-	if job == nil {
-		running, ok := term.orphans.runningOrphans(ref)
-		if !ok && term.leadership.Incarnation().DataLost && !term.recovery.allWorkersReported(term.now()) {
-			return TaskCounts{}, false, ErrWorkersUnreported
-		}
-		return TaskCounts{Running: running}, ok, nil
-	}
-	for _, claim := range term.jobs.ClaimsOfJob(job) {
-		if !claim.RunningSince.IsZero() && !claim.Finished {
-			counts.Running++
-		}
-	}
-	counts.Done = job.DoneTasks()
-	return counts, true, nil
-}
-
-// Status is the operator's look at the leader.
+// Status is the leader's part of the status page.
 type Status struct {
-	Epoch   uint64         `json:"epoch"`
-	Jobs    int            `json:"jobs"`
-	Claims  int            `json:"claims"`
-	Workers []WorkerStatus `json:"hosts"`
-	Queues  []QueueStatus  `json:"queues"`
-	// Blocked are jobs that wait for others, the first of them.
-	Blocked  []BlockedJob     `json:"waiting,omitempty"`
-	Start    map[string]int64 `json:"start_ms"`
+	Epoch    uint64           `json:"epoch"`
+	Jobs     int              `json:"jobs"`
+	Claims   int              `json:"claims"`
+	Workers  []WorkerStatus   `json:"hosts"`
+	Queues   []QueueStatus    `json:"queues"`
+	Blocked  []BlockedJob     `json:"waiting,omitempty"` // the first of the jobs that wait for others
+	Start    map[string]int64 `json:"start_ms"`          // latency from ready to running, by percentile
 	Recovery *RecoveryStatus  `json:"rebuilt,omitempty"`
 }
 
-// RecoveryStatus tells of data that the state service lost, and what became of it.
+// RecoveryStatus tells of data that the store lost, and what became of it.
 type RecoveryStatus struct {
-	Jobs           int      `json:"Jobs"` // that it did not hold
+	Jobs           int      `json:"Jobs"` // that the store did not hold
 	Ends           int      `json:"Ends"`
 	Claims         int      `json:"Claims"`
-	Writes         int      `json:"Writes"` // changes to store them again
+	Writes         int      `json:"Writes"` // that store them again
 	Written        int      `json:"Written"`
-	DurableS       float64  `json:"durable_s"` // from the start of the term until all that is alive was stored
+	DurableS       float64  `json:"durable_s"` // from the start of the term until all live data was stored
 	PlacingS       float64  `json:"placing_s"` // until tasks were placed again
 	Unreported     []string `json:"unheard,omitempty"`
 	MissingPeers   []string `json:"missing_peers,omitempty"`
@@ -91,28 +51,60 @@
 	WaitsOn []string `json:"waits_on"`
 }
 
-// maxBlockedJobs bounds the waiting jobs in a view.
+// maxBlockedJobs bounds the blocked jobs in a status.
 const maxBlockedJobs = 256
 
-// WorkerStatus is one machine.
+// WorkerStatus is one worker.
 type WorkerStatus struct {
 	Name         string  `json:"name"`
 	InstanceType string  `json:"flavor"`
 	Zone         string  `json:"zone"`
 	Spot         bool    `json:"loaners"`
 	Claims       int     `json:"claims"`
-	SilentS      float64 `json:"silent_s"`
+	SilentS      float64 `json:"silent_s"` // since its last heartbeat; -1: never heard
 	Quarantined  bool    `json:"bad,omitempty"`
 }
 
-// QueueStatus is one type's queue.
+// QueueStatus is the queue of one type of jobs.
 type QueueStatus struct {
 	Type       string `json:"type"`
 	Unfinished int    `json:"unfinished"`
 	Waiting    int    `json:"waiting"`
 }
 
-// Status is a snapshot, or nil if this controller does not lead.
+// TaskCounts tells a job's counts, if this controller leads and knows the job.
+//
+// The error is ErrNotLeading if another controller may know, ErrWorkersUnreported if workers
+// that have not reported yet may.
+func (r *Runner) TaskCounts(jobID string) (counts TaskCounts, known bool, err error) {
+	term := r.current.Load()
+	if term == nil {
+		return TaskCounts{}, false, ErrNotLeading
+	}
+	term.mu.Lock()
+	defer term.mu.Unlock()
+	return term.status.taskCounts(jobID)
+}
+
+func (v *statusView) taskCounts(jobID string) (counts TaskCounts, known bool, err error) {
+	job := v.jobs.Job(jobID)
+	if job == nil {
+		running, tracked := v.orphans.runningOrphans(jobID)
+		if !tracked && v.leadership.Incarnation().DataLost && !v.recovery.allWorkersReported(v.now()) {
+			return TaskCounts{}, false, ErrWorkersUnreported
+		}
+		return TaskCounts{Running: running}, tracked, nil
+	}
+	counts.Done = job.DoneTasks()
+	for _, claim := range v.jobs.ClaimsOfJob(job) {
+		if !claim.RunningSince.IsZero() && !claim.Finished {
+			counts.Running++
+		}
+	}
+	return counts, true, nil
+}
+
+// Status is a snapshot of the term, or nil if this controller does not lead.
 func (r *Runner) Status() *Status {
 	term := r.current.Load()
 	if term == nil {
@@ -120,60 +112,79 @@
 	}
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	now := term.now()
-	status := &Status{Epoch: term.leadership.Epoch(), Jobs: len(term.jobs.Jobs()), Start: map[string]int64{}}
-	for _, worker := range term.workersByName {
-		workerStatus := WorkerStatus{Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot, Claims: len(term.jobs.ClaimsOnWorker(worker.Name)), Quarantined: term.faults.workerFaulty(worker), SilentS: -1}
+	return term.status.snapshot()
+}
+
+func (v *statusView) snapshot() *Status {
+	status := &Status{
+		Epoch: v.leadership.Epoch(), Jobs: len(v.jobs.Jobs()),
+		Queues: v.queues(), Blocked: v.blockedJobs(), Start: v.startLatencies(), Recovery: v.recoveryStatus(),
+	}
+	now := v.now()
+	for _, worker := range v.workersByName {
+		workerStatus := WorkerStatus{
+			Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot,
+			Claims: len(v.jobs.ClaimsOnWorker(worker.Name)), SilentS: -1, Quarantined: v.faults.workerFaulty(worker),
+		}
 		if !worker.LastHeartbeat.IsZero() {
 			workerStatus.SilentS = now.Sub(worker.LastHeartbeat).Seconds()
 		}
 		status.Claims += workerStatus.Claims
 		status.Workers = append(status.Workers, workerStatus)
 	}
-	status.Recovery = term.status.recoveryStatus()
+	return status
+}
+
+// queues shows the queues, in no particular order.
+func (v *statusView) queues() []QueueStatus {
 	byType := map[string]*QueueStatus{}
-	for _, job := range term.jobs.Jobs() {
-		name := term.scheduler.jobType(job)
+	for _, job := range v.jobs.Jobs() {
+		name := v.scheduler.jobType(job)
 		if byType[name] == nil {
 			byType[name] = &QueueStatus{Type: name}
 		}
 		byType[name].Unfinished += job.UnfinishedTasks()
 		byType[name].Waiting += job.WaitingTasks()
 	}
+	var queues []QueueStatus
 	for _, queue := range byType {
-		status.Queues = append(status.Queues, *queue)
+		queues = append(queues, *queue)
 	}
-	for _, job := range term.jobs.BlockedJobs() {
-		if len(status.Blocked) == maxBlockedJobs {
-			break
-		}
-		status.Blocked = append(status.Blocked, BlockedJob{Job: job.Ref, Class: job.Spec.Class, WaitsOn: job.UnmetDependencies()})
+	return queues
+}
+
+// blockedJobs shows the first of the jobs that wait for others.
+func (v *statusView) blockedJobs() []BlockedJob {
+	var blocked []BlockedJob
+	jobs := v.jobs.BlockedJobs()
+	for _, job := range jobs[:min(len(jobs), maxBlockedJobs)] {
+		blocked = append(blocked, BlockedJob{Job: job.Ref, Class: job.Spec.Class, WaitsOn: job.UnmetDependencies()})
 	}
-	for _, percentile := range []float64{50, 90, 99} {
-		status.Start[map[float64]string{50: "p50", 90: "p90", 99: "p99"}[percentile]] = term.heartbeats.latencies.start.ValueAtQuantile(percentile)
+	return blocked
+}
+
+// startLatencies shows percentiles of the latency from ready to running.
+func (v *statusView) startLatencies() map[string]int64 {
+	start := v.heartbeats.latencies.start
+	return map[string]int64{
+		"p50": start.ValueAtQuantile(50), "p90": start.ValueAtQuantile(90), "p99": start.ValueAtQuantile(99),
 	}
-	return status
 }
 
-// recoveryStatus shows what was lost, if anything was.
+// recoveryStatus shows what was lost, or nil if nothing was.
 func (v *statusView) recoveryStatus() *RecoveryStatus {
 	progress := v.recovery.progress
 	if progress == nil && len(v.orphans.orphanedJobs) == 0 {
 		return nil
 	}
-	status := &RecoveryStatus{}
-	for ref, orphan := range v.orphans.orphanedJobs {
-		if !orphan.ended {
-			status.OrphanedJobs = append(status.OrphanedJobs, ref)
-		}
-	}
-	slices.Sort(status.OrphanedJobs)
+	status := &RecoveryStatus{OrphanedJobs: v.orphans.unresolvedJobs()}
 	if progress == nil {
 		return status
 	}
 	status.Jobs, status.Ends, status.Claims = progress.recovered.Jobs, progress.recovered.Ends, progress.recovered.Claims
 	status.Written, status.Writes = progress.written, progress.written+len(progress.pending)
-	status.MissingPeers, status.DamagedKeys, status.OrphanedClaims = progress.missingPeers, progress.damagedKeys, progress.orphanedClaims
+	status.MissingPeers, status.DamagedKeys = progress.missingPeers, progress.damagedKeys
+	status.OrphanedClaims = progress.orphanedClaims
 	if !progress.durableAt.IsZero() {
 		status.DurableS = progress.durableAt.Sub(v.startedAt).Seconds()
 	}
@@ -184,9 +195,3 @@
 	}
 	return status
 }
-
-// recordStart notes how long a task waited to run.
-func (l *latencies) recordStart(claim *ledger.Claim, now time.Time) {
-	// Only a value out of range is refused; such a wait is of no use here.
-	_ = l.start.RecordValue(now.Sub(claim.Job.ReadyAt).Milliseconds())
-}
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -172,5 +172,6 @@
 
 	t.scrubber.recovery, t.scrubber.storeReader = t.recovery, t.storeReader
 
+	t.status.heartbeats, t.status.faults, t.status.scheduler = t.heartbeats, t.faults, t.scheduler
 	t.status.recovery, t.status.orphans = t.recovery, t.orphans
 }
