--- a/internal/serve/front.go
+++ b/internal/serve/front.go
@@ -253,7 +253,7 @@
 }
 
 func (controller *controller) WorkerReachability() peer.Reachability {
-	return controller.shard.Hearing()
+	return controller.shard.WorkerReachability()
 }
 
 func (controller *controller) Version() string { return Version }
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -44,19 +44,19 @@
 // RecordRequest records that a worker reached this controller.
 func (o *Owner) RecordRequest() { o.isolation.recordRequest(o.now()) }
 
-// Hearing returns how well workers reach this controller, for the peers. It counts as
+// WorkerReachability returns how well workers reach this controller, for the peers. It counts as
 // isolated when the workers that used to report here are silent though workers reach a
 // peer, and stays so for a lease, twice as long each time: an isolated owner loses its
 // shard well before its workers' leases expire, and then cannot find out whether it would
 // hear them again.
-func (o *Owner) Hearing() peer.Reachability {
+func (o *Owner) WorkerReachability() peer.Reachability {
 	now := o.now()
 	isOwner := slices.Contains(o.shardMap().Owners, o.config.Node)
-	return o.isolation.hearing(now, isOwner, o.links)
+	return o.isolation.reachability(now, isOwner, o.links)
 }
 
 // IsIsolated reports whether this controller is cut off from workers that reach others.
-func (o *Owner) IsIsolated() bool { return o.Hearing().Isolated }
+func (o *Owner) IsIsolated() bool { return o.WorkerReachability().Isolated }
 
 // PeersHearNoWorkers reports whether peers are connected and none of them has been hearing
 // workers either. Where all workers are cut off, this controller is not at fault.
@@ -81,7 +81,7 @@
 	d.requests++
 }
 
-func (d *isolationDetector) hearing(now time.Time, isOwner bool, links PeerLinks) peer.Reachability {
+func (d *isolationDetector) reachability(now time.Time, isOwner bool, links PeerLinks) peer.Reachability {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	reached, reachedFor := d.peersReachedLocked(now, links)
--- a/internal/shard/isolation_test.go
+++ b/internal/shard/isolation_test.go
@@ -40,7 +40,7 @@
 			status := peer.Status{Live: tc.live, ReachabilityKnown: true, Reachability: tc.peer}
 			owner := newTestOwner(t, shardMap, 0, &fakeLinks{peers: map[string]peer.Status{"a": status}})
 			owner.now = func() time.Time { return now }
-			owner.Hearing()
+			owner.WorkerReachability()
 			for range tc.beats {
 				owner.RecordRequest()
 			}
@@ -61,7 +61,7 @@
 			}
 			shardMap.Epoch++ // its shard is given back
 			now = now.Add(2 * time.Second)
-			owner.Hearing()
+			owner.WorkerReachability()
 			now = now.Add(2 * report)
 			if got := owner.IsIsolated(); got != tc.relapse {
 				t.Errorf("isolated again: %v", got)
