--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -231,6 +231,37 @@
 	}
 }
 
+var sectionForm = regexp.MustCompile(`docs/(\w+\.md), "([^"]+)"`)
+
+// A section that one document names in another is there.
+func TestSections(t *testing.T) {
+	var files []string
+	for _, pattern := range []string{"*.md", "docs/*.md", "docs/incidents/*.md"} {
+		found, err := filepath.Glob(filepath.Join(root, pattern))
+		if err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, found...)
+	}
+	for _, path := range files {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		flat := strings.Join(strings.Fields(string(text)), " ")
+		for _, ref := range sectionForm.FindAllStringSubmatch(flat, -1) {
+			other, err := os.ReadFile(filepath.Join(root, "docs", ref[1]))
+			if err != nil {
+				t.Errorf("%s: %v", path, err)
+			}
+			heading, lead := "# "+ref[2]+"\n", "**"+ref[2]+".**"
+			if !strings.Contains(string(other), heading) && !strings.Contains(string(other), lead) {
+				t.Errorf("%s: docs/%s has no section %q", path, ref[1], ref[2])
+			}
+		}
+	}
+}
+
 // logged calls f with each message that a Go file logs at the level info or above.
 func logged(t *testing.T, path string, f func(message string)) {
 	t.Helper()
