--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// Workers are asked as they are today: methods, paths and bodies.
+// Workers are asked as they always were: methods, paths and bodies.
 func TestGoldenRequests(t *testing.T) {
 	recorder := goldentest.NewRecorder(t)
 	var dialer net.Dialer
--- a/internal/fleet/catalogue.go
+++ b/internal/fleet/catalogue.go
@@ -11,7 +11,13 @@
 	"rillflow/internal/wire"
 )
 
-// Catalogue keeps the machine types at hand.
+// Shares of the refresh interval that bound the pause after a failed reading of the catalogue.
+const (
+	retryBaseShare  = 64
+	retryLimitShare = 8
+)
+
+// Catalogue is the cloud's instance types as last read. It is safe for concurrent use.
 type Catalogue struct {
 	cloud           *CloudClient
 	refreshInterval time.Duration
@@ -19,12 +25,13 @@
 	types           atomic.Pointer[map[string]*wire.InstanceType]
 }
 
-// NewCatalogue makes a catalogue that is read again at the interval given.
+// NewCatalogue returns an empty catalogue that Run reads again at the interval.
 func NewCatalogue(cloud *CloudClient, refreshInterval time.Duration, log *slog.Logger) *Catalogue {
 	return &Catalogue{cloud: cloud, refreshInterval: refreshInterval, log: log}
 }
 
-// InstanceTypes are the machine types by label, or nil while they are not known.
+// InstanceTypes are the instance types by name, or nil while they are not known. The map must not
+// be changed.
 func (c *Catalogue) InstanceTypes() map[string]*wire.InstanceType {
 	if types := c.types.Load(); types != nil {
 		return *types
@@ -32,7 +39,7 @@
 	return nil
 }
 
-// Zones are all in which some type can be rented, by name.
+// Zones are all zones in which some type can be rented, sorted.
 func (c *Catalogue) Zones() []string {
 	var zones []string
 	for _, instanceType := range c.InstanceTypes() {
@@ -42,7 +49,7 @@
 	return slices.Compact(zones)
 }
 
-// Set takes in the machine types.
+// Set replaces the instance types.
 func (c *Catalogue) Set(types []wire.InstanceType) {
 	byName := make(map[string]*wire.InstanceType, len(types))
 	for i := range types {
@@ -51,13 +58,14 @@
 	c.types.Store(&byName)
 }
 
-// Run reads the catalogue until ctx ends.
+// Run reads the catalogue at its interval until ctx ends. It keeps the last one while the cloud
+// does not answer.
 func (c *Catalogue) Run(ctx context.Context) error {
 	for attempt := 0; ctx.Err() == nil; {
 		types, err := c.cloud.InstanceTypes(ctx)
 		if err != nil || len(types) == 0 {
-			c.log.Debug("machine types", "err", err)
-			kvstore.Backoff(ctx, attempt, c.refreshInterval/64, c.refreshInterval/8)
+			c.log.Debug("list instance types failed", "err", err)
+			kvstore.Backoff(ctx, attempt, c.refreshInterval/retryBaseShare, c.refreshInterval/retryLimitShare)
 			attempt++
 			continue
 		}
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -1,118 +1,128 @@
-// Package fleet rents machines and returns them: the cloud's client, and the
-// pure plan of what to rent and what to return.
+// Package fleet scales the cluster: the client of the cloud that instances are rented from, the
+// catalogue of instance types, and the pure plan of what to request, drain and release.
+//
+// It owns the catalogue last read and what the planner remembers from one plan to the next; the
+// instances themselves are the leader's, which calls all of it. The planner must not send
+// requests, and the client must not retry them.
 package fleet
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
 	"net/url"
+	"strconv"
 	"time"
 
 	"golang.org/x/time/rate"
 
+	"rillflow/internal/jsonhttp"
 	"rillflow/internal/wire"
 )
 
-// ErrNoCapacity: none to be had of this type, zone and kind.
-var ErrNoCapacity = errors.New("cloud: no capacity")
+// ErrNoCapacity says that the cloud has no instance of the type, zone and kind asked for.
+var ErrNoCapacity = errors.New("no capacity")
 
-// CloudClient is the cloud's client.
+const (
+	maxIdleConns     = 4
+	maxConns         = 8
+	maxResponseBytes = 4 << 20
+	listPageSize     = 500
+
+	// noCapacity is the error in the body of a refusal (503) that is for want of instances.
+	noCapacity = "no capacity"
+)
+
+// CloudClient is the client of the cloud's API. It is safe for concurrent use.
 type CloudClient struct {
-	baseURL    string
-	httpClient *http.Client
-	limiter    *rate.Limiter
-	timeout    time.Duration
+	baseURL string
+	http    *jsonhttp.Client
+	limiter *rate.Limiter
+	timeout time.Duration
 }
 
-// NewCloudClient makes a client that sends at most rps requests a second.
-func NewCloudClient(addr string, requestsPerSecond float64, timeout time.Duration, dial func(ctx context.Context, network, addr string) (net.Conn, error)) *CloudClient {
+// NewCloudClient returns a client that sends at most so many requests a second.
+func NewCloudClient(
+	addr string, requestsPerSecond float64, timeout time.Duration, dial jsonhttp.DialFunc,
+) *CloudClient {
 	return &CloudClient{
 		baseURL: "http://" + addr,
-		httpClient: &http.Client{Transport: &http.Transport{
-			DialContext: dial, MaxIdleConnsPerHost: 4, MaxConnsPerHost: 8,
-			IdleConnTimeout: time.Minute, DisableCompression: true,
-		}},
+		http: jsonhttp.New(jsonhttp.Options{
+			Dial:                  dial,
+			MaxIdleConnsPerServer: maxIdleConns,
+			MaxConnsPerServer:     maxConns,
+			MaxResponseBytes:      maxResponseBytes,
+		}),
 		limiter: rate.NewLimiter(rate.Limit(requestsPerSecond), max(1, int(requestsPerSecond))),
 		timeout: timeout,
 	}
 }
 
-func (c *CloudClient) do(ctx context.Context, method, path string, requestBody, answer any) error {
+// do sends a request once, after waiting for the rate limit, and decodes the answer. A nil answer
+// ignores its body.
+func (c *CloudClient) do(ctx context.Context, method, path string, body, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
-		return fmt.Errorf("cloud: budget: %w", err)
-	}
-	var body io.Reader
-	if requestBody != nil {
-		b, err := json.Marshal(requestBody)
-		if err != nil {
-			return fmt.Errorf("cloud: %w", err)
-		}
-		body = bytes.NewReader(b)
-	}
-	request, err := http.NewRequestWithContext(ctx, method, c.baseURL+path, body)
-	if err != nil {
-		return fmt.Errorf("cloud: %w", err)
+		return fmt.Errorf("cloud: %s %s: rate limit: %w", method, path, err)
 	}
-	response, err := c.httpClient.Do(request)
+	request, err := jsonhttp.NewRequest(ctx, method, c.baseURL+path, body)
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
-	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, 4<<20))
+	response, err := c.http.Do(request)
 	if err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
-	if response.StatusCode == http.StatusServiceUnavailable {
-		var e wire.ErrorResponse
-		if json.Unmarshal(data, &e) == nil && e.Error == "no capacity" {
-			return ErrNoCapacity
-		}
+	if isNoCapacity(response) {
+		return fmt.Errorf("cloud: %s %s: %w", method, path, ErrNoCapacity)
 	}
 	if response.StatusCode != http.StatusOK {
-		return fmt.Errorf("cloud: %s: status %d", path, response.StatusCode)
+		return fmt.Errorf("cloud: %w", response.StatusError())
 	}
 	if answer == nil {
 		return nil
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
-		return fmt.Errorf("cloud: %s: %w", path, err)
+	if err := response.Decode(answer); err != nil {
+		return fmt.Errorf("cloud: %w", err)
 	}
 	return nil
 }
 
-// InstanceTypes reads the catalogue.
+// isNoCapacity reports whether an answer is a refusal for want of instances.
+func isNoCapacity(response *jsonhttp.Response) bool {
+	var refusal wire.ErrorResponse
+	return response.StatusCode == http.StatusServiceUnavailable &&
+		response.Decode(&refusal) == nil && refusal.Error == noCapacity
+}
+
+// InstanceTypes reads the catalogue of instance types.
 func (c *CloudClient) InstanceTypes(ctx context.Context) ([]wire.InstanceType, error) {
 	var catalogue wire.InstanceTypeList
 	err := c.do(ctx, http.MethodGet, "/machine_types", nil, &catalogue)
 	return catalogue.Types, err
 }
 
-// RequestInstances asks for machines.
+// RequestInstances asks for instances and returns the names of those granted, which may be fewer.
+// The error is ErrNoCapacity if there are none to be had.
 func (c *CloudClient) RequestInstances(ctx context.Context, request wire.ScaleOutRequest) ([]string, error) {
 	var instances wire.InstanceNames
 	err := c.do(ctx, http.MethodPost, "/hosts", request, &instances)
 	return instances.Names, err
 }
 
-// ReleaseInstances returns machines. A nil error proves that they are gone.
+// ReleaseInstances releases instances. A nil error proves that they no longer run.
 func (c *CloudClient) ReleaseInstances(ctx context.Context, names []string) error {
 	return c.do(ctx, http.MethodPost, "/hosts/release", wire.InstanceNames{Names: names}, nil)
 }
 
-// ListInstances reads the machine list.
+// ListInstances reads the list of all instances rented, in pages.
 func (c *CloudClient) ListInstances(ctx context.Context) ([]wire.Instance, error) {
 	var all []wire.Instance
 	after := ""
 	for {
-		query := url.Values{"limit": {"500"}}
+		query := url.Values{"limit": {strconv.Itoa(listPageSize)}}
 		if after != "" {
 			query.Set("after", after)
 		}
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -9,21 +9,24 @@
 	"rillflow/internal/wire"
 )
 
-// The cloud is asked as it is today: methods, paths, queries and bodies.
+// The cloud is asked as it always was: methods, paths, queries and bodies.
 func TestGoldenRequests(t *testing.T) {
-	rec := goldentest.NewRecorder(t)
-	var d net.Dialer
-	c := NewCloudClient(rec.Addr(), 1e6, time.Minute, d.DialContext)
+	recorder := goldentest.NewRecorder(t)
+	var dialer net.Dialer
+	client := NewCloudClient(recorder.Addr(), 1e6, time.Minute, dialer.DialContext)
 	ctx := t.Context()
-	for _, ask := range []func() error{
-		func() error { _, err := c.InstanceTypes(ctx); return err },
-		func() error { _, err := c.RequestInstances(ctx, goldentest.Filled[wire.ScaleOutRequest]()); return err },
-		func() error { return c.ReleaseInstances(ctx, []string{"i-1", "i-2"}) },
-		func() error { _, err := c.ListInstances(ctx); return err },
+	for _, request := range []func() error{
+		func() error { _, err := client.InstanceTypes(ctx); return err },
+		func() error {
+			_, err := client.RequestInstances(ctx, goldentest.Filled[wire.ScaleOutRequest]())
+			return err
+		},
+		func() error { return client.ReleaseInstances(ctx, []string{"i-1", "i-2"}) },
+		func() error { _, err := client.ListInstances(ctx); return err },
 	} {
-		if err := ask(); err != nil {
+		if err := request(); err != nil {
 			t.Error(err)
 		}
 	}
-	goldentest.Check(t, "requests.txt", rec.Requests())
+	goldentest.Check(t, "requests.txt", recorder.Requests())
 }
