--- /dev/null
+++ b/internal/peer/mesh.go
@@ -0,0 +1,92 @@
+package peer
+
+import (
+	"context"
+	"log/slog"
+	"net"
+	"time"
+
+	"golang.org/x/sync/errgroup"
+
+	"rillflow/internal/kvstore"
+	"rillflow/internal/settings"
+)
+
+// DialFunc opens a connection to an address.
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+
+// Mesh is this controller's links to all others. It is safe for concurrent use.
+type Mesh struct {
+	handler      Handler
+	pingInterval time.Duration
+	links        map[string]*Link // by the peer's name; never changed after NewMesh
+	log          *slog.Logger
+	slots        chan struct{} // bounds requests served at once
+}
+
+// NewMesh makes the links; nothing is dialled before Run. slots bounds the peers'
+// requests that are served at once.
+func NewMesh(
+	peers []settings.Member, handler Handler, pingInterval time.Duration, slots int, dial DialFunc, log *slog.Logger,
+) *Mesh {
+	mesh := &Mesh{
+		handler: handler, pingInterval: pingInterval, links: make(map[string]*Link), log: log,
+		slots: make(chan struct{}, max(1, slots)),
+	}
+	for _, peer := range peers {
+		mesh.links[peer.Node] = &Link{
+			peer: peer.Node, addr: peer.Endpoint, pingInterval: pingInterval, dial: dial,
+			pending: make(map[uint64]chan frame),
+		}
+	}
+	return mesh
+}
+
+// Run keeps the links and serves peers on listener until ctx ends.
+func (mesh *Mesh) Run(ctx context.Context, listener net.Listener) error {
+	group, ctx := errgroup.WithContext(ctx)
+	group.Go(func() error { <-ctx.Done(); return listener.Close() })
+	for _, link := range mesh.links {
+		group.Go(func() error { return link.dialLoop(ctx, mesh.handler) })
+	}
+	group.Go(func() error { return mesh.accept(ctx, group, listener) })
+	return group.Wait()
+}
+
+// accept serves each peer that connects in a goroutine of the group.
+func (mesh *Mesh) accept(ctx context.Context, group *errgroup.Group, listener net.Listener) error {
+	for {
+		conn, err := listener.Accept()
+		if err != nil {
+			if ctx.Err() != nil {
+				return ctx.Err()
+			}
+			kvstore.Backoff(ctx, 0, mesh.pingInterval, mesh.pingInterval)
+			continue
+		}
+		group.Go(func() error { mesh.serve(ctx, conn); return nil })
+	}
+}
+
+// Status is how a peer stood at its last ping.
+type Status struct {
+	Ping
+	// Version is the peer's program version, or "" if it is too old to tell or
+	// has not been asked yet. It is asked anew with each connection, for a
+	// process may come back as another version.
+	Version   string    `json:"Version"`
+	Live      bool      `json:"Live"`  // answered lately
+	LiveSince time.Time `json:"Since"` // live without a break since
+	// Reachability is how the peer hears workers, if it is new enough to tell.
+	Reachability      Reachability `json:"Hearing"`
+	ReachabilityKnown bool         `json:"HearingKnown"`
+}
+
+// Peers tells how all peers stand, by their names.
+func (mesh *Mesh) Peers() map[string]Status {
+	statuses := make(map[string]Status, len(mesh.links))
+	for name, link := range mesh.links {
+		statuses[name] = link.status()
+	}
+	return statuses
+}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -202,11 +202,8 @@
 	controller.replica.LoadPrevious(c.Tree)
 }
 
-// dialer makes connections.
-type dialer func(ctx context.Context, network, addr string) (net.Conn, error)
-
 // dial is how other controllers are reached: with TLS, each must show its name.
-func dial(set *settings.Settings, tls *certs.Keeper, plain dialer) dialer {
+func dial(set *settings.Settings, tls *certs.Keeper, plain peer.DialFunc) peer.DialFunc {
 	if m := set.Operator.TLS.Back; tls == nil || m == certs.Off || m == certs.Accept {
 		return plain
 	}
