--- a/internal/peer/answers.go
+++ b/internal/peer/answers.go
@@ -89,7 +89,7 @@
 	body, err := mesh.answer(ctx, request)
 	if err != nil {
 		mesh.log.Debug("peer request refused", "kind", request.kind, "err", err)
-		return frame{kind: kindRefuse, id: request.id}
+		return frame{kind: kindRefusal, id: request.id}
 	}
 	return frame{kind: kindAnswer, id: request.id, body: body}
 }
@@ -107,8 +107,8 @@
 		return mesh.answerOffer(body)
 	case kindUser:
 		return mesh.answerUser(ctx, body, decodeUserRequest)
-	case kindUserAs:
-		return mesh.answerUser(ctx, body, decodeUserRequestAs)
+	case kindUserWithToken:
+		return mesh.answerUser(ctx, body, decodeUserRequestWithToken)
 	case kindCounts:
 		return mesh.answerCounts(body)
 	case kindStoreIncarnation:
@@ -223,7 +223,7 @@
 func limitToFrame(picks []placement.Pick) []placement.Pick {
 	size := 0
 	for i := range picks {
-		if size += maxPickBytes + len(picks[i].Worker) + len(picks[i].Ref); size > maxPayload-headerLen {
+		if size += maxPickBytes + len(picks[i].Worker) + len(picks[i].Ref); size > maxPayloadBytes-headerBytes {
 			return picks[:i]
 		}
 	}
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -47,7 +47,7 @@
 		{"user-answer", kindAnswer, useranswer.encode(), useranswer, func(b []byte) (any, error) { return decodeUserAnswer(b) }},
 		{"counts", kindCounts, []byte("req-1"), "req-1", func(b []byte) (any, error) { return string(b), nil }},
 		{"counts-answer", kindAnswer, counts.encode(), counts, func(b []byte) (any, error) { return decodeCounts(b) }},
-		{"refuse", kindRefuse, nil, "", func(b []byte) (any, error) { return string(b), nil }},
+		{"refuse", kindRefusal, nil, "", func(b []byte) (any, error) { return string(b), nil }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			want, err := os.ReadFile(filepath.Join("testdata", "production", tc.name+".frame"))
@@ -109,7 +109,7 @@
 			return frame{kind: kindAnswer, id: f.id, body: body}
 		}
 	}
-	return frame{kind: kindRefuse, id: f.id}
+	return frame{kind: kindRefusal, id: f.id}
 }
 
 // How a node hears is asked of peers that are known to tell, and of no others.
--- a/internal/peer/frame.go
+++ b/internal/peer/frame.go
@@ -1,6 +1,14 @@
-// Package peer is the link between controllers: a binary format of our own
-// over TCP on the back addresses, requests that are answered by number, and a
-// steady exchange of who is alive and who still reaches the state service.
+// Package peer is the link between controllers: a binary format of our own over TCP,
+// requests that are answered by number, and pings that tell who is alive and who still
+// reaches the key-value store.
+//
+// A Mesh owns one Link to each peer, on which requests go out, and serves the requests
+// that come in on connections the peers opened. Shard owners, the leader and the API use
+// it through package serve, whose controller is the Handler. The package must not decide
+// anything from what it carries: who leads and what may be told is for its users.
+//
+// Versions of the program that run side by side understand each other: a frame's layout
+// never changes, and a kind that a peer's version does not know is not sent to it.
 package peer
 
 import (
@@ -15,9 +23,9 @@
 // payload (4, big-endian), payload. Within a payload, counts are varints,
 // amounts are 8 bytes, strings and lists carry their length first.
 const (
-	version    = 1
-	headerLen  = 14
-	maxPayload = 1 << 20
+	formatVersion   = 1
+	headerBytes     = 14
+	maxPayloadBytes = 1 << 20
 )
 
 // kind tells what a frame carries.
@@ -29,25 +37,25 @@
 	kindOffer
 	kindUser
 	kindCounts
-	kindAnswer // to any of them
-	kindRefuse // the request could not be served
+	kindAnswer  // to any of them
+	kindRefusal // the request could not be served
 
 	// Versions before 0.2 refuse what follows, by which they are known.
 	kindVersion // the program's version, and the peer's in answer
 
 	// Sent only to peers that are known to be of 0.3 or later.
-	kindReachability // how well a node hears workers, and the peer in answer
+	kindReachability // how well a controller hears workers, and the peer in answer
 
 	// Sent only to peers that are known to be of 0.4 or later.
-	kindUserAs // a user's request with its token
+	kindUserWithToken // a user's request with its token
 
 	// Sent only to peers that are known to be of 0.5 or later.
-	kindStoreIncarnation // how a node takes the state service's history, and the peer in answer
-	kindReplicaPush      // the leader's copy of what is stored, or changes of it
-	kindReplicaPage      // asks for a page of what the peer remembers
+	kindStoreIncarnation // which incarnation of the store's data a controller knows, and the peer in answer
+	kindReplicaPush      // the leader's replica of what is stored, or changes of it
+	kindReplicaPage      // asks for a page of the peer's replica
 
 	// Sent only to peers that are known to be of 0.6 or later.
-	kindCancellations // withdrawals that users are told of, and the peer's in answer
+	kindCancellations // cancellations that users are told of, and the peer's in answer
 )
 
 // ErrFormat says that a frame breaks the format.
@@ -59,31 +67,31 @@
 	body []byte
 }
 
-func writeFrame(w io.Writer, f frame) error {
-	if len(f.body) > maxPayload {
-		return fmt.Errorf("%w: payload of %d bytes", ErrFormat, len(f.body))
+func writeFrame(w io.Writer, out frame) error {
+	if len(out.body) > maxPayloadBytes {
+		return fmt.Errorf("%w: payload of %d bytes", ErrFormat, len(out.body))
 	}
-	b := make([]byte, headerLen, headerLen+len(f.body))
-	b[0], b[1] = version, byte(f.kind)
-	binary.BigEndian.PutUint64(b[2:], f.id)
-	binary.BigEndian.PutUint32(b[10:], uint32(len(f.body)))
-	_, err := w.Write(append(b, f.body...))
+	buffer := make([]byte, headerBytes, headerBytes+len(out.body))
+	buffer[0], buffer[1] = formatVersion, byte(out.kind)
+	binary.BigEndian.PutUint64(buffer[2:], out.id)
+	binary.BigEndian.PutUint32(buffer[10:], uint32(len(out.body)))
+	_, err := w.Write(append(buffer, out.body...))
 	return err
 }
 
 func readFrame(r io.Reader) (frame, error) {
-	var h [headerLen]byte
-	if _, err := io.ReadFull(r, h[:]); err != nil {
+	var header [headerBytes]byte
+	if _, err := io.ReadFull(r, header[:]); err != nil {
 		return frame{}, err
 	}
-	if h[0] != version {
-		return frame{}, fmt.Errorf("%w: version %d", ErrFormat, h[0])
+	if header[0] != formatVersion {
+		return frame{}, fmt.Errorf("%w: version %d", ErrFormat, header[0])
 	}
-	n := binary.BigEndian.Uint32(h[10:])
-	if n > maxPayload {
-		return frame{}, fmt.Errorf("%w: payload of %d bytes", ErrFormat, n)
+	length := binary.BigEndian.Uint32(header[10:])
+	if length > maxPayloadBytes {
+		return frame{}, fmt.Errorf("%w: payload of %d bytes", ErrFormat, length)
 	}
-	f := frame{kind: kind(h[1]), id: binary.BigEndian.Uint64(h[2:]), body: make([]byte, n)}
-	_, err := io.ReadFull(r, f.body)
-	return f, err
+	in := frame{kind: kind(header[1]), id: binary.BigEndian.Uint64(header[2:]), body: make([]byte, length)}
+	_, err := io.ReadFull(r, in.body)
+	return in, err
 }
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -58,7 +58,7 @@
 		{"offer", offer, encodeOffer(&offer), func(b []byte) (any, error) { return decodeOffer(b) }},
 		{"picks", picks, encodePicks(picks), func(b []byte) (any, error) { return decodePicks(b) }},
 		{"user", user, user.encode(), func(b []byte) (any, error) { return decodeUserRequest(b) }},
-		{"user with a token", userAs, userAs.encodeAs(), func(b []byte) (any, error) { return decodeUserRequestAs(b) }},
+		{"user with a token", userAs, userAs.encodeWithToken(), func(b []byte) (any, error) { return decodeUserRequestWithToken(b) }},
 		{"user answer", useranswer, useranswer.encode(), func(b []byte) (any, error) { return decodeUserAnswer(b) }},
 		{"hearing", hearing, hearing.encode(), func(b []byte) (any, error) { return decodeReachability(b) }},
 		{"history", past, past.encode(), func(b []byte) (any, error) { return decodeStoreIncarnation(b) }},
@@ -101,7 +101,7 @@
 	if _, err := readFrame(bytes.NewReader(long)); !errors.Is(err, ErrFormat) {
 		t.Error("a length past the limit was taken")
 	}
-	if err := writeFrame(&buf, frame{kindOffer, 1, make([]byte, maxPayload+1)}); !errors.Is(err, ErrFormat) {
+	if err := writeFrame(&buf, frame{kindOffer, 1, make([]byte, maxPayloadBytes+1)}); !errors.Is(err, ErrFormat) {
 		t.Error("a payload past the limit was sent")
 	}
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -191,7 +191,7 @@
 	switch answer.kind {
 	case kindAnswer:
 		return answer.body, nil
-	case kindRefuse:
+	case kindRefusal:
 		return nil, ErrRefused
 	}
 	return nil, ErrFormat
--- a/internal/peer/requests.go
+++ b/internal/peer/requests.go
@@ -27,7 +27,7 @@
 // confirms the best of all, as it does over several owners.
 func (mesh *Mesh) Pick(ctx context.Context, peer string, offer *placement.Offer) ([]placement.Pick, error) {
 	request := encodeOffer(offer)
-	if half := len(offer.Candidates) / 2; len(request) > maxPayload && half > 0 {
+	if half := len(offer.Candidates) / 2; len(request) > maxPayloadBytes && half > 0 {
 		first, err := mesh.Pick(ctx, peer, &placement.Offer{Candidates: offer.Candidates[:half], Queues: offer.Queues})
 		if err != nil {
 			return nil, err
@@ -51,7 +51,7 @@
 		if link := mesh.links[peer]; link == nil || !link.atLeastVersion(sinceTokens) {
 			return UserAnswer{}, fmt.Errorf("%w: %s knows no tokens", ErrDown, peer)
 		}
-		k, encoded = kindUserAs, request.encodeAs()
+		k, encoded = kindUserWithToken, request.encodeWithToken()
 	}
 	body, err := mesh.ask(ctx, peer, k, encoded)
 	if err != nil {
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -25,8 +25,8 @@
 		return rs
 	}
 	one := len(encodeOffer(&placement.Offer{Candidates: rooms(2)})) - len(encodeOffer(&placement.Offer{Candidates: rooms(1)}))
-	fit := (maxPayload - 8) / one
-	if len(encodeOffer(&placement.Offer{Candidates: rooms(fit)})) > maxPayload || len(encodeOffer(&placement.Offer{Candidates: rooms(fit + 1)})) <= maxPayload {
+	fit := (maxPayloadBytes - 8) / one
+	if len(encodeOffer(&placement.Offer{Candidates: rooms(fit)})) > maxPayloadBytes || len(encodeOffer(&placement.Offer{Candidates: rooms(fit + 1)})) <= maxPayloadBytes {
 		t.Fatalf("%d rooms are not the most that fit", fit)
 	}
 	for _, tc := range []struct {
