--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -93,7 +93,7 @@
 }
 
 // open finds the newest block, however long that takes.
-func (a *auditWriter) open(ctx context.Context, store *kvstore.Client, heartbeatInterval time.Duration) error {
+func (a *auditWriter) open(ctx context.Context, reader *storeReader) error {
 	if a == nil {
 		return nil
 	}
@@ -101,18 +101,14 @@
 		return ctx.Err()
 	}
 	defer a.release()
-	for attempt := 0; ; attempt++ {
-		item, err := store.First(ctx, audit.BlockPrefix)
-		if errors.Is(err, kvstore.ErrNotFound) {
-			return nil
-		}
-		if err == nil {
-			return a.resume(item)
-		}
-		if !kvstore.Backoff(ctx, attempt, heartbeatInterval/32, heartbeatInterval/4) {
-			return ctx.Err()
-		}
+	item, err := reader.first(ctx, audit.BlockPrefix)
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return nil // the log begins
 	}
+	if err != nil {
+		return err
+	}
+	return a.resume(item)
 }
 
 // resume goes on after the newest block in the store. One that was tampered with is not
--- a/internal/leader/claimcommit.go
+++ b/internal/leader/claimcommit.go
@@ -53,7 +53,7 @@
 		case errors.Is(err, kvstore.ErrOutcomeUnknown):
 			uncertain = true
 		}
-		if !kvstore.Backoff(ctx, attempt, w.settings.Report()/64, w.settings.Report()/4) {
+		if !w.backOffWrite(ctx, attempt) {
 			return ctx.Err()
 		}
 	}
--- a/internal/leader/claimwriter.go
+++ b/internal/leader/claimwriter.go
@@ -72,7 +72,7 @@
 				return ctx.Err()
 			}
 		case errors.Is(err, kvstore.ErrRefused):
-			if !kvstore.Backoff(ctx, attempt, w.settings.Report()/64, w.settings.Report()/4) {
+			if !w.backOffWrite(ctx, attempt) {
 				return ctx.Err()
 			}
 			attempt++
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -163,7 +163,7 @@
 		}
 		// Whether its outcome is unknown or not, the same is asked for again: a job that
 		// was cancelled by it fails its compare then, which is as good.
-		if !kvstore.Backoff(ctx, attempt, d.settings.Report()/64, d.settings.Report()/4) {
+		if !d.backOffWrite(ctx, attempt) {
 			return ctx.Err()
 		}
 	}
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/wire"
 )
 
-// ErrWorkersUnreported: nothing is known of a job, but not all workers that may have its tasks
+// ErrWorkersUnreported says that nothing is known of a job, but not all workers that may have its tasks
 // have reported in this term.
 var ErrWorkersUnreported = errors.New("leader: not all workers have reported")
 
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -175,7 +175,7 @@
 		if errors.Is(err, kvstore.ErrTooLarge) {
 			return 0, err
 		}
-		if !kvstore.Backoff(ctx, attempt, r.settings.Report()/64, r.settings.Report()/4) {
+		if !r.backOffWrite(ctx, attempt) {
 			return 0, ctx.Err()
 		}
 	}
--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("load: %w", err)
 	}
-	if err := t.auditLog.open(ctx, t.store, t.settings.Report()); err != nil {
+	if err := t.auditLog.open(ctx, t.storeReader); err != nil {
 		return 0, fmt.Errorf("audit log: %w", err)
 	}
 	t.mu.Lock()
--- a/internal/leader/storereader.go
+++ b/internal/leader/storereader.go
@@ -22,7 +22,7 @@
 		if err := request(); isFinal(err) {
 			return err
 		}
-		if !kvstore.Backoff(ctx, attempt, r.settings.Report()/32, r.settings.Report()/4) {
+		if !r.backOffRead(ctx, attempt) {
 			return ctx.Err()
 		}
 	}
@@ -39,16 +39,26 @@
 	return items, revision, err
 }
 
-// readEnding reads the end record of a job. Its error is kvstore.ErrNotFound if there is none.
+// first reads the first key under a prefix. The error is kvstore.ErrNotFound if there is none.
+func (r *storeReader) first(ctx context.Context, prefix string) (wire.KeyValue, error) {
+	return r.readOne(ctx, func() (wire.KeyValue, error) { return r.store.First(ctx, prefix) })
+}
+
+// readEnding reads the end record of a job. The error is kvstore.ErrNotFound if there is none.
 func (r *storeReader) readEnding(ctx context.Context, jobID string) ([]byte, error) {
-	var item wire.KeyValue
+	item, err := r.readOne(ctx, func() (wire.KeyValue, error) { return r.store.Get(ctx, ledger.EndedKey(jobID)) })
+	return item.Value, err
+}
+
+// readOne reads one key, or learns that there is none.
+func (r *storeReader) readOne(ctx context.Context, read func() (wire.KeyValue, error)) (item wire.KeyValue, err error) {
 	answered := func(err error) bool { return err == nil || errors.Is(err, kvstore.ErrNotFound) }
-	err := r.retry(ctx, answered, func() error {
+	err = r.retry(ctx, answered, func() error {
 		var err error
-		item, err = r.store.Get(ctx, ledger.EndedKey(jobID))
+		item, err = read()
 		return err
 	})
-	return item.Value, err
+	return item, err
 }
 
 // requireEnding reads the end record of a job whose live key is deleted. A job leaves its live
