--- a/internal/shard/isolation_test.go
+++ b/internal/shard/isolation_test.go
@@ -13,6 +13,7 @@
 // be reached. It counts as isolated for a lease, twice as long the next time.
 func TestIsolation(t *testing.T) {
 	const report, lease = 4 * time.Second, 40 * time.Second
+	silentToo := peer.Reachability{SinceHeartbeat: 2 * report}
 	for _, tc := range []struct {
 		name    string
 		beats   int // in the lease before
@@ -26,7 +27,7 @@
 		{"all were cut off, and a peer is heard again first", 100, 8 * report, true, peer.Reachability{}, true, false, false},
 		{"all is well", 100, report, true, peer.Reachability{}, true, false, false},
 		{"cut off from workers", 100, 2 * report, true, peer.Reachability{}, true, true, true},
-		{"so are all: the workers are gone", 100, 2 * report, true, peer.Reachability{SinceHeartbeat: 2 * report}, true, false, false},
+		{"so are all: the workers are gone", 100, 2 * report, true, silentToo, true, false, false},
 		{"no peer to compare with", 100, 2 * report, true, peer.Reachability{}, false, false, false},
 		{"nobody reports here", 100, 2 * report, false, peer.Reachability{}, true, false, false},
 		{"too few to tell", 8, 2 * report, true, peer.Reachability{}, true, false, false},
