--- a/internal/leader/claimwriter_test.go
+++ b/internal/leader/claimwriter_test.go
@@ -12,23 +12,25 @@
 	"rillflow/internal/wire"
 )
 
-// Where something urgent is always to be written, the rest still has its turn.
+// While there are always urgent changes to write, the others still have their turn.
 func TestIdleWritesHaveTheirTurn(t *testing.T) {
 	leader := newTestTerm(t)
 	leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 1}}
 	at := now
 	leader.now = func() time.Time { return at }
 	leader.settings.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
-	leader.store = kvstore.New(kvstore.Options{RequestsPerSecond: 1000, Limits: kvstore.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10}})
-	old := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
-	claim := func(j *ledger.Job) *ledger.Claim {
-		c, err := leader.jobs.Claim(j, "h0", 1, "a")
+	leader.store = kvstore.New(kvstore.Options{
+		RequestsPerSecond: 1000, Limits: kvstore.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10},
+	})
+	finishing := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 9, CPUs: 1})
+	claim := func(job *ledger.Job) *ledger.Claim {
+		claimed, err := leader.jobs.Claim(job, "h0", 1, "a")
 		if err != nil {
 			t.Fatal(err)
 		}
-		return c
+		return claimed
 	}
-	c := claim(old)
+	finished := claim(finishing)
 	commit := func() []string {
 		batch, err := leader.claimWriter.nextAuditedBatch()
 		if err != nil {
@@ -38,11 +40,11 @@
 		return batch.JobRefs()
 	}
 	commit()
-	leader.jobs.Finish(c)
+	leader.jobs.Finish(finished)
 	first := 0
 	for i := range 20 {
-		j := leader.addTestJob(fmt.Sprint("req-1", i), wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 0.1})
-		claim(j)
+		urgent := leader.addTestJob(fmt.Sprint("req-1", i), wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 0.1})
+		claim(urgent)
 		at = at.Add(leader.settings.Report() / 8)
 		if refs := commit(); refs[0] == "req-1" {
 			first = i
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -14,12 +14,13 @@
 	"rillflow/internal/wire"
 )
 
-// A chain's last job gives its rank and its deadline, less the steps between, to
-// all that it needs, however late it comes, and takes them back when withdrawn.
+// The last job of a chain of dependencies passes its priority and its deadline, less the steps
+// between, on to all that it depends on, however late it comes, and takes them back when it is
+// cancelled.
 func TestInheritedPriorityAndDeadline(t *testing.T) {
 	leader := newTestTerm(t)
-	due := func(ref string) float64 {
-		at := leader.dependencies.inherited(leader.jobs.Job(ref)).Deadlines[2]
+	due := func(jobID string) float64 {
+		at := leader.dependencies.inherited(leader.jobs.Job(jobID)).Deadlines[2]
 		if at.IsZero() {
 			return 0
 		}
@@ -28,28 +29,34 @@
 	check := func(when string, want ...float64) {
 		t.Helper()
 		for i, wantDue := range want {
-			ref := fmt.Sprint("req-", i+1)
-			priority := priorityLevel("idle")
+			jobID := fmt.Sprint("req-", i+1)
+			wantPriority := priorityLevel("idle")
 			if wantDue != 0 {
-				priority = priorityLevel("urgent")
+				wantPriority = priorityLevel("urgent")
 			}
-			if got := due(ref); got != wantDue || leader.dependencies.effectivePriority(leader.jobs.Job(ref)) != priority {
-				t.Errorf("%s: %s is due in %v, rank %d; want %v, %d", when, ref, got, leader.dependencies.effectivePriority(leader.jobs.Job(ref)), wantDue, priority)
+			priority := leader.dependencies.effectivePriority(leader.jobs.Job(jobID))
+			if got := due(jobID); got != wantDue || priority != wantPriority {
+				t.Errorf("%s: %s is due in %v, priority %d; want %v, %d", when, jobID, got, priority, wantDue, wantPriority)
 			}
 		}
 	}
-	add := func(ref string, expect float64, needs ...string) {
-		leader.addTestJob(ref, wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1, ExpectedSeconds: expect, DependsOn: needs})
+	add := func(jobID string, expectedSeconds float64, dependsOn ...string) {
+		leader.addTestJob(jobID, wire.Job{
+			Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1,
+			ExpectedSeconds: expectedSeconds, DependsOn: dependsOn,
+		})
 	}
 	add("req-1", 10)
 	add("req-2", 20, "req-1")
 	add("req-3", 40, "req-1")
 	add("req-4", 8, "req-2", "req-3")
 	check("before the last one", 0, 0, 0, 0)
-	last := wire.Job{Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, ExpectedSeconds: 4, DeadlineSeconds: 200}
-	last.DependsOn = []string{"req-4"}
+	last := wire.Job{
+		Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1,
+		ExpectedSeconds: 4, DeadlineSeconds: 200, DependsOn: []string{"req-4"},
+	}
 	leader.addTestJob("req-5", last)
-	// 1.5 deadlines; a step takes 1.5 times its expectation and half a report.
+	// 1.5 deadlines; a step takes 1.5 times its expectation and half a heartbeat interval.
 	d5 := 300.0
 	d4 := d5 - 1.5*4 - 1.5
 	d2 := d4 - 1.5*8 - 1.5
@@ -60,74 +67,82 @@
 	leader.addTestJob("req-6", sooner)
 	check("with one that is due sooner", 60-1.5*4-1.5-1.5*20-1.5, 60-1.5*4-1.5, d2, d4)
 	leader.jobs.Cancel("req-6")
-	check("that one withdrawn", d1, d2, d2, d4)
+	check("that one cancelled", d1, d2, d2, d4)
 	leader.jobs.Cancel("req-5")
-	check("all withdrawn", 0, 0, 0, 0)
+	check("all cancelled", 0, 0, 0, 0)
 }
 
-// A lifted rank goes before others within its own team's guarantee; beyond that
-// it takes nothing from those within theirs.
+// A job of inherited priority goes before others within its own team's guaranteed quota; beyond
+// that it takes nothing from those within theirs.
 func TestInheritedPriorityRespectsQuota(t *testing.T) {
 	leader := newTestTerm(t)
-	chain := leader.addTestJob("req-1", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
-	other := leader.addTestJob("req-2", wire.Job{Team: "t", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9})
-	leader.addTestJob("req-3", wire.Job{Team: "u", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"}})
+	spec := wire.Job{Team: "u", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9}
+	chain := leader.addTestJob("req-1", spec)
+	spec.Team = "t"
+	other := leader.addTestJob("req-2", spec)
+	leader.addTestJob("req-3", wire.Job{
+		Team: "u", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"},
+	})
 	if leader.scheduler.ranking.tier(chain) >= leader.scheduler.ranking.tier(other) {
-		t.Error("the chain does not go first within its guarantee")
+		t.Error("the chain does not go first within its guaranteed quota")
 	}
 	leader.runTestTask(t, chain, "h0", time.Second)
 	leader.runTestTask(t, chain, "h0", time.Second) // 4 of 4 guaranteed CPUs
 	if leader.scheduler.ranking.tier(chain) <= leader.scheduler.ranking.tier(other) {
-		t.Error("beyond its guarantee the chain goes before one within its own")
+		t.Error("beyond its guaranteed quota the chain goes before one within its own")
 	}
 }
 
-// A job that waits for others is in no queue, rents nothing and counts nowhere.
+// A job that waits for others is in no queue, has nothing scaled out and counts nowhere.
 func TestBlockedJobIsNotQueued(t *testing.T) {
 	leader := newTestTerm(t)
 	leader.settings.Operator.Fleet.Thrift = "always"
 	leader.addTestJob("req-1", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
-	leader.addTestJob("req-2", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 50, CPUs: 1, AllowSpot: true, DependsOn: []string{"req-1"}})
-	if qs := leader.scheduler.waitingQueues(now); len(qs) != 1 || qs[0].unfinished != 1 {
-		t.Errorf("%d queues, %+v", len(qs), qs)
+	leader.addTestJob("req-2", wire.Job{
+		Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 50, CPUs: 1, AllowSpot: true,
+		DependsOn: []string{"req-1"},
+	})
+	if queues := leader.scheduler.waitingQueues(now); len(queues) != 1 || queues[0].unfinished != 1 {
+		t.Errorf("%d queues, %+v", len(queues), queues)
 	}
-	if n := leader.autoscaler.demand(nil, now); n.OnDemandCores != 1 || n.SpotCores != 0 {
-		t.Errorf("need %+v", n)
+	if demand := leader.autoscaler.demand(nil, now); demand.OnDemandCores != 1 || demand.SpotCores != 0 {
+		t.Errorf("demand %+v", demand)
 	}
-	at := now.Add(time.Minute)
-	leader.jobs.ResolveDependency("req-1", true, at)
-	if qs := leader.scheduler.waitingQueues(at); qs[0].unfinished != 51 {
-		t.Errorf("%d unfinished once ready", qs[0].unfinished)
+	readyAt := now.Add(time.Minute)
+	leader.jobs.ResolveDependency("req-1", true, readyAt)
+	if queues := leader.scheduler.waitingQueues(readyAt); queues[0].unfinished != 51 {
+		t.Errorf("%d unfinished once ready", queues[0].unfinished)
 	}
-	if w := leader.scheduler.ranking.objectiveDeadline(0, leader.jobs.Job("req-2")); !w.IsZero() {
-		t.Errorf("wanted by %v", w)
+	if due := leader.scheduler.ranking.objectiveDeadline(0, leader.jobs.Job("req-2")); !due.IsZero() {
+		t.Errorf("due by %v", due)
 	}
 }
 
-// Times other than a deadline count from when the job could start.
+// Objectives other than a deadline count from when the job could start.
 func TestObjectivesCountFromReady(t *testing.T) {
 	leader := newTestTerm(t)
-	job := leader.addTestJob("req-2", wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 1, DependsOn: []string{"req-1"}})
-	at := now.Add(5 * time.Minute)
-	leader.jobs.ResolveDependency("req-1", true, at)
-	if w := leader.scheduler.ranking.objectiveDeadline(0, job); !w.Equal(at.Add(time.Minute)) {
-		t.Errorf("wanted %v after it was ready", w.Sub(at))
+	job := leader.addTestJob("req-2", wire.Job{
+		Class: "f", Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 1, DependsOn: []string{"req-1"},
+	})
+	readyAt := now.Add(5 * time.Minute)
+	leader.jobs.ResolveDependency("req-1", true, readyAt)
+	if due := leader.scheduler.ranking.objectiveDeadline(0, job); !due.Equal(readyAt.Add(time.Minute)) {
+		t.Errorf("due %v after it was ready", due.Sub(readyAt))
 	}
-	if u := leader.scheduler.ranking.deadlineSlack(job, at.Add(10*time.Second)); u.missed != 0 {
-		t.Errorf("late by %d stages", u.missed)
+	if slack := leader.scheduler.ranking.deadlineSlack(job, readyAt.Add(10*time.Second)); slack.missed != 0 {
+		t.Errorf("late by %d stages", slack.missed)
 	}
 }
 
-// Work that a deadline depends on is kept off machines that the cloud may take,
-// while firm ones have room to spare.
+// Work that a deadline depends on is kept off spot instances while others have capacity to spare.
 func TestDeadlineWorkAvoidsSpot(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		tasks int
-		now   int // offered at once
-		due   bool
-		price bool
-		firm  bool
+		name         string
+		tasks        int
+		offered      int  // at once
+		due          bool // a dependent has a deadline
+		price        bool // there is an objective on the price
+		onDemandOnly bool
 	}{
 		{"room to spare", 8, 8, true, false, true},
 		{"half the room", 9, 8, true, false, true},
@@ -137,117 +152,147 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			leader.workers["h0"].Spot, leader.workers["h1"].Spot = true, true // 16 cores are firm
+			leader.workers["h0"].Spot, leader.workers["h1"].Spot = true, true // 16 cores are on demand
 			if tc.price {
-				leader.settings.Facts.Objectives = append(leader.settings.Facts.Objectives, settings.Objective{Kind: "price"})
+				facts := &leader.settings.Facts
+				facts.Objectives = append(facts.Objectives, settings.Objective{Kind: "price"})
 			}
 			leader.settings.Operator.Fleet.Thrift = "auto"
-			job := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: tc.tasks, CPUs: 1, AllowSpot: true})
-			last := wire.Job{Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"}}
+			job := leader.addTestJob("req-1", wire.Job{
+				Kind: wire.KindArray, Priority: "idle", TaskCount: tc.tasks, CPUs: 1, AllowSpot: true,
+			})
+			last := wire.Job{
+				Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"},
+			}
 			if tc.due {
 				last.DeadlineSeconds = 100
 			}
 			leader.addTestJob("req-2", last)
-			look := newCandidateIndex(leader.scheduler.candidates(now))
-			if w := leader.scheduler.offers.describeJob(job, look, now); w.AllowSpot == tc.firm || w.Tasks != tc.now || look.moreWaiting != (tc.now < tc.tasks) {
-				t.Errorf("%d tasks, spot machines allowed: %v, more: %v", w.Tasks, w.AllowSpot, look.moreWaiting)
+			index := newCandidateIndex(leader.scheduler.candidates(now))
+			offered := leader.scheduler.offers.describeJob(job, index, now)
+			more := tc.offered < tc.tasks
+			if offered.AllowSpot == tc.onDemandOnly || offered.Tasks != tc.offered || index.moreWaiting != more {
+				t.Errorf("%d tasks, spot allowed: %v, more: %v", offered.Tasks, offered.AllowSpot, index.moreWaiting)
 			}
 		})
 	}
 }
 
-// Whatever a guest submits and waits for, and whatever others wait for of it: none of
-// its jobs goes above the rank that it may have, and no job of another team goes higher
-// for its sake.
+// Whatever a guest submits and depends on, and whatever others depend on of it: none of its jobs
+// goes above the priority that it may have, and no job of another team goes higher for its sake.
 func TestGuestCannotRaisePriority(t *testing.T) {
-	rules := rights.Rules{Allow: []rights.Rule{
-		{Who: "role:guest", Do: "submit need", Rank: "standard"},
-		{Who: "role:curator", Do: "submit need", Owner: "t u"},
-	}}
-	guest := rights.Identity{Name: "gus", Kind: rights.Person, Teams: []string{"u"}, Roles: []string{"guest"}}
-	curator := rights.Identity{Name: "ana", Kind: rights.Person, Teams: []string{"t"}, Roles: []string{"curator"}}
 	rapid.Check(t, func(rt *rapid.T) {
 		leader := newTestTerm(t)
-		type known struct {
-			j     *ledger.Job
-			guest bool
-			needs []int
-		}
-		var jobs []known
-		for i := range rapid.IntRange(2, 12).Draw(rt, "jobs") {
-			who := &curator
-			if rapid.Bool().Draw(rt, "guest") {
-				who = &guest
-			}
-			spec := wire.Job{Team: rapid.SampledFrom([]string{"t", "u"}).Draw(rt, "owner"), Kind: wire.KindArray, TaskCount: 1, CPUs: 1, Priority: priorityName(rapid.IntRange(0, 3).Draw(rt, "rank"))}
-			decision := rules.Decide(who, rights.Request{Do: rights.Submit, Owner: spec.Team, Rank: spec.Priority})
-			k := known{guest: who == &guest}
-			for n := range jobs {
-				if rapid.Bool().Draw(rt, "need") {
-					decision.Allowed = decision.Allowed && rules.Decide(who, rights.Request{Do: rights.Need, Owner: jobs[n].j.Spec.Team}).Allowed
-					spec.DependsOn = append(spec.DependsOn, jobs[n].j.Ref)
-					k.needs = append(k.needs, n)
-				}
-			}
-			if !decision.Allowed {
-				continue
-			}
-			k.j = leader.addTestJob(fmt.Sprint("req-", i), spec)
-			k.j.Origin = &ledger.Origin{MaxPriority: decision.Cap}
-			jobs = append(jobs, k)
-		}
-		// best is the highest rank that curators ask for of what needs a job, or it.
+		jobs := drawGuestJobs(rt, leader)
+		// best is the highest priority that curators ask for of what depends on a job, or of it.
 		best := make([]int, len(jobs))
 		for i := len(jobs) - 1; i >= 0; i-- {
-			best[i] = priorityLevel(jobs[i].j.Spec.Priority)
-			for n := i + 1; n < len(jobs); n++ {
-				if slices.Contains(jobs[n].needs, i) && !jobs[n].guest {
-					best[i] = min(best[i], best[n])
+			best[i] = priorityLevel(jobs[i].job.Spec.Priority)
+			for dependent := i + 1; dependent < len(jobs); dependent++ {
+				if slices.Contains(jobs[dependent].dependsOn, i) && !jobs[dependent].ofGuest {
+					best[i] = min(best[i], best[dependent])
 				}
 			}
 		}
-		for i, k := range jobs {
-			got := leader.dependencies.effectivePriority(k.j)
-			if k.guest && got < priorityLevel("standard") {
-				rt.Fatalf("%s, a guest's, goes by %s", k.j.Ref, priorityName(got))
+		for i, drawn := range jobs {
+			got := leader.dependencies.effectivePriority(drawn.job)
+			if drawn.ofGuest && got < priorityLevel("standard") {
+				rt.Fatalf("%s, a guest's, goes by %s", drawn.job.Ref, priorityName(got))
 			}
-			if k.j.Spec.Team == "t" && got < best[i] {
-				rt.Fatalf("%s goes by %s for a guest's sake, not %s", k.j.Ref, priorityName(got), priorityName(best[i]))
+			if drawn.job.Spec.Team == "t" && got < best[i] {
+				rt.Fatalf("%s goes by %s for a guest's sake, not %s",
+					drawn.job.Ref, priorityName(got), priorityName(best[i]))
 			}
 		}
 	})
 }
 
-// What needs a job lifts it no higher than whoever submitted it may have.
+// drawnJob is a job that a guest or a curator submitted.
+type drawnJob struct {
+	job       *ledger.Job
+	ofGuest   bool
+	dependsOn []int
+}
+
+// drawGuestJobs has a guest and a curator submit jobs that depend on earlier ones, as far as the
+// rules allow.
+func drawGuestJobs(rt *rapid.T, leader *leaderTerm) []drawnJob {
+	rules := rights.Rules{Allow: []rights.Rule{
+		{Who: "role:guest", Do: "submit need", Rank: "standard"},
+		{Who: "role:curator", Do: "submit need", Owner: "t u"},
+	}}
+	guest := rights.Identity{Name: "gus", Kind: rights.Person, Teams: []string{"u"}, Roles: []string{"guest"}}
+	curator := rights.Identity{Name: "ana", Kind: rights.Person, Teams: []string{"t"}, Roles: []string{"curator"}}
+	var jobs []drawnJob
+	for i := range rapid.IntRange(2, 12).Draw(rt, "jobs") {
+		who := &curator
+		if rapid.Bool().Draw(rt, "guest") {
+			who = &guest
+		}
+		spec := wire.Job{
+			Team: rapid.SampledFrom([]string{"t", "u"}).Draw(rt, "owner"), Kind: wire.KindArray, TaskCount: 1, CPUs: 1,
+			Priority: priorityName(rapid.IntRange(0, 3).Draw(rt, "rank")),
+		}
+		decision := rules.Decide(who, rights.Request{Do: rights.Submit, Owner: spec.Team, Rank: spec.Priority})
+		drawn := drawnJob{ofGuest: who == &guest}
+		for n, earlier := range jobs {
+			if rapid.Bool().Draw(rt, "need") {
+				need := rights.Request{Do: rights.Need, Owner: earlier.job.Spec.Team}
+				decision.Allowed = decision.Allowed && rules.Decide(who, need).Allowed
+				spec.DependsOn = append(spec.DependsOn, earlier.job.Ref)
+				drawn.dependsOn = append(drawn.dependsOn, n)
+			}
+		}
+		if !decision.Allowed {
+			continue
+		}
+		drawn.job = leader.addTestJob(fmt.Sprint("req-", i), spec)
+		drawn.job.Origin = &ledger.Origin{MaxPriority: decision.Cap}
+		jobs = append(jobs, drawn)
+	}
+	return jobs
+}
+
+// A job inherits no higher priority than whoever submitted it may have.
 func TestInheritedPriorityIsCapped(t *testing.T) {
-	for _, tc := range []struct{ cap, want string }{{"", "production"}, {"production", "production"}, {"standard", "standard"}, {"idle", "idle"}} {
+	for _, tc := range []struct{ maxPriority, want string }{
+		{"", "production"}, {"production", "production"}, {"standard", "standard"}, {"idle", "idle"},
+	} {
 		leader := newTestTerm(t)
 		job := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
-		deep := leader.addTestJob("req-0", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
-		leader.addTestJob("req-2", wire.Job{Kind: wire.KindArray, Priority: "production", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1", "req-0"}})
-		job.Origin = &ledger.Origin{MaxPriority: tc.cap}
+		uncapped := leader.addTestJob("req-0", wire.Job{Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
+		leader.addTestJob("req-2", wire.Job{
+			Kind: wire.KindArray, Priority: "production", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1", "req-0"},
+		})
+		job.Origin = &ledger.Origin{MaxPriority: tc.maxPriority}
 		if got := priorityName(leader.dependencies.effectivePriority(job)); got != tc.want {
-			t.Errorf("cap %q: goes by %s, want %s", tc.cap, got, tc.want)
+			t.Errorf("at most %q: goes by %s, want %s", tc.maxPriority, got, tc.want)
 		}
-		if got := priorityName(leader.dependencies.effectivePriority(deep)); got != "production" {
-			t.Errorf("a job without a cap goes by %s", got)
+		if got := priorityName(leader.dependencies.effectivePriority(uncapped)); got != "production" {
+			t.Errorf("a job without a bound goes by %s", got)
 		}
 	}
 }
 
-// A job's times count from when the leader saw it come, whatever the clock of the node that
+// A job's times count from when the leader saw it come, whatever the clock of the controller that
 // accepted it said; of a job that was there before, from what is stored.
 func TestClocksApart(t *testing.T) {
-	for _, off := range []time.Duration{-time.Second, time.Second} {
+	for _, clockError := range []time.Duration{-time.Second, time.Second} {
 		leader := newTestTerm(t)
-		j := leader.jobs.AddJob("req-1", ledger.JobRecord{Job: wire.Job{Class: "d", Team: "t", TaskCount: 1, CPUs: 1, ExpectedSeconds: 10, DeadlineSeconds: 20}, SubmittedMS: now.Add(off).UnixMilli(), ChunkTasks: 8}, 1)
-		if got := leader.dependencies.inherited(j).Deadlines[2]; !got.Equal(now.Add(off + 30*time.Second)) {
-			t.Errorf("clock off by %v, there before: due %v", off, got.Sub(now))
+		job := leader.jobs.AddJob("req-1", ledger.JobRecord{
+			Job: wire.Job{
+				Class: "d", Team: "t", TaskCount: 1, CPUs: 1, ExpectedSeconds: 10, DeadlineSeconds: 20,
+			},
+			SubmittedMS: now.Add(clockError).UnixMilli(), ChunkTasks: 8,
+		}, 1)
+		if due := leader.dependencies.inherited(job).Deadlines[2]; !due.Equal(now.Add(clockError + 30*time.Second)) {
+			t.Errorf("clock off by %v, there before: due %v", clockError, due.Sub(now))
 		}
-		j.Inherited = nil
-		j.MarkArrived(now)
-		if got := leader.dependencies.inherited(j).Deadlines[2]; !got.Equal(now.Add(30*time.Second)) || !j.ReadyAt.Equal(now) || !j.WaitingSince.Equal(now) {
-			t.Errorf("clock off by %v, seen to come: due %v, ready %v", off, got.Sub(now), j.ReadyAt.Sub(now))
+		job.Inherited = nil
+		job.MarkArrived(now)
+		due := leader.dependencies.inherited(job).Deadlines[2]
+		if !due.Equal(now.Add(30*time.Second)) || !job.ReadyAt.Equal(now) || !job.WaitingSince.Equal(now) {
+			t.Errorf("clock off by %v, seen to come: due %v, ready %v", clockError, due.Sub(now), job.ReadyAt.Sub(now))
 		}
 	}
 }
--- a/internal/leader/placementhold_test.go
+++ b/internal/leader/placementhold_test.go
@@ -12,50 +12,69 @@
 	"rillflow/internal/wire"
 )
 
-// After a loss nothing is placed before what is alive is stored and every machine that
-// may have a task was heard; later, only what came since, unless this node knows all.
+// After a loss nothing is placed before all live data is stored and every worker that may have
+// a task has reported; later, only jobs that came since, unless this controller knows all.
 func TestPlacementOnHold(t *testing.T) {
-	const first = 7
-	began := time.Unix(1000, 0)
-	set := &settings.Settings{Facts: settings.Facts{Workers: settings.Workers{ReportS: 3, LeaseS: 30}, Cloud: settings.Cloud{ListLagS: 5}}}
+	const firstEpoch = 7
+	startedAt := time.Unix(1000, 0)
+	config := &settings.Settings{Facts: settings.Facts{
+		Workers: settings.Workers{ReportS: 3, LeaseS: 30}, Cloud: settings.Cloud{ListLagS: 5},
+	}}
+	silent := func() *agent.Worker { return agent.NewWorker("i-1") }
 	heard := func(epoch uint64) *agent.Worker {
 		worker := agent.NewWorker("i-1")
-		worker.LastHeartbeat, worker.SeenEpoch = began.Add(time.Second), epoch
+		worker.LastHeartbeat, worker.SeenEpoch = startedAt.Add(time.Second), epoch
 		return worker
 	}
+	full := func(exact bool, durableAt time.Time) *recoveryProgress {
+		return &recoveryProgress{full: true, exact: exact, durableAt: durableAt}
+	}
+	const all, partly = true, false // what this controller remembers
+	notYet := time.Time{}
 	for _, tc := range []struct {
-		name     string
-		back     *recoveryProgress
-		host     *agent.Worker
-		at       time.Duration
-		holding  bool
-		withheld bool // a job of before the loss
+		name      string
+		progress  *recoveryProgress
+		worker    *agent.Worker
+		after     time.Duration // the start of the term
+		onHold    bool
+		jobOnHold bool // one of before the loss
 	}{
-		{"nothing was lost", nil, agent.NewWorker("i-1"), 0, false, false},
-		{"only ends are written", &recoveryProgress{}, agent.NewWorker("i-1"), 0, false, false},
-		{"not stored yet", &recoveryProgress{full: true, exact: true}, heard(first), 12 * time.Second, true, true},
-		{"a machine was not heard", &recoveryProgress{full: true, exact: true, durableAt: began}, agent.NewWorker("i-1"), 12 * time.Second, true, true},
-		{"heard, but an earlier leader may still order it", &recoveryProgress{full: true, exact: true, durableAt: began}, heard(first - 1), 12 * time.Second, true, true},
-		{"all heard, and all is remembered", &recoveryProgress{full: true, exact: true, durableAt: began}, heard(first), 2 * time.Second, false, false},
-		{"all heard, but the list may lack one", &recoveryProgress{full: true, durableAt: began}, heard(first), 9 * time.Second, true, true},
-		{"all heard, and the list is up to date", &recoveryProgress{full: true, durableAt: began}, heard(first), 11 * time.Second, false, false},
-		{"one is never heard, all is remembered", &recoveryProgress{full: true, exact: true, durableAt: began}, agent.NewWorker("i-1"), 34 * time.Second, false, false},
-		{"one is never heard, and not all is remembered", &recoveryProgress{full: true, durableAt: began}, agent.NewWorker("i-1"), 34 * time.Second, false, true},
+		{"nothing was lost", nil, silent(), 0, false, false},
+		{"only ends are written", &recoveryProgress{}, silent(), 0, false, false},
+		{"not stored yet", full(all, notYet), heard(firstEpoch), 12 * time.Second, true, true},
+		{"a machine was not heard", full(all, startedAt), silent(), 12 * time.Second, true, true},
+		{"heard, but an earlier leader may still order it", full(all, startedAt), heard(firstEpoch - 1),
+			12 * time.Second, true, true},
+		{"all heard, and all is remembered", full(all, startedAt), heard(firstEpoch), 2 * time.Second, false, false},
+		{"all heard, but the list may lack one", full(partly, startedAt), heard(firstEpoch), 9 * time.Second, true, true},
+		{"all heard, and the list is up to date", full(partly, startedAt), heard(firstEpoch),
+			11 * time.Second, false, false},
+		{"one is never heard, all is remembered", full(all, startedAt), silent(), 34 * time.Second, false, false},
+		{"one is never heard, and not all is remembered", full(partly, startedAt), silent(),
+			34 * time.Second, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			env := &environment{settings: set, log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return began }}
-			leader := newLeaderTerm(t.Context(), env, nil, first, nil)
-			leader.recovery.progress, leader.instances = tc.back, map[string]wire.Instance{"i-1": {Name: "i-1", Phase: wire.PhaseRunning}}
-			leader.addWorker(tc.host)
-			if got := leader.recovery.placementOnHold(began.Add(tc.at)); got != tc.holding {
-				t.Errorf("holding: %v", got)
+			env := &environment{
+				settings: config, log: slog.New(slog.NewTextHandler(io.Discard, nil)),
+				now: func() time.Time { return startedAt },
+			}
+			leader := newLeaderTerm(t.Context(), env, nil, firstEpoch, nil)
+			leader.recovery.progress = tc.progress
+			leader.instances = map[string]wire.Instance{"i-1": {Name: "i-1", Phase: wire.PhaseRunning}}
+			leader.addWorker(tc.worker)
+			if got := leader.recovery.placementOnHold(startedAt.Add(tc.after)); got != tc.onHold {
+				t.Errorf("on hold: %v", got)
+			}
+			addJob := func(jobID string, submittedAt time.Time) *ledger.Job {
+				record := ledger.JobRecord{Job: wire.Job{ID: jobID, TaskCount: 1}, SubmittedMS: submittedAt.UnixMilli()}
+				return leader.jobs.AddJob(jobID, record, 1)
 			}
-			old := leader.jobs.AddJob("r", ledger.JobRecord{Job: wire.Job{ID: "r", TaskCount: 1}, SubmittedMS: began.Add(time.Second).UnixMilli()}, 1)
-			// Accepted by a node whose clock is behind: what counts is that it was seen to come.
-			late := leader.jobs.AddJob("s", ledger.JobRecord{Job: wire.Job{ID: "s", TaskCount: 1}, SubmittedMS: began.Add(-time.Second).UnixMilli()}, 1)
-			late.MarkArrived(began.Add(time.Second))
-			if leader.recovery.jobOnHold(old) != tc.withheld || leader.recovery.jobOnHold(late) {
-				t.Errorf("withheld: %v, %v", leader.recovery.jobOnHold(old), leader.recovery.jobOnHold(late))
+			earlier := addJob("r", startedAt.Add(time.Second))
+			// Accepted by a controller whose clock is behind: what counts is that it was seen to come.
+			later := addJob("s", startedAt.Add(-time.Second))
+			later.MarkArrived(startedAt.Add(time.Second))
+			if leader.recovery.jobOnHold(earlier) != tc.jobOnHold || leader.recovery.jobOnHold(later) {
+				t.Errorf("on hold: %v, %v", leader.recovery.jobOnHold(earlier), leader.recovery.jobOnHold(later))
 			}
 		})
 	}
--- a/internal/leader/status_test.go
+++ b/internal/leader/status_test.go
@@ -10,25 +10,26 @@
 	"rillflow/internal/wire"
 )
 
-// termAfterLoss is a term in a history that begins behind a loss, or in one that does not.
-type termAfterLoss struct {
+// leadershipAfterLoss leads in an incarnation of the store that begins behind a loss, or in one
+// that does not.
+type leadershipAfterLoss struct {
 	fakeLeadership
 	lost bool
 }
 
-func (t *termAfterLoss) Incarnation() dataloss.IncarnationState {
-	return dataloss.IncarnationState{Incarnation: dataloss.Incarnation{DataLost: t.lost}}
+func (l *leadershipAfterLoss) Incarnation() dataloss.IncarnationState {
+	return dataloss.IncarnationState{Incarnation: dataloss.Incarnation{DataLost: l.lost}}
 }
 
-// Of a job that is stored nowhere a new leader knows nothing until the machines that have
-// its tasks were heard. Told as never accepted in that time, it was forgotten.
+// Of a job that is stored nowhere a new leader knows nothing until the workers that have its tasks
+// have reported. Told as never accepted in that time, it was forgotten.
 func TestTaskCountsOfUnknownJobs(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		lost  bool
-		since time.Duration
-		host  string // as it stands to this leader
-		err   error
+		name   string
+		lost   bool
+		since  time.Duration // the start of the term
+		worker string        // as it stands to this leader
+		err    error
 	}{
 		{"nothing was lost", false, 0, "unheard", nil},
 		{"lost, and the list may lack machines", true, time.Second, "heard", ErrWorkersUnreported},
@@ -39,13 +40,14 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			leader.leadership, leader.firstEpoch, leader.startedAt = &termAfterLoss{lost: tc.lost}, 7, now.Add(-tc.since)
+			leader.leadership = &leadershipAfterLoss{lost: tc.lost}
+			leader.firstEpoch, leader.startedAt = 7, now.Add(-tc.since)
 			leader.settings.Facts.Cloud.ListLagS = 5
 			for _, worker := range leader.workersByName {
 				worker.SeenEpoch = 7
 			}
 			worker := agent.NewWorker("h9")
-			switch tc.host {
+			switch tc.worker {
 			case "heard":
 				worker.LastHeartbeat, worker.SeenEpoch = now, 7
 			case "earlier":
@@ -57,12 +59,13 @@
 			if _, known, err := runner.TaskCounts("req-9"); known || !errors.Is(err, tc.err) {
 				t.Errorf("known %v, %v; want %v", known, err, tc.err)
 			}
-			if _, known, err := runner.TaskCounts(leader.addTestJob("req-1", wire.Job{Class: "f", TaskCount: 1}).Ref); !known || err != nil {
-				t.Errorf("a job in the ledger: known %v, %v", known, err)
+			leader.addTestJob("req-1", wire.Job{Class: "f", TaskCount: 1})
+			if _, known, err := runner.TaskCounts("req-1"); !known || err != nil {
+				t.Errorf("a job in the table: known %v, %v", known, err)
 			}
 			leader.orphans.orphanedJobs = map[string]*orphanedJob{"req-2": {}}
 			if _, known, err := runner.TaskCounts("req-2"); !known || err != nil {
-				t.Errorf("a job that a machine showed: known %v, %v", known, err)
+				t.Errorf("a job that a worker showed: known %v, %v", known, err)
 			}
 		})
 	}
