--- /dev/null
+++ b/internal/intake/cancel.go
@@ -0,0 +1,170 @@
+package intake
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net/http"
+	"slices"
+
+	"rillflow/internal/dataloss"
+	"rillflow/internal/identity"
+	"rillflow/internal/kvstore"
+	"rillflow/internal/ledger"
+	"rillflow/internal/rights"
+	"rillflow/internal/wire"
+)
+
+// cancel cancels a job, or answers how it ended before.
+func (api *API) cancel(w http.ResponseWriter, r *http.Request) {
+	id := r.PathValue("ref")
+	if !ValidJobID(id) {
+		replyError(w, http.StatusNotFound, noSuchJob)
+		return
+	}
+	caller, ok := api.identify(w, r)
+	if !ok {
+		return
+	}
+	ctx, stop := context.WithTimeout(r.Context(), cancelTimeout)
+	defer stop()
+	for attempt := 0; ; attempt++ {
+		job, err := api.cancelJob(ctx, caller, id)
+		switch {
+		case err == nil:
+			api.replyStatus(ctx, w, job)
+			return
+		case errors.Is(err, errDenied):
+			replyError(w, http.StatusForbidden, err.Error())
+			return
+		case api.replyUnauthorized(w, err):
+			return
+		case errors.Is(err, kvstore.ErrNotFound):
+			replyError(w, http.StatusNotFound, noSuchJob)
+			return
+		case !api.shouldRetry(ctx, err, attempt):
+			replyBusy(w, storeBusy)
+			return
+		}
+	}
+}
+
+// errJobChanged says that a job was changed while it was being cancelled: try again.
+var errJobChanged = errors.New("intake: the job changed meanwhile")
+
+// cancelJob moves a live job to its end, once. The compare on the live key's revision
+// guards against the leader's claims and its last finish: whichever commits first holds.
+func (api *API) cancelJob(ctx context.Context, caller identity.Caller, id string) (knownJob, error) {
+	if job, ok := api.finishedState(id); ok {
+		_, err := api.authorize(caller, rights.Withdraw, job.team, id)
+		return job, err
+	}
+	if api.storeUnavailable() {
+		return knownJob{}, kvstore.ErrRefused
+	}
+	incarnation, err := api.compareIncarnation()
+	if err != nil {
+		return knownJob{}, err
+	}
+	before := api.replicaView(id)
+	item, err := api.store.Get(ctx, ledger.LiveKey(id))
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return api.cancelNotLive(ctx, caller, id, incarnation, before)
+	}
+	if err != nil {
+		return knownJob{}, err
+	}
+	if job, ok := api.finishedButStoredLive(id, before); ok {
+		_, err := api.authorize(caller, rights.Withdraw, job.team, id)
+		return job, err
+	}
+	return api.cancelLive(ctx, caller, id, item, incarnation)
+}
+
+// cancelNotLive answers the cancellation of a job that has no live key.
+func (api *API) cancelNotLive(
+	ctx context.Context, caller identity.Caller, id string, incarnation []wire.Compare, before replicaView,
+) (knownJob, error) {
+	job, err := api.read(ctx, id, before)
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return api.cancelLostJob(ctx, caller, id, incarnation, before)
+	}
+	if err == nil {
+		_, err = api.authorize(caller, rights.Withdraw, job.team, id)
+	}
+	return job, err
+}
+
+// cancelLive cancels the job of a live key that was read.
+func (api *API) cancelLive(
+	ctx context.Context, caller identity.Caller, id string, live wire.KeyValue, incarnation []wire.Compare,
+) (knownJob, error) {
+	record, err := ledger.DecodeJobRecord(live.Value)
+	if err != nil {
+		api.dataLoss.SuspectDataLoss(fmt.Sprintf("the record of job %s cannot be read", id))
+		return knownJob{}, fmt.Errorf("intake: record of job %s: %w: %w", id, dataloss.ErrDataLossSuspected, err)
+	}
+	decision, err := api.authorize(caller, rights.Withdraw, record.Job.Team, id)
+	if err != nil {
+		return knownJob{}, err
+	}
+	end := ledger.NewCancelledEndRecord(&record, api.now())
+	data, err := ledger.Encode(end)
+	if err != nil {
+		return knownJob{}, err
+	}
+	audit, err := api.authorizer.Leave(record, caller, decision)
+	if err != nil {
+		return knownJob{}, err
+	}
+	operations := []wire.Operation{{Delete: ledger.LiveKey(id)}, {Put: ledger.EndedKey(id), Value: data}}
+	unchanged := wire.Compare{Key: ledger.LiveKey(id), ModRevision: live.ModRevision}
+	revision, failed, err := api.store.Commit(ctx, wire.Txn{
+		Compares:   slices.Concat([]wire.Compare{unchanged}, incarnation, caller.Guards),
+		Operations: append(slices.Clone(operations), audit...),
+	})
+	switch {
+	case err != nil:
+		return knownJob{}, err
+	case dataloss.CompareFailed(failed):
+		api.dataLoss.RecheckStore()
+		return knownJob{}, dataloss.ErrDataLossSuspected
+	case slices.Contains(failed, ledger.LiveKey(id)):
+		return knownJob{}, errJobChanged
+	case len(failed) > 0:
+		return knownJob{}, identity.ErrToken
+	}
+	api.replica.RecordOwnWrites(revision, operations...)
+	return api.remember(id, end), nil
+}
+
+// cancelLostJob cancels a job of which there is nothing but tasks on workers.
+func (api *API) cancelLostJob(
+	ctx context.Context, caller identity.Caller, id string, incarnation []wire.Compare, before replicaView,
+) (knownJob, error) {
+	if _, err := api.lookupLost(ctx, id, before); err != nil {
+		return knownJob{}, err
+	}
+	if _, err := api.authorize(caller, rights.Withdraw, "", id); err != nil {
+		return knownJob{}, err
+	}
+	end := ledger.NewLostEndRecord(id, api.now())
+	data, err := ledger.Encode(end)
+	if err != nil {
+		return knownJob{}, err
+	}
+	put := wire.Operation{Put: ledger.EndedKey(id), Value: data}
+	revision, failed, err := api.store.Commit(ctx, wire.Txn{
+		Compares:   slices.Concat(compareAbsent(ledger.LiveKey(id), ledger.EndedKey(id)), incarnation, caller.Guards),
+		Operations: []wire.Operation{put},
+	})
+	if err != nil {
+		return knownJob{}, err
+	}
+	if len(failed) > 0 {
+		api.dataLoss.RecheckStore()
+		return knownJob{}, errJobChanged
+	}
+	api.replica.RecordOwnWrites(revision, put)
+	return api.remember(id, end), nil
+}
--- /dev/null
+++ b/internal/intake/fieldchecker.go
@@ -0,0 +1,89 @@
+package intake
+
+import (
+	"fmt"
+	"math"
+	"slices"
+	"strings"
+
+	"rillflow/internal/wire"
+)
+
+// Limits on the values of a submission's fields.
+const (
+	maxTextBytes = 200
+	maxAmount    = 1e9
+)
+
+// What a field can be told to be.
+const (
+	missing   = "missing"
+	invalid   = "invalid"
+	unknown   = "unknown"
+	wrongForm = "wrong form"
+)
+
+// fieldChecker checks the fields of a submission, by the protocol's names, and collects
+// what is wrong with them.
+type fieldChecker struct {
+	faults []error
+}
+
+func (check *fieldChecker) fault(field, what string) {
+	check.faults = append(check.faults, fmt.Errorf("%s: %s", field, what))
+}
+
+func (check *fieldChecker) text(field string, value *string) string {
+	if value == nil || *value == "" {
+		check.fault(field, missing)
+		return ""
+	}
+	if len(*value) > maxTextBytes || strings.ContainsAny(*value, "\x00\n") {
+		check.fault(field, invalid)
+	}
+	return *value
+}
+
+func (check *fieldChecker) amount(field string, value *float64) float64 {
+	if value == nil {
+		check.fault(field, missing)
+		return 0
+	}
+	if math.IsNaN(*value) || math.IsInf(*value, 0) || *value < 0 || *value > maxAmount {
+		check.fault(field, invalid)
+	}
+	return *value
+}
+
+func (check *fieldChecker) flag(field string, value *bool) bool {
+	if value == nil {
+		check.fault(field, missing)
+		return false
+	}
+	return *value
+}
+
+func (check *fieldChecker) taskCount(value *int) int {
+	switch {
+	case value == nil:
+		check.fault("members", missing)
+	case *value < 1 || *value > maxTasks:
+		check.fault("members", invalid)
+	default:
+		return *value
+	}
+	return 0
+}
+
+// words checks the fields that have a form or a set of words of their own.
+func (check *fieldChecker) words(job *wire.Job) {
+	if !ValidJobID(job.ID) {
+		check.fault("ref", wrongForm)
+	}
+	if job.Kind != wire.KindArray && job.Kind != wire.KindService && job.Kind != wire.KindGang {
+		check.fault("shape", unknown)
+	}
+	if !slices.Contains(wire.Priorities(), job.Priority) {
+		check.fault("rank", unknown)
+	}
+}
--- /dev/null
+++ b/internal/intake/status.go
@@ -0,0 +1,141 @@
+package intake
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+
+	"rillflow/internal/dataloss"
+	"rillflow/internal/kvstore"
+	"rillflow/internal/ledger"
+	"rillflow/internal/wire"
+)
+
+// knownJob is what is told of a job, with its team, by which is decided who may know it.
+type knownJob struct {
+	wire.JobStatus
+	team                     string
+	cancellationAcknowledged bool // of a cancelled job: a user may be told
+}
+
+// poll answers with a job's status.
+func (api *API) poll(w http.ResponseWriter, r *http.Request) {
+	id := r.PathValue("ref")
+	if !ValidJobID(id) {
+		replyError(w, http.StatusNotFound, noSuchJob)
+		return
+	}
+	caller, ok := api.identify(w, r)
+	if !ok {
+		return
+	}
+	ctx, cancel := context.WithTimeout(r.Context(), pollTimeout)
+	defer cancel()
+	job, err := api.lookup(ctx, id)
+	switch {
+	case err == nil:
+		api.replyIfAllowed(ctx, w, caller, job)
+	case errors.Is(err, kvstore.ErrNotFound):
+		replyError(w, http.StatusNotFound, noSuchJob)
+	default:
+		replyBusy(w, storeBusy)
+	}
+}
+
+// lookup finds a job's status, from this controller's memory or the store. ErrNotFound
+// means that the job was not accepted when its live key was read: a job goes only from
+// live to ended. Any other error means that nothing can be told now.
+func (api *API) lookup(ctx context.Context, id string) (knownJob, error) {
+	if job, ok := api.finishedState(id); ok {
+		return job, nil
+	}
+	if api.storeUnavailable() {
+		return knownJob{}, kvstore.ErrRefused
+	}
+	for attempt := 0; ; attempt++ {
+		job, err := api.lookupOnce(ctx, id)
+		if err == nil || errors.Is(err, kvstore.ErrNotFound) || !api.shouldRetry(ctx, err, attempt) {
+			return job, err
+		}
+	}
+}
+
+func (api *API) lookupOnce(ctx context.Context, id string) (job knownJob, err error) {
+	// What is stored while data may have been lost may be older than what was told,
+	// and a controller that has just begun cannot tell whether any was.
+	_, err = api.compareIncarnation()
+	if err == nil && api.dataLoss.JustStarted() {
+		err = dataloss.ErrDataLossSuspected
+	}
+	before := api.replicaView(id)
+	if err == nil {
+		job, err = api.read(ctx, id, before)
+	}
+	if errors.Is(err, kvstore.ErrNotFound) {
+		return api.lookupLost(ctx, id, before)
+	}
+	return job, err
+}
+
+// read reads a job's status from the store.
+func (api *API) read(ctx context.Context, id string, before replicaView) (knownJob, error) {
+	item, err := api.store.GetByListing(ctx, ledger.LiveKey(id))
+	if err == nil {
+		return api.liveStatus(ctx, id, item.Value, before)
+	}
+	if !errors.Is(err, kvstore.ErrNotFound) {
+		return knownJob{}, err
+	}
+	item, err = api.store.Get(ctx, ledger.EndedKey(id))
+	if err != nil {
+		return knownJob{}, err
+	}
+	var end ledger.EndRecord
+	if err := json.Unmarshal(item.Value, &end); err != nil {
+		return knownJob{}, fmt.Errorf("intake: end record of job %s: %w", id, err)
+	}
+	return api.remember(id, end), nil
+}
+
+// liveStatus is the status of a job whose live key was read.
+func (api *API) liveStatus(ctx context.Context, id string, record []byte, before replicaView) (knownJob, error) {
+	if job, ok := api.finishedButStoredLive(id, before); ok {
+		return job, nil
+	}
+	// The answer may be the one that showed that the store lost data, behind an end
+	// that another controller told of and this one never heard of.
+	if _, err := api.compareIncarnation(); err != nil {
+		return knownJob{}, err
+	}
+	job := knownJob{JobStatus: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}}
+	if !api.authorizer.Open() {
+		decoded, err := ledger.DecodeJobRecord(record)
+		if err != nil {
+			return knownJob{}, fmt.Errorf("intake: record of job %s: %w", id, err)
+		}
+		job.team = decoded.Job.Team
+	}
+	if done, running, ok, _ := api.taskCounts(ctx, id); ok { // only for display
+		job.Done, job.Running = &done, &running
+		if running > 0 {
+			job.Phase = wire.PhaseRunning
+		}
+	}
+	return job, nil
+}
+
+// remember caches how a job ended.
+func (api *API) remember(id string, end ledger.EndRecord) knownJob {
+	noneRunning := 0
+	job := knownJob{JobStatus: wire.JobStatus{ID: id, Phase: end.Phase, Running: &noneRunning}, team: end.Team}
+	if end.Phase == wire.PhaseDone {
+		job.Done = &end.Tasks
+	}
+	if cached, ok := api.finished.get(id); ok {
+		job.cancellationAcknowledged = cached.cancellationAcknowledged
+	}
+	api.finished.put(id, job)
+	return job
+}
--- /dev/null
+++ b/internal/intake/submission.go
@@ -0,0 +1,168 @@
+package intake
+
+import (
+	"bytes"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"regexp"
+	"slices"
+
+	"rillflow/internal/wire"
+)
+
+var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,40}$`)
+
+// ValidJobID reports whether a job ID has the form that users give it.
+func ValidJobID(ref string) bool { return jobIDPattern.MatchString(ref) }
+
+// maxTasks is the protocol's limit on the tasks of a job.
+const maxTasks = 100_000
+
+// submission is a job as it arrives: nil pointers tell what is missing.
+type submission struct {
+	ID                        *string
+	Class                     *string
+	Team                      *string
+	Kind                      *string
+	Priority                  *string
+	TaskCount                 *int
+	CPUs                      *float64
+	GPUs                      *float64
+	MemoryGB                  *float64
+	Image                     *string
+	ImageGB                   *float64
+	InstanceTypes             *[]string
+	Zone                      *string
+	SingleZone                *bool
+	SpreadZones               *bool
+	AllowSpot                 *bool
+	ExpectedSeconds           *float64
+	CheckpointIntervalSeconds *float64
+	CheckpointSaveSeconds     *float64
+	DeadlineSeconds           *float64
+	DependsOn                 []string
+}
+
+// fields returns where the fields of a submission go, by the protocol's names.
+func (submission *submission) fields() map[string]any {
+	return map[string]any{
+		"ref":          &submission.ID,
+		"jobclass":     &submission.Class,
+		"owner":        &submission.Team,
+		"shape":        &submission.Kind,
+		"rank":         &submission.Priority,
+		"members":      &submission.TaskCount,
+		"cores":        &submission.CPUs,
+		"accelerators": &submission.GPUs,
+		"ram_gb":       &submission.MemoryGB,
+		"bundle":       &submission.Image,
+		"size_gb":      &submission.ImageGB,
+		"flavors":      &submission.InstanceTypes,
+		"locale":       &submission.Zone,
+		"same_place":   &submission.SingleZone,
+		"scatter":      &submission.SpreadZones,
+		"loaners":      &submission.AllowSpot,
+		"expect_s":     &submission.ExpectedSeconds,
+		"snapshot_s":   &submission.CheckpointIntervalSeconds,
+		"flush_s":      &submission.CheckpointSaveSeconds,
+		"due_s":        &submission.DeadlineSeconds,
+		"waits_on":     &submission.DependsOn,
+	}
+}
+
+// Parse reads and checks a submission. The ID is returned also with an error when it
+// could be read: a job that is known is answered whatever the body says.
+func Parse(body []byte) (job wire.Job, id string, err error) {
+	var submission submission
+	err = submission.read(body)
+	if submission.ID != nil && ValidJobID(*submission.ID) {
+		id = *submission.ID
+	}
+	if err != nil {
+		return job, id, fmt.Errorf("malformed: %w", err)
+	}
+	job, err = submission.job()
+	return job, id, err
+}
+
+// read takes in a body, field by field: encoding/json would take Cores for cores when it
+// decodes into a struct, and of two fields of one name the last. With an error the
+// submission holds what could be read.
+func (submission *submission) read(body []byte) error {
+	decoder := json.NewDecoder(bytes.NewReader(body))
+	if token, err := decoder.Token(); err != nil {
+		return err
+	} else if token != json.Delim('{') {
+		return errors.New("not an object")
+	}
+	targets, seen := submission.fields(), make(map[string]bool)
+	var errs []error
+	for decoder.More() {
+		token, err := decoder.Token()
+		if err != nil {
+			return errors.Join(append(errs, err)...)
+		}
+		var value json.RawMessage
+		if err := decoder.Decode(&value); err != nil {
+			return errors.Join(append(errs, err)...)
+		}
+		name, _ := token.(string) // the name of a field is nothing else
+		switch target := targets[name]; {
+		case target == nil: // not known, so ignored
+		case seen[name]:
+			errs = append(errs, fmt.Errorf("%s: twice", name))
+		default:
+			seen[name] = true
+			if err := json.Unmarshal(value, target); err != nil {
+				errs = append(errs, fmt.Errorf("%s: %w", name, err))
+			}
+		}
+	}
+	if _, err := decoder.Token(); err != nil {
+		errs = append(errs, err)
+	} else if _, err := decoder.Token(); err != io.EOF {
+		errs = append(errs, errors.New("more than an object"))
+	}
+	return errors.Join(errs...)
+}
+
+// job checks a submission and returns the job it describes. The error joins all faults,
+// in the order of the checks.
+func (submission *submission) job() (job wire.Job, err error) {
+	var check fieldChecker
+	job = wire.Job{
+		ID: check.text("ref", submission.ID), Class: check.text("jobclass", submission.Class),
+		Team: check.text("owner", submission.Team), Kind: check.text("shape", submission.Kind),
+		Priority: check.text("rank", submission.Priority), Image: check.text("bundle", submission.Image),
+		CPUs: check.amount("cores", submission.CPUs), GPUs: check.amount("accelerators", submission.GPUs),
+		MemoryGB: check.amount("ram_gb", submission.MemoryGB), ImageGB: check.amount("size_gb", submission.ImageGB),
+		SingleZone:  check.flag("same_place", submission.SingleZone),
+		SpreadZones: check.flag("scatter", submission.SpreadZones),
+		AllowSpot:   check.flag("loaners", submission.AllowSpot),
+
+		ExpectedSeconds:           check.amount("expect_s", submission.ExpectedSeconds),
+		CheckpointIntervalSeconds: check.amount("snapshot_s", submission.CheckpointIntervalSeconds),
+		CheckpointSaveSeconds:     check.amount("flush_s", submission.CheckpointSaveSeconds),
+	}
+	check.words(&job)
+	job.TaskCount = check.taskCount(submission.TaskCount)
+	if submission.InstanceTypes != nil {
+		job.InstanceTypes = *submission.InstanceTypes
+		if len(job.InstanceTypes) == 0 || slices.Contains(job.InstanceTypes, "") {
+			check.fault("flavors", invalid)
+		}
+	}
+	if submission.Zone != nil {
+		job.Zone = check.text("locale", submission.Zone)
+	}
+	if submission.DeadlineSeconds != nil {
+		job.DeadlineSeconds = check.amount("due_s", submission.DeadlineSeconds)
+	}
+	if slices.ContainsFunc(submission.DependsOn, func(id string) bool { return !ValidJobID(id) }) {
+		check.fault("waits_on", wrongForm)
+	}
+	job.DependsOn = slices.Compact(slices.Sorted(slices.Values(submission.DependsOn)))
+	return job, errors.Join(check.faults...)
+}
