--- a/internal/leader/jobwatcher.go
+++ b/internal/leader/jobwatcher.go
@@ -10,7 +10,7 @@
 )
 
 // jobWatcher takes in jobs as they are committed to the store: new ones, and those that left
-// the live keys. Its loop, watchJobs, changes the job table and the replica under mu. It
+// the live keys. Its loop, watchJobs, changes the job table under mu, then the replica. It
 // must not take a job for finished: only the claim writer's own commit does that.
 type jobWatcher struct {
 	*termScope
