--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -102,7 +102,8 @@
 		scrubber:      &scrubber{termScope: scope},
 		status:        &statusView{termScope: scope},
 	}
-	t.connect()
+	t.connectFleet()
+	t.connectJobs()
 	return t
 }
 
@@ -132,8 +133,8 @@
 	return scope
 }
 
-// connect tells the components of one another.
-func (t *leaderTerm) connect() {
+// connectFleet tells the components that look after workers and instances of one another.
+func (t *leaderTerm) connectFleet() {
 	t.registry.commander = t.commander
 
 	t.heartbeats.registry, t.heartbeats.faults = t.registry, t.faults
@@ -141,8 +142,7 @@
 
 	t.commander.registry, t.commander.heartbeats = t.registry, t.heartbeats
 
-	t.failures.commander, t.failures.heartbeats = t.commander, t.heartbeats
-	t.failures.faults = t.faults
+	t.failures.commander, t.failures.heartbeats, t.failures.faults = t.commander, t.heartbeats, t.faults
 	t.failures.drainer, t.failures.autoscaler, t.failures.cancellations = t.drainer, t.autoscaler, t.cancellations
 
 	t.drainer.scheduler = t.scheduler
@@ -151,7 +151,10 @@
 	t.autoscaler.drainer, t.autoscaler.scheduler = t.drainer, t.scheduler
 
 	t.shardKeeper.registry = t.registry
+}
 
+// connectJobs tells the components that look after jobs, claims and what is stored of others.
+func (t *leaderTerm) connectJobs() {
 	t.jobWatcher.cancellations, t.jobWatcher.orphans = t.cancellations, t.orphans
 	t.jobWatcher.storeReader = t.storeReader
 
