--- /dev/null
+++ b/internal/serve/peerhandler.go
@@ -0,0 +1,121 @@
+package serve
+
+import (
+	"context"
+	"net/http"
+
+	"rillflow/internal/cancellation"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
+	"rillflow/internal/peer"
+	"rillflow/internal/placement"
+	"rillflow/internal/replica"
+	"rillflow/internal/wire"
+)
+
+// peerHandler serves what peers ask of a controller.
+type peerHandler struct{ *controller }
+
+// OwnStatus implements peer.Handler.
+func (handler peerHandler) OwnStatus() peer.Ping {
+	shards := handler.elector.ShardMap()
+	return peer.Ping{
+		Node: handler.settings.Node, Epoch: shards.Epoch, Leader: shards.Leader, ShardOwners: shards.Owners,
+		StoreSilence: handler.store.SinceLastAnswer(),
+	}
+}
+
+// PeerStatus implements peer.Handler.
+func (handler peerHandler) PeerStatus(ping peer.Ping) {
+	handler.elector.LearnShardMap(election.ShardMap{Epoch: ping.Epoch, Leader: ping.Leader, Owners: ping.ShardOwners})
+}
+
+// HandleHeartbeat implements peer.Handler.
+func (handler peerHandler) HandleHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat) peer.HeartbeatAnswer {
+	commands, samples, err := handler.leader.Heartbeat(ctx, heartbeat)
+	return peer.HeartbeatAnswer{OK: err == nil, Commands: commands, Samples: samples}
+}
+
+// PickTypes implements peer.Handler.
+func (handler peerHandler) PickTypes(offer placement.Offer) []placement.Pick {
+	return handler.shard.PickLocal(offer)
+}
+
+// TaskCounts implements peer.Handler.
+func (handler peerHandler) TaskCounts(job string) (peer.Counts, error) {
+	counts, ok, err := handler.leader.TaskCounts(job)
+	return peer.Counts{Known: ok, Done: counts.Done, Running: counts.Running}, err
+}
+
+// WorkerReachability implements peer.Handler.
+func (handler peerHandler) WorkerReachability() peer.Reachability {
+	return handler.shard.WorkerReachability()
+}
+
+// Version implements peer.Handler.
+func (handler peerHandler) Version() string { return Version }
+
+// StoreIncarnation implements peer.Handler.
+func (handler peerHandler) StoreIncarnation() peer.StoreIncarnation {
+	suspicion := handler.dataLoss.Suspicion()
+	id := suspicion.IncarnationID
+	if !suspicion.Active {
+		id = handler.dataLoss.Current().ID
+	}
+	revision, _ := handler.store.Revision()
+	return peer.StoreIncarnation{
+		ID: id, DataLossSuspected: suspicion.Active, Reason: suspicion.Reason, Revision: revision,
+	}
+}
+
+// PeerStoreIncarnation implements peer.Handler.
+func (handler peerHandler) PeerStoreIncarnation(name string, known peer.StoreIncarnation) {
+	handler.dataLoss.ObservePeer(name, dataloss.Suspicion{
+		Active: known.DataLossSuspected, IncarnationID: known.ID, Reason: known.Reason,
+	})
+	suspected := handler.dataLoss.Suspicion().Active || known.DataLossSuspected
+	if !suspected && known.ID != "" && known.ID == handler.dataLoss.Current().ID {
+		handler.store.ObserveRevision(known.Revision)
+	}
+}
+
+// ReceiveReplica implements peer.Handler.
+func (handler peerHandler) ReceiveReplica(push *replica.Push) replica.Ack {
+	return handler.replica.Receive(push)
+}
+
+// ReadReplicaPage implements peer.Handler.
+func (handler peerHandler) ReadReplicaPage(request replica.PageRequest) replica.Page {
+	return handler.replica.ReadPage(request)
+}
+
+// ReceiveCancellations implements peer.Handler.
+func (handler peerHandler) ReceiveCancellations(message *cancellation.Message) cancellation.Ack {
+	return handler.cancellations.Receive(message, handler.leader)
+}
+
+// PeerConnected implements peer.Handler.
+func (handler peerHandler) PeerConnected(ctx context.Context, peer string) {
+	handler.broadcaster.PeerConnected(ctx, peer)
+}
+
+// PeerSynced implements peer.Handler.
+func (handler peerHandler) PeerSynced(ctx context.Context, peer string) {
+	handler.broadcaster.SyncPeer(ctx, peer)
+}
+
+// HandleUserRequest implements peer.Handler: the request is served as if it had come here.
+func (handler peerHandler) HandleUserRequest(ctx context.Context, request peer.UserRequest) peer.UserAnswer {
+	response := &recorder{header: make(http.Header), status: http.StatusOK}
+	r, err := http.NewRequestWithContext(ctx, request.Method, request.Path, newBody(request.Body))
+	if err != nil {
+		return peer.UserAnswer{Status: http.StatusBadRequest, Body: []byte("{}")}
+	}
+	if request.Auth != "" {
+		r.Header.Set("Authorization", request.Auth)
+	}
+	handler.users.ServeHTTP(response, r)
+	return peer.UserAnswer{
+		Status: response.status, RetryAfter: response.header.Get("Retry-After"), Body: response.body,
+	}
+}
--- a/internal/serve/recorder.go
+++ b/internal/serve/recorder.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// recorder keeps an answer that goes back over the link.
+// recorder is an http.ResponseWriter that keeps an answer to be sent to a peer.
 type recorder struct {
 	header http.Header
 	status int
--- /dev/null
+++ b/internal/serve/routes.go
@@ -0,0 +1,52 @@
+package serve
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+
+	"rillflow/internal/wire"
+)
+
+// routes returns the handler of all requests at the front address.
+func (controller *controller) routes() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /healthz", controller.health)
+	mux.HandleFunc("POST /agent/beat", controller.handleHeartbeat)
+	mux.HandleFunc("GET /operator/status", controller.status)
+	mux.HandleFunc("/v1/jobs", controller.handleUser)
+	mux.HandleFunc("/v1/jobs/", controller.handleUser)
+	return mux
+}
+
+// health answers the load balancer. A controller that the store refuses is of use while a
+// peer can serve its users; one that no peer hears either is cut off, and others serve
+// better. When all are refused it is an outage: to leave the load balancer then would only
+// make coming back slower.
+func (controller *controller) health(w http.ResponseWriter, _ *http.Request) {
+	hasPeers := len(controller.settings.Members) > 0
+	if controller.shard.StoreRefuses() && hasPeers && !controller.shard.HasLivePeer() {
+		replyError(w, http.StatusServiceUnavailable, "cut off")
+		return
+	}
+	reply(w, http.StatusOK, struct{}{})
+}
+
+func replyError(w http.ResponseWriter, status int, reason string) {
+	reply(w, status, wire.ErrorResponse{Error: reason})
+}
+
+func reply(w http.ResponseWriter, status int, v any) {
+	body, err := json.Marshal(v)
+	if err != nil {
+		status, body = http.StatusInternalServerError, []byte("{}")
+	}
+	writeJSON(w, status, body)
+}
+
+func writeJSON(w http.ResponseWriter, status int, body []byte) {
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
+	w.WriteHeader(status)
+	w.Write(body)
+}
--- /dev/null
+++ b/internal/serve/snapshots.go
@@ -0,0 +1,49 @@
+package serve
+
+import (
+	"context"
+	"errors"
+	"io/fs"
+	"path/filepath"
+	"time"
+
+	"rillflow/internal/snapshot"
+)
+
+// openSnapshots returns the folder of this controller's snapshots, nil if none are kept,
+// and takes what the newest one holds for the replica of an earlier process. Should the
+// store hold it too, that costs nothing.
+func (controller *controller) openSnapshots() *snapshot.Folder {
+	recovery := controller.settings.Operator.Rebuild
+	if recovery.Folder == "" {
+		return nil
+	}
+	folder := &snapshot.Folder{
+		Dir:        filepath.Join(recovery.Folder, controller.settings.Node),
+		Deployment: controller.settings.Deployment(), Steps: recovery.Steps, Wholes: recovery.Wholes,
+	}
+	controller.loadSnapshot(folder)
+	return folder
+}
+
+func (controller *controller) loadSnapshot(folder *snapshot.Folder) {
+	loaded, err := folder.Load()
+	if err != nil && !errors.Is(err, fs.ErrNotExist) {
+		controller.log.Error("snapshots unreadable", "err", err)
+	}
+	for _, refused := range loaded.Refused {
+		controller.log.Error("snapshot refused", "file", refused.File, "err", refused.Err)
+	}
+	if loaded.Last == nil {
+		return
+	}
+	controller.log.Info("snapshot loaded", "files", loaded.Files, "incarnation", loaded.Last.Incarnation,
+		"revision", loaded.Last.Revision, "keys", loaded.Tree.Len(), "age_s", time.Since(loaded.Last.At).Seconds())
+	controller.elector.ObserveEpoch(loaded.Last.Epoch)
+	controller.replica.LoadPrevious(loaded.Tree)
+}
+
+func (controller *controller) keepSnapshots(ctx context.Context, folder *snapshot.Folder) error {
+	interval := controller.settings.Operator.Rebuild.Every * float64(controller.settings.Lease())
+	return folder.Keep(ctx, controller.replica, time.Duration(interval), controller.log)
+}
--- /dev/null
+++ b/internal/serve/status.go
@@ -0,0 +1,86 @@
+package serve
+
+import (
+	"errors"
+	"net/http"
+	"time"
+
+	"rillflow/internal/dataloss"
+	"rillflow/internal/election"
+	"rillflow/internal/identity"
+	"rillflow/internal/leader"
+	"rillflow/internal/peer"
+	"rillflow/internal/placement"
+	"rillflow/internal/replica"
+	"rillflow/internal/rights"
+)
+
+// Status is what the operator's status page tells.
+type Status struct {
+	Controller         string                 `json:"node"`
+	Version            string                 `json:"version"`
+	ShardMap           election.ShardMap      `json:"map"`
+	UptimeSeconds      float64                `json:"up_s"`
+	StoreSilentSeconds float64                `json:"state_silent_s"`
+	StoreRequests      int64                  `json:"state_requests"`
+	LimitsLowered      bool                   `json:"lower_limits"` // of the store, as announced
+	Peers              map[string]peer.Status `json:"peers"`
+	MemoryMB           float64                `json:"memory_mb"`
+	MemoryFull         bool                   `json:"memory_short"` // new jobs and workers are turned away
+	Rates              []placement.RateRow    `json:"rates"`
+	Leading            *leader.Status         `json:"leading,omitempty"`
+	Incarnation        IncarnationStatus      `json:"history"`
+}
+
+// IncarnationStatus is which incarnation of the store's data a controller knows, and what
+// its replica holds of it.
+type IncarnationStatus struct {
+	ID                  string         `json:"id"`
+	Phase               dataloss.Phase `json:"phase"`
+	SuspectedBecause    string         `json:"doubted,omitempty"`
+	Replica             replica.Head   `json:"copy"`
+	ReplicaBytes        int            `json:"copy_bytes"`
+	FinishedJobsLeftOut int            `json:"ends_without_room,omitempty"`
+}
+
+func (controller *controller) incarnationStatus() IncarnationStatus {
+	current := controller.dataLoss.Current()
+	status := IncarnationStatus{
+		ID: current.ID, Phase: current.Phase, SuspectedBecause: controller.dataLoss.Suspicion().Reason,
+		Replica: controller.replica.Head(),
+	}
+	_, status.ReplicaBytes, status.FinishedJobsLeftOut = controller.replica.Usage()
+	return status
+}
+
+// status answers an operator who may see it.
+func (controller *controller) status(w http.ResponseWriter, r *http.Request) {
+	caller, err := controller.authorizer.Who(r)
+	if err != nil {
+		status := http.StatusUnauthorized
+		if errors.Is(err, identity.ErrStale) {
+			status = http.StatusServiceUnavailable
+		}
+		replyError(w, status, err.Error())
+		return
+	}
+	if decision := controller.authorizer.May(caller, rights.Request{Do: rights.Status}); !decision.Allowed {
+		replyError(w, http.StatusForbidden, decision.Rule)
+		return
+	}
+	reply(w, http.StatusOK, Status{
+		Controller:         controller.settings.Node,
+		Version:            Version,
+		ShardMap:           controller.elector.ShardMap(),
+		UptimeSeconds:      time.Since(controller.startedAt).Seconds(),
+		StoreSilentSeconds: controller.store.SinceLastAnswer().Seconds(),
+		StoreRequests:      controller.store.RequestCount(),
+		LimitsLowered:      controller.store.LimitsLowered(),
+		Peers:              controller.peers.Peers(),
+		MemoryMB:           float64(controller.memory.Held()) / bytesPerMB,
+		MemoryFull:         controller.memory.High(),
+		Rates:              controller.shard.Rates(),
+		Leading:            controller.leader.Status(),
+		Incarnation:        controller.incarnationStatus(),
+	})
+}
--- /dev/null
+++ b/internal/serve/workers.go
@@ -0,0 +1,83 @@
+package serve
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+
+	"rillflow/internal/agent"
+	"rillflow/internal/dataloss"
+	"rillflow/internal/kvstore"
+	"rillflow/internal/shard"
+	"rillflow/internal/wire"
+)
+
+// epochChecksPerHeartbeat bounds how often within a heartbeat interval the store is asked
+// about epochs that workers show.
+const epochChecksPerHeartbeat = 8
+
+// handleHeartbeat answers a worker's heartbeat, or says who may.
+func (controller *controller) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
+	controller.shard.RecordRequest()
+	controller.connections.closeIfCrowded(w)
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, agent.MaxHeartbeatBytes))
+	var heartbeat wire.Heartbeat
+	if err == nil {
+		err = json.Unmarshal(body, &heartbeat)
+	}
+	if err != nil {
+		replyError(w, http.StatusBadRequest, "malformed report")
+		return
+	}
+	controller.observeEpoch(heartbeat.Epoch)
+	commands, err := controller.shard.Heartbeat(r.Context(), &heartbeat, controller.leader)
+	if err == nil {
+		reply(w, http.StatusOK, commands)
+		return
+	}
+	var notOwner *shard.NotOwnerError
+	if errors.As(err, &notOwner) && notOwner.RedirectTarget != "" &&
+		notOwner.RedirectTarget != controller.settings.Node {
+		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: notOwner.RedirectTarget})
+		return
+	}
+	replyError(w, http.StatusServiceUnavailable, "not entitled")
+}
+
+// observeEpoch notes an epoch that a worker has seen. One that the store has not given out
+// was given out in an incarnation of its data that is lost.
+func (controller *controller) observeEpoch(epoch uint64) {
+	controller.elector.ObserveEpoch(epoch)
+	current := controller.dataLoss.Current()
+	if current.InitialPhase == dataloss.PhaseProvisional && epoch > 0 && epoch < current.Epoch {
+		// The incarnation began with no data, so nobody can have seen an earlier epoch.
+		controller.dataLoss.Suspect(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
+	}
+	if epoch > controller.elector.ShardMap().Epoch {
+		select {
+		case controller.unknownEpochs <- epoch:
+		default: // one question at a time is enough
+		}
+	}
+}
+
+// verifyUnknownEpochs asks the store whether it knows of the epochs that workers show.
+func (controller *controller) verifyUnknownEpochs(ctx context.Context) error {
+	delay := controller.settings.Report() / epochChecksPerHeartbeat
+	for {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case epoch := <-controller.unknownEpochs:
+			stored, err := controller.elector.ReadShardMap(ctx)
+			if err == nil && stored.Epoch < epoch && epoch > controller.elector.ShardMap().Epoch {
+				controller.dataLoss.Suspect(fmt.Sprintf(
+					"workers have seen epoch %d, and %d is stored", epoch, stored.Epoch))
+			}
+			kvstore.Backoff(ctx, 0, delay, delay)
+		}
+	}
+}
