--- /dev/null
+++ b/internal/leader/antientropy_test.go
@@ -0,0 +1,42 @@
+package leader
+
+import (
+	"slices"
+	"testing"
+
+	iradix "github.com/hashicorp/go-immutable-radix/v2"
+
+	"rillflow/internal/wire"
+)
+
+// Only keys of the page's own range are missed: behind its beginning, up to its last key, and
+// under its prefix.
+func TestMissingKeysOfPage(t *testing.T) {
+	tree := iradix.New[[]byte]().Txn()
+	for _, key := range []string{"c/1/0", "d/1", "d/2", "d/3", "d/4", "j/1"} {
+		tree.Insert([]byte(key), nil)
+	}
+	items := func(keys ...string) (items []wire.KeyValue) {
+		for _, key := range keys {
+			items = append(items, wire.KeyValue{Key: key})
+		}
+		return items
+	}
+	for _, tc := range []struct {
+		name string
+		page scrubPage
+		want []string
+	}{
+		{"all there", scrubPage{prefix: "d/", items: items("d/1", "d/2", "d/3", "d/4")}, nil},
+		{"to the end of the prefix", scrubPage{prefix: "d/", items: items("d/2")}, []string{"d/1", "d/3", "d/4"}},
+		{"up to its last key", scrubPage{prefix: "d/", last: "d/3", items: items("d/3")}, []string{"d/1", "d/2"}},
+		{"behind its beginning", scrubPage{prefix: "d/", after: "d/2"}, []string{"d/3", "d/4"}},
+		{"nothing under the prefix", scrubPage{prefix: "e/"}, nil},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := tc.page.missingKeys(tree.Commit()); !slices.Equal(got, tc.want) {
+				t.Errorf("missing %q, want %q", got, tc.want)
+			}
+		})
+	}
+}
--- a/internal/leader/claimwriter.go
+++ b/internal/leader/claimwriter.go
@@ -103,12 +103,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now, limits := w.now(), w.txnLimits()
-	auditDue := w.auditLog.isDue(now, w.settings.Report()/2)
+	auditDue := w.auditLog.isDue(now, w.maxWriteDelay())
 	auditOnly := w.auditLog.needsOwnBatch(limits.valueBytes) || w.jobs.NothingToWrite() && auditDue
 	if w.jobs.NothingToWrite() && !auditOnly {
 		return nil, errNothingToWrite
 	}
-	audited, err := &auditedBatch{Batch: &ledger.Batch{}}, error(nil)
+	audited := &auditedBatch{Batch: &ledger.Batch{}}
+	var err error
 	if auditOnly {
 		_, err = w.writeAllowance(1, urgentWriteReserve)
 	} else {
@@ -128,8 +129,7 @@
 }
 
 // nextBatch makes the next batch of the job table's changes. Where urgent changes never cease
-// the others have their turn twice in a heartbeat interval: what is left of finished jobs
-// would add up.
+// the others have their turn after maxWriteDelay: what is left of finished jobs would add up.
 func (w *claimWriter) nextBatch(store txnLimits, now time.Time) (*ledger.Batch, error) {
 	reserve, urgent := idleWriteReserve, w.jobs.HasUrgentWrites()
 	if urgent {
@@ -148,7 +148,7 @@
 	if w.auditLog != nil {
 		w.auditLog.limitBatch(&limits)
 	}
-	if urgent && now.Sub(w.lastNonUrgentTurn) > w.settings.Report()/2 {
+	if urgent && now.Sub(w.lastNonUrgentTurn) > w.maxWriteDelay() {
 		w.lastNonUrgentTurn = now
 		nonUrgent := limits
 		nonUrgent.UrgentOnly, nonUrgent.NonUrgentOnly = false, true
@@ -162,6 +162,13 @@
 	return nil, errNothingToWrite
 }
 
+// maxWriteDelay is how long changes that nothing waits for are put off for more urgent ones, and
+// queued audit entries for a batch to go with.
+func (w *claimWriter) maxWriteDelay() time.Duration { return w.settings.Report() / 2 }
+
+// coalesceDelay is how long non-urgent changes are collected before they are written.
+func (w *claimWriter) coalesceDelay() time.Duration { return w.settings.Report() / 16 }
+
 // awaitWriteBudget waits for the write budget, or for something more urgent to write. It
 // returns false if ctx ended.
 func (w *claimWriter) awaitWriteBudget(ctx context.Context, wait time.Duration) bool {
@@ -180,7 +187,7 @@
 // rest, and the tasks that take the freed capacity are often of the same jobs, so that one
 // operation holds both.
 func (w *claimWriter) coalesceWrites(ctx context.Context) error {
-	timer := time.NewTimer(w.settings.Report() / 16)
+	timer := time.NewTimer(w.coalesceDelay())
 	defer timer.Stop()
 	for {
 		w.mu.Lock()
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -134,11 +134,3 @@
 			"task", task, "attempt", status.Attempt, "worker", worker.Name, "phase", status.Phase)
 	}
 }
-
-// adoptClaim claims a task for the worker that has it, under the epoch of before the term. It
-// returns nil if the task cannot be claimed. Callers hold mu.
-func (s *termScope) adoptClaim(job *ledger.Job, index int, worker *agent.Worker, attempt uint64) *ledger.Claim {
-	return s.jobs.AdoptOrphan(job, index, ledger.ClaimRecord{
-		Worker: worker.Name, Incarnation: worker.Incarnation, Attempt: attempt, Zone: worker.Zone,
-	}, s.firstEpoch-1)
-}
--- a/internal/leader/placementhold_test.go
+++ b/internal/leader/placementhold_test.go
@@ -1,7 +1,6 @@
 package leader
 
 import (
-	"io"
 	"log/slog"
 	"testing"
 	"time"
@@ -17,9 +16,12 @@
 func TestPlacementOnHold(t *testing.T) {
 	const firstEpoch = 7
 	startedAt := time.Unix(1000, 0)
-	config := &settings.Settings{Facts: settings.Facts{
-		Workers: settings.Workers{ReportS: 3, LeaseS: 30}, Cloud: settings.Cloud{ListLagS: 5},
-	}}
+	env := &environment{
+		settings: &settings.Settings{Facts: settings.Facts{
+			Workers: settings.Workers{ReportS: 3, LeaseS: 30}, Cloud: settings.Cloud{ListLagS: 5},
+		}},
+		log: slog.New(slog.DiscardHandler), now: func() time.Time { return startedAt },
+	}
 	silent := func() *agent.Worker { return agent.NewWorker("i-1") }
 	heard := func(epoch uint64) *agent.Worker {
 		worker := agent.NewWorker("i-1")
@@ -54,10 +56,6 @@
 			34 * time.Second, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			env := &environment{
-				settings: config, log: slog.New(slog.NewTextHandler(io.Discard, nil)),
-				now: func() time.Time { return startedAt },
-			}
 			leader := newLeaderTerm(t.Context(), env, nil, firstEpoch, nil)
 			leader.recovery.progress = tc.progress
 			leader.instances = map[string]wire.Instance{"i-1": {Name: "i-1", Phase: wire.PhaseRunning}}
@@ -65,13 +63,9 @@
 			if got := leader.recovery.placementOnHold(startedAt.Add(tc.after)); got != tc.onHold {
 				t.Errorf("on hold: %v", got)
 			}
-			addJob := func(jobID string, submittedAt time.Time) *ledger.Job {
-				record := ledger.JobRecord{Job: wire.Job{ID: jobID, TaskCount: 1}, SubmittedMS: submittedAt.UnixMilli()}
-				return leader.jobs.AddJob(jobID, record, 1)
-			}
-			earlier := addJob("r", startedAt.Add(time.Second))
+			earlier := addSubmittedJob(leader, "r", startedAt.Add(time.Second))
 			// Accepted by a controller whose clock is behind: what counts is that it was seen to come.
-			later := addJob("s", startedAt.Add(-time.Second))
+			later := addSubmittedJob(leader, "s", startedAt.Add(-time.Second))
 			later.MarkArrived(startedAt.Add(time.Second))
 			if leader.recovery.jobOnHold(earlier) != tc.jobOnHold || leader.recovery.jobOnHold(later) {
 				t.Errorf("on hold: %v, %v", leader.recovery.jobOnHold(earlier), leader.recovery.jobOnHold(later))
@@ -79,3 +73,9 @@
 		})
 	}
 }
+
+// addSubmittedJob adds a job that was submitted at a time by the clock of whoever accepted it.
+func addSubmittedJob(leader *leaderTerm, jobID string, submittedAt time.Time) *ledger.Job {
+	record := ledger.JobRecord{Job: wire.Job{ID: jobID, TaskCount: 1}, SubmittedMS: submittedAt.UnixMilli()}
+	return leader.jobs.AddJob(jobID, record, 1)
+}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -42,13 +42,6 @@
 	placementResumedAt time.Time // zero before
 }
 
-// attemptEpochShift is where an attempt number of a recovering leader holds its epoch.
-const attemptEpochShift = 16
-
-// baseAttempt is the number above which a recovering leader gives out attempts: epochs never
-// come again, so that no attempt number does.
-func (s *termScope) baseAttempt() uint64 { return s.firstEpoch << attemptEpochShift }
-
 // restoreLiveData stores again all live data, and takes the store to the phase in which only
 // end records are still missing.
 func (r *dataRecovery) restoreLiveData(ctx context.Context) error {
--- a/internal/leader/scope.go
+++ b/internal/leader/scope.go
@@ -102,3 +102,18 @@
 	s.auditLog.enqueueTask(now, audit.Lost, claim, reason, "")
 	s.jobs.Free(claim, now)
 }
+
+// adoptClaim claims a task for the worker that has it, under the epoch of before the term. It
+// returns nil if the task cannot be claimed. Callers hold mu.
+func (s *termScope) adoptClaim(job *ledger.Job, index int, worker *agent.Worker, attempt uint64) *ledger.Claim {
+	return s.jobs.AdoptOrphan(job, index, ledger.ClaimRecord{
+		Worker: worker.Name, Incarnation: worker.Incarnation, Attempt: attempt, Zone: worker.Zone,
+	}, s.firstEpoch-1)
+}
+
+// attemptEpochShift is where an attempt number of a recovering leader holds its epoch.
+const attemptEpochShift = 16
+
+// baseAttempt is the number above which a recovering leader gives out attempts: epochs never
+// come again, so that no attempt number does.
+func (s *termScope) baseAttempt() uint64 { return s.firstEpoch << attemptEpochShift }
