--- /dev/null
+++ b/internal/fleet/ahead.go
@@ -0,0 +1,103 @@
+package fleet
+
+import (
+	"cmp"
+	"math"
+	"slices"
+)
+
+// runAhead plans for capacity ahead of demand: it requests all that teams may use, and releases
+// instances only once there is no work at all.
+func (p *pass) runAhead() Plan {
+	p.scaleOutAhead()
+	p.plan.Drain = p.blockedByReplicas()
+	p.plan.ReuseDrained = true
+	if len(p.demand.TaskShapes) == 0 {
+		p.releaseIdle()
+	}
+	return p.plan
+}
+
+// scaleOutAhead requests instances up to the quota limits of the teams that are worth it, and for
+// the rest of the work on hand. Each offering is asked for all that is missing.
+func (p *pass) scaleOutAhead() {
+	missing := p.demand.ScaleAheadCores +
+		(p.demand.OnDemandCores+p.demand.SpotCores)*(1+p.planner.settings.Operator.Fleet.Spare)
+	for _, instance := range p.instances {
+		if instanceType := p.types[instance.InstanceType]; instanceType != nil && !instance.Releasing {
+			missing -= instanceType.CPUs
+		}
+	}
+	for _, spot := range []bool{false, true} {
+		for _, offered := range p.offerings(spot) {
+			count := min(maxInstancesPerRequest, int(missing/p.types[offered.instanceType].CPUs))
+			if count > 0 {
+				p.request(offered, count)
+			}
+		}
+	}
+}
+
+// releaseIdle releases the instances that have been idle long enough.
+func (p *pass) releaseIdle() {
+	for _, instance := range p.instances {
+		instanceType := p.types[instance.InstanceType]
+		if instanceType != nil && p.idleLongEnough(instance, instanceType) {
+			p.plan.Release = append(p.plan.Release, instance.Name)
+		}
+	}
+}
+
+// blockedByReplicas returns instances to drain since a few replicas keep waiting tasks off them:
+// with those moved to smaller instances, which such tasks do not fit, more of the tasks can run.
+// Those that move the fewest cores for each task gained go first, a few at a time.
+func (p *pass) blockedByReplicas() []string {
+	type candidate struct {
+		instance   *Instance
+		movedCores float64 // replicas' cores moved for each task gained
+	}
+	var candidates []candidate
+	draining := 0
+	for i := range p.instances {
+		instance := &p.instances[i]
+		if instance.Draining {
+			draining++
+		}
+		if gained := p.tasksGained(instance); gained > 0 {
+			candidates = append(candidates, candidate{instance, instance.ReplicaCores / gained})
+		}
+	}
+	slices.SortFunc(candidates, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.movedCores, b.movedCores), cmp.Compare(a.instance.Name, b.instance.Name))
+	})
+	var names []string
+	limit := maxDraining(len(p.instances))
+	for _, candidate := range candidates {
+		if draining+len(names) >= limit {
+			break
+		}
+		if candidate.instance.CanMoveReplicas() {
+			names = append(names, candidate.instance.Name)
+		}
+	}
+	return names
+}
+
+// tasksGained returns how many more waiting tasks an instance could run without its replicas, by
+// the first waiting shape that gains any, or 0.
+func (p *pass) tasksGained(instance *Instance) float64 {
+	instanceType := p.types[instance.InstanceType]
+	if instanceType == nil || !instance.Up || instance.Releasing || instance.Draining || instance.Replicas == 0 {
+		return 0
+	}
+	for _, shape := range p.demand.WaitingShapes {
+		if !shape.Fits(instanceType) || shape.Cores <= 0 {
+			continue
+		}
+		withReplicas := math.Floor((instanceType.CPUs-instance.ReplicaCores)/shape.Cores + fitTolerance)
+		if gained := shape.tasksPerInstance(instanceType) - withReplicas; gained >= 1 {
+			return gained
+		}
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/fleet/offering.go
@@ -0,0 +1,104 @@
+package fleet
+
+import (
+	"cmp"
+	"math"
+	"slices"
+	"time"
+
+	"rillflow/internal/wire"
+)
+
+const (
+	// maxInstancesPerRequest bounds what a single request asks for.
+	maxInstancesPerRequest = 50
+	// maxBackoffDoublings bounds how often the pause after a refusal is doubled.
+	maxBackoffDoublings = 4
+)
+
+// offering is a type, zone and kind of instance that can be requested.
+type offering struct {
+	instanceType, zone string
+	spot               bool
+}
+
+// refusal is the state of an offering that the cloud last did not grant in full.
+type refusal struct {
+	retryAt time.Time // until then it is not requested
+	count   int       // refusals in a row, at most maxBackoffDoublings
+}
+
+// RecordAnswer notes how many instances a request was granted. An offering that was not granted in
+// full is not requested for a while, longer each time, so that the next cheapest is tried instead.
+func (p *Planner) RecordAnswer(request wire.ScaleOutRequest, granted int, now time.Time) {
+	offered := offering{request.InstanceType, request.Zone, request.Spot}
+	if granted >= request.Count {
+		delete(p.refused, offered)
+		return
+	}
+	refused := p.refused[offered]
+	refused.count = min(refused.count+1, maxBackoffDoublings)
+	refused.retryAt = now.Add(p.settings.Report() * time.Duration(1<<refused.count))
+	p.refused[offered] = refused
+}
+
+// RecordRelease notes that an instance was released: the cloud may grant another like it now.
+func (p *Planner) RecordRelease(instance Instance) {
+	delete(p.refused, offering{instance.InstanceType, instance.Zone, instance.Spot})
+}
+
+// offerings lists what can be requested now and would serve some task on hand, the cheapest first
+// by the cores that these tasks can use.
+func (p *pass) offerings(spot bool) []offering {
+	var found []offering
+	for _, instanceType := range p.types {
+		if instanceType.CPUs <= 0 || !p.demand.anyFits(instanceType, spot) {
+			continue
+		}
+		for _, zone := range instanceType.Zones {
+			offered := offering{instanceType.Name, zone, spot}
+			if !p.now.Before(p.planner.refused[offered].retryAt) {
+				found = append(found, offered)
+			}
+		}
+	}
+	slices.SortFunc(found, func(a, b offering) int {
+		return cmp.Or(cmp.Compare(p.pricePerUsableCore(a), p.pricePerUsableCore(b)),
+			cmp.Compare(a.instanceType, b.instanceType), cmp.Compare(a.zone, b.zone))
+	})
+	return found
+}
+
+// pricePerUsableCore returns the price of an offering for each core that the tasks on hand can use.
+func (p *pass) pricePerUsableCore(offered offering) float64 {
+	instanceType := p.types[offered.instanceType]
+	price := instanceType.PricePerHour
+	if offered.spot {
+		price = instanceType.SpotPricePerHour
+	}
+	return price / (instanceType.CPUs * p.demand.usableShare(instanceType, offered.spot))
+}
+
+// requestCores requests so many cores of the offerings, in their order.
+func (p *pass) requestCores(offerings []offering, cores float64) {
+	for _, offered := range offerings {
+		if cores <= 0 {
+			break
+		}
+		perInstance := p.types[offered.instanceType].CPUs
+		count := min(maxInstancesPerRequest, int(math.Ceil(cores/perInstance)))
+		p.request(offered, count)
+		cores -= float64(count) * perInstance
+	}
+}
+
+// request adds a request for instances of an offering to the plan.
+func (p *pass) request(offered offering, count int) {
+	p.plan.ScaleOut = append(p.plan.ScaleOut, wire.ScaleOutRequest{
+		RequestID:    p.planner.NextRequestID(),
+		InstanceType: offered.instanceType,
+		Zone:         offered.zone,
+		Spot:         offered.spot,
+		Count:        count,
+	})
+}
