--- a/internal/leader/starvation_test.go
+++ b/internal/leader/starvation_test.go
@@ -34,7 +34,8 @@
 		{"it was given more", seconds{10, 20, 169}, "", []string{"req-3"}, nil, bySize},
 		{"and then the others", seconds{10, 20, 169}, "", []string{"req-3", "req-1"}, nil, largestFirst},
 		{"a service", seconds{10, 20, 169}, "", nil, func(job *wire.Job) { job.Kind = wire.KindService }, bySize},
-		{"past its team's guaranteed quota", seconds{10, 20, 169}, "", nil, func(job *wire.Job) { job.Team = "u" }, bySize},
+		{"past its team's guaranteed quota", seconds{10, 20, 169}, "", nil, func(job *wire.Job) { job.Team = "u" },
+			bySize},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
--- a/internal/leader/status_test.go
+++ b/internal/leader/status_test.go
@@ -34,7 +34,8 @@
 		{"nothing was lost", false, 0, "unheard", nil},
 		{"lost, and the list may lack machines", true, time.Second, "heard", ErrWorkersUnreported},
 		{"lost, and one was not heard", true, 15 * time.Second, "unheard", ErrWorkersUnreported},
-		{"lost, and one may still be ordered by the last leader", true, 15 * time.Second, "earlier", ErrWorkersUnreported},
+		{"lost, and one may still be ordered by the last leader", true, 15 * time.Second, "earlier",
+			ErrWorkersUnreported},
 		{"lost, and all were heard", true, 15 * time.Second, "heard", nil},
 		{"lost, and what was not heard has no lease left", true, 40 * time.Second, "unheard", nil},
 	} {
