--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -11,16 +11,16 @@
 
 // scheduler places waiting tasks on workers with free capacity.
 //
-// Its loop, runScheduler, makes a scheduling pass whenever scheduleSignal was notified. A pass has
-// three steps: prepare (under the term's lock: order the queues, claim for gangs, reserve
-// capacity, describe the rest to the shard owners), requestPicks (without the lock, since
-// owners are other controllers) and confirm (under the lock again: claim what the owners
-// picked and still fits, then preempt for what found no place).
+// Its loop, runScheduler, makes a scheduling pass whenever scheduleSignal was notified. A pass
+// has three steps: prepare (under mu: order the queues, claim for gangs, reserve capacity,
+// describe the rest to the shard owners), requestPicks (without the lock, since owners are
+// other controllers) and confirm (under mu again: claim what the owners picked and still fits,
+// then preempt for what found no place).
 //
-// All methods but runScheduler, pass and requestPicks are called with mu held: by the pass itself, by
-// the autoscaler and the drainer, which look for capacity in the same way, and by the
-// heartbeat reconciler, which asks acceptsTasks. The lock is the term's, because a claim must
-// see the job table, the workers' leases and the quotas at one moment.
+// Apart from these steps, methods are called with mu held: by the pass itself, by the
+// autoscaler and the drainer, which look for capacity in the same way, and by the heartbeat
+// reconciler, which asks acceptsTasks. The lock is the term's, because a claim must see the job
+// table, the workers' leases and the quotas at one moment.
 //
 // The scheduler claims; it must not write to the store or command workers. A task is started
 // by the commander once the claim writer has made its claim durable.
@@ -79,8 +79,8 @@
 	return s.confirm(prepared, s.offers.requestPicks(ctx, prepared.offers))
 }
 
-// prepare decides what the leader decides alone and makes the offers for the rest. It
-// returns nil if nothing waits or nothing may be placed yet.
+// prepare decides what the leader decides alone and makes the offers for the rest. It takes mu
+// itself, and returns nil if nothing waits or nothing may be placed yet.
 func (s *scheduler) prepare() *preparedPass {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +100,8 @@
 	return &preparedPass{queues: queues, offers: offers, claimed: claimed, moreWaiting: index.moreWaiting}
 }
 
-// confirm claims what the owners picked, as far as it still fits: heartbeats came in since
-// the offers were made. It reports whether another pass may find more.
+// confirm claims what the owners picked, as far as it still fits: heartbeats came in since the
+// offers were made. It takes mu itself, and reports whether another pass may find more.
 func (s *scheduler) confirm(prepared *preparedPass, picks []placement.Pick) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/leader/starvation_test.go
+++ b/internal/leader/starvation_test.go
@@ -65,13 +65,18 @@
 				ranking.starvation.recordPlacement(leader.jobs.Job(ref))
 			}
 			ranking.orderJobs(jobs, now)
-			var got []string
-			for _, job := range jobs {
-				got = append(got, job.Ref)
-			}
-			if !slices.Equal(got, tc.want) {
+			if got := refsOf(jobs); !slices.Equal(got, tc.want) {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
 	}
 }
+
+// refsOf are the references of jobs, in order.
+func refsOf(jobs []*ledger.Job) []string {
+	var refs []string
+	for _, job := range jobs {
+		refs = append(refs, job.Ref)
+	}
+	return refs
+}
