--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -7,8 +7,8 @@
 	"rillflow/internal/wire"
 )
 
-// fitTolerance is added before a count of tasks is rounded down, so that shares such as 0.1 cores
-// that add up to a whole instance are not lost to rounding errors.
+// fitTolerance is added before a number of tasks is rounded down: tasks that fill an instance
+// exactly are not to be one fewer by a rounding error, as 0.3/0.1 is just below 3.
 const fitTolerance = 1e-6
 
 // Demand is the work on hand, in cores.
@@ -29,16 +29,16 @@
 
 // TaskShape is what a task takes and where it may run.
 type TaskShape struct {
-	Cores, Accel, RAM float64
-	InstanceTypes     []string // types it may run on; none: any
-	Zone              string
-	SpotAllowed       bool
-	Weight            float64 // cores of such tasks on hand
+	Cores, GPUs, MemoryGB float64
+	InstanceTypes         []string // types it may run on; none: any
+	Zone                  string
+	SpotAllowed           bool
+	Weight                float64 // cores of such tasks on hand
 }
 
 // Fits reports whether a task fits an empty instance of a type.
 func (s TaskShape) Fits(instanceType *wire.InstanceType) bool {
-	return s.Cores <= instanceType.CPUs && s.Accel <= instanceType.GPUs && s.RAM <= instanceType.MemoryGB &&
+	return s.Cores <= instanceType.CPUs && s.GPUs <= instanceType.GPUs && s.MemoryGB <= instanceType.MemoryGB &&
 		(len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, instanceType.Name))
 }
 
@@ -47,8 +47,8 @@
 	count := math.Inf(1)
 	for _, resource := range []struct{ capacity, perTask float64 }{
 		{instanceType.CPUs, s.Cores},
-		{instanceType.GPUs, s.Accel},
-		{instanceType.MemoryGB, s.RAM},
+		{instanceType.GPUs, s.GPUs},
+		{instanceType.MemoryGB, s.MemoryGB},
 	} {
 		if resource.perTask > 0 {
 			count = min(count, math.Floor(resource.capacity/resource.perTask+fitTolerance))
@@ -59,9 +59,9 @@
 
 // usableShare returns the share of a type's cores that the tasks on hand can use, each shape alone
 // and by its weight. A type whose memory runs out first is dearer than its price per core says.
-func (demand Demand) usableShare(instanceType *wire.InstanceType, spot bool) float64 {
+func (d Demand) usableShare(instanceType *wire.InstanceType, spot bool) float64 {
 	sum, weight := 0.0, 0.0
-	for _, shape := range demand.TaskShapes {
+	for _, shape := range d.TaskShapes {
 		if shape.SpotAllowed != spot {
 			continue
 		}
@@ -77,8 +77,8 @@
 }
 
 // anyFits reports whether some task on hand fits an empty instance of a type and may run on it.
-func (demand Demand) anyFits(instanceType *wire.InstanceType, spot bool) bool {
-	return slices.ContainsFunc(demand.TaskShapes, func(shape TaskShape) bool {
+func (d Demand) anyFits(instanceType *wire.InstanceType, spot bool) bool {
+	return slices.ContainsFunc(d.TaskShapes, func(shape TaskShape) bool {
 		return shape.Fits(instanceType) && (shape.SpotAllowed || !spot)
 	})
 }
--- a/internal/fleet/frugal_test.go
+++ b/internal/fleet/frugal_test.go
@@ -8,8 +8,8 @@
 )
 
 var (
-	serviceShape = TaskShape{Cores: 2, RAM: 2}
-	arrayShape   = TaskShape{Cores: 4, RAM: 4, SpotAllowed: true}
+	serviceShape = TaskShape{Cores: 2, MemoryGB: 2}
+	arrayShape   = TaskShape{Cores: 4, MemoryGB: 4, SpotAllowed: true}
 
 	longAgo = now.Add(-time.Hour)
 )
--- a/internal/fleet/instance.go
+++ b/internal/fleet/instance.go
@@ -35,14 +35,14 @@
 
 // bootOverdue reports whether an instance takes so long to boot that it may never come up: it is
 // not counted on, and another takes its place.
-func (instance Instance) bootOverdue(instanceType *wire.InstanceType, now time.Time) bool {
+func (i Instance) bootOverdue(instanceType *wire.InstanceType, now time.Time) bool {
 	bootTime := settings.Seconds(instanceType.BootSeconds)
-	return instance.Booting && float64(now.Sub(instance.RequestedAt)) > slowBootRatio*float64(bootTime)
+	return i.Booting && float64(now.Sub(i.RequestedAt)) > slowBootRatio*float64(bootTime)
 }
 
 // pricePerCore returns the price of an instance for each of its cores and hour.
-func (instance Instance) pricePerCore(instanceType *wire.InstanceType) float64 {
-	if instance.Spot {
+func (i Instance) pricePerCore(instanceType *wire.InstanceType) float64 {
+	if i.Spot {
 		return instanceType.SpotPricePerHour / instanceType.CPUs
 	}
 	return instanceType.PricePerHour / instanceType.CPUs
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -156,7 +156,7 @@
 		index = len(s.TaskShapes)
 		s.shapeIndex[key] = index
 		s.TaskShapes = append(s.TaskShapes, fleet.TaskShape{
-			Cores: spec.CPUs, Accel: spec.GPUs, RAM: spec.MemoryGB,
+			Cores: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB,
 			InstanceTypes: spec.InstanceTypes, Zone: spec.Zone, SpotAllowed: spec.AllowSpot,
 		})
 	}
