--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -31,7 +31,6 @@
 type TaskShape struct {
 	Cores, GPUs, MemoryGB float64
 	InstanceTypes         []string // types it may run on; none: any
-	Zone                  string
 	SpotAllowed           bool
 	Weight                float64 // cores of such tasks on hand
 }
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -157,7 +157,7 @@
 		s.shapeIndex[key] = index
 		s.TaskShapes = append(s.TaskShapes, fleet.TaskShape{
 			Cores: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB,
-			InstanceTypes: spec.InstanceTypes, Zone: spec.Zone, SpotAllowed: spec.AllowSpot,
+			InstanceTypes: spec.InstanceTypes, SpotAllowed: spec.AllowSpot,
 		})
 	}
 	s.TaskShapes[index].Weight += cores
