--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return err
 	}
-	f := snapshot.Folder{Dir: c.Dir, Deployment: set.Deployment(), Wholes: max(2, set.Operator.Rebuild.Wholes)}
+	f := snapshot.Folder{Dir: c.Dir, Deployment: set.Deployment(), FullSnapshots: max(2, set.Operator.Rebuild.Wholes)}
 	name, err := f.Save(tree, head, time.Now())
 	if err != nil {
 		return err
--- a/cmd/rillflow/tools.go
+++ b/cmd/rillflow/tools.go
@@ -59,7 +59,7 @@
 	if h, err := os.Hostname(); err == nil {
 		by += "@" + h
 	}
-	return &identity.Admin{Store: d.st, Ring: d.ring, By: by, Audited: d.set.Operator.Access.Audited(), Now: time.Now}
+	return &identity.Admin{Store: d.st, Ring: d.ring, Actor: by, Audited: d.set.Operator.Access.Audited(), Now: time.Now}
 }
 
 type keysCmd struct {
@@ -178,7 +178,7 @@
 	if err != nil {
 		return err
 	}
-	return d.admin().Withdraw(context.Background(), c.Name)
+	return d.admin().Revoke(context.Background(), c.Name)
 }
 
 type tokenListCmd struct{ files }
@@ -196,17 +196,17 @@
 	fmt.Fprintln(w, "NAME\tKIND\tTEAMS\tROLES\tTOKEN\tUNTIL")
 	for _, k := range known {
 		kind := k.Kind
-		if k.Gone {
+		if k.Revoked {
 			kind = "withdrawn"
 		}
 		if len(k.Tokens) == 0 {
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t-\n", k.Name, kind, strings.Join(k.Teams, ","), strings.Join(k.Roles, ","))
 		}
 		for id, t := range k.Tokens {
-			till := time.Unix(t.TillS, 0).UTC().Format(time.DateTime)
-			if t.Gone {
+			till := time.Unix(t.ExpiresUnix, 0).UTC().Format(time.DateTime)
+			if t.Revoked {
 				till = "withdrawn"
-			} else if time.Now().Unix() >= t.TillS {
+			} else if time.Now().Unix() >= t.ExpiresUnix {
 				till = "expired"
 			}
 			fmt.Fprintf(w, "%s\t%s\t%s\t%s\trft_%s\t%s\n", k.Name, kind, strings.Join(k.Teams, ","), strings.Join(k.Roles, ","), id, till)
@@ -249,14 +249,14 @@
 			return err
 		}
 	}
-	dec := a.Rules.Decide(&who, rights.Request{Do: c.Do, Owner: c.Owner, Rank: c.Rank})
+	dec := a.Rules.Decide(&who, rights.Request{Action: c.Do, Team: c.Owner, Priority: c.Rank})
 	if !dec.Allowed {
 		fmt.Printf("denied: %s\n", dec.Rule)
 		return nil
 	}
 	fmt.Printf("allowed: %s\n", dec.Rule)
-	if dec.Cap != "" {
-		fmt.Printf("by what needs it, the job goes no higher than %s\n", dec.Cap)
+	if dec.MaxPriority != "" {
+		fmt.Printf("by what needs it, the job goes no higher than %s\n", dec.MaxPriority)
 	}
 	return nil
 }
@@ -271,7 +271,7 @@
 		return who, err
 	}
 	for _, k := range known {
-		if k.Name == c.Who && !k.Gone {
+		if k.Name == c.Who && !k.Revoked {
 			return rights.Identity{Name: k.Name, Kind: k.Kind, Teams: k.Teams, Roles: k.Roles}, nil
 		}
 	}
--- a/internal/access/access_test.go
+++ b/internal/access/authorizer_test.go
@@ -38,12 +38,12 @@
 	d := New(set, st, keyringtest.New(t), slog.New(slog.DiscardHandler))
 	refuse := func(n int) {
 		for range n {
-			d.refused(identity.Caller{}, rights.Request{Do: rights.Submit, Owner: "museum", Rank: "urgent"}, "req-1", "no rule allows it")
+			d.noteRefusal(identity.Caller{}, rights.Request{Action: rights.Submit, Team: "museum", Priority: "urgent"}, "req-1", "no rule allows it")
 		}
 	}
-	refuse(maxRefused + 1000)
+	refuse(maxPendingRefusals + 1000)
 	for i := range 4 {
-		if err := d.write(context.Background()); (err == nil) != (answers[i] == 200) {
+		if err := d.writeBatch(context.Background()); (err == nil) != (answers[i] == 200) {
 			t.Fatalf("write %d: %v", i, err)
 		}
 		if i < 2 {
@@ -58,21 +58,21 @@
 	}
 	// 64 and the 1,000 that are counted, and what came meanwhile: each is either in a
 	// slip, or waits, or is counted.
-	if len(d.denied) >= maxRefused || d.missed != 0 && d.missed < 1000 || d.missed > 1002 {
-		t.Errorf("%d wait, %d are counted", len(d.denied), d.missed)
+	if len(d.refusals.pending) >= maxPendingRefusals || d.refusals.omitted != 0 && d.refusals.omitted < 1000 || d.refusals.omitted > 1002 {
+		t.Errorf("%d wait, %d are counted", len(d.refusals.pending), d.refusals.omitted)
 	}
 }
 
 // Where identities are off anybody may do anything, and nothing is written.
-func TestOpenDoor(t *testing.T) {
+func TestAllowsEverybody(t *testing.T) {
 	d := New(&settings.Settings{Node: "host-0"}, nil, nil, slog.New(slog.DiscardHandler))
 	req := httptest.NewRequest("GET", "/", nil)
 	req.Header.Set("Authorization", "Bearer whatever")
-	c, err := d.Who(req)
-	if err != nil || !d.May(c, rights.Request{Do: rights.Submit}).Allowed || !d.Open() {
+	c, err := d.Identify(req)
+	if err != nil || !d.Decide(c, rights.Request{Action: rights.Submit}).Allowed || !d.AllowsEverybody() {
 		t.Errorf("%+v, %v", c, err)
 	}
-	if told, err := d.Leave(ledger.JobRecord{}, c, rights.Decision{}); told != nil || err != nil {
+	if told, err := d.AuditCancellation(ledger.JobRecord{}, c, rights.Decision{}); told != nil || err != nil {
 		t.Errorf("%v, %v", told, err)
 	}
 }
--- a/internal/audit/note.go
+++ b/internal/audit/note.go
@@ -26,7 +26,7 @@
 	raw := append([]byte{format}, 0, 0, 0, 0)
 	binary.BigEndian.PutUint32(raw[1:], s.Key)
 	raw = append(raw, encode(s.Entries)...)
-	seal, err := ring.Seal(s.Key, keyring.ForNotes, []byte(place), []byte{0}, raw)
+	seal, err := ring.Seal(s.Key, keyring.ForPendingEntries, []byte(place), []byte{0}, raw)
 	if err != nil {
 		return nil, err
 	}
@@ -55,7 +55,7 @@
 	}
 	s := &Slip{Key: binary.BigEndian.Uint32(raw[1:])}
 	body, seal := raw[:len(raw)-sealLen], raw[len(raw)-sealLen:]
-	ok, err := ring.Check(s.Key, keyring.ForNotes, seal, []byte(place), []byte{0}, body)
+	ok, err := ring.Check(s.Key, keyring.ForPendingEntries, seal, []byte(place), []byte{0}, body)
 	if err != nil {
 		return nil, fmt.Errorf("audit: slip: %w", err)
 	}
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -22,7 +22,7 @@
 type Admin struct {
 	Store   audit.Store
 	Ring    *keyring.Ring
-	By      string // who does it
+	Actor   string // who does it
 	Audited bool   // tell the audit record, in the same transaction
 	Now     func() time.Time
 }
@@ -30,53 +30,53 @@
 // ErrChanged says that somebody else changed the same identity; try again.
 var ErrChanged = errors.New("identity: changed by somebody else meanwhile")
 
-// change is one record to be written, on condition that it is as it was read.
-type change struct {
-	key   string
-	stamp uint64
-	value any
+// recordChange is one record to be written, on condition that it is as it was read.
+type recordChange struct {
+	key         string
+	modRevision uint64
+	value       any
 }
 
-func (a *Admin) commit(ctx context.Context, cs []change, e audit.Entry) error {
+func (admin *Admin) commit(ctx context.Context, cs []recordChange, e audit.Entry) error {
 	var txn wire.Txn
 	for _, c := range cs {
 		data, err := json.Marshal(c.value)
 		if err != nil {
 			return err
 		}
-		txn.Compares = append(txn.Compares, wire.Compare{Key: c.key, ModRevision: c.stamp})
+		txn.Compares = append(txn.Compares, wire.Compare{Key: c.key, ModRevision: c.modRevision})
 		txn.Operations = append(txn.Operations, wire.Operation{Put: c.key, Value: data})
 	}
-	if a.Audited {
-		e.At, e.Who = a.Now(), a.By
+	if admin.Audited {
+		e.At, e.Who = admin.Now(), admin.Actor
 		// The name is used once: the records' stamps are in the guards.
-		place := fmt.Sprintf("%s%s.%x", audit.SlipPrefix, e.On, a.Now().UnixNano())
+		place := fmt.Sprintf("%s%s.%x", audit.SlipPrefix, e.On, admin.Now().UnixNano())
 		s := audit.Slip{Entries: []audit.Entry{e}}
-		put, err := s.Change(a.Ring, place)
+		put, err := s.Change(admin.Ring, place)
 		if err != nil {
 			return err
 		}
 		txn.Operations = append(txn.Operations, put)
 	}
-	return a.settle(ctx, txn)
+	return admin.commitOnce(ctx, txn)
 }
 
-// tries bounds how often a change is sent whose fate is not known.
-const tries = 5
+// maxAttempts bounds how often a change is sent whose fate is not known.
+const maxAttempts = 5
 
-// settle commits a change and sees to it that its fate is known: a token that was
+// commitOnce commits a change and sees to it that its fate is known: a token that was
 // stored but never shown is of use to nobody. Sent again it fails its guards if it went
 // through, and what is stored then tells whose change it was.
-func (a *Admin) settle(ctx context.Context, txn wire.Txn) error {
+func (admin *Admin) commitOnce(ctx context.Context, txn wire.Txn) error {
 	unsure := false
 	for try := 0; ; try++ {
-		_, failed, err := a.Store.Commit(ctx, txn)
+		_, failed, err := admin.Store.Commit(ctx, txn)
 		switch {
 		case err == nil && len(failed) == 0:
 			return nil
 		case err == nil && unsure:
 			var mine bool
-			if mine, err = a.stored(ctx, txn.Operations[0]); mine {
+			if mine, err = admin.isStored(ctx, txn.Operations[0]); mine {
 				return nil
 			}
 			if err == nil {
@@ -89,15 +89,15 @@
 		case errors.Is(err, kvstore.ErrTooLarge):
 			return err
 		}
-		if try == tries || !kvstore.Backoff(ctx, try, 100*time.Millisecond, 2*time.Second) {
+		if try == maxAttempts || !kvstore.Backoff(ctx, try, 100*time.Millisecond, 2*time.Second) {
 			return fmt.Errorf("identity: whether this was done is not known, see token list: %w", err)
 		}
 	}
 }
 
-// stored tells whether a key holds what a change put there.
-func (a *Admin) stored(ctx context.Context, c wire.Operation) (bool, error) {
-	it, err := a.Store.Get(ctx, c.Put)
+// isStored tells whether a key holds what a change put there.
+func (admin *Admin) isStored(ctx context.Context, c wire.Operation) (bool, error) {
+	it, err := admin.Store.Get(ctx, c.Put)
 	if err != nil {
 		return false, err
 	}
@@ -106,8 +106,8 @@
 	return err == nil && reflect.DeepEqual(have, want), err
 }
 
-func (a *Admin) read(ctx context.Context, key string, v any) (uint64, error) {
-	it, err := a.Store.Get(ctx, key)
+func (admin *Admin) read(ctx context.Context, key string, v any) (uint64, error) {
+	it, err := admin.Store.Get(ctx, key)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return 0, nil
 	}
@@ -119,7 +119,7 @@
 
 // Issue makes or changes an identity and gives it a token that holds for a while. The
 // token is in no other place than the answer.
-func (a *Admin) Issue(ctx context.Context, name string, rec Record, life time.Duration) (token string, err error) {
+func (admin *Admin) Issue(ctx context.Context, name string, rec Record, life time.Duration) (token string, err error) {
 	if !ValidName(name) {
 		return "", ErrName
 	}
@@ -127,61 +127,61 @@
 		return "", errors.New("identity: a token must hold for some time")
 	}
 	var was Record
-	stamp, err := a.read(ctx, WhoPrefix+name, &was)
+	stamp, err := admin.read(ctx, IdentityPrefix+name, &was)
 	if err != nil {
 		return "", err
 	}
-	if was.Gone {
+	if was.Revoked {
 		return "", fmt.Errorf("identity: %s was withdrawn: a name is never given to another", name)
 	}
-	token, id, t, err := Issue(a.Ring, name, a.Now(), a.Now().Add(life))
+	token, id, t, err := Issue(admin.Ring, name, admin.Now(), admin.Now().Add(life))
 	if err != nil {
 		return "", err
 	}
-	cs := []change{{TokenPrefix + id, 0, t}}
+	cs := []recordChange{{TokenPrefix + id, 0, t}}
 	if stamp == 0 || rec.Kind != "" {
 		if rec.Kind == "" {
 			rec.Kind = rights.Person
 		}
-		cs = append(cs, change{WhoPrefix + name, stamp, rec})
+		cs = append(cs, recordChange{IdentityPrefix + name, stamp, rec})
 	}
-	why := fmt.Sprintf("token %s until %s; teams %v, roles %v", id, time.Unix(t.TillS, 0).UTC().Format(time.RFC3339), rec.Teams, rec.Roles)
-	return token, a.commit(ctx, cs, audit.Entry{Act: audit.Issued, On: name, Why: why})
+	why := fmt.Sprintf("token %s until %s; teams %v, roles %v", id, time.Unix(t.ExpiresUnix, 0).UTC().Format(time.RFC3339), rec.Teams, rec.Roles)
+	return token, admin.commit(ctx, cs, audit.Entry{Act: audit.Issued, On: name, Why: why})
 }
 
 // Rotate gives an identity a new token, and lets its others hold for a grace at most.
-func (a *Admin) Rotate(ctx context.Context, name string, life, grace time.Duration) (token string, err error) {
-	if token, err = a.Issue(ctx, name, Record{}, life); err != nil {
+func (admin *Admin) Rotate(ctx context.Context, name string, life, grace time.Duration) (token string, err error) {
+	if token, err = admin.Issue(ctx, name, Record{}, life); err != nil {
 		return "", err
 	}
 	id, _, _ := parse(token)
-	return token, a.each(ctx, name, func(other string, t *Token) bool {
-		till := a.Now().Add(grace).Unix()
-		if other == id || t.TillS <= till {
+	return token, admin.each(ctx, name, func(other string, t *Token) bool {
+		till := admin.Now().Add(grace).Unix()
+		if other == id || t.ExpiresUnix <= till {
 			return false
 		}
-		t.TillS = till
+		t.ExpiresUnix = till
 		return true
 	}, "replaced")
 }
 
-// Withdraw ends a token, or an identity with all its tokens.
-func (a *Admin) Withdraw(ctx context.Context, name string) error {
-	if id, ok := strings.CutPrefix(name, mark); ok {
+// Revoke ends a token, or an identity with all its tokens.
+func (admin *Admin) Revoke(ctx context.Context, name string) error {
+	if id, ok := strings.CutPrefix(name, tokenPrefix); ok {
 		id, _, _ = strings.Cut(id, "_") // the whole token will do
 		var t Token
-		stamp, err := a.read(ctx, TokenPrefix+id, &t)
+		stamp, err := admin.read(ctx, TokenPrefix+id, &t)
 		if err == nil && stamp == 0 {
 			err = fmt.Errorf("identity: no token %s", id)
 		}
 		if err != nil {
 			return err
 		}
-		t.Gone = true
-		return a.commit(ctx, []change{{TokenPrefix + id, stamp, t}}, audit.Entry{Act: audit.Revoked, On: t.Who, Why: "token " + id})
+		t.Revoked = true
+		return admin.commit(ctx, []recordChange{{TokenPrefix + id, stamp, t}}, audit.Entry{Act: audit.Revoked, On: t.Identity, Why: "token " + id})
 	}
 	var rec Record
-	stamp, err := a.read(ctx, WhoPrefix+name, &rec)
+	stamp, err := admin.read(ctx, IdentityPrefix+name, &rec)
 	if err == nil && stamp == 0 {
 		err = fmt.Errorf("identity: nobody is called %s", name)
 	}
@@ -189,76 +189,76 @@
 		return err
 	}
 	// The identity first: with it all its tokens are void at once.
-	rec.Gone = true
-	if err := a.commit(ctx, []change{{WhoPrefix + name, stamp, rec}}, audit.Entry{Act: audit.Revoked, On: name, Why: "with all tokens"}); err != nil {
+	rec.Revoked = true
+	if err := admin.commit(ctx, []recordChange{{IdentityPrefix + name, stamp, rec}}, audit.Entry{Act: audit.Revoked, On: name, Why: "with all tokens"}); err != nil {
 		return err
 	}
-	return a.each(ctx, name, func(_ string, t *Token) bool {
-		was := t.Gone
-		t.Gone = true
+	return admin.each(ctx, name, func(_ string, t *Token) bool {
+		was := t.Revoked
+		t.Revoked = true
 		return !was
 	}, "withdrawn")
 }
 
 // each changes the tokens of an identity, one by one.
-func (a *Admin) each(ctx context.Context, name string, f func(id string, t *Token) bool, why string) error {
-	items, _, err := a.Store.List(ctx, TokenPrefix)
+func (admin *Admin) each(ctx context.Context, name string, f func(id string, t *Token) bool, why string) error {
+	items, _, err := admin.Store.List(ctx, TokenPrefix)
 	if err != nil {
 		return err
 	}
 	for _, it := range items {
 		var t Token
-		if err := json.Unmarshal(it.Value, &t); err != nil || t.Who != name {
+		if err := json.Unmarshal(it.Value, &t); err != nil || t.Identity != name {
 			continue
 		}
 		id := it.Key[len(TokenPrefix):]
 		if !f(id, &t) {
 			continue
 		}
-		if err := a.commit(ctx, []change{{it.Key, it.ModRevision, t}}, audit.Entry{Act: audit.Revoked, On: name, Why: "token " + id + " " + why}); err != nil {
+		if err := admin.commit(ctx, []recordChange{{it.Key, it.ModRevision, t}}, audit.Entry{Act: audit.Revoked, On: name, Why: "token " + id + " " + why}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Known is an identity with its tokens, as an operator sees it.
-type Known struct {
+// IdentityInfo is an identity with its tokens, as an operator sees it.
+type IdentityInfo struct {
 	Name string
 	Record
 	Tokens map[string]Token
 }
 
 // List gives all identities by name.
-func (a *Admin) List(ctx context.Context) ([]Known, error) {
-	items, _, err := a.Store.List(ctx, Prefix)
+func (admin *Admin) List(ctx context.Context) ([]IdentityInfo, error) {
+	items, _, err := admin.Store.List(ctx, Prefix)
 	if err != nil {
 		return nil, err
 	}
-	m := make(map[string]*Known)
-	at := func(name string) *Known {
+	m := make(map[string]*IdentityInfo)
+	at := func(name string) *IdentityInfo {
 		if m[name] == nil {
-			m[name] = &Known{Name: name, Tokens: make(map[string]Token)}
+			m[name] = &IdentityInfo{Name: name, Tokens: make(map[string]Token)}
 		}
 		return m[name]
 	}
 	for _, it := range items {
-		if name, ok := strings.CutPrefix(it.Key, WhoPrefix); ok {
+		if name, ok := strings.CutPrefix(it.Key, IdentityPrefix); ok {
 			err = json.Unmarshal(it.Value, &at(name).Record)
 		} else if id, ok := strings.CutPrefix(it.Key, TokenPrefix); ok {
 			var t Token
 			if err = json.Unmarshal(it.Value, &t); err == nil {
-				at(t.Who).Tokens[id] = t
+				at(t.Identity).Tokens[id] = t
 			}
 		}
 		if err != nil {
 			return nil, fmt.Errorf("identity: %s: %w", it.Key, err)
 		}
 	}
-	var out []Known
+	var out []IdentityInfo
 	for _, k := range m {
 		out = append(out, *k)
 	}
-	slices.SortFunc(out, func(x, y Known) int { return strings.Compare(x.Name, y.Name) })
+	slices.SortFunc(out, func(x, y IdentityInfo) int { return strings.Compare(x.Name, y.Name) })
 	return out, nil
 }
--- a/internal/identity/golden_test.go
+++ b/internal/identity/golden_test.go
@@ -14,10 +14,10 @@
 // Identities and tokens are stored as they are today.
 func TestGoldenStored(t *testing.T) {
 	goldentest.Check(t, "stored.txt", strings.Join([]string{
-		WhoPrefix + "ana\t" + goldentest.JSON(t, goldentest.Filled[Record]()),
-		WhoPrefix + "ana\t" + goldentest.JSON(t, Record{Kind: "person"}),
+		IdentityPrefix + "ana\t" + goldentest.JSON(t, goldentest.Filled[Record]()),
+		IdentityPrefix + "ana\t" + goldentest.JSON(t, Record{Kind: "person"}),
 		TokenPrefix + "abc\t" + goldentest.JSON(t, goldentest.Filled[Token]()),
-		TokenPrefix + "abc\t" + goldentest.JSON(t, Token{Who: "ana", Hash: []byte{1}}),
+		TokenPrefix + "abc\t" + goldentest.JSON(t, Token{Identity: "ana", Hash: []byte{1}}),
 		Prefix,
 	}, "\n")+"\n")
 }
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Token{Who: "ana", Key: 3, Hash: hash[:], FromS: 1_764_600_000, TillS: 1_764_700_000}
+	want := Token{Identity: "ana", Key: 3, Hash: hash[:], IssuedUnix: 1_764_600_000, ExpiresUnix: 1_764_700_000}
 	if got := goldentest.JSON(t, want); got != lines[1] {
 		t.Errorf("stored as %s, and was as %s", got, lines[1])
 	}
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -58,7 +58,7 @@
 func TestTokens(t *testing.T) {
 	ring, now := keyringtest.New(t), time.Unix(1_764_600_000, 0)
 	st := &shelf{m: make(map[string]wire.KeyValue)}
-	admin := &Admin{Store: st, Ring: ring, By: "test", Now: func() time.Time { return now }}
+	admin := &Admin{Store: st, Ring: ring, Actor: "test", Now: func() time.Time { return now }}
 	issue := func(name string, life time.Duration) string {
 		tok, err := admin.Issue(t.Context(), name, Record{Kind: "person", Teams: []string{"museum"}}, life)
 		if err != nil {
@@ -84,16 +84,16 @@
 	}{
 		{"nothing was ever read", 0, false, nil, ana, ErrStale},
 		{"a token", 0, true, nil, ana, nil},
-		{"another's id with her secret", 0, true, nil, ben[:len(mark)+8] + ana[len(mark)+8:], ErrToken},
+		{"another's id with her secret", 0, true, nil, ben[:len(tokenPrefix)+8] + ana[len(tokenPrefix)+8:], ErrToken},
 		{"half a token", 0, true, nil, ana[:20], ErrToken},
 		{"no token", 0, true, nil, "hello", ErrToken},
 		{"within the clock's error of its end", time.Hour - time.Second, true, nil, ana, ErrToken},
 		{"before its beginning", -time.Minute, true, nil, ana, ErrToken},
 		{"the copy is as old as may be", time.Minute, false, func() { clock = now; load() }, ana, nil},
 		{"and older", time.Minute + 1, false, func() { clock = now; load() }, ana, ErrStale},
-		{"another withdrawn", 0, true, func() { admin.Withdraw(t.Context(), "ben") }, ana, nil},
+		{"another withdrawn", 0, true, func() { admin.Revoke(t.Context(), "ben") }, ana, nil},
 		{"the one withdrawn", 0, true, nil, ben, ErrToken},
-		{"a token withdrawn by its beginning", 0, true, func() { admin.Withdraw(t.Context(), ana[:len(mark)+8]) }, ana, ErrToken},
+		{"a token withdrawn by its beginning", 0, true, func() { admin.Revoke(t.Context(), ana[:len(tokenPrefix)+8]) }, ana, ErrToken},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.before != nil {
@@ -104,7 +104,7 @@
 				load()
 			}
 			c, err := r.Check(tc.token)
-			if !errors.Is(err, tc.want) || err == nil && (c.Name != "ana" || len(c.Guards) != 2) {
+			if !errors.Is(err, tc.want) || err == nil && (c.Name != "ana" || len(c.Compares) != 2) {
 				t.Errorf("%+v, %v; want %v", c, err, tc.want)
 			}
 		})
@@ -118,9 +118,9 @@
 		f.Fatal(err)
 	}
 	r := New(ring, time.Hour, 0, slog.New(slog.DiscardHandler))
-	r.fresh = time.Now()
-	r.tokens[id] = stamped[Token]{tok, 1}
-	r.who["ana"] = stamped[Record]{Record{Kind: "person"}, 1}
+	r.completeAt = time.Now()
+	r.tokens[id] = revisioned[Token]{tok, 1}
+	r.identities["ana"] = revisioned[Record]{Record{Kind: "person"}, 1}
 	f.Add(token)
 	f.Add(token[:len(token)-1])
 	f.Fuzz(func(t *testing.T, s string) {
@@ -149,14 +149,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := admin.Withdraw(t.Context(), "ana"); err != nil {
+	if err := admin.Revoke(t.Context(), "ana"); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := r.Check(token); err != nil {
 		t.Fatalf("the copy knows already: %v", err)
 	}
-	_, failed, err := st.Commit(t.Context(), wire.Txn{Compares: c.Guards, Operations: []wire.Operation{{Put: "j/x", Value: []byte("1")}}})
-	if err != nil || !Touched(failed) {
+	_, failed, err := st.Commit(t.Context(), wire.Txn{Compares: c.Compares, Operations: []wire.Operation{{Put: "j/x", Value: []byte("1")}}})
+	if err != nil || !ComparesFailed(failed) {
 		t.Errorf("done for a withdrawn token: %v, %v", failed, err)
 	}
 	if _, err := admin.Issue(t.Context(), "ana", Record{Kind: "person"}, time.Hour); err == nil {
--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -53,7 +53,7 @@
 	taskCounts       TaskCounts
 	storeUnavailable func() bool
 	memoryFull       func() bool
-	authorizer       *access.Door
+	authorizer       *access.Authorizer
 	log              *slog.Logger
 	now              func() time.Time
 	finished         *jobCache
@@ -78,7 +78,7 @@
 // time of day by which jobs are stamped.
 func New(
 	settings *settings.Settings, store *kvstore.Client, types *fleet.Catalogue, counts TaskCounts,
-	storeUnavailable, memoryFull func() bool, authorizer *access.Door, dataLoss DataLossState,
+	storeUnavailable, memoryFull func() bool, authorizer *access.Authorizer, dataLoss DataLossState,
 	replica *replica.Replica, broadcaster CancellationBroadcaster, now func() time.Time, log *slog.Logger,
 ) *API {
 	return &API{
@@ -109,7 +109,7 @@
 
 // identify finds out who makes a request, or answers it.
 func (api *API) identify(w http.ResponseWriter, r *http.Request) (identity.Caller, bool) {
-	caller, err := api.authorizer.Who(r)
+	caller, err := api.authorizer.Identify(r)
 	return caller, !api.replyUnauthorized(w, err)
 }
 
@@ -118,7 +118,7 @@
 
 // authorize decides on a request about a job, and has it noted where it is not allowed.
 func (api *API) authorize(caller identity.Caller, do, team, job string) (rights.Decision, error) {
-	decision := api.authorizer.Judge(caller, rights.Request{Do: do, Owner: team}, job, "")
+	decision := api.authorizer.DecideAndAudit(caller, rights.Request{Action: do, Team: team}, job, "")
 	if decision.Allowed {
 		return decision, nil
 	}
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -56,7 +56,7 @@
 // guards against the leader's claims and its last finish: whichever commits first holds.
 func (api *API) cancelJob(ctx context.Context, caller identity.Caller, id string) (knownJob, error) {
 	if job, ok := api.finishedState(id); ok {
-		_, err := api.authorize(caller, rights.Withdraw, job.team, id)
+		_, err := api.authorize(caller, rights.Cancel, job.team, id)
 		return job, err
 	}
 	if api.storeUnavailable() {
@@ -75,7 +75,7 @@
 		return knownJob{}, err
 	}
 	if job, ok := api.finishedButStoredLive(id, before); ok {
-		_, err := api.authorize(caller, rights.Withdraw, job.team, id)
+		_, err := api.authorize(caller, rights.Cancel, job.team, id)
 		return job, err
 	}
 	return api.cancelLive(ctx, caller, id, item, incarnation)
@@ -90,7 +90,7 @@
 		return api.cancelLostJob(ctx, caller, id, incarnation, before)
 	}
 	if err == nil {
-		_, err = api.authorize(caller, rights.Withdraw, job.team, id)
+		_, err = api.authorize(caller, rights.Cancel, job.team, id)
 	}
 	return job, err
 }
@@ -104,7 +104,7 @@
 		api.dataLoss.SuspectDataLoss(fmt.Sprintf("the record of job %s cannot be read", id))
 		return knownJob{}, fmt.Errorf("intake: record of job %s: %w: %w", id, dataloss.ErrDataLossSuspected, err)
 	}
-	decision, err := api.authorize(caller, rights.Withdraw, record.Job.Team, id)
+	decision, err := api.authorize(caller, rights.Cancel, record.Job.Team, id)
 	if err != nil {
 		return knownJob{}, err
 	}
@@ -113,14 +113,14 @@
 	if err != nil {
 		return knownJob{}, err
 	}
-	audit, err := api.authorizer.Leave(record, caller, decision)
+	audit, err := api.authorizer.AuditCancellation(record, caller, decision)
 	if err != nil {
 		return knownJob{}, err
 	}
 	operations := []wire.Operation{{Delete: ledger.LiveKey(id)}, {Put: ledger.EndedKey(id), Value: data}}
 	unchanged := wire.Compare{Key: ledger.LiveKey(id), ModRevision: live.ModRevision}
 	revision, failed, err := api.store.Commit(ctx, wire.Txn{
-		Compares:   slices.Concat([]wire.Compare{unchanged}, incarnation, caller.Guards),
+		Compares:   slices.Concat([]wire.Compare{unchanged}, incarnation, caller.Compares),
 		Operations: append(slices.Clone(operations), audit...),
 	})
 	switch {
@@ -145,7 +145,7 @@
 	if _, err := api.lookupLost(ctx, id, before); err != nil {
 		return knownJob{}, err
 	}
-	if _, err := api.authorize(caller, rights.Withdraw, "", id); err != nil {
+	if _, err := api.authorize(caller, rights.Cancel, "", id); err != nil {
 		return knownJob{}, err
 	}
 	end := ledger.NewLostEndRecord(id, api.now())
@@ -155,7 +155,7 @@
 	}
 	put := wire.Operation{Put: ledger.EndedKey(id), Value: data}
 	revision, failed, err := api.store.Commit(ctx, wire.Txn{
-		Compares:   slices.Concat(compareAbsent(ledger.LiveKey(id), ledger.EndedKey(id)), incarnation, caller.Guards),
+		Compares:   slices.Concat(compareAbsent(ledger.LiveKey(id), ledger.EndedKey(id)), incarnation, caller.Compares),
 		Operations: []wire.Operation{put},
 	})
 	if err != nil {
--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -92,8 +92,8 @@
 // authorizeDependency returns a *rejectedError where a submission may not name a job that
 // it depends on.
 func (api *API) authorizeDependency(caller identity.Caller, job *wire.Job, id, team string) error {
-	request := rights.Request{Do: rights.Need, Owner: team, Rank: job.Priority}
-	decision := api.authorizer.Judge(caller, request, job.ID, "waits_on "+id+": ")
+	request := rights.Request{Action: rights.DependOn, Team: team, Priority: job.Priority}
+	decision := api.authorizer.DecideAndAudit(caller, request, job.ID, "waits_on "+id+": ")
 	if decision.Allowed {
 		return nil
 	}
--- a/internal/intake/reply.go
+++ b/internal/intake/reply.go
@@ -64,8 +64,8 @@
 
 // replyIfAllowed answers with a job's status, if the caller may know it.
 func (api *API) replyIfAllowed(ctx context.Context, w http.ResponseWriter, caller identity.Caller, job knownJob) {
-	request := rights.Request{Do: rights.Read, Owner: job.team}
-	if decision := api.authorizer.Judge(caller, request, job.ID, ""); !decision.Allowed {
+	request := rights.Request{Action: rights.Read, Team: job.team}
+	if decision := api.authorizer.DecideAndAudit(caller, request, job.ID, ""); !decision.Allowed {
 		replyError(w, http.StatusForbidden, decision.Rule)
 		return
 	}
--- a/internal/intake/status.go
+++ b/internal/intake/status.go
@@ -110,7 +110,7 @@
 		return knownJob{}, err
 	}
 	job := knownJob{JobStatus: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}}
-	if !api.authorizer.Open() {
+	if !api.authorizer.AllowsEverybody() {
 		decoded, err := ledger.DecodeJobRecord(record)
 		if err != nil {
 			return knownJob{}, fmt.Errorf("intake: record of job %s: %w", id, err)
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -31,8 +31,8 @@
 		api.replyRejected(ctx, w, caller, id, rejected)
 		return
 	}
-	request := rights.Request{Do: rights.Submit, Owner: job.Team, Rank: job.Priority}
-	decision := api.authorizer.Judge(caller, request, id, "")
+	request := rights.Request{Action: rights.Submit, Team: job.Team, Priority: job.Priority}
+	decision := api.authorizer.DecideAndAudit(caller, request, id, "")
 	if !decision.Allowed {
 		denied := &rejectedError{status: http.StatusForbidden, reason: errors.New(decision.Rule)}
 		api.replyRejected(ctx, w, caller, id, denied)
@@ -137,7 +137,7 @@
 	record := ledger.JobRecord{
 		Job: *job, SubmittedMS: api.now().UnixMilli(), ChunkTasks: ledger.ChunkTasks(limits.ValueKB, lowest.ValueKB),
 	}
-	if err := api.authorizer.Enter(&record, caller, decision); err != nil {
+	if err := api.authorizer.SignSubmission(&record, caller, decision); err != nil {
 		return nil, err
 	}
 	data, err := ledger.Encode(record)
@@ -166,7 +166,7 @@
 	}
 	live, ended := ledger.LiveKey(job.ID), ledger.EndedKey(job.ID)
 	revision, failed, err := api.store.Commit(ctx, wire.Txn{
-		Compares:   slices.Concat(compareAbsent(live, ended), incarnation, caller.Guards),
+		Compares:   slices.Concat(compareAbsent(live, ended), incarnation, caller.Compares),
 		Operations: []wire.Operation{put},
 	})
 	if err != nil {
@@ -176,7 +176,7 @@
 		api.dataLoss.RecheckStore()
 		return false, dataloss.ErrDataLossSuspected
 	}
-	if identity.Touched(failed) && !slices.Contains(failed, live) && !slices.Contains(failed, ended) {
+	if identity.ComparesFailed(failed) && !slices.Contains(failed, live) && !slices.Contains(failed, ended) {
 		return false, identity.ErrToken
 	}
 	if len(failed) == 0 {
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -29,9 +29,9 @@
 
 // Purposes of a key. They are part of the formats: never change one.
 const (
-	ForAudit  = "rillflow 2026-12-01 audit chain v1"
-	ForTokens = "rillflow 2026-12-01 bearer tokens v1"
-	ForNotes  = "rillflow 2026-12-01 notes of controllers v1"
+	ForAudit          = "rillflow 2026-12-01 audit chain v1"
+	ForTokens         = "rillflow 2026-12-01 bearer tokens v1"
+	ForPendingEntries = "rillflow 2026-12-01 notes of controllers v1"
 )
 
 // Errors of a ring.
@@ -42,9 +42,9 @@
 
 // key is one secret with its number.
 type key struct {
-	id     uint32
-	secret [Size]byte
-	from   time.Time // in use from then on; until then the file can be copied to all
+	id         uint32
+	secret     [Size]byte
+	activeFrom time.Time // in use from then on; until then the file can be copied to all
 }
 
 // Ring is a set of keys, read from a file. It is safe for concurrent use.
@@ -52,29 +52,29 @@
 	path string
 	now  func() time.Time
 
-	mu   sync.Mutex
-	keys []key // in order of age
-	read stamp // the file as it was read
-	made map[derived][Size]byte
+	mu          sync.Mutex
+	keys        []key       // in order of age
+	lastRead    fileVersion // the file as it was read
+	derivedKeys map[derivation][Size]byte
 }
 
-// stamp tells versions of a file apart: a time alone is too coarse, and a ring that
+// fileVersion tells versions of a file apart: a time alone is too coarse, and a ring that
 // gets a key gets longer.
-type stamp struct {
+type fileVersion struct {
 	at   time.Time
 	size int64
 }
 
-func stampOf(st os.FileInfo) stamp { return stamp{st.ModTime(), st.Size()} }
+func fileVersionOf(st os.FileInfo) fileVersion { return fileVersion{st.ModTime(), st.Size()} }
 
-type derived struct {
+type derivation struct {
 	id      uint32
 	purpose string
 }
 
 // Load reads a ring.
 func Load(path string) (*Ring, error) {
-	r := &Ring{path: path, now: time.Now, made: make(map[derived][Size]byte)}
+	r := &Ring{path: path, now: time.Now, derivedKeys: make(map[derivation][Size]byte)}
 	if err := r.reload(); err != nil {
 		return nil, err
 	}
@@ -88,23 +88,23 @@
 	return k
 }
 
-func (r *Ring) reload() error {
-	st, err := os.Stat(r.path)
+func (ring *Ring) reload() error {
+	st, err := os.Stat(ring.path)
 	if err != nil {
 		return fmt.Errorf("keyring: %w", err)
 	}
 	if st.Mode().Perm()&0o077 != 0 {
-		return fmt.Errorf("%w: %s", ErrOpen, r.path)
+		return fmt.Errorf("%w: %s", ErrOpen, ring.path)
 	}
-	b, err := os.ReadFile(r.path)
+	b, err := os.ReadFile(ring.path)
 	if err != nil {
 		return fmt.Errorf("keyring: %w", err)
 	}
 	keys, err := parse(b)
 	if err != nil {
-		return fmt.Errorf("keyring: %s: %w", r.path, err)
+		return fmt.Errorf("keyring: %s: %w", ring.path, err)
 	}
-	r.keys, r.read = keys, stampOf(st)
+	ring.keys, ring.lastRead = keys, fileVersionOf(st)
 	return nil
 }
 
@@ -151,20 +151,20 @@
 }
 
 // Newest is the number of the key in use.
-func (r *Ring) Newest() uint32 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for i := len(r.keys) - 1; i > 0; i-- {
-		if !r.now().Before(r.keys[i].from) {
-			return r.keys[i].id
+func (ring *Ring) Newest() uint32 {
+	ring.mu.Lock()
+	defer ring.mu.Unlock()
+	for i := len(ring.keys) - 1; i > 0; i-- {
+		if !ring.now().Before(ring.keys[i].activeFrom) {
+			return ring.keys[i].id
 		}
 	}
-	return r.keys[0].id
+	return ring.keys[0].id
 }
 
 // Follow takes up keys that are added to the file, until ctx ends. What cannot be read
 // leaves the ring as it is.
-func (r *Ring) Follow(ctx context.Context, every time.Duration, log *slog.Logger) error {
+func (ring *Ring) Follow(ctx context.Context, every time.Duration, log *slog.Logger) error {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	for {
@@ -173,14 +173,14 @@
 			return ctx.Err()
 		case <-tick.C:
 		}
-		r.mu.Lock()
-		n := len(r.keys)
-		st, err := os.Stat(r.path)
-		if err == nil && stampOf(st) != r.read {
-			err = r.reload()
+		ring.mu.Lock()
+		n := len(ring.keys)
+		st, err := os.Stat(ring.path)
+		if err == nil && fileVersionOf(st) != ring.lastRead {
+			err = ring.reload()
 		}
-		now := len(r.keys)
-		r.mu.Unlock()
+		now := len(ring.keys)
+		ring.mu.Unlock()
 		if err != nil {
 			log.Error("the key ring is not read again", "err", err)
 		} else if now != n {
@@ -191,16 +191,16 @@
 
 // Derive gives a key of the ring for a purpose. A key that is not known may have
 // come with a rotation: the file is read once more if it changed.
-func (r *Ring) Derive(id uint32, purpose string) ([Size]byte, error) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if k, ok := r.made[derived{id, purpose}]; ok {
+func (ring *Ring) Derive(id uint32, purpose string) ([Size]byte, error) {
+	ring.mu.Lock()
+	defer ring.mu.Unlock()
+	if k, ok := ring.derivedKeys[derivation{id, purpose}]; ok {
 		return k, nil
 	}
-	k := r.find(id)
-	if k == nil && r.path != "" {
-		if st, err := os.Stat(r.path); err == nil && stampOf(st) != r.read && r.reload() == nil {
-			k = r.find(id)
+	k := ring.find(id)
+	if k == nil && ring.path != "" {
+		if st, err := os.Stat(ring.path); err == nil && fileVersionOf(st) != ring.lastRead && ring.reload() == nil {
+			k = ring.find(id)
 		}
 	}
 	var out [Size]byte
@@ -208,22 +208,22 @@
 		return out, fmt.Errorf("%w: %d", ErrUnknown, id)
 	}
 	blake3.DeriveKey(purpose, k.secret[:], out[:])
-	r.made[derived{id, purpose}] = out
+	ring.derivedKeys[derivation{id, purpose}] = out
 	return out, nil
 }
 
-func (r *Ring) find(id uint32) *key {
-	for i := range r.keys {
-		if r.keys[i].id == id {
-			return &r.keys[i]
+func (ring *Ring) find(id uint32) *key {
+	for i := range ring.keys {
+		if ring.keys[i].id == id {
+			return &ring.keys[i]
 		}
 	}
 	return nil
 }
 
 // Seal is a keyed digest of some data under a key of the ring.
-func (r *Ring) Seal(id uint32, purpose string, data ...[]byte) (out [Size]byte, err error) {
-	k, err := r.Derive(id, purpose)
+func (ring *Ring) Seal(id uint32, purpose string, data ...[]byte) (out [Size]byte, err error) {
+	k, err := ring.Derive(id, purpose)
 	if err != nil {
 		return out, err
 	}
@@ -239,8 +239,8 @@
 }
 
 // Check tells whether a seal is that of the data.
-func (r *Ring) Check(id uint32, purpose string, seal []byte, data ...[]byte) (bool, error) {
-	want, err := r.Seal(id, purpose, data...)
+func (ring *Ring) Check(id uint32, purpose string, seal []byte, data ...[]byte) (bool, error) {
+	want, err := ring.Seal(id, purpose, data...)
 	return err == nil && subtle.ConstantTimeCompare(want[:], seal) == 1, err
 }
 
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	old, _ := ring.Seal(ring.Newest(), ForAudit, []byte("x"))
-	other, _ := ring.Seal(ring.Newest(), ForNotes, []byte("x"))
+	other, _ := ring.Seal(ring.Newest(), ForPendingEntries, []byte("x"))
 	if bytes.Equal(old[:], other[:]) {
 		t.Error("two purposes share a key")
 	}
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -218,8 +218,8 @@
 // rules allow.
 func drawGuestJobs(rt *rapid.T, leader *leaderTerm) []drawnJob {
 	rules := rights.Rules{Allow: []rights.Rule{
-		{Who: "role:guest", Do: "submit need", Rank: "standard"},
-		{Who: "role:curator", Do: "submit need", Owner: "t u"},
+		{Who: "role:guest", Actions: "submit need", MaxPriority: "standard"},
+		{Who: "role:curator", Actions: "submit need", Teams: "t u"},
 	}}
 	guest := rights.Identity{Name: "gus", Kind: rights.Person, Teams: []string{"u"}, Roles: []string{"guest"}}
 	curator := rights.Identity{Name: "ana", Kind: rights.Person, Teams: []string{"t"}, Roles: []string{"curator"}}
@@ -233,11 +233,11 @@
 			Team: rapid.SampledFrom([]string{"t", "u"}).Draw(rt, "owner"), Kind: wire.KindArray, TaskCount: 1, CPUs: 1,
 			Priority: priorityName(rapid.IntRange(0, 3).Draw(rt, "rank")),
 		}
-		decision := rules.Decide(who, rights.Request{Do: rights.Submit, Owner: spec.Team, Rank: spec.Priority})
+		decision := rules.Decide(who, rights.Request{Action: rights.Submit, Team: spec.Team, Priority: spec.Priority})
 		drawn := drawnJob{ofGuest: who == &guest}
 		for n, earlier := range jobs {
 			if rapid.Bool().Draw(rt, "need") {
-				need := rights.Request{Do: rights.Need, Owner: earlier.job.Spec.Team}
+				need := rights.Request{Action: rights.DependOn, Team: earlier.job.Spec.Team}
 				decision.Allowed = decision.Allowed && rules.Decide(who, need).Allowed
 				spec.DependsOn = append(spec.DependsOn, earlier.job.Ref)
 				drawn.dependsOn = append(drawn.dependsOn, n)
@@ -247,7 +247,7 @@
 			continue
 		}
 		drawn.job = leader.addTestJob(fmt.Sprint("req-", i), spec)
-		drawn.job.Origin = &ledger.Origin{MaxPriority: decision.Cap}
+		drawn.job.Origin = &ledger.Origin{MaxPriority: decision.MaxPriority}
 		jobs = append(jobs, drawn)
 	}
 	return jobs
--- a/internal/ledger/origin.go
+++ b/internal/ledger/origin.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
-	seal, err := ring.Seal(r.Origin.KeyID, keyring.ForNotes, data)
+	seal, err := ring.Seal(r.Origin.KeyID, keyring.ForPendingEntries, data)
 	r.Origin.Seal = seal[:]
 	return err
 }
@@ -51,7 +51,7 @@
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
 	}
-	ok, err := ring.Check(origin.KeyID, keyring.ForNotes, seal, data)
+	ok, err := ring.Check(origin.KeyID, keyring.ForPendingEntries, seal, data)
 	if err == nil && !ok {
 		err = ErrInvalidSeal
 	}
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -16,18 +16,18 @@
 // Deeds that rights are given for.
 const (
 	Submit   = "submit"
-	Withdraw = "withdraw"
+	Cancel   = "withdraw"
 	Read     = "read" // a job's state
-	Need     = "need" // name a job in waits_on
+	DependOn = "need" // name a job in waits_on
 	Status   = "status"
 )
 
-// deeds lists them, for the check of rules.
-var deeds = []string{Submit, Withdraw, Read, Need, Status}
+// actions lists them, for the check of rules.
+var actions = []string{Submit, Cancel, Read, DependOn, Status}
 
-// Above tells whether a rank is higher than another. An identity that may have one may
+// HigherPriority tells whether a rank is higher than another. An identity that may have one may
 // have those below it.
-func Above(a, b string) bool {
+func HigherPriority(a, b string) bool {
 	return slices.Index(wire.Priorities(), a) < slices.Index(wire.Priorities(), b)
 }
 
@@ -53,15 +53,15 @@
 	// Who is "anonymous", "anyone", "known" (whoever has a token), or
 	// "person:NAME", "service:NAME", "team:NAME", "role:NAME".
 	Who string `xml:"who,attr"`
-	// Do are the deeds, separated by spaces.
-	Do string `xml:"do,attr"`
-	// Owner are the teams whose jobs it is about, separated by spaces: "own" are
+	// Actions are the deeds, separated by spaces.
+	Actions string `xml:"do,attr"`
+	// Teams are the teams whose jobs it is about, separated by spaces: "own" are
 	// those of whoever asks, "*" are all. Default: own.
-	Owner string `xml:"owner,attr"`
-	// Rank is the highest that may be asked for; a rule that denies is about this
+	Teams string `xml:"owner,attr"`
+	// MaxPriority is the highest that may be asked for; a rule that denies is about this
 	// one and those above it. Default: the highest.
-	Rank string     `xml:"rank,attr"`
-	Rest []xml.Attr `xml:",any,attr"`
+	MaxPriority       string     `xml:"rank,attr"`
+	UnknownAttributes []xml.Attr `xml:",any,attr"`
 }
 
 // Rules are an operator's rules.
@@ -72,21 +72,21 @@
 
 // Request is what somebody wants to do.
 type Request struct {
-	Do    string
-	Owner string // team of the job; "" if it is about no job
-	Rank  string // of the job that is submitted
+	Action   string
+	Team     string // team of the job; "" if it is about no job
+	Priority string // of the job that is submitted
 }
 
 // Decision is the answer with what decided.
 type Decision struct {
-	Allowed bool
-	Rule    string // as the operator wrote it, or why there is none
-	Cap     string // the highest rank that this identity may have for the owner's jobs
+	Allowed     bool
+	Rule        string // as the operator wrote it, or why there is none
+	MaxPriority string // the highest rank that this identity may have for the owner's jobs
 }
 
 // Check tells what is wrong with rules.
-func (rs *Rules) Check() error {
-	for name, list := range map[string][]Rule{"allow": rs.Allow, "deny": rs.Deny} {
+func (rules *Rules) Check() error {
+	for name, list := range map[string][]Rule{"allow": rules.Allow, "deny": rules.Deny} {
 		for i, r := range list {
 			if err := r.check(); err != nil {
 				return fmt.Errorf("<%s> number %d: %w", name, i+1, err)
@@ -96,45 +96,45 @@
 	return nil
 }
 
-func (r *Rule) check() error {
-	if len(r.Rest) > 0 {
-		return fmt.Errorf("unknown attribute %q", r.Rest[0].Name.Local)
+func (rule *Rule) check() error {
+	if len(rule.UnknownAttributes) > 0 {
+		return fmt.Errorf("unknown attribute %q", rule.UnknownAttributes[0].Name.Local)
 	}
-	kind, name, named := strings.Cut(r.Who, ":")
+	kind, name, named := strings.Cut(rule.Who, ":")
 	switch {
 	case !named && slices.Contains([]string{Anonymous, "anyone", "known"}, kind):
 	case named && name != "" && slices.Contains([]string{Person, Service, "team", "role"}, kind):
 	default:
-		return fmt.Errorf("who: %q is none of anonymous, anyone, known, person:NAME, service:NAME, team:NAME or role:NAME", r.Who)
+		return fmt.Errorf("who: %q is none of anonymous, anyone, known, person:NAME, service:NAME, team:NAME or role:NAME", rule.Who)
 	}
-	if r.Do == "" {
+	if rule.Actions == "" {
 		return errors.New("do: missing")
 	}
-	for _, d := range strings.Fields(r.Do) {
-		if !slices.Contains(deeds, d) {
-			return fmt.Errorf("do: %q is none of %s", d, strings.Join(deeds, ", "))
+	for _, d := range strings.Fields(rule.Actions) {
+		if !slices.Contains(actions, d) {
+			return fmt.Errorf("do: %q is none of %s", d, strings.Join(actions, ", "))
 		}
 	}
-	if r.Rank != "" && !slices.Contains(wire.Priorities(), r.Rank) {
-		return fmt.Errorf("rank: %q is none of %s", r.Rank, strings.Join(wire.Priorities(), ", "))
+	if rule.MaxPriority != "" && !slices.Contains(wire.Priorities(), rule.MaxPriority) {
+		return fmt.Errorf("rank: %q is none of %s", rule.MaxPriority, strings.Join(wire.Priorities(), ", "))
 	}
 	return nil
 }
 
 // String gives a rule as it was written.
-func (r Rule) String() string {
-	s := fmt.Sprintf("who=%q do=%q", r.Who, r.Do)
-	if r.Owner != "" {
-		s += fmt.Sprintf(" owner=%q", r.Owner)
+func (rule Rule) String() string {
+	s := fmt.Sprintf("who=%q do=%q", rule.Who, rule.Actions)
+	if rule.Teams != "" {
+		s += fmt.Sprintf(" owner=%q", rule.Teams)
 	}
-	if r.Rank != "" {
-		s += fmt.Sprintf(" rank=%q", r.Rank)
+	if rule.MaxPriority != "" {
+		s += fmt.Sprintf(" rank=%q", rule.MaxPriority)
 	}
 	return s
 }
 
-func (r *Rule) is(who *Identity) bool {
-	kind, name, _ := strings.Cut(r.Who, ":")
+func (rule *Rule) matchesIdentity(who *Identity) bool {
+	kind, name, _ := strings.Cut(rule.Who, ":")
 	switch kind {
 	case Anonymous:
 		return who.Name == ""
@@ -152,36 +152,36 @@
 	return false
 }
 
-// about tells whether a rule is about a deed on an owner's jobs.
-func (r *Rule) about(who *Identity, do, owner string) bool {
-	if !slices.Contains(strings.Fields(r.Do), do) || !r.is(who) {
+// matchesRequest tells whether a rule is about a deed on an owner's jobs.
+func (rule *Rule) matchesRequest(who *Identity, do, owner string) bool {
+	if !slices.Contains(strings.Fields(rule.Actions), do) || !rule.matchesIdentity(who) {
 		return false
 	}
 	if owner == "" && do == Status {
 		return true
 	}
-	owners := strings.Fields(r.Owner)
+	owners := strings.Fields(rule.Teams)
 	return slices.Contains(owners, "*") || owner != "" && slices.Contains(owners, owner) ||
 		(len(owners) == 0 || slices.Contains(owners, "own")) && owner != "" && slices.Contains(who.Teams, owner)
 }
 
 // Decide tells whether somebody may do something.
-func (rs *Rules) Decide(who *Identity, q Request) Decision {
-	ranked := q.Do == Submit
+func (rules *Rules) Decide(who *Identity, q Request) Decision {
+	ranked := q.Action == Submit
 	var d Decision
-	for i := range rs.Deny {
-		r := &rs.Deny[i]
-		if r.about(who, q.Do, q.Owner) && (!ranked || r.Rank == "" || !Above(r.Rank, q.Rank)) {
+	for i := range rules.Deny {
+		r := &rules.Deny[i]
+		if r.matchesRequest(who, q.Action, q.Team) && (!ranked || r.MaxPriority == "" || !HigherPriority(r.MaxPriority, q.Priority)) {
 			return Decision{Rule: "deny " + r.String()}
 		}
 	}
 	var short *Rule
-	for i := range rs.Allow {
-		r := &rs.Allow[i]
-		if !r.about(who, q.Do, q.Owner) {
+	for i := range rules.Allow {
+		r := &rules.Allow[i]
+		if !r.matchesRequest(who, q.Action, q.Team) {
 			continue
 		}
-		if ranked && r.Rank != "" && Above(q.Rank, r.Rank) {
+		if ranked && r.MaxPriority != "" && HigherPriority(q.Priority, r.MaxPriority) {
 			short = r
 			continue
 		}
@@ -191,25 +191,25 @@
 	}
 	switch {
 	case d.Allowed && ranked:
-		d.Cap = rs.top(who, q.Owner)
+		d.MaxPriority = rules.highestPriority(who, q.Team)
 	case d.Allowed:
 	case short != nil:
-		d.Rule = fmt.Sprintf("rank %s is above what is allowed: allow %s", q.Rank, short)
+		d.Rule = fmt.Sprintf("rank %s is above what is allowed: allow %s", q.Priority, short)
 	default:
 		d.Rule = "no rule allows it"
 	}
 	return d
 }
 
-// top is the highest rank that somebody may submit jobs of an owner at.
-func (rs *Rules) top(who *Identity, owner string) string {
+// highestPriority is the highest rank that somebody may submit jobs of an owner at.
+func (rules *Rules) highestPriority(who *Identity, owner string) string {
 	ranks := wire.Priorities()
 	for _, rank := range ranks {
-		denied := slices.ContainsFunc(rs.Deny, func(r Rule) bool {
-			return r.about(who, Submit, owner) && (r.Rank == "" || !Above(r.Rank, rank))
+		denied := slices.ContainsFunc(rules.Deny, func(r Rule) bool {
+			return r.matchesRequest(who, Submit, owner) && (r.MaxPriority == "" || !HigherPriority(r.MaxPriority, rank))
 		})
-		if !denied && slices.ContainsFunc(rs.Allow, func(r Rule) bool {
-			return r.about(who, Submit, owner) && (r.Rank == "" || !Above(rank, r.Rank))
+		if !denied && slices.ContainsFunc(rules.Allow, func(r Rule) bool {
+			return r.matchesRequest(who, Submit, owner) && (r.MaxPriority == "" || !HigherPriority(rank, r.MaxPriority))
 		}) {
 			return rank
 		}
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -15,13 +15,13 @@
 	guest = Identity{Name: "gus", Kind: Person, Teams: []string{"visitors"}, Roles: []string{"guest"}}
 	rules = Rules{
 		Allow: []Rule{
-			{Who: "role:curator", Do: "submit withdraw need", Rank: "production"},
-			{Who: "role:guest", Do: "submit withdraw need", Owner: "own", Rank: "standard"},
-			{Who: "known", Do: "read", Owner: "*"},
-			{Who: "anonymous", Do: "read", Owner: "museum"},
-			{Who: "service:relay", Do: "submit", Owner: "museum archive", Rank: "urgent"},
+			{Who: "role:curator", Actions: "submit withdraw need", MaxPriority: "production"},
+			{Who: "role:guest", Actions: "submit withdraw need", Teams: "own", MaxPriority: "standard"},
+			{Who: "known", Actions: "read", Teams: "*"},
+			{Who: "anonymous", Actions: "read", Teams: "museum"},
+			{Who: "service:relay", Actions: "submit", Teams: "museum archive", MaxPriority: "urgent"},
 		},
-		Deny: []Rule{{Who: "role:guest", Do: "submit", Owner: "*", Rank: "standard"}},
+		Deny: []Rule{{Who: "role:guest", Actions: "submit", Teams: "*", MaxPriority: "standard"}},
 	}
 )
 
@@ -42,14 +42,14 @@
 		{"a service for one of its teams", Identity{Name: "relay", Kind: Service}, Request{Submit, "archive", "standard"}, true, "urgent", "service:relay"},
 		{"a service above its rank", Identity{Name: "relay", Kind: Service}, Request{Submit, "archive", "production"}, false, "", "above what is allowed"},
 		{"a person who is called as the service", Identity{Name: "relay", Kind: Person}, Request{Submit, "archive", "standard"}, false, "", "no rule"},
-		{"withdraw another's", guest, Request{Do: Withdraw, Owner: "museum"}, false, "", "no rule"},
-		{"wait for another's", guest, Request{Do: Need, Owner: "museum"}, false, "", "no rule"},
-		{"read, by anonymous", Identity{}, Request{Do: Read, Owner: "museum"}, true, "", "anonymous"},
-		{"read a job of nobody knows whom", Identity{}, Request{Do: Read}, false, "", "no rule"},
+		{"withdraw another's", guest, Request{Action: Cancel, Team: "museum"}, false, "", "no rule"},
+		{"wait for another's", guest, Request{Action: DependOn, Team: "museum"}, false, "", "no rule"},
+		{"read, by anonymous", Identity{}, Request{Action: Read, Team: "museum"}, true, "", "anonymous"},
+		{"read a job of nobody knows whom", Identity{}, Request{Action: Read}, false, "", "no rule"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			d := rules.Decide(&tc.who, tc.q)
-			if d.Allowed != tc.allowed || d.Cap != tc.cap || !strings.Contains(d.Rule, tc.says) {
+			if d.Allowed != tc.allowed || d.MaxPriority != tc.cap || !strings.Contains(d.Rule, tc.says) {
 				t.Errorf("%+v", d)
 			}
 		})
@@ -61,12 +61,12 @@
 		rule Rule
 		want string
 	}{
-		{Rule{Who: "role:x", Do: "read"}, ""},
-		{Rule{Who: "everybody", Do: "read"}, "who"},
-		{Rule{Who: "role:", Do: "read"}, "who"},
-		{Rule{Who: "known", Do: "raed"}, "do"},
+		{Rule{Who: "role:x", Actions: "read"}, ""},
+		{Rule{Who: "everybody", Actions: "read"}, "who"},
+		{Rule{Who: "role:", Actions: "read"}, "who"},
+		{Rule{Who: "known", Actions: "raed"}, "do"},
 		{Rule{Who: "known"}, "do"},
-		{Rule{Who: "known", Do: "submit", Rank: "top"}, "rank"},
+		{Rule{Who: "known", Actions: "submit", MaxPriority: "top"}, "rank"},
 	} {
 		err := (&Rules{Allow: []Rule{tc.rule}}).Check()
 		if (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) {
@@ -81,19 +81,19 @@
 func TestDecideHolds(t *testing.T) {
 	rule := rapid.Custom(func(t *rapid.T) Rule {
 		return Rule{
-			Who:   rapid.SampledFrom([]string{"anonymous", "anyone", "known", "person:ana", "service:ana", "team:museum", "role:guest"}).Draw(t, "who"),
-			Do:    rapid.SampledFrom([]string{"submit", "submit withdraw", "read need"}).Draw(t, "do"),
-			Owner: rapid.SampledFrom([]string{"", "own", "*", "museum", "archive museum"}).Draw(t, "owner"),
-			Rank:  rapid.SampledFrom([]string{"", "production", "urgent", "standard", "idle"}).Draw(t, "rank"),
+			Who:         rapid.SampledFrom([]string{"anonymous", "anyone", "known", "person:ana", "service:ana", "team:museum", "role:guest"}).Draw(t, "who"),
+			Actions:     rapid.SampledFrom([]string{"submit", "submit withdraw", "read need"}).Draw(t, "do"),
+			Teams:       rapid.SampledFrom([]string{"", "own", "*", "museum", "archive museum"}).Draw(t, "owner"),
+			MaxPriority: rapid.SampledFrom([]string{"", "production", "urgent", "standard", "idle"}).Draw(t, "rank"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		rs := Rules{Allow: rapid.SliceOfN(rule, 0, 4).Draw(t, "allow"), Deny: rapid.SliceOfN(rule, 0, 3).Draw(t, "deny")}
 		who := rapid.SampledFrom([]Identity{{}, ana, guest, {Name: "ana", Kind: Service}}).Draw(t, "who")
 		q := Request{
-			Do:    rapid.SampledFrom([]string{Submit, Withdraw, Read, Need}).Draw(t, "do"),
-			Owner: rapid.SampledFrom([]string{"museum", "archive", "visitors"}).Draw(t, "owner"),
-			Rank:  rapid.SampledFrom(wire.Priorities()).Draw(t, "rank"),
+			Action:   rapid.SampledFrom([]string{Submit, Cancel, Read, DependOn}).Draw(t, "do"),
+			Team:     rapid.SampledFrom([]string{"museum", "archive", "visitors"}).Draw(t, "owner"),
+			Priority: rapid.SampledFrom(wire.Priorities()).Draw(t, "rank"),
 		}
 		d := rs.Decide(&who, q)
 		if d.Allowed && len(rs.Allow) == 0 {
@@ -102,13 +102,13 @@
 		if less := (&Rules{Allow: rs.Allow}).Decide(&who, q); d.Allowed && !less.Allowed {
 			t.Fatal("a rule that denies allows it")
 		}
-		if d.Allowed && q.Do == Submit && Above(q.Rank, d.Cap) {
-			t.Fatalf("%s is allowed above the cap %s", q.Rank, d.Cap)
+		if d.Allowed && q.Action == Submit && HigherPriority(q.Priority, d.MaxPriority) {
+			t.Fatalf("%s is allowed above the cap %s", q.Priority, d.MaxPriority)
 		}
-		if d.Allowed && q.Do == Submit {
-			for _, lower := range wire.Priorities()[slices.Index(wire.Priorities(), q.Rank):] {
-				if l := rs.Decide(&who, Request{Submit, q.Owner, lower}); !l.Allowed && !strings.HasPrefix(l.Rule, "deny") {
-					t.Fatalf("%s is allowed, %s not: %s", q.Rank, lower, l.Rule)
+		if d.Allowed && q.Action == Submit {
+			for _, lower := range wire.Priorities()[slices.Index(wire.Priorities(), q.Priority):] {
+				if l := rs.Decide(&who, Request{Submit, q.Team, lower}); !l.Allowed && !strings.HasPrefix(l.Rule, "deny") {
+					t.Fatalf("%s is allowed, %s not: %s", q.Priority, lower, l.Rule)
 				}
 			}
 		}
--- a/internal/serve/controller.go
+++ b/internal/serve/controller.go
@@ -62,7 +62,7 @@
 	users         http.Handler  // the job API
 	certs         *certs.Keeper // nil: no address has TLS
 	keys          *keyring.Ring // nil: neither identities nor the audit log are on
-	authorizer    *access.Door
+	authorizer    *access.Authorizer
 	dataLoss      *dataloss.Detector
 	replica       *replica.Replica
 	cancellations *cancellation.Set
--- a/internal/serve/snapshots.go
+++ b/internal/serve/snapshots.go
@@ -20,7 +20,7 @@
 	}
 	folder := &snapshot.Folder{
 		Dir:        filepath.Join(recovery.Folder, controller.settings.Node),
-		Deployment: controller.settings.Deployment(), Steps: recovery.Steps, Wholes: recovery.Wholes,
+		Deployment: controller.settings.Deployment(), IncrementalSnapshots: recovery.Steps, FullSnapshots: recovery.Wholes,
 	}
 	controller.loadSnapshot(folder)
 	return folder
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -55,7 +55,7 @@
 
 // status answers an operator who may see it.
 func (controller *controller) status(w http.ResponseWriter, r *http.Request) {
-	caller, err := controller.authorizer.Who(r)
+	caller, err := controller.authorizer.Identify(r)
 	if err != nil {
 		status := http.StatusUnauthorized
 		if errors.Is(err, identity.ErrStale) {
@@ -64,7 +64,7 @@
 		replyError(w, status, err.Error())
 		return
 	}
-	if decision := controller.authorizer.May(caller, rights.Request{Do: rights.Status}); !decision.Allowed {
+	if decision := controller.authorizer.Decide(caller, rights.Request{Action: rights.Status}); !decision.Allowed {
 		replyError(w, http.StatusForbidden, decision.Rule)
 		return
 	}
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -40,7 +40,7 @@
 			t.Fatal(err)
 		}
 		ctx, w, st, _, _, end := begin(t, 5, 24, 3, fmt.Sprintf(accessXML, path, folder))
-		admin := &identity.Admin{Store: st, Ring: ring, By: "root", Audited: true, Now: time.Now}
+		admin := &identity.Admin{Store: st, Ring: ring, Actor: "root", Audited: true, Now: time.Now}
 		token := func(name, team, role string) string {
 			s, err := admin.Issue(ctx, name, identity.Record{Kind: "person", Teams: []string{team}, Roles: []string{role}}, time.Hour)
 			if err != nil {
@@ -115,7 +115,7 @@
 		}
 		refuse(true)
 		time.Sleep(time.Second)
-		if err := admin.Withdraw(ctx, "gus"); err != nil {
+		if err := admin.Revoke(ctx, "gus"); err != nil {
 			t.Fatal(err)
 		}
 		for n, when := range []string{"cut off", "cut off for a lease", "back"} {
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -19,10 +19,10 @@
 
 // Folder holds snapshots, the newest last by name.
 type Folder struct {
-	Dir        string
-	Deployment string
-	Steps      int // snapshots of changes that follow a whole one at most
-	Wholes     int // whole ones that are kept, with what follows each
+	Dir                  string
+	Deployment           string
+	IncrementalSnapshots int // snapshots of changes that follow a whole one at most
+	FullSnapshots        int // whole ones that are kept, with what follows each
 
 	last   *replica.Tree
 	head   replica.Head
@@ -136,7 +136,7 @@
 		return "", nil
 	}
 	since := f.last
-	if f.head.Incarnation != head.Incarnation || f.head.Epoch != head.Epoch || f.steps >= f.Steps {
+	if f.head.Incarnation != head.Incarnation || f.head.Epoch != head.Epoch || f.steps >= f.IncrementalSnapshots {
 		since = nil
 	}
 	s := Take(f.Deployment, head, at, tree, since, f.sum)
@@ -196,7 +196,7 @@
 	}
 	wholes := 0
 	for i := len(names) - 1; i >= 0; i-- {
-		if wholes >= f.Wholes {
+		if wholes >= f.FullSnapshots {
 			if err := os.Remove(filepath.Join(f.Dir, names[i])); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -107,7 +107,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			dir := t.TempDir()
-			f := &Folder{Dir: dir, Deployment: "a,b", Steps: 2, Wholes: 4}
+			f := &Folder{Dir: dir, Deployment: "a,b", IncrementalSnapshots: 2, FullSnapshots: 4}
 			var names []string
 			for i, s := range states {
 				h := head
@@ -150,7 +150,7 @@
 func TestPrune(t *testing.T) {
 	dir := t.TempDir()
 	for run := range 3 {
-		f := &Folder{Dir: dir, Deployment: "a", Steps: 1, Wholes: 2}
+		f := &Folder{Dir: dir, Deployment: "a", IncrementalSnapshots: 1, FullSnapshots: 2}
 		for i := range 6 {
 			if _, err := f.Save(tree("j/a", fmt.Sprint(run, i)), head, time.Now()); err != nil {
 				t.Fatal(err)
