--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -78,6 +78,22 @@
 	return nil
 }
 
+// leaderObservation is what the leader key says, whether data loss is suspected meanwhile,
+// and since when both are as they are. It is guarded by the Elector's mutex.
+type leaderObservation struct {
+	record    leaderRecord
+	suspected bool
+	since     time.Time
+}
+
+// note takes in what is observed now, and returns for how long it has been so.
+func (o *leaderObservation) note(record leaderRecord, suspected bool) time.Duration {
+	if record != o.record || suspected != o.suspected || o.since.IsZero() {
+		*o = leaderObservation{record: record, suspected: suspected, since: time.Now()}
+	}
+	return time.Since(o.since)
+}
+
 // isStaleLeader reports whether the leader key is of an incarnation that was lost, so that
 // nobody leads by it: it came back with a restore, and its lease may never expire. Either
 // its epoch lies below one that is known, or data loss is suspected and for several lease
@@ -86,14 +102,11 @@
 	suspected := e.detector.Suspicion().Active
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if record != e.observedLeader || suspected != e.observedSuspicion || e.observedSince.IsZero() {
-		e.observedLeader, e.observedSuspicion, e.observedSince = record, suspected, time.Now()
-	}
-	unchangedFor := time.Since(e.observedSince)
+	unchangedFor := e.observed.note(record, suspected)
 	switch {
-	case record.Epoch < max(e.shardMap.Epoch, e.observedEpoch):
+	case record.Epoch < e.epochs.highest():
 		// Between one leader's end and the next one's start this is as it should be.
-		return unchangedFor > e.leaseDuration && (suspected || e.shardMap.Leader != record.Controller)
+		return unchangedFor > e.leaseDuration && (suspected || e.epochs.shardMap.Leader != record.Controller)
 	case suspected || record.Controller == e.controller:
 		return unchangedFor > 2*e.leaseDuration
 	}
--- a/internal/election/campaign_test.go
+++ b/internal/election/campaign_test.go
@@ -44,8 +44,8 @@
 			e := New(Options{
 				Store: store, Controller: "a", LeaseDuration: leaseDuration, Detector: detector, Log: log,
 			})
-			e.shardMap, e.observedLeader = tc.known, tc.record
-			e.observedSuspicion, e.observedSince = tc.suspected, time.Now().Add(-tc.unchangedFor)
+			e.epochs.shardMap = tc.known
+			e.observed = leaderObservation{tc.record, tc.suspected, time.Now().Add(-tc.unchangedFor)}
 			if got := e.isStaleLeader(tc.record); got != tc.want {
 				t.Errorf("stale: %v", got)
 			}
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -21,6 +21,12 @@
 	"rillflow/internal/kvstore"
 )
 
+// The first and the longest pause after a failed request, as parts of a lease's duration.
+const (
+	backoffBaseDivisor  = 16
+	backoffLimitDivisor = 2
+)
+
 // Elector campaigns for leadership and follows who leads. One mutex guards all that it
 // knows; it is held for no request to the store and for no call out of the package but to
 // the log.
@@ -33,19 +39,13 @@
 	remembersIncarnation func() bool
 	log                  *slog.Logger
 
-	mu             sync.Mutex // guards what follows
-	leader         string
-	shardMap       ShardMap
-	shardMapStored bool      // shardMap was read from the store, not only heard of
-	observedEpoch  uint64    // the highest epoch that a worker has shown
-	campaignAfter  time.Time // not a candidate before this
-	endTerm        context.CancelCauseFunc
-	stopRenewal    context.CancelFunc
-	// What the leader key says, whether data loss is suspected, and since when both are as
-	// they are.
-	observedLeader    leaderRecord
-	observedSuspicion bool
-	observedSince     time.Time
+	mu            sync.Mutex // guards what follows
+	leader        string
+	epochs        knownEpochs
+	observed      leaderObservation
+	campaignAfter time.Time // not a candidate before this
+	endTerm       context.CancelCauseFunc
+	stopRenewal   context.CancelFunc
 }
 
 // Options are what an Elector works with.
@@ -98,7 +98,7 @@
 
 // backoff waits before a request to the store is tried again.
 func (e *Elector) backoff(ctx context.Context, attempt int) {
-	kvstore.Backoff(ctx, attempt, e.leaseDuration/16, e.leaseDuration/2)
+	kvstore.Backoff(ctx, attempt, e.leaseDuration/backoffBaseDivisor, e.leaseDuration/backoffLimitDivisor)
 }
 
 // serveTerm serves one term until it ends: the lease expired, serve returned, data loss is
--- a/internal/election/epoch.go
+++ b/internal/election/epoch.go
@@ -20,11 +20,49 @@
 // watchLeases is how many lease durations a watch of the epoch key is kept open.
 const watchLeases = 4
 
+// knownEpochs is what this controller knows of the epochs given out. It is guarded by the
+// Elector's mutex.
+type knownEpochs struct {
+	shardMap ShardMap // of the highest epoch known from the store or a peer
+	stored   bool     // shardMap was read from the store, not only heard of
+	shown    uint64   // the highest epoch that a worker has shown
+}
+
+// learn takes in a shard map from the store or a peer, and reports whether its epoch is
+// above the one known. A map older than the one known changes nothing.
+func (k *knownEpochs) learn(m ShardMap) (risen bool) {
+	if m.Epoch == k.shardMap.Epoch && m.ZoneFallback {
+		// A ping, which does not carry these fields, brought the rest first.
+		k.shardMap.ZoneFallback, k.shardMap.Incarnation = true, m.Incarnation
+	}
+	if m.Epoch <= k.shardMap.Epoch {
+		return false
+	}
+	k.shardMap, k.stored = m, false
+	return true
+}
+
+// observe takes in an epoch that a worker has seen.
+func (k *knownEpochs) observe(epoch uint64) {
+	if epoch < maxCredibleEpoch {
+		k.shown = max(k.shown, epoch)
+	}
+}
+
+// highest returns the highest epoch that is known to have been given out.
+func (k *knownEpochs) highest() uint64 { return max(k.shardMap.Epoch, k.shown) }
+
+// legacyLeader reports whether the stored shard map was written by a version that knows
+// nothing of store incarnations.
+func (k *knownEpochs) legacyLeader() bool {
+	return k.stored && k.shardMap.Epoch > 0 && k.shardMap.Incarnation == ""
+}
+
 // ShardMap returns the latest shard map that this controller knows of.
 func (e *Elector) ShardMap() ShardMap {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.shardMap
+	return e.epochs.shardMap
 }
 
 // LegacyLeader reports whether the present leader is of a version that knows nothing of
@@ -32,7 +70,7 @@
 func (e *Elector) LegacyLeader() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.shardMapStored && e.shardMap.Epoch > 0 && e.shardMap.Incarnation == ""
+	return e.epochs.legacyLeader()
 }
 
 // ObserveEpoch notes an epoch that a worker has seen. The next leadership of this controller
@@ -40,16 +78,14 @@
 func (e *Elector) ObserveEpoch(epoch uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if epoch < maxCredibleEpoch {
-		e.observedEpoch = max(e.observedEpoch, epoch)
-	}
+	e.epochs.observe(epoch)
 }
 
 // highestEpoch returns the highest epoch that is known to have been given out.
 func (e *Elector) highestEpoch() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return max(e.shardMap.Epoch, e.observedEpoch)
+	return e.epochs.highest()
 }
 
 // LearnShardMap takes in a shard map from the store or a peer. A map older than the one
@@ -57,12 +93,7 @@
 func (e *Elector) LearnShardMap(m ShardMap) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if m.Epoch == e.shardMap.Epoch && m.ZoneFallback {
-		// A ping, which does not carry these fields, brought the rest first.
-		e.shardMap.ZoneFallback, e.shardMap.Incarnation = true, m.Incarnation
-	}
-	if m.Epoch > e.shardMap.Epoch {
-		e.shardMap, e.shardMapStored = m, false
+	if e.epochs.learn(m) {
 		e.log.Info("shard map changed", "epoch", m.Epoch, "leader", m.Leader, "owners", m.Owners)
 	}
 }
@@ -76,7 +107,7 @@
 	e.LearnShardMap(m)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.shardMapStored = e.shardMapStored || m.Epoch == e.shardMap.Epoch
+	e.epochs.stored = e.epochs.stored || m.Epoch == e.epochs.shardMap.Epoch
 	return m, nil
 }
 
