--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -55,7 +55,8 @@
 	if s.Segments == "" {
 		v = audit.NewVerifier(d.ring, a.Before)
 	} else if v.Head().Seq < a.Before.Seq {
-		found.add(fmt.Errorf("blocks %d to %d, trimmed after their export, are in no segment here: %w", v.Head().Seq+1, a.Before.Seq, audit.ErrGap))
+		found.add(fmt.Errorf("blocks %d to %d, trimmed after their export, are in no segment here: %w",
+			v.Head().Seq+1, a.Before.Seq, audit.ErrGap))
 		v = audit.NewVerifier(d.ring, a.Before)
 	}
 	for _, raw := range a.Blocks {
@@ -144,7 +145,10 @@
 	if last > v.Head().Seq {
 		found.add(fmt.Errorf("%s refers to block %d, and the record ends at %d: %w", key, last, v.Head().Seq, audit.ErrGap))
 	}
-	fmt.Printf("%d blocks, %d entries, %d jobs, in %v\nhead %s\n", v.Blocks(), h.Entries, len(h.Jobs), time.Since(began).Round(time.Millisecond), v.Head())
+	fmt.Printf(
+		"%d blocks, %d entries, %d jobs, in %v\nhead %s\n", v.Blocks(), h.Entries, len(h.Jobs),
+		time.Since(began).Round(time.Millisecond), v.Head(),
+	)
 	if h.Missed > 0 {
 		fmt.Printf("%d entries tell that others were left out for lack of room: audit show --act missed\n", h.Missed)
 	}
--- a/cmd/rillflow/main.go
+++ b/cmd/rillflow/main.go
@@ -67,7 +67,10 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("ok: %s of %d controllers, %d teams, frugal: %v\n", set.Node, 1+len(set.Members), len(set.Facts.Teams), set.Frugal())
+	fmt.Printf(
+		"ok: %s of %d controllers, %d teams, frugal: %v\n", set.Node, 1+len(set.Members),
+		len(set.Facts.Teams), set.Frugal(),
+	)
 	return nil
 }
 
@@ -88,7 +91,9 @@
 		if !pool.AppendCertsFromPEM(pem) {
 			return fmt.Errorf("%s holds no certificate", c.CA)
 		}
-		scheme, client.Transport = "https", &http.Transport{TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13}}
+		scheme, client.Transport = "https", &http.Transport{
+			TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13},
+		}
 	}
 	req, err := http.NewRequest(http.MethodGet, scheme+"://"+c.Addr+"/operator/status", nil)
 	if err != nil {
@@ -137,7 +142,8 @@
 
 func main() {
 	var c cli
-	k := kong.Parse(&c, kong.Name("rillflow"), kong.Description("A cluster scheduler: MaxWeight placement with learned rates."), kong.UsageOnError(),
+	k := kong.Parse(&c, kong.Name("rillflow"),
+		kong.Description("A cluster scheduler: MaxWeight placement with learned rates."), kong.UsageOnError(),
 		kong.Exit(func(code int) { os.Exit(min(code, 2)) })) // 2: the command line is wrong
 	if err := k.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "rillflow:", err)
--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -36,7 +36,11 @@
 	}
 	d := net.Dialer{Timeout: set.Report()}
 	least := set.Facts.State
-	st := kvstore.New(kvstore.Options{Addr: set.Services.State, RequestsPerSecond: least.RPS / 8, Limits: kvstore.Limits{WritesPerSecond: 1, MaxValueBytes: int(least.ValueKB * 1024)}, Timeout: 2 * set.Report(), Dial: d.DialContext})
+	st := kvstore.New(kvstore.Options{
+		Addr: set.Services.State, RequestsPerSecond: least.RPS / 8,
+		Limits:  kvstore.Limits{WritesPerSecond: 1, MaxValueBytes: int(least.ValueKB * 1024)},
+		Timeout: 2 * set.Report(), Dial: d.DialContext,
+	})
 	ctx, cancel := context.WithTimeout(context.Background(), 10*set.Lease())
 	defer cancel()
 	tree, head, err := replica.ReadStore(ctx, st)
@@ -48,7 +52,10 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("saved %s: generation %d, epoch %d, %s\n", filepath.Join(c.Dir, name), head.Revision, head.Epoch, counts(tree))
+	fmt.Printf(
+		"saved %s: generation %d, epoch %d, %s\n", filepath.Join(c.Dir, name), head.Revision, head.Epoch,
+		counts(tree),
+	)
 	return nil
 }
 
@@ -60,7 +67,10 @@
 		n[string(p)+"/"]++
 		return false
 	})
-	return fmt.Sprintf("%d jobs alive, %d chunks of claims, %d ends", n[ledger.LivePrefix], n[ledger.ChunkPrefix], n[ledger.EndedPrefix])
+	return fmt.Sprintf(
+		"%d jobs alive, %d chunks of claims, %d ends", n[ledger.LivePrefix], n[ledger.ChunkPrefix],
+		n[ledger.EndedPrefix],
+	)
 }
 
 type snapshotVerifyCmd struct {
@@ -79,7 +89,8 @@
 	if ch.Last == nil {
 		return errors.New("no snapshot is of use")
 	}
-	fmt.Printf("state of %s (generation %d, epoch %d, history %s) from %s: %s\n", ch.Last.At.UTC().Format(time.RFC3339), ch.Last.Revision, ch.Last.Epoch, ch.Last.Incarnation,
+	fmt.Printf("state of %s (generation %d, epoch %d, history %s) from %s: %s\n",
+		ch.Last.At.UTC().Format(time.RFC3339), ch.Last.Revision, ch.Last.Epoch, ch.Last.Incarnation,
 		strings.Join(ch.Files, ", "), counts(ch.Tree))
 	if len(ch.Refused) > 0 {
 		return fmt.Errorf("%d snapshots refused", len(ch.Refused))
--- a/cmd/rillflow/tools.go
+++ b/cmd/rillflow/tools.go
@@ -112,7 +112,10 @@
 	from := time.Now().Add(c.After)
 	id, err := keyring.Rotate(c.File, from)
 	if err == nil {
-		fmt.Printf("key %d is in use from %s on: copy the file to every controller before\n", id, from.UTC().Format(time.RFC3339))
+		fmt.Printf(
+			"key %d is in use from %s on: copy the file to every controller before\n", id,
+			from.UTC().Format(time.RFC3339),
+		)
 	}
 	return err
 }
@@ -209,7 +212,10 @@
 			} else if time.Now().Unix() >= t.ExpiresUnix {
 				till = "expired"
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\trft_%s\t%s\n", k.Name, kind, strings.Join(k.Teams, ","), strings.Join(k.Roles, ","), id, till)
+			fmt.Fprintf(
+				w, "%s\t%s\t%s\t%s\trft_%s\t%s\n", k.Name, kind, strings.Join(k.Teams, ","),
+				strings.Join(k.Roles, ","), id, till,
+			)
 		}
 	}
 	return w.Flush()
--- a/internal/audit/archive.go
+++ b/internal/audit/archive.go
@@ -82,7 +82,9 @@
 // Trim removes blocks from the state service up to and with a number, a few in each
 // transaction. They must have been exported and the export read back. The newest
 // block always stays: a leader goes on from it.
-func (a *Archive) Trim(ctx context.Context, st Store, ring *keyring.Ring, upTo uint64, ops int) (removed int, err error) {
+func (a *Archive) Trim(
+	ctx context.Context, st Store, ring *keyring.Ring, upTo uint64, ops int,
+) (removed int, err error) {
 	mark := a.mark.ModRevision
 	for len(a.keys) > 1 {
 		n := 0
--- a/internal/audit/block.go
+++ b/internal/audit/block.go
@@ -82,8 +82,13 @@
 // Make seals a block that follows a head, under the ring's newest key, or the one given
 // if that is newer: no block is sealed under an older key than the one before, whatever
 // the clocks of two leaders say.
-func Make(ring *keyring.Ring, head Head, least uint32, epoch uint64, writer string, at time.Time, entries []Entry) (*Block, error) {
-	b := &Block{Seq: head.Seq + 1, Epoch: epoch, Writer: writer, At: at, Prev: head.Hash, Key: max(ring.Newest(), least), Entries: entries}
+func Make(
+	ring *keyring.Ring, head Head, least uint32, epoch uint64, writer string, at time.Time, entries []Entry,
+) (*Block, error) {
+	b := &Block{
+		Seq: head.Seq + 1, Epoch: epoch, Writer: writer, At: at, Prev: head.Hash,
+		Key: max(ring.Newest(), least), Entries: entries,
+	}
 	raw := make([]byte, 0, 256)
 	raw = append(raw, format)
 	raw = binary.BigEndian.AppendUint32(raw, b.Key)
@@ -114,8 +119,9 @@
 		return nil, fmt.Errorf("audit: block: %w", codec.ErrFormat)
 	}
 	b := &Block{
-		Key: binary.BigEndian.Uint32(raw[1:]), Seq: binary.BigEndian.Uint64(raw[5:]), Epoch: binary.BigEndian.Uint64(raw[13:]),
-		At: time.UnixMilli(int64(binary.BigEndian.Uint64(raw[21:]))), Prev: [keyring.Size]byte(raw[29:]), Raw: raw,
+		Key: binary.BigEndian.Uint32(raw[1:]), Seq: binary.BigEndian.Uint64(raw[5:]),
+		Epoch: binary.BigEndian.Uint64(raw[13:]),
+		At:    time.UnixMilli(int64(binary.BigEndian.Uint64(raw[21:]))), Prev: [keyring.Size]byte(raw[29:]), Raw: raw,
 	}
 	d := codec.Decoder{B: raw[fixedLen : len(raw)-sealLen]}
 	b.Writer = d.Str()
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -36,8 +36,9 @@
 )
 
 var acts = [...]string{
-	Accepted: "accepted", Withdrawn: "withdrawn", Refused: "refused", Claimed: "claimed", Lost: "lost", Stopped: "stopped", Done: "done",
-	Returned: "returned", TookOver: "took over", Unsealed: "unsealed", Issued: "issued", Revoked: "revoked", Missed: "missed", Trimmed: "trimmed",
+	Accepted: "accepted", Withdrawn: "withdrawn", Refused: "refused", Claimed: "claimed",
+	Lost: "lost", Stopped: "stopped", Done: "done", Returned: "returned", TookOver: "took over",
+	Unsealed: "unsealed", Issued: "issued", Revoked: "revoked", Missed: "missed", Trimmed: "trimmed",
 }
 
 // String names the act.
@@ -204,7 +205,10 @@
 // who may: the entry says so.
 func Accepting(ring *keyring.Ring, rec ledger.JobRecord) Entry {
 	j := &rec.Job
-	e := Entry{At: time.UnixMilli(rec.SubmittedMS), Act: Accepted, On: j.ID, Owner: j.Team, Rank: j.Priority, Tasks: []Task{{Index: j.TaskCount}}}
+	e := Entry{
+		At: time.UnixMilli(rec.SubmittedMS), Act: Accepted, On: j.ID, Owner: j.Team, Rank: j.Priority,
+		Tasks: []Task{{Index: j.TaskCount}},
+	}
 	if o := rec.Origin; o != nil {
 		e.Who, e.Via, e.Why = o.Submitter, o.Controller, o.Rule
 	}
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -62,7 +62,8 @@
 // OpenSegment reads a segment and checks its seal; the blocks are still to be
 // verified. With no ring the seal is left alone.
 func OpenSegment(ring *keyring.Ring, raw []byte) (*Segment, error) {
-	if len(raw) < segmentFixed+sealLen || string(raw[:len(segmentMark)]) != segmentMark || raw[len(segmentMark)] != format {
+	if len(raw) < segmentFixed+sealLen || string(raw[:len(segmentMark)]) != segmentMark ||
+		raw[len(segmentMark)] != format {
 		return nil, fmt.Errorf("audit: segment: %w", codec.ErrFormat)
 	}
 	body, seal := raw[:len(raw)-sealLen], raw[len(raw)-sealLen:]
@@ -92,7 +93,9 @@
 }
 
 func unpackBlocks(packed []byte) ([][]byte, error) {
-	z, err := zstd.NewReader(bytes.NewReader(packed), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSegment))
+	z, err := zstd.NewReader(
+		bytes.NewReader(packed), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSegment),
+	)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/audit/story.go
+++ b/internal/audit/story.go
@@ -50,7 +50,10 @@
 }
 
 func (s *Story) fault(e Entry, format string, a ...any) {
-	s.Faults = append(s.Faults, fmt.Sprintf("%s at %s: ", e.Act, e.At.UTC().Format("15:04:05.000"))+fmt.Sprintf(format, a...))
+	s.Faults = append(
+		s.Faults,
+		fmt.Sprintf("%s at %s: ", e.Act, e.At.UTC().Format("15:04:05.000"))+fmt.Sprintf(format, a...),
+	)
 }
 
 func (s *Story) add(e Entry) {
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -46,7 +46,10 @@
 }
 
 func (k *Keeper) files() [3]string {
-	return [3]string{filepath.Join(k.folder, "ca.pem"), filepath.Join(k.folder, k.node+".pem"), filepath.Join(k.folder, k.node+".key")}
+	return [3]string{
+		filepath.Join(k.folder, "ca.pem"), filepath.Join(k.folder, k.node+".pem"),
+		filepath.Join(k.folder, k.node+".key"),
+	}
 }
 
 // reload reads the files if any of them changed.
@@ -79,7 +82,9 @@
 		return fmt.Errorf("certs: %s holds no certificate", fs[0])
 	}
 	// A certificate that its own authority does not hold for would be refused by all.
-	if _, err := cert.Leaf.Verify(x509.VerifyOptions{Roots: pool, CurrentTime: k.now(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}}); err != nil {
+	if _, err := cert.Leaf.Verify(
+		x509.VerifyOptions{Roots: pool, CurrentTime: k.now(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}},
+	); err != nil {
 		return fmt.Errorf("certs: %s: %w", fs[1], err)
 	}
 	k.mu.Lock()
@@ -143,7 +148,10 @@
 // Dial puts TLS on a connection to a node, which must show that it is the one.
 func (k *Keeper) Dial(ctx context.Context, c net.Conn, node string) (net.Conn, error) {
 	k.mu.Lock()
-	cfg := &tls.Config{MinVersion: tls.VersionTLS13, ServerName: node, RootCAs: k.pool, Certificates: []tls.Certificate{*k.cert}}
+	cfg := &tls.Config{
+		MinVersion: tls.VersionTLS13, ServerName: node, RootCAs: k.pool,
+		Certificates: []tls.Certificate{*k.cert},
+	}
 	k.mu.Unlock()
 	t := tls.Client(c, cfg)
 	if err := t.HandshakeContext(ctx); err != nil {
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -145,7 +145,10 @@
 		}
 		cs = append(cs, recordChange{IdentityPrefix + name, stamp, rec})
 	}
-	why := fmt.Sprintf("token %s until %s; teams %v, roles %v", id, time.Unix(t.ExpiresUnix, 0).UTC().Format(time.RFC3339), rec.Teams, rec.Roles)
+	why := fmt.Sprintf(
+		"token %s until %s; teams %v, roles %v", id, time.Unix(t.ExpiresUnix, 0).UTC().Format(time.RFC3339),
+		rec.Teams, rec.Roles,
+	)
 	return token, admin.commit(ctx, cs, audit.Entry{Act: audit.Issued, On: name, Why: why})
 }
 
@@ -178,7 +181,10 @@
 			return err
 		}
 		t.Revoked = true
-		return admin.commit(ctx, []recordChange{{TokenPrefix + id, stamp, t}}, audit.Entry{Act: audit.Revoked, On: t.Identity, Why: "token " + id})
+		return admin.commit(
+			ctx, []recordChange{{TokenPrefix + id, stamp, t}},
+			audit.Entry{Act: audit.Revoked, On: t.Identity, Why: "token " + id},
+		)
 	}
 	var rec Record
 	stamp, err := admin.read(ctx, IdentityPrefix+name, &rec)
@@ -190,7 +196,10 @@
 	}
 	// The identity first: with it all its tokens are void at once.
 	rec.Revoked = true
-	if err := admin.commit(ctx, []recordChange{{IdentityPrefix + name, stamp, rec}}, audit.Entry{Act: audit.Revoked, On: name, Why: "with all tokens"}); err != nil {
+	if err := admin.commit(
+		ctx, []recordChange{{IdentityPrefix + name, stamp, rec}},
+		audit.Entry{Act: audit.Revoked, On: name, Why: "with all tokens"},
+	); err != nil {
 		return err
 	}
 	return admin.each(ctx, name, func(_ string, t *Token) bool {
@@ -215,7 +224,10 @@
 		if !f(id, &t) {
 			continue
 		}
-		if err := admin.commit(ctx, []recordChange{{it.Key, it.ModRevision, t}}, audit.Entry{Act: audit.Revoked, On: name, Why: "token " + id + " " + why}); err != nil {
+		if err := admin.commit(
+			ctx, []recordChange{{it.Key, it.ModRevision, t}},
+			audit.Entry{Act: audit.Revoked, On: name, Why: "token " + id + " " + why},
+		); err != nil {
 			return err
 		}
 	}
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -125,7 +125,10 @@
 
 // New makes a registry that is empty until it follows the state service.
 func New(ring *keyring.Ring, trust, skew time.Duration, log *slog.Logger) *Registry {
-	return &Registry{ring: ring, cacheLifetime: trust, skew: skew, log: log, now: time.Now, identities: make(map[string]revisioned[Record]), tokens: make(map[string]revisioned[Token])}
+	return &Registry{
+		ring: ring, cacheLifetime: trust, skew: skew, log: log, now: time.Now,
+		identities: make(map[string]revisioned[Record]), tokens: make(map[string]revisioned[Token]),
+	}
 }
 
 // Check tells whose a token is. The copy may be behind: whatever is changed for the
@@ -143,10 +146,13 @@
 		return Caller{}, ErrStale
 	}
 	t, ok := registry.tokens[id]
-	if !ok || t.value.Revoked || now.Add(registry.skew).Unix() >= t.value.ExpiresUnix || now.Add(registry.skew).Unix() < t.value.IssuedUnix {
+	latest := now.Add(registry.skew).Unix()
+	if !ok || t.value.Revoked || latest >= t.value.ExpiresUnix || latest < t.value.IssuedUnix {
 		return Caller{}, ErrToken
 	}
-	if ok, err := registry.ring.Check(t.value.Key, keyring.ForTokens, t.value.Hash, []byte(id), []byte{0}, []byte(secret)); err != nil || !ok {
+	if ok, err := registry.ring.Check(
+		t.value.Key, keyring.ForTokens, t.value.Hash, []byte(id), []byte{0}, []byte(secret),
+	); err != nil || !ok {
 		return Caller{}, errors.Join(ErrToken, err)
 	}
 	w, ok := registry.identities[t.value.Identity]
@@ -155,7 +161,10 @@
 	}
 	return Caller{
 		Identity: rights.Identity{Name: t.value.Identity, Kind: w.value.Kind, Teams: w.value.Teams, Roles: w.value.Roles},
-		Compares: []wire.Compare{{Key: TokenPrefix + id, ModRevision: t.modRevision}, {Key: IdentityPrefix + t.value.Identity, ModRevision: w.modRevision}},
+		Compares: []wire.Compare{
+			{Key: TokenPrefix + id, ModRevision: t.modRevision},
+			{Key: IdentityPrefix + t.value.Identity, ModRevision: w.modRevision},
+		},
 	}, nil
 }
 
@@ -172,7 +181,10 @@
 // Follow keeps the copy until ctx ends. every is how long a watch lasts: the copy is
 // known to be whole at least that often.
 func (registry *Registry) Follow(ctx context.Context, st *kvstore.Client, every time.Duration) error {
-	return st.WatchPrefix(ctx, kvstore.Watcher{Prefix: Prefix, PollWait: every, BackoffBase: every / 16, BackoffLimit: every, OnSnapshot: registry.replace, OnChanges: registry.apply})
+	return st.WatchPrefix(ctx, kvstore.Watcher{
+		Prefix: Prefix, PollWait: every, BackoffBase: every / 16, BackoffLimit: every,
+		OnSnapshot: registry.replace, OnChanges: registry.apply,
+	})
 }
 
 func (registry *Registry) replace(items []wire.KeyValue, at time.Time) {
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -261,7 +261,10 @@
 		return fmt.Errorf("keyring: %w", err)
 	}
 	k := newKey(1)
-	_, err = fmt.Fprintf(f, "# rillflow's key ring: keep it secret, keep a copy, and give every controller the same.\n%d %x\n", k.id, k.secret)
+	_, err = fmt.Fprintf(
+		f, "# rillflow's key ring: keep it secret, keep a copy, and give every controller the same.\n%d %x\n",
+		k.id, k.secret,
+	)
 	return errors.Join(err, f.Sync(), f.Close())
 }
 
@@ -282,7 +285,9 @@
 	if err != nil {
 		return 0, fmt.Errorf("keyring: %w", err)
 	}
-	_, err = fmt.Fprintf(tmp, "%s\n%d %x %s\n", bytes.TrimRight(old, "\n"), k.id, k.secret, from.UTC().Format(time.RFC3339))
+	_, err = fmt.Fprintf(
+		tmp, "%s\n%d %x %s\n", bytes.TrimRight(old, "\n"), k.id, k.secret, from.UTC().Format(time.RFC3339),
+	)
 	err = errors.Join(err, tmp.Sync(), tmp.Close())
 	if err == nil {
 		err = os.Rename(tmp.Name(), path)
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -105,7 +105,10 @@
 	case !named && slices.Contains([]string{Anonymous, "anyone", "known"}, kind):
 	case named && name != "" && slices.Contains([]string{Person, Service, "team", "role"}, kind):
 	default:
-		return fmt.Errorf("who: %q is none of anonymous, anyone, known, person:NAME, service:NAME, team:NAME or role:NAME", rule.Who)
+		return fmt.Errorf(
+			"who: %q is none of anonymous, anyone, known, person:NAME, service:NAME, team:NAME or role:NAME",
+			rule.Who,
+		)
 	}
 	if rule.Actions == "" {
 		return errors.New("do: missing")
@@ -171,7 +174,8 @@
 	var d Decision
 	for i := range rules.Deny {
 		r := &rules.Deny[i]
-		if r.matchesRequest(who, q.Action, q.Team) && (!ranked || r.MaxPriority == "" || !HigherPriority(r.MaxPriority, q.Priority)) {
+		inReach := !ranked || r.MaxPriority == "" || !HigherPriority(r.MaxPriority, q.Priority)
+		if r.matchesRequest(who, q.Action, q.Team) && inReach {
 			return Decision{Rule: "deny " + r.String()}
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -287,7 +287,9 @@
 
 // deadline tells whether a class has an aim for its deadlines.
 func (s *Settings) deadline(class string) bool {
-	return slices.ContainsFunc(s.Facts.Objectives, func(o Objective) bool { return o.Kind == "deadline" && o.Class == class })
+	return slices.ContainsFunc(
+		s.Facts.Objectives, func(o Objective) bool { return o.Kind == "deadline" && o.Class == class },
+	)
 }
 
 // Deployment names the deployment by its controllers: what is kept of one is of no use
@@ -303,7 +305,9 @@
 
 // Frugal tells whether no class at all is rented ahead for.
 func (s *Settings) Frugal() bool {
-	return !s.Ample("") && !slices.ContainsFunc(s.Facts.Objectives, func(o Objective) bool { return o.Class != "" && s.Ample(o.Class) })
+	return !s.Ample("") && !slices.ContainsFunc(
+		s.Facts.Objectives, func(o Objective) bool { return o.Class != "" && s.Ample(o.Class) },
+	)
 }
 
 // Seconds converts an amount of seconds.
--- a/tools/served/main.go
+++ b/tools/served/main.go
@@ -68,10 +68,16 @@
 			continue
 		}
 		worst := slices.MinFunc(d.Served, func(a, b served) int { return int(1e6 * (a.Share - b.Share)) })
-		fmt.Fprintf(w, "%s %s: least served %s, %.3f of what it asked (%.3f of all)\n", e.Site, d.Name, worst.Name, worst.Share, worst.Asked)
+		fmt.Fprintf(
+			w, "%s %s: least served %s, %.3f of what it asked (%.3f of all)\n", e.Site, d.Name, worst.Name,
+			worst.Share, worst.Asked,
+		)
 		for _, s := range d.Served {
 			if s.Share < least {
-				fmt.Fprintf(w, "FAILED %s %s: %s served %.3f of what it asked (%.3f of all)\n", e.Site, d.Name, s.Name, s.Share, s.Asked)
+				fmt.Fprintf(
+					w, "FAILED %s %s: %s served %.3f of what it asked (%.3f of all)\n", e.Site, d.Name,
+					s.Name, s.Share, s.Asked,
+				)
 				ok = false
 			}
 		}
