--- a/internal/ledger/compat_test.go
+++ b/internal/ledger/compat_test.go
@@ -91,23 +91,23 @@
 // goes by them.
 type (
 	recordV01 struct {
-		Job   jobV01 `json:"job"`
-		AtMS  int64  `json:"at"`
-		Chunk int    `json:"chunk"`
+		Job         jobV01 `json:"job"`
+		SubmittedMS int64  `json:"at"`
+		ChunkTasks  int    `json:"chunk"`
 	}
 	endRecordV01 struct {
-		Phase string `json:"phase"`
-		Tasks int    `json:"tasks"`
-		Job   jobV01 `json:"job,omitzero"`
-		Chunk int    `json:"chunk,omitempty"`
+		Phase      string `json:"phase"`
+		Tasks      int    `json:"tasks"`
+		Job        jobV01 `json:"job,omitzero"`
+		ChunkTasks int    `json:"chunk,omitempty"`
 	}
 	jobV01 struct {
-		Owner   string  `json:"owner"`
-		Shape   string  `json:"shape"`
-		Members int     `json:"members"`
-		Cores   float64 `json:"cores"`
-		Accel   float64 `json:"accelerators"`
-		RAM     float64 `json:"ram_gb"`
+		Team      string  `json:"owner"`
+		Kind      string  `json:"shape"`
+		TaskCount int     `json:"members"`
+		CPUs      float64 `json:"cores"`
+		GPUs      float64 `json:"accelerators"`
+		MemoryGB  float64 `json:"ram_gb"`
 	}
 )
 
