--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -113,6 +113,17 @@
 	return caller, !api.replyUnauthorized(w, err)
 }
 
+// requestedJob finds out which job a request is about and who makes it, or answers it.
+func (api *API) requestedJob(w http.ResponseWriter, r *http.Request) (id string, caller identity.Caller, ok bool) {
+	id = r.PathValue("ref")
+	if !ValidJobID(id) {
+		replyError(w, http.StatusNotFound, noSuchJob)
+		return id, caller, false
+	}
+	caller, ok = api.identify(w, r)
+	return id, caller, ok
+}
+
 // errDenied says that no rule allows a request.
 var errDenied = errors.New("not allowed")
 
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -17,12 +17,7 @@
 
 // cancel cancels a job, or answers how it ended before.
 func (api *API) cancel(w http.ResponseWriter, r *http.Request) {
-	id := r.PathValue("ref")
-	if !ValidJobID(id) {
-		replyError(w, http.StatusNotFound, noSuchJob)
-		return
-	}
-	caller, ok := api.identify(w, r)
+	id, caller, ok := api.requestedJob(w, r)
 	if !ok {
 		return
 	}
--- a/internal/intake/status.go
+++ b/internal/intake/status.go
@@ -22,12 +22,7 @@
 
 // poll answers with a job's status.
 func (api *API) poll(w http.ResponseWriter, r *http.Request) {
-	id := r.PathValue("ref")
-	if !ValidJobID(id) {
-		replyError(w, http.StatusNotFound, noSuchJob)
-		return
-	}
-	caller, ok := api.identify(w, r)
+	id, caller, ok := api.requestedJob(w, r)
 	if !ok {
 		return
 	}
