--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -284,7 +284,7 @@
 	if !c.Trim {
 		return nil
 	}
-	removed, err := a.Trim(ctx, d.st, d.ring, v.Head().Seq, d.set.Facts.State.Least().TxnOps)
+	removed, err := a.Trim(ctx, d.st, d.ring, v.Head().Seq, d.set.Facts.Store.Lowest().TxnOps)
 	fmt.Printf("%d blocks removed from the state service\n", removed)
 	return err
 }
--- a/cmd/rillflow/main.go
+++ b/cmd/rillflow/main.go
@@ -54,7 +54,8 @@
 	// The garbage collector works harder near this goal, well before the
 	// platform ends the process.
 	debug.SetMemoryLimit(int64(set.Operator.Limits.Memory * set.Facts.Resources.MemoryMB * (1 << 20)))
-	if err := serve.Run(ctx, set, serve.TCP(set.Report()), log.With("node", set.Node)); err != nil && ctx.Err() == nil {
+	err = serve.Run(ctx, set, serve.TCP(set.HeartbeatInterval()), log.With("node", set.Name))
+	if err != nil && ctx.Err() == nil {
 		return err
 	}
 	return nil
@@ -68,8 +69,8 @@
 		return err
 	}
 	fmt.Printf(
-		"ok: %s of %d controllers, %d teams, frugal: %v\n", set.Node, 1+len(set.Members),
-		len(set.Facts.Teams), set.Frugal(),
+		"ok: %s of %d controllers, %d teams, frugal: %v\n", set.Name, 1+len(set.Peers),
+		len(set.Facts.Teams), set.NeverScalesAhead(),
 	)
 	return nil
 }
--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -34,20 +34,23 @@
 	if err != nil {
 		return err
 	}
-	d := net.Dialer{Timeout: set.Report()}
-	least := set.Facts.State
+	d := net.Dialer{Timeout: set.HeartbeatInterval()}
+	least := set.Facts.Store
 	st := kvstore.New(kvstore.Options{
-		Addr: set.Services.State, RequestsPerSecond: least.RPS / 8,
+		Addr: set.Services.Store, RequestsPerSecond: least.RPS / 8,
 		Limits:  kvstore.Limits{WritesPerSecond: 1, MaxValueBytes: int(least.ValueKB * 1024)},
-		Timeout: 2 * set.Report(), Dial: d.DialContext,
+		Timeout: 2 * set.HeartbeatInterval(), Dial: d.DialContext,
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), 10*set.Lease())
+	ctx, cancel := context.WithTimeout(context.Background(), 10*set.WorkerLease())
 	defer cancel()
 	tree, head, err := replica.ReadStore(ctx, st)
 	if err != nil {
 		return err
 	}
-	f := snapshot.Folder{Dir: c.Dir, Deployment: set.Deployment(), FullSnapshots: max(2, set.Operator.Rebuild.Wholes)}
+	f := snapshot.Folder{
+		Dir: c.Dir, Deployment: set.DeploymentName(),
+		FullSnapshots: max(2, set.Operator.Recovery.FullSnapshots),
+	}
 	name, err := f.Save(tree, head, time.Now())
 	if err != nil {
 		return err
@@ -105,7 +108,7 @@
 		if err != nil {
 			return snapshot.Chain{}, err
 		}
-		f.Deployment = set.Deployment()
+		f.Deployment = set.DeploymentName()
 	}
 	return f.Load()
 }
--- a/cmd/rillflow/tools.go
+++ b/cmd/rillflow/tools.go
@@ -42,10 +42,11 @@
 	if err != nil {
 		return nil, err
 	}
-	least := set.Facts.State.Least()
-	d := net.Dialer{Timeout: set.Report()}
+	least := set.Facts.Store.Lowest()
+	d := net.Dialer{Timeout: set.HeartbeatInterval()}
 	st := kvstore.New(kvstore.Options{
-		Addr: set.Services.State, RequestsPerSecond: least.RPS * toolShare, Timeout: 2 * set.Report(), Dial: d.DialContext,
+		Addr: set.Services.Store, RequestsPerSecond: least.RPS * toolShare,
+		Timeout: 2 * set.HeartbeatInterval(), Dial: d.DialContext,
 		Limits: kvstore.Limits{WritesPerSecond: least.WriteRPS * toolShare, MaxValueBytes: int(least.ValueKB * 1024)},
 	})
 	return &desk{set, st, ring}, nil
@@ -59,7 +60,9 @@
 	if h, err := os.Hostname(); err == nil {
 		by += "@" + h
 	}
-	return &identity.Admin{Store: d.st, Ring: d.ring, Actor: by, Audited: d.set.Operator.Access.Audited(), Now: time.Now}
+	return &identity.Admin{
+		Store: d.st, Ring: d.ring, Actor: by, Audited: d.set.Operator.Access.AuditEnabled(), Now: time.Now,
+	}
 }
 
 type keysCmd struct {
@@ -242,7 +245,7 @@
 		return err
 	}
 	a := &set.Operator.Access
-	if !a.Identified() {
+	if !a.IdentitiesEnabled() {
 		fmt.Println("allowed: identities are off, everything is")
 		return nil
 	}
--- a/internal/access/authorizer.go
+++ b/internal/access/authorizer.go
@@ -48,12 +48,12 @@
 func New(settings *settings.Settings, store *kvstore.Client, keys *keyring.Ring, log *slog.Logger) *Authorizer {
 	access := &settings.Operator.Access
 	authorizer := &Authorizer{
-		controller: settings.Node, keys: keys, auditing: access.Audited(), store: store, log: log, now: time.Now,
-		refusals: refusals{interval: settings.Lease() / refusalsPerLease, startedAt: time.Now().UnixNano()},
+		controller: settings.Name, keys: keys, auditing: access.AuditEnabled(), store: store, log: log, now: time.Now,
+		refusals: refusals{interval: settings.WorkerLease() / refusalsPerLease, startedAt: time.Now().UnixNano()},
 	}
-	if access.Identified() {
+	if access.IdentitiesEnabled() {
 		authorizer.rules = &access.Rules
-		cacheLifetime := time.Duration(access.Trust * float64(settings.Lease()))
+		cacheLifetime := time.Duration(access.CacheLifetime * float64(settings.WorkerLease()))
 		authorizer.identities = identity.New(keys, cacheLifetime, settings.ClockError(), log)
 	}
 	return authorizer
--- a/internal/access/authorizer_test.go
+++ b/internal/access/authorizer_test.go
@@ -33,8 +33,8 @@
 	defer srv.Close()
 	var dial net.Dialer
 	st := kvstore.New(kvstore.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e3, Limits: kvstore.Limits{WritesPerSecond: 1e3, MaxValueBytes: 2 << 10}, Timeout: time.Second, Dial: dial.DialContext})
-	set := &settings.Settings{Node: "host-0"}
-	set.Operator.Access = settings.Access{Identities: "on", Audit: "on", Trust: 1, Rules: rights.Rules{}}
+	set := &settings.Settings{Name: "host-0"}
+	set.Operator.Access = settings.Access{Identities: "on", Audit: "on", CacheLifetime: 1, Rules: rights.Rules{}}
 	d := New(set, st, keyringtest.New(t), slog.New(slog.DiscardHandler))
 	refuse := func(n int) {
 		for range n {
@@ -65,7 +65,7 @@
 
 // Where identities are off anybody may do anything, and nothing is written.
 func TestAllowsEverybody(t *testing.T) {
-	d := New(&settings.Settings{Node: "host-0"}, nil, nil, slog.New(slog.DiscardHandler))
+	d := New(&settings.Settings{Name: "host-0"}, nil, nil, slog.New(slog.DiscardHandler))
 	req := httptest.NewRequest("GET", "/", nil)
 	req.Header.Set("Authorization", "Bearer whatever")
 	c, err := d.Identify(req)
--- a/internal/fleet/ahead.go
+++ b/internal/fleet/ahead.go
@@ -22,7 +22,7 @@
 // the rest of the work on hand. Each offering is asked for all that is missing.
 func (p *pass) scaleOutAhead() {
 	missing := p.demand.ScaleAheadCores +
-		(p.demand.OnDemandCores+p.demand.SpotCores)*(1+p.planner.settings.Operator.Fleet.Spare)
+		(p.demand.OnDemandCores+p.demand.SpotCores)*(1+p.planner.settings.Operator.Fleet.SpareCapacity)
 	for _, instance := range p.instances {
 		if instanceType := p.types[instance.InstanceType]; instanceType != nil && !instance.Releasing {
 			missing -= instanceType.CPUs
--- a/internal/fleet/frugal.go
+++ b/internal/fleet/frugal.go
@@ -43,7 +43,7 @@
 func newFrugalPass(current *pass) *frugalPass {
 	planner, demand := current.planner, current.demand
 	planner.smooth(demand, current.now)
-	spare := 1 + planner.settings.Operator.Fleet.Spare
+	spare := 1 + planner.settings.Operator.Fleet.SpareCapacity
 	spotNeed := max(demand.UrgentCores, planner.smoothedSpotCores) * spare
 	return &frugalPass{
 		pass: current,
@@ -232,7 +232,7 @@
 // spareShare returns the share of the work on hand that is kept beyond it. The more jobs there are,
 // the more evenly they come and go: the share falls with the square root of their number.
 func (p *Planner) spareShare(jobs int) float64 {
-	return p.settings.Operator.Fleet.Spare * min(1, math.Sqrt(fullSpareJobs/float64(max(jobs, 1))))
+	return p.settings.Operator.Fleet.SpareCapacity * min(1, math.Sqrt(fullSpareJobs/float64(max(jobs, 1))))
 }
 
 // smooth follows the demand for spot cores over the time of a few boots, so that instances are not
@@ -241,7 +241,7 @@
 	if p.smoothedAt.IsZero() {
 		p.smoothedAt = now
 	}
-	weight := 1 - math.Exp(-now.Sub(p.smoothedAt).Seconds()/p.settings.Lease().Seconds())
+	weight := 1 - math.Exp(-now.Sub(p.smoothedAt).Seconds()/p.settings.WorkerLease().Seconds())
 	p.smoothedAt = now
 	p.smoothedSpotCores += weight * (demand.SpotCores - p.smoothedSpotCores)
 }
--- a/internal/fleet/offering.go
+++ b/internal/fleet/offering.go
@@ -38,7 +38,7 @@
 	}
 	refused := p.refused[offered]
 	refused.count = min(refused.count+1, maxBackoffDoublings)
-	refused.retryAt = now.Add(p.settings.Report() * time.Duration(1<<refused.count))
+	refused.retryAt = now.Add(p.settings.HeartbeatInterval() * time.Duration(1<<refused.count))
 	p.refused[offered] = refused
 }
 
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -36,7 +36,7 @@
 // used twice.
 func (p *Planner) NextRequestID() string {
 	p.requests++
-	return fmt.Sprintf("%s-%d-%d", p.settings.Node, p.epoch, p.requests)
+	return fmt.Sprintf("%s-%d-%d", p.settings.Name, p.epoch, p.requests)
 }
 
 // Plan is what to do about the fleet.
@@ -68,7 +68,7 @@
 	current.instances = slices.DeleteFunc(slices.Clone(instances), func(instance Instance) bool {
 		return instance.Partitioned
 	})
-	if demand.ScaleAheadCores == 0 && p.settings.Frugal() {
+	if demand.ScaleAheadCores == 0 && p.settings.NeverScalesAhead() {
 		return newFrugalPass(current).run()
 	}
 	return current.runAhead()
@@ -81,7 +81,7 @@
 		return false
 	}
 	bootTime := settings.Seconds(instanceType.BootSeconds)
-	return p.now.Sub(instance.IdleSince) >= time.Duration(p.planner.settings.Operator.Fleet.Idle*float64(bootTime))
+	return p.now.Sub(instance.IdleSince) >= time.Duration(p.planner.settings.Operator.Fleet.IdleTimeout*float64(bootTime))
 }
 
 // maxDraining returns how many of so many instances may drain at once.
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -32,8 +32,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return NewPlanner(&settings.Settings{Node: "n", Operator: operator, Facts: settings.Facts{
+	return NewPlanner(&settings.Settings{Name: "n", Operator: operator, Facts: settings.Facts{
 		Teams:   []settings.Team{{Name: "t", CPUsMax: 24}},
-		Workers: settings.Workers{ReportS: 3, LeaseS: 30},
+		Workers: settings.WorkerTimings{HeartbeatSeconds: 3, LeaseSeconds: 30},
 	}}, 5)
 }
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -49,8 +49,8 @@
 		total += cores
 	}
 	for _, lost := range slices.Sorted(maps.Keys(replicaCores)) {
-		share := config.Operator.Fleet.Headroom
-		if config.Covered(lost) {
+		share := config.Operator.Fleet.ZoneLossHeadroom
+		if config.HasControllerInZone(lost) {
 			share *= coveredHeadroomShare
 		}
 		if lacking := share*replicaCores[lost] - (total - free[lost]); lacking > shortfall {
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -114,7 +114,7 @@
 	t.Cleanup(srv.Close)
 	set := &settings.Settings{Facts: settings.Facts{
 		Teams: []settings.Team{{Name: "vision", CPUsMax: 64, GPUsMax: 4}},
-		State: settings.State{RPS: 1e4, WriteRPS: 1e4, ValueKB: 16, TxnOps: 16, Next: &settings.NextState{ValueKB: 2, TxnOps: 4}},
+		Store: settings.StoreLimits{RPS: 1e4, WriteRPS: 1e4, ValueKB: 16, TxnOps: 16, Announced: &settings.AnnouncedStoreLimits{ValueKB: 2, TxnOps: 4}},
 	}}
 	var d net.Dialer
 	st := kvstore.New(kvstore.Options{Addr: strings.TrimPrefix(srv.URL, "http://"), RequestsPerSecond: 1e4, Limits: kvstore.Limits{WritesPerSecond: 1e4}, Timeout: 5 * time.Second, Dial: d.DialContext})
@@ -147,7 +147,7 @@
 // taken is served on.
 func TestMemoryShort(t *testing.T) {
 	u, mux := users(t, &keys{m: map[string]string{"d/req-3": `{"phase":"done","tasks":4}`}})
-	u.settings.Facts.Workers.ReportS = 2.5
+	u.settings.Facts.Workers.HeartbeatSeconds = 2.5
 	u.memoryFull = func() bool { return true }
 	if rec := submit(mux, "req-10", nil, "", ""); rec.Code != 503 || rec.Header().Get("Retry-After") != "3" {
 		t.Errorf("submission: %d, Retry-After %q", rec.Code, rec.Header().Get("Retry-After"))
--- a/internal/intake/reply.go
+++ b/internal/intake/reply.go
@@ -55,7 +55,7 @@
 		w.Header().Set("WWW-Authenticate", `Bearer realm="rillflow"`)
 		replyError(w, http.StatusUnauthorized, identity.ErrToken.Error())
 	case errors.Is(err, identity.ErrStale):
-		replyRetryAfter(w, "identities cannot be checked", api.settings.Report())
+		replyRetryAfter(w, "identities cannot be checked", api.settings.HeartbeatInterval())
 	default:
 		return false
 	}
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -45,7 +45,7 @@
 	if api.memoryFull() {
 		// What was accepted is served on; a process that ends for memory serves
 		// nobody, and the next leader would be no better off.
-		replyRetryAfter(w, "memory is short", api.settings.Report())
+		replyRetryAfter(w, "memory is short", api.settings.HeartbeatInterval())
 		return
 	}
 	began := api.now()
@@ -132,8 +132,8 @@
 // encodeRecord encodes what is stored of a job, under the lower of the limits in force and
 // those announced.
 func (api *API) encodeRecord(job *wire.Job, caller identity.Caller, decision rights.Decision) ([]byte, error) {
-	limits := api.settings.Facts.State
-	lowest := limits.Least()
+	limits := api.settings.Facts.Store
+	lowest := limits.Lowest()
 	record := ledger.JobRecord{
 		Job: *job, SubmittedMS: api.now().UnixMilli(), ChunkTasks: ledger.ChunkTasks(limits.ValueKB, lowest.ValueKB),
 	}
--- a/internal/leader/antientropy.go
+++ b/internal/leader/antientropy.go
@@ -57,7 +57,7 @@
 
 // runAntiEntropy compares one page of keys after the other.
 func (s *scrubber) runAntiEntropy(ctx context.Context) error {
-	cursor := scrubCursor{interval: s.settings.Report() / 8, keys: firstRoundAcceleration * keysPerHeartbeat}
+	cursor := scrubCursor{interval: s.settings.HeartbeatInterval() / 8, keys: firstRoundAcceleration * keysPerHeartbeat}
 	for sleep(ctx, cursor.interval) {
 		before, _ := s.replica.Tree()
 		prefix := scrubPrefixes[cursor.prefix]
@@ -74,7 +74,7 @@
 		}
 		if cursor.after = last; last == "" {
 			cursor.prefix = (cursor.prefix + 1) % len(scrubPrefixes)
-			cursor.interval, cursor.keys = s.settings.Report(), keysPerHeartbeat
+			cursor.interval, cursor.keys = s.settings.HeartbeatInterval(), keysPerHeartbeat
 		}
 	}
 	return ctx.Err()
@@ -149,7 +149,7 @@
 		return false, nil
 	}
 	// Deleted by somebody meanwhile, and the replica is yet to be told?
-	if !sleep(ctx, s.settings.Report()/4) {
+	if !sleep(ctx, s.settings.HeartbeatInterval()/4) {
 		return false, ctx.Err()
 	}
 	_, remembered := s.replica.Get(key)
--- a/internal/leader/auditcollector.go
+++ b/internal/leader/auditcollector.go
@@ -22,8 +22,8 @@
 		return nil
 	}
 	return c.store.WatchPrefix(ctx, kvstore.Watcher{
-		Prefix: audit.SlipPrefix, PollWait: c.settings.Lease() / 2,
-		BackoffBase: c.settings.Report() / 32, BackoffLimit: c.settings.Report() / 4,
+		Prefix: audit.SlipPrefix, PollWait: c.settings.WorkerLease() / 2,
+		BackoffBase: c.settings.HeartbeatInterval() / 32, BackoffLimit: c.settings.HeartbeatInterval() / 4,
 		OnSnapshot: func(items []wire.KeyValue, _ time.Time) {
 			c.mu.Lock()
 			for _, item := range items {
--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -40,7 +40,7 @@
 // requests what is needed.
 func (a *autoscaler) runAutoscaler(ctx context.Context) error {
 	budgeted := time.Duration(float64(time.Second) * requestsPerInterval / a.settings.Facts.Cloud.RPS)
-	interval := max(a.settings.Report()/2, budgeted)
+	interval := max(a.settings.HeartbeatInterval()/2, budgeted)
 	for round := 0; ; round++ {
 		if !a.leadership.LeaseHeld(a.now()) {
 			if !sleep(ctx, interval) {
@@ -94,7 +94,7 @@
 func (a *autoscaler) plan(now time.Time) fleet.Plan {
 	instanceTypes := a.instanceTypes.InstanceTypes()
 	fleetKnown := a.leadership.Incarnation().Phase == dataloss.PhaseProvisional ||
-		now.Sub(a.startedAt) > a.settings.Report()
+		now.Sub(a.startedAt) > a.settings.HeartbeatInterval()
 	if instanceTypes == nil || !fleetKnown {
 		return fleet.Plan{}
 	}
@@ -185,12 +185,12 @@
 // it is not thereby gone.
 func (a *autoscaler) mergeInstanceList(list []wire.Instance) {
 	now := a.now()
-	listLag := time.Duration(a.settings.Facts.Cloud.ListLagS * float64(time.Second))
+	listLag := time.Duration(a.settings.Facts.Cloud.ListLagSeconds * float64(time.Second))
 	present := make(map[string]bool, len(list))
 	for _, instance := range list {
 		present[instance.Name] = true
 		releasedAt := a.released[instance.Name]
-		if !releasedAt.IsZero() && now.Sub(releasedAt) < 3*listLag+a.settings.Report() {
+		if !releasedAt.IsZero() && now.Sub(releasedAt) < 3*listLag+a.settings.HeartbeatInterval() {
 			continue // the list is behind
 		}
 		a.instances[instance.Name] = instance
@@ -207,7 +207,7 @@
 		}
 	}
 	for name, releasedAt := range a.released {
-		if !releasedAt.IsZero() && !present[name] && now.Sub(releasedAt) > 4*listLag+a.settings.Lease() {
+		if !releasedAt.IsZero() && !present[name] && now.Sub(releasedAt) > 4*listLag+a.settings.WorkerLease() {
 			delete(a.released, name)
 		}
 	}
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -57,7 +57,7 @@
 
 func (c *cancellations) launchesResolved(jobIDs []string) bool {
 	now := c.now()
-	suspectAfter := time.Duration(c.settings.Operator.Fleet.Silence * float64(c.settings.Report()))
+	suspectAfter := time.Duration(c.settings.Operator.Fleet.FailureTimeout * float64(c.settings.HeartbeatInterval()))
 	for _, jobID := range jobIDs {
 		job := c.jobs.Job(jobID)
 		if job == nil || !job.Cancelled || now.Sub(job.CancelledAt) > suspectAfter {
@@ -129,7 +129,7 @@
 func (c *cancellations) hasOverdueTask(worker *agent.Worker, now time.Time) bool {
 	// The time of a cancellation may be by another controller's clock: both may be off.
 	clockErrors := 2 * c.settings.ClockError()
-	grace := settings.Seconds(c.settings.Facts.Workers.CancelS) - 2*c.settings.Report() - clockErrors
+	grace := settings.Seconds(c.settings.Facts.Workers.CancelSeconds) - 2*c.settings.HeartbeatInterval() - clockErrors
 	for _, claim := range c.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Job.Cancelled && !claim.Finished && now.Sub(claim.Job.CancelledAt) > grace {
 			return true
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -29,7 +29,7 @@
 			leader := newTestTerm(t)
 			leader.heartbeats.latencies = newLatencies()
 			leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 7, Owners: []string{"n"}}}
-			leader.settings.Facts.Workers.CancelS = 50
+			leader.settings.Facts.Workers.CancelSeconds = 50
 			job := leader.addTestJob("req-1", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			leader.addTestJob("req-2", wire.Job{Class: "f", TaskCount: 1, CPUs: 2})
 			leader.runTestTask(t, job, "h0", time.Minute)
--- a/internal/leader/claimwriter.go
+++ b/internal/leader/claimwriter.go
@@ -164,10 +164,10 @@
 
 // maxWriteDelay is how long changes that nothing waits for are put off for more urgent ones, and
 // queued audit entries for a batch to go with.
-func (w *claimWriter) maxWriteDelay() time.Duration { return w.settings.Report() / 2 }
+func (w *claimWriter) maxWriteDelay() time.Duration { return w.settings.HeartbeatInterval() / 2 }
 
 // coalesceDelay is how long non-urgent changes are collected before they are written.
-func (w *claimWriter) coalesceDelay() time.Duration { return w.settings.Report() / 16 }
+func (w *claimWriter) coalesceDelay() time.Duration { return w.settings.HeartbeatInterval() / 16 }
 
 // awaitWriteBudget waits for the write budget, or for something more urgent to write. It
 // returns false if ctx ended.
--- a/internal/leader/claimwriter_test.go
+++ b/internal/leader/claimwriter_test.go
@@ -18,7 +18,7 @@
 	leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 1}}
 	at := now
 	leader.now = func() time.Time { return at }
-	leader.settings.Facts.State = settings.State{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
+	leader.settings.Facts.Store = settings.StoreLimits{WriteRPS: 1000, TxnOps: 4, ValueKB: 16}
 	leader.store = kvstore.New(kvstore.Options{
 		RequestsPerSecond: 1000, Limits: kvstore.Limits{WritesPerSecond: 1000, MaxValueBytes: 16 << 10},
 	})
@@ -45,7 +45,7 @@
 	for i := range 20 {
 		urgent := leader.addTestJob(fmt.Sprint("req-1", i), wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 0.1})
 		claim(urgent)
-		at = at.Add(leader.settings.Report() / 8)
+		at = at.Add(leader.settings.HeartbeatInterval() / 8)
 		if refs := commit(); refs[0] == "req-1" {
 			first = i
 			break
--- a/internal/leader/commander.go
+++ b/internal/leader/commander.go
@@ -61,7 +61,7 @@
 		// A worker that does not take commands gets them with its next heartbeat.
 		c.log.Debug("direct command failed", "worker", worker.Name, "refused", refused, "err", err)
 		if unheard {
-			kvstore.Backoff(ctx, attempt, c.settings.Report()/8, c.settings.Report())
+			kvstore.Backoff(ctx, attempt, c.settings.HeartbeatInterval()/8, c.settings.HeartbeatInterval())
 			attempt = min(attempt+1, maxCommandAttempts)
 		}
 	}
@@ -121,7 +121,7 @@
 			continue
 		}
 		worker := c.registry.worker(instance.Name)
-		overdue := worker.LastHeartbeat.IsZero() && now.Sub(c.startedAt) > c.settings.Report()/2 ||
+		overdue := worker.LastHeartbeat.IsZero() && now.Sub(c.startedAt) > c.settings.HeartbeatInterval()/2 ||
 			!worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) > c.heartbeatLateAfter()
 		if overdue && !worker.Polling && len(pollable) < maxPolls {
 			worker.Polling = true
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -107,7 +107,7 @@
 			continue
 		}
 		for _, claim := range a.jobs.ClaimsOnWorker(instance.Name) {
-			if claim.Job.Spec.Kind != wire.KindService || a.settings.Covered(instance.Zone) {
+			if claim.Job.Spec.Kind != wire.KindService || a.settings.HasControllerInZone(instance.Zone) {
 				tasks[claim.Job]++
 			}
 		}
@@ -119,7 +119,7 @@
 // the term.
 func (a *autoscaler) noteScaledAheadTeams() {
 	for _, job := range a.jobs.Jobs() {
-		if !job.Cancelled && !job.Finished && job.DependenciesMet() && a.settings.Ample(job.Spec.Class) {
+		if !job.Cancelled && !job.Finished && job.DependenciesMet() && a.settings.ScalesAhead(job.Spec.Class) {
 			a.scaledAheadTeams[job.Spec.Team] = true
 		}
 	}
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -37,7 +37,7 @@
 // cancellations. Both begin with what the store has, so that a new leader goes on where the
 // last one stopped.
 func (d *dependencies) runDependencies(ctx context.Context) error {
-	ticker := time.NewTicker(d.settings.Report() / 6)
+	ticker := time.NewTicker(d.settings.HeartbeatInterval() / 6)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -96,7 +96,7 @@
 // A job that waits for others is in no queue, has nothing scaled out and counts nowhere.
 func TestBlockedJobIsNotQueued(t *testing.T) {
 	leader := newTestTerm(t)
-	leader.settings.Operator.Fleet.Thrift = "always"
+	leader.settings.Operator.Fleet.CostSaving = "always"
 	leader.addTestJob("req-1", wire.Job{Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 1, CPUs: 1})
 	leader.addTestJob("req-2", wire.Job{
 		Class: "x", Kind: wire.KindArray, Priority: "idle", TaskCount: 50, CPUs: 1, AllowSpot: true,
@@ -157,7 +157,7 @@
 				facts := &leader.settings.Facts
 				facts.Objectives = append(facts.Objectives, settings.Objective{Kind: "price"})
 			}
-			leader.settings.Operator.Fleet.Thrift = "auto"
+			leader.settings.Operator.Fleet.CostSaving = "auto"
 			job := leader.addTestJob("req-1", wire.Job{
 				Kind: wire.KindArray, Priority: "idle", TaskCount: tc.tasks, CPUs: 1, AllowSpot: true,
 			})
--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -169,7 +169,7 @@
 		}
 		var target *candidate
 		if d.hasRunLongEnough(claim, now) {
-			target = d.findReplacement(claim, candidates, !d.settings.Frugal())
+			target = d.findReplacement(claim, candidates, !d.settings.NeverScalesAhead())
 		}
 		if target == nil {
 			for _, restore := range undo {
@@ -196,5 +196,5 @@
 // hasRunLongEnough tells whether a task has run long enough to be moved: one stopped
 // soon after its start was as good as never started to its users.
 func (d *drainer) hasRunLongEnough(claim *ledger.Claim, now time.Time) bool {
-	return !claim.RunningSince.IsZero() && now.Sub(claim.RunningSince) > 2*d.settings.Lease()
+	return !claim.RunningSince.IsZero() && now.Sub(claim.RunningSince) > 2*d.settings.WorkerLease()
 }
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -56,7 +56,7 @@
 		notify(m.scheduleSignal)
 		notify(m.writeSignal)
 		if isolated {
-			m.elector.StepDown(m.settings.Lease(), "no worker is heard")
+			m.elector.StepDown(m.settings.WorkerLease(), "no worker is heard")
 		}
 		for _, worker := range pollable {
 			m.group.Go(func() error { m.commander.pollWorker(ctx, worker); return nil })
@@ -90,7 +90,7 @@
 // fell silent at about the same time though there are several. Where its peers
 // hear none either, another leader would be no better off.
 func (m *failureMonitor) isolated(now time.Time) bool {
-	if len(m.settings.Members) == 0 || m.heartbeats.lastHeartbeat.IsZero() {
+	if len(m.settings.Peers) == 0 || m.heartbeats.lastHeartbeat.IsZero() {
 		return false
 	}
 	heardWorkers := 0
@@ -99,7 +99,7 @@
 			heardWorkers++
 		}
 	}
-	return heardWorkers >= minWorkersToJudge && now.Sub(m.heartbeats.lastHeartbeat) > 2*m.settings.Report() &&
+	return heardWorkers >= minWorkersToJudge && now.Sub(m.heartbeats.lastHeartbeat) > 2*m.settings.HeartbeatInterval() &&
 		!m.shards.PeersHearNoWorkers()
 }
 
@@ -168,7 +168,7 @@
 			return releaseExpired
 		}
 	case m.silentTooLong(worker, now),
-		worker.LastHeartbeat.IsZero() && !listed && len(claims) > 0 && now.Sub(m.startedAt) > m.settings.Lease():
+		worker.LastHeartbeat.IsZero() && !listed && len(claims) > 0 && now.Sub(m.startedAt) > m.settings.WorkerLease():
 		return releaseSilent
 	case listed && instance.Phase == wire.InstanceStarting && len(claims) == 0 && neverUp(worker, instanceType, now):
 		return releaseNeverUp
@@ -184,7 +184,7 @@
 // silentTooLong tells whether a worker that was up has been silent for longer than is waited
 // for: less where the cloud said that it would take the instance, for there is less to doubt.
 func (m *failureMonitor) silentTooLong(worker *agent.Worker, now time.Time) bool {
-	silenceLimit := time.Duration(m.settings.Operator.Fleet.Silence * float64(m.settings.Report()))
+	silenceLimit := time.Duration(m.settings.Operator.Fleet.FailureTimeout * float64(m.settings.HeartbeatInterval()))
 	wasUp := !worker.LastHeartbeat.IsZero() || !worker.ListedRunningAt.IsZero()
 	reclaimed := !worker.ReclaimAt.IsZero() && now.After(worker.ReclaimAt)
 	return wasUp && m.silentFor(worker, now) > silenceLimit ||
@@ -205,7 +205,7 @@
 func (m *failureMonitor) runsService(claims map[ledger.Task]*ledger.Claim, now time.Time) bool {
 	for _, claim := range claims {
 		if claim.Job.Spec.Kind == wire.KindService && !claim.RunningSince.IsZero() &&
-			now.Sub(claim.RunningSince) > m.settings.Lease() {
+			now.Sub(claim.RunningSince) > m.settings.WorkerLease() {
 			return true
 		}
 	}
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -77,8 +77,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
 			leader.settings.Zone = "a"
-			leader.settings.Members = append(leader.settings.Members, testPeer("m", "b"))
-			leader.settings.Facts.Workers.CancelS = 50
+			leader.settings.Peers = append(leader.settings.Peers, testPeer("m", "b"))
+			leader.settings.Facts.Workers.CancelSeconds = 50
 			leader.startedAt = now.Add(-time.Hour)
 			for i := range 24 {
 				name := fmt.Sprint("h", i)
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -47,7 +47,7 @@
 
 // retryDelay is how long a job waits after so many failures in a row.
 func (f *faultTracker) retryDelay(failures int) time.Duration {
-	return min(f.settings.Report()/2<<min(failures, maxRetryDelayShift), 2*f.settings.Lease())
+	return min(f.settings.HeartbeatInterval()/2<<min(failures, maxRetryDelayShift), 2*f.settings.WorkerLease())
 }
 
 // jobFaulty tells whether a job fails on workers that do not fail other jobs.
@@ -81,7 +81,7 @@
 // released, because most workers fail or for what runs there, is tried again once in a lease:
 // it may be well by then, and only a success shows that.
 func (f *faultTracker) quarantined(worker *agent.Worker, now time.Time) bool {
-	return f.workerFaulty(worker) && now.Sub(worker.LastFailure) < f.settings.Lease()
+	return f.workerFaulty(worker) && now.Sub(worker.LastFailure) < f.settings.WorkerLease()
 }
 
 // mostWorkersFaulty tells whether so many workers fail tasks that the tasks are the
--- a/internal/leader/inheritance.go
+++ b/internal/leader/inheritance.go
@@ -52,7 +52,7 @@
 	}
 	for i, objective := range objectives {
 		if objective.Kind == "deadline" && objective.Class == job.Spec.Class && job.Spec.DeadlineSeconds > 0 {
-			seconds := job.Spec.DeadlineSeconds * max(objective.Times, 1)
+			seconds := job.Spec.DeadlineSeconds * max(objective.DeadlineFactor, 1)
 			own.Deadlines[i] = job.ArrivedAt.Add(time.Duration(seconds * float64(time.Second)))
 		}
 	}
@@ -63,7 +63,7 @@
 // is done, and until that is known to the next step.
 func (d *dependencies) stepDuration(job *ledger.Job) time.Duration {
 	longest := longestTaskRatio * job.Spec.ExpectedSeconds
-	return time.Duration(longest*float64(time.Second)) + d.settings.Report()/2
+	return time.Duration(longest*float64(time.Second)) + d.settings.HeartbeatInterval()/2
 }
 
 // effectivePriority is the priority that a job is scheduled by.
--- a/internal/leader/jobwatcher.go
+++ b/internal/leader/jobwatcher.go
@@ -22,7 +22,7 @@
 // watchJobs follows the live jobs from a revision on.
 func (w *jobWatcher) watchJobs(ctx context.Context, revision uint64) error {
 	for attempt := 0; ctx.Err() == nil; {
-		events, err := w.store.Watch(ctx, ledger.LivePrefix, revision, w.settings.Lease()/2)
+		events, err := w.store.Watch(ctx, ledger.LivePrefix, revision, w.settings.WorkerLease()/2)
 		if errors.Is(err, kvstore.ErrCompacted) {
 			return err // a new term reads everything afresh
 		}
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -26,14 +26,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	config := &settings.Settings{Node: "n", Operator: operator, Facts: settings.Facts{
-		Workers: settings.Workers{ReportS: 3, LeaseS: 30},
+	config := &settings.Settings{Name: "n", Operator: operator, Facts: settings.Facts{
+		Workers: settings.WorkerTimings{HeartbeatSeconds: 3, LeaseSeconds: 30},
 		Teams:   []settings.Team{{Name: "t", CPUs: 100, CPUsMax: 100}, {Name: "u", CPUs: 4, CPUsMax: 100}},
 		Objectives: []settings.Objective{
-			{Kind: "finished", Class: "f", WithinS: 60},
-			{Kind: "finished", Class: "f", WithinS: 120},
-			{Kind: "deadline", Class: "d", Times: 1.5},
-			{Kind: "wait", Class: "s", WithinS: 12},
+			{Kind: "finished", Class: "f", WithinSeconds: 60},
+			{Kind: "finished", Class: "f", WithinSeconds: 120},
+			{Kind: "deadline", Class: "d", DeadlineFactor: 1.5},
+			{Kind: "wait", Class: "s", WithinSeconds: 12},
 		},
 	}}
 	instanceTypes := fleet.NewCatalogue(nil, time.Minute, nil)
@@ -63,8 +63,8 @@
 }
 
 // testPeer is another controller.
-func testPeer(node, zone string) settings.Member {
-	return settings.Member{Node: node, Zone: zone, Endpoint: node + ":1"}
+func testPeer(node, zone string) settings.Peer {
+	return settings.Peer{Name: node, Zone: zone, Endpoint: node + ":1"}
 }
 
 // addTestJob adds a live job, of team t unless the spec names one.
--- a/internal/leader/load_test.go
+++ b/internal/leader/load_test.go
@@ -128,7 +128,7 @@
 		ctx, cancel := context.WithCancel(b.Context())
 		group, ctx := errgroup.WithContext(ctx)
 		env := &environment{
-			settings: &settings.Settings{Node: "n"}, store: client, replica: replica.New(1 << 20),
+			settings: &settings.Settings{Name: "n"}, store: client, replica: replica.New(1 << 20),
 			log: slog.New(slog.DiscardHandler), now: time.Now,
 		}
 		leader := newLeaderTerm(ctx, env, leadership, 2, group)
--- a/internal/leader/mergesources.go
+++ b/internal/leader/mergesources.go
@@ -22,7 +22,7 @@
 	progress := &recoveryProgress{full: phase == dataloss.PhaseRecovering}
 	progress.exact = progress.full && l.remembersAllLaunches()
 	replicas, missingPeers := l.replicaSources(ctx, progress.full)
-	writer := fmt.Sprintf("%s.%d.r", l.settings.Node, l.firstEpoch)
+	writer := fmt.Sprintf("%s.%d.r", l.settings.Name, l.firstEpoch)
 	merged, err := recovery.Merge(append(replicas, stored), writer, l.baseAttempt(), l.store.MaxValueBytes())
 	if err != nil {
 		return merged, err
@@ -42,7 +42,7 @@
 // replica has every claim that a start command may have been given for.
 func (l *loader) remembersAllLaunches() bool {
 	head, previous := l.replica.Head(), l.leadership.PreviousMap()
-	return previous.Leader == l.settings.Node && head.Epoch > 0 && l.replica.HoldsAllLaunches()
+	return previous.Leader == l.settings.Name && head.Epoch > 0 && l.replica.HoldsAllLaunches()
 }
 
 // storeSource returns what the store still holds.
@@ -64,7 +64,7 @@
 // replicaSources returns what this controller and its peers remember, and the peers that could
 // not be asked. Unless the recovery is full only end records count: all else is stored again.
 func (l *loader) replicaSources(ctx context.Context, full bool) (sources []recovery.Source, missingPeers []string) {
-	collectCtx, cancel := context.WithTimeout(ctx, l.settings.Report())
+	collectCtx, cancel := context.WithTimeout(ctx, l.settings.HeartbeatInterval())
 	trees, missingPeers := replica.Collect(collectCtx, l.replicaPeers, l.replicaPeers.Followers())
 	cancel()
 	for _, tree := range append(l.replica.Sources(), trees...) {
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -52,11 +52,11 @@
 	m.term = &fakeLeadership{m.nextShardMap([]string{"m", "n"})}
 	m.knownShards = m.term.shards
 	m.set = &settings.Settings{
-		Node: "n", Zone: "a", Operator: operator, Members: []settings.Member{{Node: "m", Zone: "b"}},
+		Name: "n", Zone: "a", Operator: operator, Peers: []settings.Peer{{Name: "m", Zone: "b"}},
 		Facts: settings.Facts{
-			Workers: settings.Workers{ReportS: 3, LeaseS: 30, CancelS: 50},
+			Workers: settings.WorkerTimings{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 50},
 			Teams:   []settings.Team{{Name: "t", CPUs: m.limit, CPUsMax: m.limit}},
-			State:   settings.State{TxnOps: 16, ValueKB: 16},
+			Store:   settings.StoreLimits{TxnOps: 16, ValueKB: 16},
 		},
 	}
 	for i, zone := range []string{"a", "b", "a", "b"} {
--- a/internal/leader/offer.go
+++ b/internal/leader/offer.go
@@ -159,7 +159,7 @@
 // reclaim: it has a deadline or others with one wait for it, so that one lost task holds all
 // up, and the users name no price.
 func (o *offerMaker) prefersOnDemand(job *ledger.Job) bool {
-	return !o.settings.Frugal() &&
+	return !o.settings.NeverScalesAhead() &&
 		slices.ContainsFunc(o.dependencies.inherited(job).Deadlines, func(deadline time.Time) bool {
 			return !deadline.IsZero()
 		})
@@ -181,7 +181,7 @@
 // requestPicks has the shard owners pick, all at once, and returns the picks of all in the
 // order in which they are to be confirmed. It is called without the term's lock.
 func (o *offerMaker) requestPicks(ctx context.Context, offers map[string]*placement.Offer) []placement.Pick {
-	ctx, cancel := context.WithTimeout(ctx, o.settings.Report()/pickTimeoutsPerHeartbeat)
+	ctx, cancel := context.WithTimeout(ctx, o.settings.HeartbeatInterval()/pickTimeoutsPerHeartbeat)
 	defer cancel()
 	var mu sync.Mutex
 	var all []placement.Pick
@@ -208,9 +208,9 @@
 		return picks
 	}
 	o.log.Debug("shard owner did not pick", "owner", owner, "err", err)
-	picks, err = o.shards.Pick(ctx, o.settings.Node, offer)
+	picks, err = o.shards.Pick(ctx, o.settings.Name, offer)
 	if err != nil {
-		o.log.Debug("shard owner did not pick", "owner", o.settings.Node, "err", err)
+		o.log.Debug("shard owner did not pick", "owner", o.settings.Name, "err", err)
 	}
 	return picks
 }
--- a/internal/leader/offer_test.go
+++ b/internal/leader/offer_test.go
@@ -36,7 +36,7 @@
 	picks := leader.scheduler.offers.requestPicks(t.Context(), map[string]*placement.Offer{
 		"far": {Candidates: []placement.Candidate{{Worker: "h0"}, {Worker: "h1"}}},
 	})
-	if len(picks) != 2 || len(owners.asked) != 2 || owners.asked[1] != leader.settings.Node {
+	if len(picks) != 2 || len(owners.asked) != 2 || owners.asked[1] != leader.settings.Name {
 		t.Errorf("%d picks, asked %v", len(picks), owners.asked)
 	}
 }
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -56,7 +56,7 @@
 
 // resolveOrphans finds out which orphaned jobs have ended.
 func (o *orphanTracker) resolveOrphans(ctx context.Context) error {
-	for sleep(ctx, o.settings.Report()/2) {
+	for sleep(ctx, o.settings.HeartbeatInterval()/2) {
 		o.mu.Lock()
 		unresolved := o.unresolvedJobs()
 		o.reserveForOrphans()
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -25,7 +25,7 @@
 		if reported {
 			return nil
 		}
-		if !sleep(ctx, r.settings.Report()/4) {
+		if !sleep(ctx, r.settings.HeartbeatInterval()/4) {
 			return ctx.Err()
 		}
 	}
@@ -36,11 +36,11 @@
 // of the store: all workers that are up, or for a lease. A worker that has seen an epoch of it
 // ends the term at once.
 func (r *dataRecovery) awaitEarlierEpochs(ctx context.Context) error {
-	for sleep(ctx, r.settings.Report()/2) {
+	for sleep(ctx, r.settings.HeartbeatInterval()/2) {
 		r.mu.Lock()
 		elapsed := r.now().Sub(r.startedAt)
-		done := elapsed > r.settings.Lease() ||
-			len(r.instances) > 0 && elapsed > r.settings.Report() && len(r.unreportedWorkers()) == 0
+		done := elapsed > r.settings.WorkerLease() ||
+			len(r.instances) > 0 && elapsed > r.settings.HeartbeatInterval() && len(r.unreportedWorkers()) == 0
 		r.mu.Unlock()
 		if done {
 			return nil
@@ -51,15 +51,15 @@
 
 // listLag is how long the cloud may take to list an instance, with a margin.
 func (r *dataRecovery) listLag() time.Duration {
-	return settings.Seconds(2 * r.settings.Facts.Cloud.ListLagS)
+	return settings.Seconds(2 * r.settings.Facts.Cloud.ListLagSeconds)
 }
 
 // allWorkersReported tells whether all workers that may have tasks have reported in this term,
 // or their leases are over: what only workers know is known by then. Callers hold mu.
 func (r *dataRecovery) allWorkersReported(now time.Time) bool {
 	elapsed := now.Sub(r.startedAt)
-	return elapsed > r.settings.Lease()+r.settings.Report() ||
-		elapsed > max(r.listLag(), r.settings.Report()) && len(r.unreportedWorkers()) == 0
+	return elapsed > r.settings.WorkerLease()+r.settings.HeartbeatInterval() ||
+		elapsed > max(r.listLag(), r.settings.HeartbeatInterval()) && len(r.unreportedWorkers()) == 0
 }
 
 // unreportedWorkers returns the workers that are up, or have claims, and have not come to this
@@ -93,7 +93,7 @@
 	}
 	unreported := r.unreportedWorkers()
 	elapsed := now.Sub(r.startedAt)
-	if elapsed < r.settings.Lease()+r.settings.Report() {
+	if elapsed < r.settings.WorkerLease()+r.settings.HeartbeatInterval() {
 		if !progress.exact && elapsed < r.listLag() || len(unreported) > 0 {
 			return true
 		}
--- a/internal/leader/placementhold_test.go
+++ b/internal/leader/placementhold_test.go
@@ -18,7 +18,7 @@
 	startedAt := time.Unix(1000, 0)
 	env := &environment{
 		settings: &settings.Settings{Facts: settings.Facts{
-			Workers: settings.Workers{ReportS: 3, LeaseS: 30}, Cloud: settings.Cloud{ListLagS: 5},
+			Workers: settings.WorkerTimings{HeartbeatSeconds: 3, LeaseSeconds: 30}, Cloud: settings.CloudLimits{ListLagSeconds: 5},
 		}},
 		log: slog.New(slog.DiscardHandler), now: func() time.Time { return startedAt },
 	}
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -43,7 +43,7 @@
 			if !p.mayPreempt(job, now) {
 				continue
 			}
-			job.NextPreemptionAt = now.Add(p.settings.Report() / preemptionsPerHeartbeat)
+			job.NextPreemptionAt = now.Add(p.settings.HeartbeatInterval() / preemptionsPerHeartbeat)
 			if candidates == nil {
 				candidates = p.scheduler.candidates(now)
 			}
@@ -55,7 +55,8 @@
 // mayPreempt reports whether others may be stopped for a job now.
 func (p *preemptor) mayPreempt(job *ledger.Job, now time.Time) bool {
 	return p.dependencies.effectivePriority(job) < standardPriority && job.WaitingTasks() > 0 && !job.IsGang() &&
-		now.Sub(job.WaitingSince) >= p.settings.Report()/preemptionWaitsPerHeartbeat && !now.Before(job.NextPreemptionAt)
+		now.Sub(job.WaitingSince) >= p.settings.HeartbeatInterval()/preemptionWaitsPerHeartbeat &&
+		!now.Before(job.NextPreemptionAt)
 }
 
 // preemptFor stops a task for each waiting task of a job for which one may be.
@@ -125,7 +126,7 @@
 // aboutToFinish reports whether a task that ran for some seconds is expected to finish within a
 // heartbeat interval, or should have within the last.
 func (p *preemptor) aboutToFinish(claim *ledger.Claim, ran float64) bool {
-	expected, heartbeat := claim.Job.Spec.ExpectedSeconds, p.settings.Facts.Workers.ReportS
+	expected, heartbeat := claim.Job.Spec.ExpectedSeconds, p.settings.Facts.Workers.HeartbeatSeconds
 	return expected > 0 && ran > expected-heartbeat && ran < expected+heartbeat
 }
 
--- a/internal/leader/registry.go
+++ b/internal/leader/registry.go
@@ -43,7 +43,7 @@
 		worker.ShardOwner, worker.ShardOwnerSince = owner, r.now()
 	}
 	switch {
-	case worker.ShardOwner != r.settings.Node || worker.Zone == "" || r.settings.Near(worker.Zone, shardMap.Owners):
+	case worker.ShardOwner != r.settings.Name || worker.Zone == "" || r.settings.AnyInZone(worker.Zone, shardMap.Owners):
 		worker.SoleOwnerEpoch = 0
 	case worker.SoleOwnerEpoch == 0:
 		worker.SoleOwnerEpoch = shardMap.Epoch
--- a/internal/leader/replicafeeder.go
+++ b/internal/leader/replicafeeder.go
@@ -34,7 +34,7 @@
 				delete(f.cancels, follower)
 			}
 		}
-		if !sleep(ctx, f.settings.Report()/2) {
+		if !sleep(ctx, f.settings.HeartbeatInterval()/2) {
 			return ctx.Err()
 		}
 	}
@@ -44,7 +44,7 @@
 func (f *replicaFeeder) replicate(ctx context.Context, follower string) {
 	replicateCtx, cancel := context.WithCancel(ctx)
 	f.cancels[follower] = cancel
-	interval := f.settings.Report() / time.Duration(pushesPerHeartbeat)
+	interval := f.settings.HeartbeatInterval() / time.Duration(pushesPerHeartbeat)
 	f.group.Go(func() error {
 		// It ends with its context only. That is no failure of the term.
 		_ = f.replica.Replicate(replicateCtx, f.replicaPeers, follower, interval)
--- a/internal/leader/reservation_test.go
+++ b/internal/leader/reservation_test.go
@@ -25,7 +25,7 @@
 			t.Fatal("capacity is reserved for a task that just came")
 		}
 	}
-	late := now.Add(5 * leader.settings.Lease())
+	late := now.Add(5 * leader.settings.WorkerLease())
 	small.WaitingSince = late
 	leader.scheduler.reserveCapacity(queues, candidates, late)
 	reserved := 0
--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -129,7 +129,7 @@
 	}
 	t.mu.Lock()
 	t.auditLog.enqueue(t.now(), audit.Entry{
-		Act: audit.TookOver, On: t.settings.Node, Why: fmt.Sprintf("epoch %d", t.firstEpoch),
+		Act: audit.TookOver, On: t.settings.Name, Why: fmt.Sprintf("epoch %d", t.firstEpoch),
 	})
 	phase := t.leadership.Incarnation().Phase
 	if phase == dataloss.PhaseComplete || phase == dataloss.PhaseProvisional {
@@ -157,7 +157,7 @@
 	if term == nil {
 		return wire.CommandBatch{}, nil, ErrNotLeading
 	}
-	timer := time.NewTimer(r.settings.Report() / 2)
+	timer := time.NewTimer(r.settings.HeartbeatInterval() / 2)
 	defer timer.Stop()
 	select {
 	case <-term.ready:
@@ -180,6 +180,6 @@
 	defer term.mu.Unlock()
 	return !slices.ContainsFunc(term.workersByName, func(worker *agent.Worker) bool {
 		_, leaving := term.released[worker.Name]
-		return worker.ShardOwner == term.settings.Node && !leaving && !worker.LastHeartbeat.IsZero()
+		return worker.ShardOwner == term.settings.Name && !leaving && !worker.LastHeartbeat.IsZero()
 	})
 }
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -56,7 +56,7 @@
 		}
 		for s.pass(ctx) {
 		}
-		if !sleep(ctx, s.settings.Report()/passesPerHeartbeat) {
+		if !sleep(ctx, s.settings.HeartbeatInterval()/passesPerHeartbeat) {
 			return ctx.Err()
 		}
 	}
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -61,7 +61,7 @@
 			k.mu.Unlock()
 		}
 		// At most once in a heartbeat interval: each makes every worker report.
-		if !sleep(ctx, k.settings.Report()) {
+		if !sleep(ctx, k.settings.HeartbeatInterval()) {
 			return ctx.Err()
 		}
 	}
@@ -76,7 +76,7 @@
 	for sleep(ctx, k.monitorInterval()) {
 		now := k.now()
 		known := k.elector.ShardMap()
-		if known.Epoch > k.leadership.Epoch() && known.Leader != k.settings.Node {
+		if known.Epoch > k.leadership.Epoch() && known.Leader != k.settings.Name {
 			return fmt.Errorf("%w: %s leads under epoch %d", election.ErrDeposed, known.Leader, known.Epoch)
 		}
 		if k.shards.StoreRefuses() {
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -15,7 +15,8 @@
 
 // newFailureDetector makes the detector that judges who is at fault for silence.
 func newFailureDetector(config *settings.Settings) *failuredetector.Detector {
-	return failuredetector.New(time.Duration(missedHeartbeatRatio*float64(config.Report())), config.Lease())
+	interval := float64(config.HeartbeatInterval())
+	return failuredetector.New(time.Duration(missedHeartbeatRatio*interval), config.WorkerLease())
 }
 
 // silentFor is for how long a worker that should be heard was not. It has had no way
@@ -75,7 +76,7 @@
 		return false
 	}
 	fault, since := m.detector.FaultOf(observation)
-	patience := time.Duration(m.settings.Operator.Fleet.Patience * float64(m.settings.Lease()))
+	patience := time.Duration(m.settings.Operator.Fleet.GroupOutageGrace * float64(m.settings.WorkerLease()))
 	return fault >= failuredetector.FaultShardOwner && now.Sub(since) < patience
 }
 
@@ -83,5 +84,5 @@
 // controller is in its zone to answer it, and it was last heard more than a lease ago. That
 // is no proof where another controller owns it, but the release of its instance is.
 func (m *failureMonitor) likelyExpired(worker *agent.Worker, now time.Time) bool {
-	return !m.settings.Covered(worker.Zone) && m.silentFor(worker, now) > m.leaseOverAfter()
+	return !m.settings.HasControllerInZone(worker.Zone) && m.silentFor(worker, now) > m.leaseOverAfter()
 }
--- a/internal/leader/slack.go
+++ b/internal/leader/slack.go
@@ -63,7 +63,7 @@
 }
 
 // lastChanceMargin is how long before the latest start a job counts as having its last chance.
-func (r *jobRanking) lastChanceMargin() time.Duration { return r.settings.Lease() / 2 }
+func (r *jobRanking) lastChanceMargin() time.Duration { return r.settings.WorkerLease() / 2 }
 
 // deadlineSlack looks at all times by which the job's users want it: its deadline, and the
 // objectives of its class.
@@ -74,7 +74,7 @@
 		deadline := r.objectiveDeadline(i, job)
 		latestStart := deadline.Add(-time.Duration(longestTaskRatio * float64(runTime)))
 		if objective.Kind == objectiveWait && objective.Class == job.Spec.Class {
-			latestStart = waitingSince(job).Add(settings.Seconds(objective.WithinS))
+			latestStart = waitingSince(job).Add(settings.Seconds(objective.WithinSeconds))
 			deadline = latestStart.Add(runTime)
 		}
 		slack.consider(job, deadline, latestStart, r.lastChanceMargin(), now)
@@ -97,7 +97,7 @@
 func (r *jobRanking) objectiveDeadline(index int, job *ledger.Job) time.Time {
 	objective := &r.settings.Facts.Objectives[index]
 	if objective.Kind == objectiveFinished && objective.Class == job.Spec.Class {
-		return job.ReadyAt.Add(settings.Seconds(objective.WithinS))
+		return job.ReadyAt.Add(settings.Seconds(objective.WithinSeconds))
 	}
 	return r.dependencies.inherited(job).Deadlines[index]
 }
@@ -120,7 +120,7 @@
 func (r *jobRanking) startWithinSeconds(job *ledger.Job) float64 {
 	for _, objective := range r.settings.Facts.Objectives {
 		if objective.Kind == objectiveWait && objective.Class == job.Spec.Class {
-			return objective.WithinS
+			return objective.WithinSeconds
 		}
 	}
 	return 0
--- a/internal/leader/starvation.go
+++ b/internal/leader/starvation.go
@@ -21,7 +21,7 @@
 
 // agingThreshold is from which wait on a job goes first among the types.
 func (r *jobRanking) agingThreshold() time.Duration {
-	return time.Duration(r.settings.Operator.Placement.WaitAge * float64(r.settings.Lease()))
+	return time.Duration(r.settings.Operator.Placement.WaitAge * float64(r.settings.WorkerLease()))
 }
 
 // isStarved reports whether an array has waited for so long, with nothing of it begun, that
--- a/internal/leader/status_test.go
+++ b/internal/leader/status_test.go
@@ -43,7 +43,7 @@
 			leader := newTestTerm(t)
 			leader.leadership = &leadershipAfterLoss{lost: tc.lost}
 			leader.firstEpoch, leader.startedAt = 7, now.Add(-tc.since)
-			leader.settings.Facts.Cloud.ListLagS = 5
+			leader.settings.Facts.Cloud.ListLagSeconds = 5
 			for _, worker := range leader.workersByName {
 				worker.SeenEpoch = 7
 			}
--- a/internal/leader/storelimits.go
+++ b/internal/leader/storelimits.go
@@ -15,7 +15,7 @@
 }
 
 func (s *termScope) txnLimits() txnLimits {
-	return txnLimits{operations: s.settings.Facts.State.Least().TxnOps, valueBytes: s.store.MaxValueBytes()}
+	return txnLimits{operations: s.settings.Facts.Store.Lowest().TxnOps, valueBytes: s.store.MaxValueBytes()}
 }
 
 // budgetExhaustedError says that the write budget has no room for another transaction yet.
--- a/internal/leader/taskevents.go
+++ b/internal/leader/taskevents.go
@@ -55,7 +55,7 @@
 		h.faults.countFailure(job, worker, now)
 	case wire.ExitNoCapacity:
 		h.freeClaim(claim, freedNoCapacity)
-		worker.StartBackoffUntil = now.Add(h.settings.Report())
+		worker.StartBackoffUntil = now.Add(h.settings.HeartbeatInterval())
 	case wire.ExitDuplicate, wire.ExitUnknownTask:
 		h.freeClaim(claim, freedRefused+cause)
 		job.ConsecutiveFailures++
@@ -106,7 +106,7 @@
 	sample := agent.RuntimeSample{
 		JobType: h.scheduler.jobType(job), InstanceType: worker.InstanceType, Duration: ran,
 	}
-	if h.leadership.ShardMap().Owner(worker.Name) == h.settings.Node {
+	if h.leadership.ShardMap().Owner(worker.Name) == h.settings.Name {
 		h.shards.Learn(sample)
 	} else if len(worker.PendingSamples) < maxPendingSamples {
 		worker.PendingSamples = append(worker.PendingSamples, sample)
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -111,7 +111,7 @@
 func newTermScope(
 	ctx context.Context, env *environment, leadership Leadership, firstEpoch uint64, group *errgroup.Group,
 ) *termScope {
-	writer := fmt.Sprintf("%s.%d", env.settings.Node, firstEpoch) // names this term in claim records
+	writer := fmt.Sprintf("%s.%d", env.settings.Name, firstEpoch) // names this term in claim records
 	scope := &termScope{
 		environment: env,
 		clusterState: &clusterState{
@@ -128,7 +128,7 @@
 		ctx:        ctx,
 	}
 	if env.auditKeys != nil {
-		scope.auditLog = newAuditWriter(env.auditKeys, env.settings.Node, env.log)
+		scope.auditLog = newAuditWriter(env.auditKeys, env.settings.Name, env.log)
 	}
 	return scope
 }
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -131,7 +131,7 @@
 					return near, nil
 				}
 				h := &node{version: "0.3.0"}
-				m := NewMesh([]settings.Member{{Node: "n", Endpoint: "n:1"}}, h, time.Second, 4, dial, quiet())
+				m := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, h, time.Second, 4, dial, quiet())
 				done := make(chan struct{})
 				go func() { defer close(done); m.links["n"].dialLoop(ctx, m.handler) }()
 				time.Sleep(10 * time.Second)
@@ -197,7 +197,7 @@
 			}()
 			return near, nil
 		}
-		m := NewMesh([]settings.Member{{Node: "n", Endpoint: "n:1"}}, &node{version: "0.2.0"}, time.Second, 4, dial, quiet())
+		m := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, &node{version: "0.2.0"}, time.Second, 4, dial, quiet())
 		done := make(chan struct{})
 		go func() { defer close(done); m.links["n"].dialLoop(ctx, m.handler) }()
 		for i, want := range []string{"0.2.0", "", "0.2.0"} {
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -27,15 +27,15 @@
 // NewMesh makes the links; nothing is dialled before Run. slots bounds the peers'
 // requests that are served at once.
 func NewMesh(
-	peers []settings.Member, handler Handler, pingInterval time.Duration, slots int, dial DialFunc, log *slog.Logger,
+	peers []settings.Peer, handler Handler, pingInterval time.Duration, slots int, dial DialFunc, log *slog.Logger,
 ) *Mesh {
 	mesh := &Mesh{
 		handler: handler, pingInterval: pingInterval, links: make(map[string]*Link), log: log,
 		slots: make(chan struct{}, max(1, slots)),
 	}
 	for _, peer := range peers {
-		mesh.links[peer.Node] = &Link{
-			peer: peer.Node, addr: peer.Endpoint, pingInterval: pingInterval, dial: dial,
+		mesh.links[peer.Name] = &Link{
+			peer: peer.Name, addr: peer.Endpoint, pingInterval: pingInterval, dial: dial,
 			pending: make(map[uint64]chan frame),
 		}
 	}
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -61,7 +61,7 @@
 					go far.serve(ctx, there)
 					return c, nil
 				}
-				m := NewMesh([]settings.Member{{Node: "n", Endpoint: "n:1"}}, h, time.Second, 4, dial, quiet())
+				m := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, h, time.Second, 4, dial, quiet())
 				done := make(chan struct{})
 				go func() { defer close(done); m.links["n"].dialLoop(ctx, h) }()
 				time.Sleep(5 * time.Second)
--- a/internal/serve/controller.go
+++ b/internal/serve/controller.go
@@ -97,26 +97,27 @@
 // connectPlatform makes the clients of the store and the cloud, and what keeps their data.
 func (controller *controller) connectPlatform() {
 	set, limits := controller.settings, controller.settings.Facts
-	controllers := float64(1 + len(set.Members))
+	controllers := float64(1 + len(set.Peers))
 	controller.store = kvstore.New(kvstore.Options{
-		Addr: set.Services.State,
+		Addr: set.Services.Store,
 		// Any controller may lead and then needs most of the budget; the rest is shared.
 		// Spent in full by all, this stays at what the store allows.
-		RequestsPerSecond: limits.State.RPS * usableShare * 2 / (controllers + 1),
-		Limits:            storeLimits(limits.State), AnnouncedLimits: storeLimits(limits.State.Least()),
-		Timeout: set.Report() / 2, Dial: controller.network.Dial,
+		RequestsPerSecond: limits.Store.RPS * usableShare * 2 / (controllers + 1),
+		Limits:            storeLimits(limits.Store), AnnouncedLimits: storeLimits(limits.Store.Lowest()),
+		Timeout: set.HeartbeatInterval() / 2, Dial: controller.network.Dial,
 	})
 	cloudRate := limits.Cloud.RPS * usableShare
-	controller.cloud = fleet.NewCloudClient(set.Services.Cloud, cloudRate, set.Report(), controller.network.Dial)
+	controller.cloud = fleet.NewCloudClient(
+		set.Services.Cloud, cloudRate, set.HeartbeatInterval(), controller.network.Dial)
 	memory := limits.Resources.MemoryMB * bytesPerMB
-	refuseAbove := uint64(set.Operator.Limits.Refuse * memory)
-	controller.memory = pressure.New(refuseAbove, set.Report()/memoryChecksPerHeartbeat)
-	controller.types = fleet.NewCatalogue(controller.cloud, 2*set.Lease(), controller.log)
-	controller.replica = replica.New(int(set.Operator.Rebuild.Ends * memory))
+	refuseAbove := uint64(set.Operator.Limits.RefuseAbove * memory)
+	controller.memory = pressure.New(refuseAbove, set.HeartbeatInterval()/memoryChecksPerHeartbeat)
+	controller.types = fleet.NewCatalogue(controller.cloud, 2*set.WorkerLease(), controller.log)
+	controller.replica = replica.New(int(set.Operator.Recovery.FinishedJobsMemory * memory))
 }
 
 // storeLimits is what a controller may use of the store at a time.
-func storeLimits(limits settings.State) kvstore.Limits {
+func storeLimits(limits settings.StoreLimits) kvstore.Limits {
 	return kvstore.Limits{
 		WritesPerSecond: limits.WriteRPS * usableShare, MaxValueBytes: int(limits.ValueKB * bytesPerKB),
 	}
@@ -130,18 +131,18 @@
 		controller.elector.EndTermForDataLoss(reason)
 	}, controller.log)
 	controller.elector = election.New(election.Options{
-		Store: controller.store, Controller: set.Node,
-		LeaseDuration:        time.Duration(set.Operator.Lead.Grant * float64(set.Lease())),
+		Store: controller.store, Controller: set.Name,
+		LeaseDuration:        time.Duration(set.Operator.Election.LeaseRatio * float64(set.WorkerLease())),
 		ShardOwners:          func() []string { return controller.shard.EligibleOwners(nil) },
 		Detector:             controller.dataLoss,
 		RemembersIncarnation: func() bool { return !controller.replica.Empty() },
 		Log:                  controller.log,
 	})
-	stopDeadline := settings.Seconds(set.Facts.Workers.CancelS)
+	stopDeadline := settings.Seconds(set.Facts.Workers.CancelSeconds)
 	controller.cancellations = cancellation.New(cancellation.Options{
 		StopDeadline:     stopDeadline,
-		Capacity:         cancellation.Capacity(set.Facts.State.WriteRPS, stopDeadline),
-		Peers:            set.Others(),
+		Capacity:         cancellation.Capacity(set.Facts.Store.WriteRPS, stopDeadline),
+		Peers:            set.PeerNames(),
 		StoreUnavailable: func() bool { return controller.shard.StoreRefuses() },
 		Now:              time.Now,
 	})
@@ -152,10 +153,10 @@
 // loadCertificates reads the certificates where either address has TLS.
 func (controller *controller) loadCertificates() error {
 	tls := controller.settings.Operator.TLS
-	if !tls.On() {
+	if !tls.Enabled() {
 		return nil
 	}
-	keeper, err := certs.Load(tls.Folder, controller.settings.Node, controller.log)
+	keeper, err := certs.Load(tls.Folder, controller.settings.Name, controller.log)
 	controller.certs = keeper
 	return err
 }
@@ -163,7 +164,7 @@
 // connectPeers makes the links to the other controllers.
 func (controller *controller) connectPeers() {
 	set := controller.settings
-	controller.peers = peer.NewMesh(set.Members, peerHandler{controller}, set.Report()/pingsPerHeartbeat,
+	controller.peers = peer.NewMesh(set.Peers, peerHandler{controller}, set.HeartbeatInterval()/pingsPerHeartbeat,
 		controller.frontConnections()/2, controller.dialPeer(), controller.log)
 	controller.shard.SetPeerLinks(controller.peers)
 }
@@ -171,7 +172,7 @@
 // dialPeer returns how other controllers are reached: with TLS, each must show its name.
 func (controller *controller) dialPeer() peer.DialFunc {
 	plain := controller.network.Dial
-	mode := controller.settings.Operator.TLS.Back
+	mode := controller.settings.Operator.TLS.Peers
 	if controller.certs == nil || mode == certs.Off || mode == certs.Accept {
 		return plain
 	}
@@ -180,9 +181,9 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, member := range controller.settings.Members {
+		for _, member := range controller.settings.Peers {
 			if member.Endpoint == addr {
-				return controller.certs.Dial(ctx, conn, member.Node)
+				return controller.certs.Dial(ctx, conn, member.Name)
 			}
 		}
 		conn.Close()
@@ -193,7 +194,7 @@
 // loadKeys reads the operator's keys where identities or the audit log need them.
 func (controller *controller) loadKeys() error {
 	access := &controller.settings.Operator.Access
-	if !access.Identified() && !access.Audited() {
+	if !access.IdentitiesEnabled() && !access.AuditEnabled() {
 		return nil
 	}
 	keys, err := keyring.Load(access.Keys)
@@ -205,7 +206,7 @@
 func (controller *controller) connectLeader() {
 	set := controller.settings
 	auditKeys := controller.keys
-	if !set.Operator.Access.Audited() {
+	if !set.Operator.Access.AuditEnabled() {
 		auditKeys = nil
 	}
 	idle := int(idleWorkerConnections * float64(set.Facts.Resources.Sockets))
@@ -213,7 +214,7 @@
 		Settings:      set,
 		Store:         controller.store,
 		Cloud:         controller.cloud,
-		WorkerClient:  agent.NewCommandClient(set.Report(), idle, controller.network.Dial),
+		WorkerClient:  agent.NewCommandClient(set.HeartbeatInterval(), idle, controller.network.Dial),
 		Elector:       controller.elector,
 		InstanceTypes: controller.types,
 		Shards:        controller.shard,
@@ -226,9 +227,9 @@
 		Log:           controller.log,
 	})
 	controller.broadcaster = &cancellation.Broadcaster{
-		Controller: set.Node, Cancellations: controller.cancellations, Link: controller.peers,
+		Controller: set.Name, Cancellations: controller.cancellations, Link: controller.peers,
 		LocalLeader: controller.leader, CurrentLeader: controller.readLeader,
-		InitialBackoff: set.Report() / broadcastBackoffsPerHeartbeat,
+		InitialBackoff: set.HeartbeatInterval() / broadcastBackoffsPerHeartbeat,
 	}
 }
 
--- a/internal/serve/datalossstate.go
+++ b/internal/serve/datalossstate.go
@@ -31,7 +31,7 @@
 
 // JustStarted implements intake.DataLossState.
 func (state dataLossState) JustStarted() bool {
-	return time.Since(state.startedAt) < 2*state.settings.Report() && !state.ReplicaCurrent()
+	return time.Since(state.startedAt) < 2*state.settings.HeartbeatInterval() && !state.ReplicaCurrent()
 }
 
 // ReplicaCurrent implements intake.DataLossState.
@@ -42,6 +42,6 @@
 	if state.replica.Head().Incarnation != state.dataLoss.Current().ID {
 		return false
 	}
-	isLeader := state.elector.Leader() == state.settings.Node
-	return isLeader || state.replica.HeardLeaderWithin(2*state.settings.Report())
+	isLeader := state.elector.Leader() == state.settings.Name
+	return isLeader || state.replica.HeardLeaderWithin(2*state.settings.HeartbeatInterval())
 }
--- a/internal/serve/peerhandler.go
+++ b/internal/serve/peerhandler.go
@@ -20,7 +20,7 @@
 func (handler peerHandler) OwnStatus() peer.Ping {
 	shards := handler.elector.ShardMap()
 	return peer.Ping{
-		Node: handler.settings.Node, Epoch: shards.Epoch, Leader: shards.Leader, ShardOwners: shards.Owners,
+		Node: handler.settings.Name, Epoch: shards.Epoch, Leader: shards.Leader, ShardOwners: shards.Owners,
 		StoreSilence: handler.store.SinceLastAnswer(),
 	}
 }
--- a/internal/serve/probe.go
+++ b/internal/serve/probe.go
@@ -12,7 +12,7 @@
 // probeStore sees to it that this controller knows whether the store answers it, and
 // steps down as leader where workers reach other controllers but not this one.
 func (controller *controller) probeStore(ctx context.Context) error {
-	interval := controller.settings.Report() / probesPerHeartbeat
+	interval := controller.settings.HeartbeatInterval() / probesPerHeartbeat
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -23,7 +23,7 @@
 		}
 		if controller.shard.IsIsolated() && !controller.leader.NoWorkersOfOwn() {
 			// Another leads and answers the workers meanwhile.
-			controller.elector.StepDown(controller.settings.Lease(), "workers reach others but not this node")
+			controller.elector.StepDown(controller.settings.WorkerLease(), "workers reach others but not this node")
 		}
 		if controller.store.SinceLastAnswer() >= interval {
 			controller.store.Probe(ctx)
--- a/internal/serve/routes.go
+++ b/internal/serve/routes.go
@@ -24,7 +24,7 @@
 // better. When all are refused it is an outage: to leave the load balancer then would only
 // make coming back slower.
 func (controller *controller) health(w http.ResponseWriter, _ *http.Request) {
-	hasPeers := len(controller.settings.Members) > 0
+	hasPeers := len(controller.settings.Peers) > 0
 	if controller.shard.StoreRefuses() && hasPeers && !controller.shard.HasLivePeer() {
 		replyError(w, http.StatusServiceUnavailable, "cut off")
 		return
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -56,8 +56,8 @@
 	}
 	server := &http.Server{
 		Handler:           controller.routes(),
-		ReadHeaderTimeout: 2 * settings.Report(),
-		IdleTimeout:       2 * settings.Lease(),
+		ReadHeaderTimeout: 2 * settings.HeartbeatInterval(),
+		IdleTimeout:       2 * settings.WorkerLease(),
 		ConnState:         controller.connections.track,
 		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          slog.NewLogLogger(log.Handler(), slog.LevelDebug),
@@ -69,32 +69,32 @@
 	}
 	group.Go(func() error { return server.Serve(front) })
 	if controller.certs != nil {
-		group.Go(func() error { return controller.certs.Watch(ctx, settings.Lease()) })
+		group.Go(func() error { return controller.certs.Watch(ctx, settings.WorkerLease()) })
 	}
 	group.Go(func() error { <-ctx.Done(); return server.Close() })
 	group.Go(func() error { return controller.peers.Run(ctx, back) })
 	group.Go(func() error { return controller.types.Run(ctx) })
-	group.Go(func() error { return controller.dataLoss.Run(ctx, settings.Lease()/2) })
+	group.Go(func() error { return controller.dataLoss.Run(ctx, settings.WorkerLease()/2) })
 	group.Go(func() error { return controller.verifyUnknownEpochs(ctx) })
 	group.Go(func() error { return controller.elector.WatchShardMap(ctx) })
 	group.Go(func() error { return controller.elector.Run(ctx, controller.leader.Serve) })
 	group.Go(func() error { return controller.probeStore(ctx) })
-	group.Go(func() error { return controller.authorizer.Run(ctx, settings.Report()) })
+	group.Go(func() error { return controller.authorizer.Run(ctx, settings.HeartbeatInterval()) })
 	if controller.keys != nil {
-		group.Go(func() error { return controller.keys.Follow(ctx, settings.Lease(), log) })
+		group.Go(func() error { return controller.keys.Follow(ctx, settings.WorkerLease(), log) })
 	}
-	log.Info("serving", "front", settings.Front, "back", settings.Back)
+	log.Info("serving", "front", settings.FrontAddress, "back", settings.PeerAddress)
 	return group.Wait()
 }
 
 // listen opens both addresses.
 func (controller *controller) listen(network Network) (front, back net.Listener, err error) {
 	settings := controller.settings
-	front, err = network.Listen(settings.Front)
+	front, err = network.Listen(settings.FrontAddress)
 	if err != nil {
 		return nil, nil, fmt.Errorf("front: %w", err)
 	}
-	back, err = network.Listen(settings.Back)
+	back, err = network.Listen(settings.PeerAddress)
 	if err != nil {
 		front.Close()
 		return nil, nil, fmt.Errorf("back: %w", err)
@@ -104,7 +104,7 @@
 	front = netutil.LimitListener(front, connections)
 	if controller.certs != nil {
 		front = controller.certs.Listen(front, settings.Operator.TLS.Front, false)
-		back = controller.certs.Listen(back, settings.Operator.TLS.Back, true)
+		back = controller.certs.Listen(back, settings.Operator.TLS.Peers, true)
 	}
 	return front, back, nil
 }
--- a/internal/serve/snapshots.go
+++ b/internal/serve/snapshots.go
@@ -14,13 +14,14 @@
 // and takes what the newest one holds for the replica of an earlier process. Should the
 // store hold it too, that costs nothing.
 func (controller *controller) openSnapshots() *snapshot.Folder {
-	recovery := controller.settings.Operator.Rebuild
-	if recovery.Folder == "" {
+	recovery := controller.settings.Operator.Recovery
+	if recovery.SnapshotFolder == "" {
 		return nil
 	}
 	folder := &snapshot.Folder{
-		Dir:        filepath.Join(recovery.Folder, controller.settings.Node),
-		Deployment: controller.settings.Deployment(), IncrementalSnapshots: recovery.Steps, FullSnapshots: recovery.Wholes,
+		Dir:                  filepath.Join(recovery.SnapshotFolder, controller.settings.Name),
+		Deployment:           controller.settings.DeploymentName(),
+		IncrementalSnapshots: recovery.IncrementalSnapshots, FullSnapshots: recovery.FullSnapshots,
 	}
 	controller.loadSnapshot(folder)
 	return folder
@@ -44,6 +45,6 @@
 }
 
 func (controller *controller) keepSnapshots(ctx context.Context, folder *snapshot.Folder) error {
-	interval := controller.settings.Operator.Rebuild.Every * float64(controller.settings.Lease())
+	interval := controller.settings.Operator.Recovery.SnapshotInterval * float64(controller.settings.WorkerLease())
 	return folder.Keep(ctx, controller.replica, time.Duration(interval), controller.log)
 }
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -69,7 +69,7 @@
 		return
 	}
 	reply(w, http.StatusOK, Status{
-		Controller:         controller.settings.Node,
+		Controller:         controller.settings.Name,
 		Version:            Version,
 		ShardMap:           controller.elector.ShardMap(),
 		UptimeSeconds:      time.Since(controller.startedAt).Seconds(),
--- a/internal/serve/users.go
+++ b/internal/serve/users.go
@@ -29,7 +29,7 @@
 		replyError(w, http.StatusBadRequest, "broken body")
 		return
 	}
-	ctx, cancel := context.WithTimeout(r.Context(), controller.settings.Report()/forwardsPerHeartbeat)
+	ctx, cancel := context.WithTimeout(r.Context(), controller.settings.HeartbeatInterval()/forwardsPerHeartbeat)
 	defer cancel()
 	answer, err := controller.peers.ForwardUserRequest(ctx, peerName, peer.UserRequest{
 		Method: r.Method, Path: r.URL.Path, Body: body, Auth: r.Header.Get("Authorization"),
@@ -51,10 +51,10 @@
 ) (done, running int, ok bool, err error) {
 	leader := controller.elector.ShardMap().Leader
 	own, ok, err := controller.leader.TaskCounts(job)
-	if ok || leader == controller.settings.Node {
+	if ok || leader == controller.settings.Name {
 		return own.Done, own.Running, ok, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, controller.settings.Report()/countLookupsPerHeartbeat)
+	ctx, cancel := context.WithTimeout(ctx, controller.settings.HeartbeatInterval()/countLookupsPerHeartbeat)
 	defer cancel()
 	counts, err := controller.peers.Counts(ctx, leader, job)
 	return counts.Done, counts.Running, counts.Known, err
--- a/internal/serve/workers.go
+++ b/internal/serve/workers.go
@@ -40,7 +40,7 @@
 	}
 	var notOwner *shard.NotOwnerError
 	if errors.As(err, &notOwner) && notOwner.RedirectTarget != "" &&
-		notOwner.RedirectTarget != controller.settings.Node {
+		notOwner.RedirectTarget != controller.settings.Name {
 		reply(w, http.StatusMisdirectedRequest, wire.Redirect{Controller: notOwner.RedirectTarget})
 		return
 	}
@@ -66,7 +66,7 @@
 
 // verifyUnknownEpochs asks the store whether it knows of the epochs that workers show.
 func (controller *controller) verifyUnknownEpochs(ctx context.Context) error {
-	delay := controller.settings.Report() / epochChecksPerHeartbeat
+	delay := controller.settings.HeartbeatInterval() / epochChecksPerHeartbeat
 	for {
 		select {
 		case <-ctx.Done():
--- a/internal/settings/controllers.go
+++ b/internal/settings/controllers.go
@@ -5,33 +5,33 @@
 	"strings"
 )
 
-// Others returns the names of the other controllers.
-func (s *Settings) Others() []string {
-	var out []string
-	for _, m := range s.Members {
-		out = append(out, m.Node)
+// PeerNames returns the names of the other controllers.
+func (settings *Settings) PeerNames() []string {
+	var names []string
+	for _, peer := range settings.Peers {
+		names = append(names, peer.Name)
 	}
-	return out
+	return names
 }
 
-// Near reports whether any other controller of those named is in a zone.
-func (s *Settings) Near(zone string, nodes []string) bool {
-	return slices.ContainsFunc(s.Members, func(m Member) bool {
-		return m.Zone == zone && slices.Contains(nodes, m.Node)
+// AnyInZone reports whether any other controller of those named is in a zone.
+func (settings *Settings) AnyInZone(zone string, names []string) bool {
+	return slices.ContainsFunc(settings.Peers, func(peer Peer) bool {
+		return peer.Zone == zone && slices.Contains(names, peer.Name)
 	})
 }
 
-// Covered reports whether any controller is in a zone.
-func (s *Settings) Covered(zone string) bool {
-	return s.Zone == zone || slices.ContainsFunc(s.Members, func(m Member) bool { return m.Zone == zone })
+// HasControllerInZone reports whether any controller is in a zone.
+func (settings *Settings) HasControllerInZone(zone string) bool {
+	return settings.Zone == zone || slices.ContainsFunc(settings.Peers, func(peer Peer) bool { return peer.Zone == zone })
 }
 
-// Deployment names the deployment by its controllers: a snapshot of one is of no use to
+// DeploymentName names the deployment by its controllers: a snapshot of one is of no use to
 // another.
-func (s *Settings) Deployment() string {
-	names := []string{s.Node}
-	for _, m := range s.Members {
-		names = append(names, m.Node)
+func (settings *Settings) DeploymentName() string {
+	names := []string{settings.Name}
+	for _, peer := range settings.Peers {
+		names = append(names, peer.Name)
 	}
 	slices.Sort(names)
 	return strings.Join(names, ",")
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -40,7 +40,7 @@
 	out.Reset()
 	names(&out, "xml", "", reflect.TypeFor[Operator]())
 	goldentest.Check(t, "xml.txt", out.String())
-	have, err := paths(defaults)
+	have, err := elementPaths(defaults)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -21,64 +21,65 @@
 
 // Load reads the settings at path and the operators' file beside it. An
 // operator file named by xml must exist; the one beside path need not.
-func Load(path, xml string) (*Settings, error) {
+func Load(path, operatorPath string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrSettings, err)
 	}
-	s, err := Parse(data)
+	settings, err := Parse(data)
 	if err != nil {
 		return nil, fmt.Errorf("%w %s: %w", ErrSettings, path, err)
 	}
-	named := xml != ""
+	named := operatorPath != ""
 	if !named {
-		xml = filepath.Join(filepath.Dir(path), OperatorFile)
+		operatorPath = filepath.Join(filepath.Dir(path), OperatorFile)
 	}
-	own, err := os.ReadFile(xml)
+	operatorData, err := os.ReadFile(operatorPath)
 	if err != nil && (named || !errors.Is(err, fs.ErrNotExist)) {
 		return nil, fmt.Errorf("operator %w: %w", ErrSettings, err)
 	}
-	if s.Operator, err = ParseOperator(own); err != nil {
-		return nil, fmt.Errorf("operator %w %s: %w", ErrSettings, xml, err)
+	if settings.Operator, err = ParseOperator(operatorData); err != nil {
+		return nil, fmt.Errorf("operator %w %s: %w", ErrSettings, operatorPath, err)
 	}
-	for _, f := range []*string{&s.Operator.Access.Keys, &s.Operator.TLS.Folder, &s.Operator.Rebuild.Folder} {
-		if *f != "" && !filepath.IsAbs(*f) {
-			*f = filepath.Join(filepath.Dir(xml), *f)
+	operator := &settings.Operator
+	for _, path := range []*string{&operator.Access.Keys, &operator.TLS.Folder, &operator.Recovery.SnapshotFolder} {
+		if *path != "" && !filepath.IsAbs(*path) {
+			*path = filepath.Join(filepath.Dir(operatorPath), *path)
 		}
 	}
-	return s, nil
+	return settings, nil
 }
 
 // Parse reads and checks the platform's settings. Unknown fields are ignored.
 func Parse(data []byte) (*Settings, error) {
-	var s Settings
-	if err := toml.Unmarshal(data, &s); err != nil {
+	var settings Settings
+	if err := toml.Unmarshal(data, &settings); err != nil {
 		return nil, err
 	}
-	if err := validator.New().Struct(&s); err != nil {
+	if err := validator.New().Struct(&settings); err != nil {
 		return nil, firstError(err)
 	}
-	seen := map[string]bool{s.Node: true}
-	for _, m := range s.Members {
-		if seen[m.Node] {
-			return nil, fmt.Errorf("node_name %q is used twice", m.Node)
+	seen := map[string]bool{settings.Name: true}
+	for _, peer := range settings.Peers {
+		if seen[peer.Name] {
+			return nil, fmt.Errorf("node_name %q is used twice", peer.Name)
 		}
-		seen[m.Node] = true
+		seen[peer.Name] = true
 	}
-	return &s, s.placed()
+	return &settings, settings.checkZones()
 }
 
-// placed returns an error for controllers that contradict the facts.
-func (s *Settings) placed() error {
-	if s.Facts.Size > 1 && len(s.Members) == 0 {
-		return fmt.Errorf("members: none are named, facts.size is %d", s.Facts.Size)
+// checkZones returns an error for controllers that contradict the facts.
+func (settings *Settings) checkZones() error {
+	if settings.Facts.Size > 1 && len(settings.Peers) == 0 {
+		return fmt.Errorf("members: none are named, facts.size is %d", settings.Facts.Size)
 	}
-	if len(s.Facts.Zones) == 0 {
+	if len(settings.Facts.Zones) == 0 {
 		return nil
 	}
-	for _, m := range append([]Member{{Node: s.Node, Zone: s.Zone}}, s.Members...) {
-		if !slices.Contains(s.Facts.Zones, m.Zone) {
-			return fmt.Errorf("location: %q of %s is not in facts.zones", m.Zone, m.Node)
+	for _, controller := range append([]Peer{{Name: settings.Name, Zone: settings.Zone}}, settings.Peers...) {
+		if !slices.Contains(settings.Facts.Zones, controller.Zone) {
+			return fmt.Errorf("location: %q of %s is not in facts.zones", controller.Zone, controller.Name)
 		}
 	}
 	return nil
--- a/internal/settings/objectives.go
+++ b/internal/settings/objectives.go
@@ -4,11 +4,11 @@
 
 // Objective is one service-level objective of the users.
 type Objective struct {
-	Kind    string  `toml:"kind"`
-	Class   string  `toml:"class"`
-	WithinS float64 `toml:"within_s"`
-	Share   float64 `toml:"share"`
-	Times   float64 `toml:"times"` // of a deadline
+	Kind           string  `toml:"kind"`
+	Class          string  `toml:"class"`
+	WithinSeconds  float64 `toml:"within_s"`
+	Share          float64 `toml:"share"`
+	DeadlineFactor float64 `toml:"times"` // of a deadline
 }
 
 // Kinds of objectives that decide here.
@@ -25,50 +25,51 @@
 	thriftNever  = "never"
 )
 
-// Ample reports whether to scale out ahead of a class's work rather than for what is on
+// ScalesAhead reports whether to scale out ahead of a class's work rather than for what is on
 // hand: as the operator says, or else unless the objectives price what is rented, or give
 // the class deadlines, so that to be done sooner is worth nothing. An objective to be
 // finished within a time since submission counts as one more deadline where there is a
 // deadline too. A class that has neither goes with the rest: it is scaled for thriftily
 // where all classes with objectives have deadlines.
-func (s *Settings) Ample(class string) bool {
-	switch s.Operator.Fleet.Thrift {
+func (settings *Settings) ScalesAhead(class string) bool {
+	switch settings.Operator.Fleet.CostSaving {
 	case thriftAlways:
 		return false
 	case thriftNever:
 		return true
 	}
-	var due, soon, anyDue, anySoon bool
-	for _, o := range s.Facts.Objectives {
-		switch o.Kind {
+	var hasDeadline, wantedSoon, anyDeadline, anyWantedSoon bool
+	for _, objective := range settings.Facts.Objectives {
+		switch objective.Kind {
 		case objectivePrice, objectiveUseful:
 			return false
 		case objectiveDeadline:
-			anyDue, due = true, due || o.Class == class
+			anyDeadline, hasDeadline = true, hasDeadline || objective.Class == class
 		case objectiveFinished:
-			soon = soon || o.Class == class
-			anySoon = anySoon || !s.deadline(o.Class)
+			wantedSoon = wantedSoon || objective.Class == class
+			anyWantedSoon = anyWantedSoon || !settings.hasDeadlineObjective(objective.Class)
 		}
 	}
 	switch {
-	case due:
+	case hasDeadline:
 		return false
-	case soon:
+	case wantedSoon:
 		return true
 	}
-	return !anyDue || anySoon
+	return !anyDeadline || anyWantedSoon
 }
 
-// Frugal reports whether no class at all is scaled out for ahead of its work.
-func (s *Settings) Frugal() bool {
-	return !s.Ample("") && !slices.ContainsFunc(
-		s.Facts.Objectives, func(o Objective) bool { return o.Class != "" && s.Ample(o.Class) },
-	)
+// NeverScalesAhead reports whether no class at all is scaled out for ahead of its work.
+func (settings *Settings) NeverScalesAhead() bool {
+	scalesAhead := func(objective Objective) bool {
+		return objective.Class != "" && settings.ScalesAhead(objective.Class)
+	}
+	return !settings.ScalesAhead("") && !slices.ContainsFunc(settings.Facts.Objectives, scalesAhead)
 }
 
-// deadline reports whether a class has an objective for its deadlines.
-func (s *Settings) deadline(class string) bool {
-	return slices.ContainsFunc(
-		s.Facts.Objectives, func(o Objective) bool { return o.Kind == objectiveDeadline && o.Class == class },
-	)
+// hasDeadlineObjective reports whether a class has an objective for its deadlines.
+func (settings *Settings) hasDeadlineObjective(class string) bool {
+	return slices.ContainsFunc(settings.Facts.Objectives, func(objective Objective) bool {
+		return objective.Kind == objectiveDeadline && objective.Class == class
+	})
 }
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -21,49 +21,49 @@
 // Operator are the operators' own settings. Each has a default in
 // defaults.xml, which also explains it.
 type Operator struct {
-	XMLName   xml.Name  `xml:"rillflow"`
-	Placement Placement `xml:"placement"`
-	Lead      Lead      `xml:"lead"`
-	Fleet     Fleet     `xml:"fleet"`
-	Limits    Limits    `xml:"limits"`
-	Access    Access    `xml:"access"`
-	TLS       TLS       `xml:"tls"`
-	Rebuild   Rebuild   `xml:"rebuild"`
+	XMLName   xml.Name       `xml:"rillflow"`
+	Placement Placement      `xml:"placement"`
+	Election  Election       `xml:"lead"`
+	Fleet     Fleet          `xml:"fleet"`
+	Limits    ResourceRatios `xml:"limits"`
+	Access    Access         `xml:"access"`
+	TLS       TLS            `xml:"tls"`
+	Recovery  Recovery       `xml:"rebuild"`
 }
 
-// Rebuild are the settings of what is kept against a loss of data.
-type Rebuild struct {
-	Ends   float64 `xml:"ends" validate:"gte=0,lte=0.3"`
-	Folder string  `xml:"folder"` // from the operators' file on; "": no snapshots are kept
-	Every  float64 `xml:"every" validate:"gt=0"`
-	Steps  int     `xml:"steps" validate:"gte=0,lte=1000"`
-	Wholes int     `xml:"wholes" validate:"gte=2"`
+// Recovery are the settings of what is kept against a loss of data.
+type Recovery struct {
+	FinishedJobsMemory   float64 `xml:"ends" validate:"gte=0,lte=0.3"`
+	SnapshotFolder       string  `xml:"folder"` // from the operators' file on; "": no snapshots are kept
+	SnapshotInterval     float64 `xml:"every" validate:"gt=0"`
+	IncrementalSnapshots int     `xml:"steps" validate:"gte=0,lte=1000"`
+	FullSnapshots        int     `xml:"wholes" validate:"gte=2"`
 }
 
 // TLS are the settings of encrypted connections.
 type TLS struct {
 	Folder string `xml:"folder"` // of the certificates, from the operators' file on
 	Front  string `xml:"front" validate:"oneof=off accept require"`
-	Back   string `xml:"back" validate:"oneof=off accept prefer require"`
+	Peers  string `xml:"back" validate:"oneof=off accept prefer require"`
 }
 
-// On tells whether any address has it.
-func (t *TLS) On() bool { return t.Front != "off" || t.Back != "off" }
+// Enabled tells whether any address has it.
+func (t *TLS) Enabled() bool { return t.Front != "off" || t.Peers != "off" }
 
 // Access are the settings of identities, rights and the audit record.
 type Access struct {
-	Identities string  `xml:"identities" validate:"oneof=off on"`
-	Audit      string  `xml:"audit" validate:"oneof=off on"`
-	Keys       string  `xml:"keys"` // file, from the operators' file on
-	Trust      float64 `xml:"trust" validate:"gt=0"`
+	Identities    string  `xml:"identities" validate:"oneof=off on"`
+	Audit         string  `xml:"audit" validate:"oneof=off on"`
+	Keys          string  `xml:"keys"` // file, from the operators' file on
+	CacheLifetime float64 `xml:"trust" validate:"gt=0"`
 	rights.Rules
 }
 
-// Identified tells whether who asks is looked at.
-func (a *Access) Identified() bool { return a.Identities == "on" }
+// IdentitiesEnabled tells whether who asks is looked at.
+func (a *Access) IdentitiesEnabled() bool { return a.Identities == "on" }
 
-// Audited tells whether the record is kept.
-func (a *Access) Audited() bool { return a.Audit == "on" }
+// AuditEnabled tells whether the record is kept.
+func (a *Access) AuditEnabled() bool { return a.Audit == "on" }
 
 // Placement are the open parameters of the placement rule.
 type Placement struct {
@@ -76,26 +76,26 @@
 	TypeFields string  `xml:"type-fields" validate:"required"`
 }
 
-// Lead are the settings of leadership.
-type Lead struct {
-	Grant float64 `xml:"grant" validate:"gt=0,lt=0.5"`
+// Election are the settings of leadership.
+type Election struct {
+	LeaseRatio float64 `xml:"grant" validate:"gt=0,lt=0.5"`
 }
 
 // Fleet are the settings of renting.
 type Fleet struct {
-	Thrift   string  `xml:"thrift" validate:"oneof=auto always never"`
-	Silence  float64 `xml:"silence" validate:"gte=1.5"`
-	Patience float64 `xml:"patience" validate:"gte=1"`
-	Headroom float64 `xml:"headroom" validate:"gte=0,lte=1"`
-	Spare    float64 `xml:"spare" validate:"gte=0"`
-	Idle     float64 `xml:"idle" validate:"gt=0"`
+	CostSaving       string  `xml:"thrift" validate:"oneof=auto always never"`
+	FailureTimeout   float64 `xml:"silence" validate:"gte=1.5"`
+	GroupOutageGrace float64 `xml:"patience" validate:"gte=1"`
+	ZoneLossHeadroom float64 `xml:"headroom" validate:"gte=0,lte=1"`
+	SpareCapacity    float64 `xml:"spare" validate:"gte=0"`
+	IdleTimeout      float64 `xml:"idle" validate:"gt=0"`
 }
 
-// Limits are ratios to the process's resources.
-type Limits struct {
-	Memory  float64 `xml:"memory" validate:"gt=0,lte=0.9"`
-	Refuse  float64 `xml:"refuse" validate:"gtfield=Memory,lte=0.95"`
-	Sockets float64 `xml:"sockets" validate:"gt=0,lte=0.9"`
+// ResourceRatios are ratios to the process's resources.
+type ResourceRatios struct {
+	Memory      float64 `xml:"memory" validate:"gt=0,lte=0.9"`
+	RefuseAbove float64 `xml:"refuse" validate:"gtfield=Memory,lte=0.95"`
+	Sockets     float64 `xml:"sockets" validate:"gt=0,lte=0.9"`
 }
 
 // typeFields are the job fields that an operator may make types of.
@@ -104,78 +104,78 @@
 // ParseOperator lays an operator file over the defaults. Empty data gives the
 // defaults alone.
 func ParseOperator(data []byte) (Operator, error) {
-	var op Operator
-	if err := xml.Unmarshal(defaults, &op); err != nil {
-		return op, fmt.Errorf("defaults: %w", err)
+	var operator Operator
+	if err := xml.Unmarshal(defaults, &operator); err != nil {
+		return operator, fmt.Errorf("defaults: %w", err)
 	}
 	if len(bytes.TrimSpace(data)) > 0 {
 		if err := checkNames(data); err != nil {
-			return op, err
+			return operator, err
 		}
-		op.Access.Rules = rights.Rules{} // the defaults' are an example
-		if err := xml.Unmarshal(data, &op); err != nil {
-			return op, err
+		operator.Access.Rules = rights.Rules{} // the defaults' are an example
+		if err := xml.Unmarshal(data, &operator); err != nil {
+			return operator, err
 		}
 	} else {
-		op.Access.Rules = rights.Rules{}
+		operator.Access.Rules = rights.Rules{}
 	}
-	if err := validator.New().Struct(&op); err != nil {
-		return op, firstError(err)
+	if err := validator.New().Struct(&operator); err != nil {
+		return operator, firstError(err)
 	}
-	for _, f := range strings.Fields(op.Placement.TypeFields) {
-		if !slices.Contains(typeFields, f) {
-			return op, fmt.Errorf("type-fields: %q is none of %s", f, strings.Join(typeFields, ", "))
+	for _, field := range strings.Fields(operator.Placement.TypeFields) {
+		if !slices.Contains(typeFields, field) {
+			return operator, fmt.Errorf("type-fields: %q is none of %s", field, strings.Join(typeFields, ", "))
 		}
 	}
-	if op.TLS.On() && op.TLS.Folder == "" {
-		return op, errors.New("tls: <folder> is needed where it is on")
+	if operator.TLS.Enabled() && operator.TLS.Folder == "" {
+		return operator, errors.New("tls: <folder> is needed where it is on")
 	}
-	if err := op.Access.Check(); err != nil {
-		return op, fmt.Errorf("access: %w", err)
+	if err := operator.Access.Check(); err != nil {
+		return operator, fmt.Errorf("access: %w", err)
 	}
-	if a := &op.Access; (a.Identified() || a.Audited()) && a.Keys == "" {
-		return op, errors.New("access: <keys> is needed where identities or the audit record are on")
+	if access := &operator.Access; (access.IdentitiesEnabled() || access.AuditEnabled()) && access.Keys == "" {
+		return operator, errors.New("access: <keys> is needed where identities or the audit record are on")
 	}
-	if g := op.Placement.Horizon; g < 8*op.Placement.RunBound {
-		return op, fmt.Errorf("horizon: %v is below 8 times run-bound", g)
+	if horizon := operator.Placement.Horizon; horizon < 8*operator.Placement.RunBound {
+		return operator, fmt.Errorf("horizon: %v is below 8 times run-bound", horizon)
 	}
-	return op, nil
+	return operator, nil
 }
 
 // checkNames refuses elements that the defaults do not have: a misspelt
 // setting would otherwise be passed over in silence.
 func checkNames(data []byte) error {
-	known, err := paths(defaults)
+	known, err := elementPaths(defaults)
 	if err != nil {
 		return err
 	}
-	have, err := paths(data)
+	have, err := elementPaths(data)
 	if err != nil {
 		return err
 	}
-	for _, p := range have {
-		if !slices.Contains(known, p) {
-			return fmt.Errorf("unknown element <%s>", strings.ReplaceAll(p, "/", "> in <"))
+	for _, path := range have {
+		if !slices.Contains(known, path) {
+			return fmt.Errorf("unknown element <%s>", strings.ReplaceAll(path, "/", "> in <"))
 		}
 	}
 	return nil
 }
 
-// paths lists the elements of a document, innermost name first.
-func paths(data []byte) ([]string, error) {
+// elementPaths lists the elements of a document, innermost name first.
+func elementPaths(data []byte) ([]string, error) {
 	var stack, all []string
-	dec := xml.NewDecoder(bytes.NewReader(data))
+	decoder := xml.NewDecoder(bytes.NewReader(data))
 	for {
-		tok, err := dec.Token()
+		token, err := decoder.Token()
 		if errors.Is(err, io.EOF) {
 			return all, nil
 		}
 		if err != nil {
 			return nil, err
 		}
-		switch t := tok.(type) {
+		switch element := token.(type) {
 		case xml.StartElement:
-			stack = append([]string{t.Name.Local}, stack...)
+			stack = append([]string{element.Name.Local}, stack...)
 			all = append(all, strings.Join(stack, "/"))
 		case xml.EndElement:
 			stack = stack[1:]
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -10,19 +10,19 @@
 
 // Settings are everything a controller is told at its start.
 type Settings struct {
-	Node     string   `toml:"node_name" validate:"required"`
-	Zone     string   `toml:"location"`
-	Front    string   `toml:"front" validate:"required,hostname_port"`
-	Back     string   `toml:"back" validate:"required,hostname_port"`
-	Members  []Member `toml:"members" validate:"dive"`
-	Services Services `toml:"services"`
-	Facts    Facts    `toml:"facts"`
-	Operator Operator `toml:"-" validate:"-"`
+	Name         string   `toml:"node_name" validate:"required"`
+	Zone         string   `toml:"location"`
+	FrontAddress string   `toml:"front" validate:"required,hostname_port"`
+	PeerAddress  string   `toml:"back" validate:"required,hostname_port"`
+	Peers        []Peer   `toml:"members" validate:"dive"`
+	Services     Services `toml:"services"`
+	Facts        Facts    `toml:"facts"`
+	Operator     Operator `toml:"-" validate:"-"`
 }
 
-// Member is another controller.
-type Member struct {
-	Node     string `toml:"node_name" validate:"required"`
+// Peer is another controller.
+type Peer struct {
+	Name     string `toml:"node_name" validate:"required"`
 	Zone     string `toml:"location"`
 	Endpoint string `toml:"endpoint" validate:"required,hostname_port"`
 }
@@ -30,20 +30,20 @@
 // Services are the addresses of the store and the cloud.
 type Services struct {
 	Cloud string `toml:"cloud" validate:"required,hostname_port"`
-	State string `toml:"state" validate:"required,hostname_port"`
+	Store string `toml:"state" validate:"required,hostname_port"`
 }
 
 // Facts are what is known of the deployment.
 type Facts struct {
-	Size         int         `toml:"size" validate:"gte=0"`
-	Zones        []string    `toml:"zones"`
-	ClockErrorMS float64     `toml:"clock_error_ms" validate:"gte=0"`
-	Teams        []Team      `toml:"teams" validate:"dive"`
-	Objectives   []Objective `toml:"objectives"`
-	Workers      Workers     `toml:"workers"`
-	State        State       `toml:"state"`
-	Cloud        Cloud       `toml:"cloud"`
-	Resources    Resources   `toml:"resources"`
+	Size             int           `toml:"size" validate:"gte=0"`
+	Zones            []string      `toml:"zones"`
+	ClockErrorMillis float64       `toml:"clock_error_ms" validate:"gte=0"`
+	Teams            []Team        `toml:"teams" validate:"dive"`
+	Objectives       []Objective   `toml:"objectives"`
+	Workers          WorkerTimings `toml:"workers"`
+	Store            StoreLimits   `toml:"state"`
+	Cloud            CloudLimits   `toml:"cloud"`
+	Resources        ProcessLimits `toml:"resources"`
 }
 
 // Team is a team with its quota: what is guaranteed to it, and its limit.
@@ -55,27 +55,33 @@
 	GPUsMax float64 `toml:"gpus_max" validate:"gtefield=GPUs"`
 }
 
-// Workers are the times of the worker protocol, in seconds.
-type Workers struct {
-	ReportS float64 `toml:"report_s" validate:"gt=0,lte=86400"` // up to a day; beyond, sums overflow
-	LeaseS  float64 `toml:"lease_s" validate:"gtfield=ReportS,lte=86400"`
-	CancelS float64 `toml:"cancel_s" validate:"gt=0,lte=86400"`
+// WorkerTimings are the times of the worker protocol, in seconds.
+type WorkerTimings struct {
+	HeartbeatSeconds float64 `toml:"report_s" validate:"gt=0,lte=86400"` // up to a day; beyond, sums overflow
+	LeaseSeconds     float64 `toml:"lease_s" validate:"gtfield=HeartbeatSeconds,lte=86400"`
+	CancelSeconds    float64 `toml:"cancel_s" validate:"gt=0,lte=86400"`
 }
 
-// Lease is how long a worker keeps its tasks without an answer to a heartbeat.
-func (s *Settings) Lease() time.Duration { return Seconds(s.Facts.Workers.LeaseS) }
+// WorkerLease is how long a worker keeps its tasks without an answer to a heartbeat.
+func (settings *Settings) WorkerLease() time.Duration {
+	return Seconds(settings.Facts.Workers.LeaseSeconds)
+}
 
-// Report is the interval of a worker's heartbeats.
-func (s *Settings) Report() time.Duration { return Seconds(s.Facts.Workers.ReportS) }
+// HeartbeatInterval is the interval of a worker's heartbeats.
+func (settings *Settings) HeartbeatInterval() time.Duration {
+	return Seconds(settings.Facts.Workers.HeartbeatSeconds)
+}
 
 // ClockError is how far the time of day may be off, either way.
-func (s *Settings) ClockError() time.Duration { return Seconds(s.Facts.ClockErrorMS / 1000) }
+func (settings *Settings) ClockError() time.Duration {
+	return Seconds(settings.Facts.ClockErrorMillis / 1000)
+}
 
 // Team finds a team by name.
-func (s *Settings) Team(name string) (Team, bool) {
-	for _, t := range s.Facts.Teams {
-		if t.Name == name {
-			return t, true
+func (settings *Settings) Team(name string) (Team, bool) {
+	for _, team := range settings.Facts.Teams {
+		if team.Name == name {
+			return team, true
 		}
 	}
 	return Team{}, false
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -97,21 +97,21 @@
 }
 
 func TestLeast(t *testing.T) {
-	now := State{RPS: 100, WriteRPS: 20, ValueKB: 16, TxnOps: 16}
+	now := StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 16, TxnOps: 16}
 	for _, tc := range []struct {
 		name string
-		next *NextState
-		want State
+		next *AnnouncedStoreLimits
+		want StoreLimits
 	}{
 		{"none announced", nil, now},
-		{"all", &NextState{RPS: 50, WriteRPS: 10, ValueKB: 2, TxnOps: 4}, State{RPS: 50, WriteRPS: 10, ValueKB: 2, TxnOps: 4}},
-		{"some", &NextState{ValueKB: 2}, State{RPS: 100, WriteRPS: 20, ValueKB: 2, TxnOps: 16}},
-		{"higher ones are not counted on", &NextState{RPS: 500, TxnOps: 32}, now},
+		{"all", &AnnouncedStoreLimits{RPS: 50, WriteRPS: 10, ValueKB: 2, TxnOps: 4}, StoreLimits{RPS: 50, WriteRPS: 10, ValueKB: 2, TxnOps: 4}},
+		{"some", &AnnouncedStoreLimits{ValueKB: 2}, StoreLimits{RPS: 100, WriteRPS: 20, ValueKB: 2, TxnOps: 16}},
+		{"higher ones are not counted on", &AnnouncedStoreLimits{RPS: 500, TxnOps: 32}, now},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := now
-			s.Next = tc.next
-			if got := s.Least(); got != tc.want {
+			s.Announced = tc.next
+			if got := s.Lowest(); got != tc.want {
 				t.Errorf("got %+v, want %+v", got, tc.want)
 			}
 		})
@@ -120,7 +120,7 @@
 
 // Thrift goes by the class: a deadline for one does not make a fleet wait for work
 // that others want done soon, and a class with both times is in no hurry.
-func TestFrugal(t *testing.T) {
+func TestScalesAhead(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		aims   []string // kind and class
@@ -138,19 +138,19 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var s Settings
-			s.Operator.Fleet.Thrift = tc.thrift
+			s.Operator.Fleet.CostSaving = tc.thrift
 			for _, a := range tc.aims {
 				kind, class, _ := strings.Cut(a, " ")
 				s.Facts.Objectives = append(s.Facts.Objectives, Objective{Kind: kind, Class: class})
 			}
 			got := ""
 			for _, c := range []string{"x", "y", "z"} {
-				if s.Ample(c) {
+				if s.ScalesAhead(c) {
 					got += c
 				}
 			}
-			if got != tc.ample || s.Frugal() != (tc.ample == "") {
-				t.Errorf("rented ahead for %q, frugal: %v", got, s.Frugal())
+			if got != tc.ample || s.NeverScalesAhead() != (tc.ample == "") {
+				t.Errorf("rented ahead for %q, frugal: %v", got, s.NeverScalesAhead())
 			}
 		})
 	}
--- a/internal/shard/eligibility.go
+++ b/internal/shard/eligibility.go
@@ -7,17 +7,18 @@
 
 // storeRefusesAfter is for how long the store has not answered when it counts as refusing
 // a controller.
-func (o *Owner) storeRefusesAfter() time.Duration { return 5 * o.config.Report() / 4 }
+func (o *Owner) storeRefusesAfter() time.Duration { return 5 * o.config.HeartbeatInterval() / 4 }
 
 // EligibleOwners returns the controllers that may own a shard, given the present owners:
 // this one, and the connected peers that are neither isolated from workers nor refused by
 // a store that serves others. A peer that comes back waits a little, so that workers do
 // not move to and fro.
 func (o *Owner) EligibleOwners(current []string) []string {
-	eligible := []string{o.config.Node}
+	eligible := []string{o.config.Name}
 	for name, status := range o.links.Peers() {
-		stable := len(current) == 0 || slices.Contains(current, name) || o.now().Sub(status.LiveSince) > 2*o.config.Report()
-		served := status.StoreSilence < o.storeRefusesAfter() || o.sinceStoreAnswer() > o.config.Report()/2
+		stable := len(current) == 0 || slices.Contains(current, name) ||
+			o.now().Sub(status.LiveSince) > 2*o.config.HeartbeatInterval()
+		served := status.StoreSilence < o.storeRefusesAfter() || o.sinceStoreAnswer() > o.config.HeartbeatInterval()/2
 		if status.Live && stable && !status.Reachability.Isolated && served {
 			eligible = append(eligible, name)
 		}
@@ -39,7 +40,7 @@
 	for name, status := range o.links.Peers() {
 		// Every controller asks the store at least twice in a heartbeat interval, so that
 		// one that is served shows a fresh answer before long, and no other can.
-		if status.Live && status.StoreSilence < o.config.Report()/3 {
+		if status.Live && status.StoreSilence < o.config.HeartbeatInterval()/3 {
 			return name, true
 		}
 	}
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -68,7 +68,7 @@
 		return wire.CommandBatch{}, &NotOwnerError{Worker: heartbeat.Worker}
 	}
 	owner := shardMap.Owner(heartbeat.Worker)
-	if owner != o.config.Node && !o.substitutesFor(shardMap, owner, heartbeat.Zone) {
+	if owner != o.config.Name && !o.substitutesFor(shardMap, owner, heartbeat.Zone) {
 		return wire.CommandBatch{}, &NotOwnerError{Worker: heartbeat.Worker, RedirectTarget: owner}
 	}
 	batch, asked, err := o.askLeader(ctx, shardMap.Leader, heartbeat, localLeader)
@@ -89,11 +89,11 @@
 func (o *Owner) askLeader(
 	ctx context.Context, controller string, heartbeat *wire.Heartbeat, localLeader Leader,
 ) (batch wire.CommandBatch, asked bool, err error) {
-	if controller == o.config.Node {
+	if controller == o.config.Name {
 		batch, _, err = localLeader.Heartbeat(ctx, heartbeat)
 		return batch, true, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.config.Report()/leaderTimeoutFraction)
+	ctx, cancel := context.WithTimeout(ctx, o.config.HeartbeatInterval()/leaderTimeoutFraction)
 	defer cancel()
 	answer, err := o.links.ForwardHeartbeat(ctx, controller, heartbeat)
 	if err != nil {
@@ -128,6 +128,6 @@
 // allows for it: such a leader takes no lease in this zone for expired meanwhile.
 func (o *Owner) substitutesFor(shardMap election.ShardMap, owner, zone string) bool {
 	return shardMap.ZoneFallback && zone != "" && zone == o.config.Zone &&
-		slices.Contains(shardMap.Owners, o.config.Node) &&
+		slices.Contains(shardMap.Owners, o.config.Name) &&
 		o.StoreRefuses() && !o.links.Peers()[owner].Live
 }
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -51,7 +51,7 @@
 // hear them again.
 func (o *Owner) WorkerReachability() peer.Reachability {
 	now := o.now()
-	isOwner := slices.Contains(o.shardMap().Owners, o.config.Node)
+	isOwner := slices.Contains(o.shardMap().Owners, o.config.Name)
 	return o.isolation.reachability(now, isOwner, o.links)
 }
 
@@ -75,7 +75,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.lastRequest = now
-	if now.Sub(d.windowStart) > d.config.Lease() {
+	if now.Sub(d.windowStart) > d.config.WorkerLease() {
 		d.windowStart, d.previousRequests, d.requests = now, d.requests, 0
 	}
 	d.requests++
@@ -91,7 +91,7 @@
 	case d.ownerSince.IsZero():
 		d.ownerSince = now
 	}
-	interval, lease := float64(d.config.Report()), d.config.Lease()
+	interval, lease := float64(d.config.HeartbeatInterval()), d.config.WorkerLease()
 	silentFor := min(now.Sub(d.lastRequest), now.Sub(d.ownerSince))
 	silentAlone := reached && float64(min(silentFor, reachedFor)) > isolatedAfter*interval
 	switch {
@@ -112,7 +112,7 @@
 // hasEnoughWorkersLocked reports whether so many workers report here that their common
 // silence tells something. The caller holds d.mu.
 func (d *isolationDetector) hasEnoughWorkersLocked() bool {
-	heartbeatsPerLease := float64(d.config.Lease()) / float64(d.config.Report())
+	heartbeatsPerLease := float64(d.config.WorkerLease()) / float64(d.config.HeartbeatInterval())
 	return float64(max(d.requests, d.previousRequests)) >= minWorkers*heartbeatsPerLease
 }
 
@@ -122,7 +122,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	reached, reachedFor := d.peersReachedLocked(clock(), links)
-	return reached && float64(reachedFor) >= isolatedAfter*float64(d.config.Report())
+	return reached && float64(reachedFor) >= isolatedAfter*float64(d.config.HeartbeatInterval())
 }
 
 // peersReachedLocked reports whether a peer has just heard a worker, and for how long that
@@ -131,7 +131,7 @@
 func (d *isolationDetector) peersReachedLocked(
 	now time.Time, links PeerLinks,
 ) (reached bool, reachedFor time.Duration) {
-	interval := float64(d.config.Report())
+	interval := float64(d.config.HeartbeatInterval())
 	for _, status := range links.Peers() {
 		justHeard := float64(status.Reachability.SinceHeartbeat) < peerReachedWithin*interval
 		reached = reached || status.Live && status.ReachabilityKnown && justHeard
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -66,13 +66,13 @@
 	return &Owner{
 		config: config, shardMap: shardMap, sinceStoreAnswer: sinceStoreAnswer, cancellations: cancellations, now: now,
 		tuning: placement.Tuning{
-			AgingThreshold:  time.Duration(rule.WaitAge * float64(config.Lease())),
+			AgingThreshold:  time.Duration(rule.WaitAge * float64(config.WorkerLease())),
 			NearTie:         rule.NearTie,
-			OnDemandPenalty: config.Facts.Workers.ReportS,
+			OnDemandPenalty: config.Facts.Workers.HeartbeatSeconds,
 		},
 		table: placement.NewTable(placement.Params{
 			Horizon: rule.Horizon, Bonus: rule.Bonus, RunBound: rule.RunBound,
-			Tick: time.Duration(rule.Tick * float64(config.Report())),
+			Tick: time.Duration(rule.Tick * float64(config.HeartbeatInterval())),
 		}, now()),
 		isolation: isolationDetector{config: config},
 	}
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -48,8 +48,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	facts := settings.Facts{Workers: settings.Workers{ReportS: 4, LeaseS: 40}}
-	config := &settings.Settings{Node: "me", Operator: operator, Facts: facts}
+	facts := settings.Facts{Workers: settings.WorkerTimings{HeartbeatSeconds: 4, LeaseSeconds: 40}}
+	config := &settings.Settings{Name: "me", Operator: operator, Facts: facts}
 	now := func() time.Time { return testTime }
 	cancellations := cancellation.New(cancellation.Options{
 		StopDeadline: time.Minute, Capacity: 8, StoreUnavailable: func() bool { return false }, Now: now,
--- a/internal/shard/pick.go
+++ b/internal/shard/pick.go
@@ -23,7 +23,7 @@
 
 // Pick has the owner of a shard pick tasks for offered capacity: this controller or a peer.
 func (o *Owner) Pick(ctx context.Context, controller string, offer placement.Offer) ([]placement.Pick, error) {
-	if controller == o.config.Node {
+	if controller == o.config.Name {
 		return o.PickLocal(offer), nil
 	}
 	return o.links.Pick(ctx, controller, &offer)
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -246,15 +246,15 @@
 		w.t.Fatal(err)
 	}
 	s := &settings.Settings{
-		Node: fmt.Sprintf("host-%d", n), Zone: zoneOf(n), Front: front(n), Back: back(n), Operator: op,
-		Services: settings.Services{Cloud: "cloud:1", State: "state:1"},
+		Name: fmt.Sprintf("host-%d", n), Zone: zoneOf(n), FrontAddress: front(n), PeerAddress: back(n), Operator: op,
+		Services: settings.Services{Cloud: "cloud:1", Store: "state:1"},
 		Facts: settings.Facts{
-			ClockErrorMS: 1000,
-			Teams:        []settings.Team{{Name: "a", CPUs: 8, CPUsMax: w.limit}, {Name: "b", CPUs: 8, CPUsMax: w.limit}},
-			Workers:      settings.Workers{ReportS: report.Seconds(), LeaseS: lease.Seconds(), CancelS: cancel.Seconds()},
-			State:        settings.State{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
-			Cloud:        settings.Cloud{RPS: 5, ListLagS: 2},
-			Resources:    settings.Resources{CPUShare: 0.1, MemoryMB: 1 << 15, Sockets: 500},
+			ClockErrorMillis: 1000,
+			Teams:            []settings.Team{{Name: "a", CPUs: 8, CPUsMax: w.limit}, {Name: "b", CPUs: 8, CPUsMax: w.limit}},
+			Workers:          settings.WorkerTimings{HeartbeatSeconds: report.Seconds(), LeaseSeconds: lease.Seconds(), CancelSeconds: cancel.Seconds()},
+			Store:            settings.StoreLimits{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
+			Cloud:            settings.CloudLimits{RPS: 5, ListLagSeconds: 2},
+			Resources:        settings.ProcessLimits{CPUShare: 0.1, MemoryMB: 1 << 15, Sockets: 500},
 		},
 	}
 	w.mu.Lock()
@@ -270,14 +270,14 @@
 		s.Facts.Resources.Sockets = w.sockets
 	}
 	if w.most >= 100 { // the limits of a larger deployment
-		s.Facts.State.RPS, s.Facts.State.WriteRPS, s.Facts.Cloud.RPS = 500, 80, 12
+		s.Facts.Store.RPS, s.Facts.Store.WriteRPS, s.Facts.Cloud.RPS = 500, 80, 12
 	}
 	if w.upgraded[n] {
-		s.Facts.State.Next = &settings.NextState{WriteRPS: 35, ValueKB: lowValue / 1024., TxnOps: lowOps}
+		s.Facts.Store.Announced = &settings.AnnouncedStoreLimits{WriteRPS: 35, ValueKB: lowValue / 1024., TxnOps: lowOps}
 	}
 	for m := range w.size {
 		if m != n {
-			s.Members = append(s.Members, settings.Member{Node: fmt.Sprintf("host-%d", m), Zone: zoneOf(m), Endpoint: back(m)})
+			s.Peers = append(s.Peers, settings.Peer{Name: fmt.Sprintf("host-%d", m), Zone: zoneOf(m), Endpoint: back(m)})
 		}
 	}
 	return s
@@ -305,7 +305,7 @@
 	set := w.settings(n)
 	go func() {
 		defer close(c.over)
-		serve.Run(ctx, set, w.net.at(set.Node), log.With("node", set.Node))
+		serve.Run(ctx, set, w.net.at(set.Name), log.With("node", set.Name))
 	}()
 	return c
 }
