--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -199,7 +199,7 @@
 	_, found, err := c.read(context.Background(), d, func(b *audit.Block) {
 		for _, e := range b.Entries {
 			if c.wants(&e) {
-				fmt.Printf("%8d  %s\n", b.Seq, e.Says())
+				fmt.Printf("%8d  %s\n", b.Seq, e.Describe())
 			}
 		}
 	})
@@ -216,13 +216,14 @@
 }
 
 func (c *auditShowCmd) wants(e *audit.Entry) bool {
-	who := e.Who
-	if who == "" && e.Via != "" {
+	who := e.Actor
+	if who == "" && e.Controller != "" {
 		who = "anonymous"
 	}
-	onHost := e.On == c.Host || slices.ContainsFunc(e.Tasks, func(t audit.Task) bool { return t.Host == c.Host })
-	return (c.Job == "" || e.On == c.Job || e.For == c.Job) && (c.Who == "" || who == c.Who) && (c.Host == "" || onHost) &&
-		(c.Act == "" || strings.EqualFold(e.Act.String(), c.Act)) && !e.At.Before(c.Since)
+	onHost := e.Subject == c.Host || slices.ContainsFunc(e.Tasks, func(t audit.Task) bool { return t.Worker == c.Host })
+	return (c.Job == "" || e.Subject == c.Job || e.Purpose == c.Job) &&
+		(c.Who == "" || who == c.Who) && (c.Host == "" || onHost) &&
+		(c.Act == "" || strings.EqualFold(e.Action.String(), c.Act)) && !e.At.Before(c.Since)
 }
 
 type auditExportCmd struct {
--- a/internal/access/authorizer.go
+++ b/internal/access/authorizer.go
@@ -135,11 +135,11 @@
 	if !authorizer.auditing {
 		return nil, nil
 	}
-	return authorizer.sealEntries(audit.SlipPrefix+record.Job.ID, []audit.Entry{
-		audit.Accepting(authorizer.keys, record),
+	return authorizer.sealEntries(audit.PendingPrefix+record.Job.ID, []audit.Entry{
+		audit.AcceptedEntry(authorizer.keys, record),
 		{
-			At: authorizer.now(), Act: audit.Withdrawn, Who: caller.Name, Via: authorizer.controller,
-			On: record.Job.ID, Why: decision.Rule,
+			At: authorizer.now(), Action: audit.Cancelled, Actor: caller.Name, Controller: authorizer.controller,
+			Subject: record.Job.ID, Reason: decision.Rule,
 		},
 	})
 }
@@ -147,8 +147,8 @@
 // sealEntries returns the operation that stores entries for the leader to take into the
 // audit log.
 func (authorizer *Authorizer) sealEntries(key string, entries []audit.Entry) ([]wire.Operation, error) {
-	pending := audit.Slip{Entries: entries}
-	put, err := pending.Change(authorizer.keys, key)
+	pending := audit.PendingEntries{Entries: entries}
+	put, err := pending.Put(authorizer.keys, key)
 	if err != nil {
 		return nil, fmt.Errorf("access: seal audit entries %s: %w", key, err)
 	}
--- a/internal/access/refusals.go
+++ b/internal/access/refusals.go
@@ -56,8 +56,8 @@
 		return
 	}
 	refusals.pending = append(refusals.pending, audit.Entry{
-		At: authorizer.now(), Act: audit.Refused, Who: caller.Name, Via: authorizer.controller, On: job,
-		For: request.Action, Why: reason, Owner: request.Team, Rank: request.Priority,
+		At: authorizer.now(), Action: audit.Refused, Actor: caller.Name, Controller: authorizer.controller, Subject: job,
+		Purpose: request.Action, Reason: reason, Team: request.Team, Priority: request.Priority,
 	})
 }
 
@@ -114,7 +114,7 @@
 	refusals.mu.Lock()
 	defer refusals.mu.Unlock()
 	batch := &refusalBatch{key: fmt.Sprintf(
-		"%s%s.%x.%d", audit.SlipPrefix, authorizer.controller, refusals.startedAt, refusals.written)}
+		"%s%s.%x.%d", audit.PendingPrefix, authorizer.controller, refusals.startedAt, refusals.written)}
 	entries := append([]audit.Entry(nil), refusals.pending...)
 	for audit.Size(entries) > authorizer.store.MaxValueBytes()/2 && len(entries) > 1 {
 		entries = entries[:len(entries)/2] // the rest takes its turn
@@ -123,7 +123,8 @@
 	if batch.count == len(refusals.pending) && refusals.omitted > 0 {
 		batch.omitted = refusals.omitted
 		entries = append(entries, audit.Entry{
-			At: authorizer.now(), Act: audit.Missed, Via: authorizer.controller, Why: strconv.Itoa(refusals.omitted),
+			At: authorizer.now(), Action: audit.Missed, Controller: authorizer.controller,
+			Reason: strconv.Itoa(refusals.omitted),
 		})
 	}
 	if len(entries) == 0 {
--- a/internal/audit/archive.go
+++ b/internal/audit/archive.go
@@ -12,33 +12,33 @@
 	"rillflow/internal/wire"
 )
 
-// Store is what reading and trimming a record asks of the state service.
+// Store is what reading and trimming the audit log asks of the store.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.KeyValue, error)
 	List(ctx context.Context, under string) ([]wire.KeyValue, uint64, error)
 	Commit(ctx context.Context, t wire.Txn) (gen uint64, failed []string, err error)
 }
 
-// Archive is the record as the state service has it.
+// Archive is the audit log as the store has it.
 type Archive struct {
 	Before Head // of what was exported and trimmed; zero where nothing was
 	Blocks [][]byte
 	// Found are values that hold no block at all.
-	Found []error
-	mark  wire.KeyValue
-	keys  []wire.KeyValue
+	Found    []error
+	trimMark wire.KeyValue
+	keys     []wire.KeyValue
 }
 
-// Read reads the record, oldest block first. The mark of what was trimmed must be
-// sealed, or whoever can write to the state service could hide the beginning.
+// Read reads the audit log, oldest block first. The mark of what was trimmed must be
+// sealed, or whoever can write to the store could hide the beginning.
 func Read(ctx context.Context, st Store, ring *keyring.Ring) (*Archive, error) {
 	var a Archive
 	it, err := st.Get(ctx, TrimKey)
 	if err == nil {
-		if a.Before, err = openMark(ring, it.Value); err != nil {
+		if a.Before, err = openTrimMark(ring, it.Value); err != nil {
 			a.Found = append(a.Found, fmt.Errorf("the mark of what was trimmed: %w", err))
 		}
-		a.mark = it
+		a.trimMark = it
 	} else if !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, err
 	}
@@ -64,34 +64,34 @@
 	return &a, nil
 }
 
-// openMark reads the mark of what was trimmed: a slip whose one entry names a head.
-func openMark(ring *keyring.Ring, value []byte) (Head, error) {
+// openTrimMark reads the mark of what was trimmed: pending entries whose only one names a head.
+func openTrimMark(ring *keyring.Ring, value []byte) (Head, error) {
 	if ring == nil {
 		return Head{}, keyring.ErrUnknown
 	}
-	s, err := ReadSlip(ring, TrimKey, value)
+	s, err := ReadPending(ring, TrimKey, value)
 	if err != nil {
 		return Head{}, err
 	}
 	if len(s.Entries) != 1 {
 		return Head{}, errors.New("not a mark")
 	}
-	return ParseHead(s.Entries[0].On)
+	return ParseHead(s.Entries[0].Subject)
 }
 
-// Trim removes blocks from the state service up to and with a number, a few in each
+// Trim removes blocks from the store up to and with a number, a few in each
 // transaction. They must have been exported and the export read back. The newest
 // block always stays: a leader goes on from it.
-func (a *Archive) Trim(
+func (archive *Archive) Trim(
 	ctx context.Context, st Store, ring *keyring.Ring, upTo uint64, ops int,
 ) (removed int, err error) {
-	mark := a.mark.ModRevision
-	for len(a.keys) > 1 {
+	mark := archive.trimMark.ModRevision
+	for len(archive.keys) > 1 {
 		n := 0
 		txn := wire.Txn{Compares: []wire.Compare{{Key: TrimKey, ModRevision: mark}}}
 		var head Head
-		for n < min(len(a.keys)-1, ops-1) {
-			it := a.keys[n]
+		for n < min(len(archive.keys)-1, ops-1) {
+			it := archive.keys[n]
 			raw, err := Raw(it.Value)
 			if err != nil {
 				return removed, err
@@ -111,8 +111,8 @@
 		if n == 0 {
 			return removed, nil
 		}
-		s := Slip{Entries: []Entry{{At: time.Now(), Act: Trimmed, On: head.String()}}}
-		put, err := s.Change(ring, TrimKey)
+		s := PendingEntries{Entries: []Entry{{At: time.Now(), Action: Trimmed, Subject: head.String()}}}
+		put, err := s.Put(ring, TrimKey)
 		if err != nil {
 			return removed, err
 		}
@@ -124,7 +124,7 @@
 		if len(failed) > 0 {
 			return removed, fmt.Errorf("audit: somebody else trims: %v", failed)
 		}
-		mark, a.keys = gen, a.keys[n:]
+		mark, archive.keys = gen, archive.keys[n:]
 		removed += n
 	}
 	return removed, nil
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -21,9 +21,9 @@
 	var head Head
 	var out [][]byte
 	for i := range n {
-		b, err := Make(ring, head, 0, uint64(1+i/4), "host-0", at, []Entry{
-			{At: at, Act: Accepted, Who: "ana", Via: "host-1", On: fmt.Sprintf("req-%d", i), Owner: "museum", Rank: "urgent", Tasks: []Task{{Index: 9}}},
-			{At: at.Add(time.Second), Act: Claimed, On: fmt.Sprintf("req-%d", i), Tasks: []Task{{0, 1, "i-000001"}, {1, 1, "i-000001"}, {2, 2, "i-000002"}}},
+		b, err := NewBlock(ring, head, 0, uint64(1+i/4), "host-0", at, []Entry{
+			{At: at, Action: Accepted, Actor: "ana", Controller: "host-1", Subject: fmt.Sprintf("req-%d", i), Team: "museum", Priority: "urgent", Tasks: []Task{{Index: 9}}},
+			{At: at.Add(time.Second), Action: Claimed, Subject: fmt.Sprintf("req-%d", i), Tasks: []Task{{0, 1, "i-000001"}, {1, 1, "i-000001"}, {2, 2, "i-000002"}}},
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -62,7 +62,7 @@
 		{"two swapped", func(b [][]byte) [][]byte { b[3], b[4] = b[4], b[3]; return b }, ErrGap, "blocks 4 to 4"},
 		{"one twice", func(b [][]byte) [][]byte { return slices.Insert(b, 4, b[3]) }, ErrOrder, "block 4 after 4"},
 		{"one of another record of the same key", func(b [][]byte) [][]byte {
-			other, err := Make(ring, Head{Seq: 4}, 0, 2, "host-0", at, nil)
+			other, err := NewBlock(ring, Head{Seq: 4}, 0, 2, "host-0", at, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -71,7 +71,7 @@
 		}, ErrLink, "block 5"},
 		{"one written without the key", func(b [][]byte) [][]byte {
 			o, _ := Open(b[3])
-			other, err := Make(keyringtest.New(t), o.Head(), 0, 2, "host-0", at, nil)
+			other, err := NewBlock(keyringtest.New(t), o.Head(), 0, 2, "host-0", at, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	last, _ := Open(blocks[2])
-	next, err := Make(ring, last.Head(), 0, 2, "host-0", at, nil)
+	next, err := NewBlock(ring, last.Head(), 0, 2, "host-0", at, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -116,14 +116,14 @@
 	if _, err := check(ring, blocks); err != nil {
 		t.Fatalf("the rotation itself: %v", err)
 	}
-	added, err := Make(stolen, next.Head(), 0, 2, "host-0", at, nil)
+	added, err := NewBlock(stolen, next.Head(), 0, 2, "host-0", at, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := check(ring, append(slices.Clone(blocks), added.Raw)); !errors.Is(err, ErrKeyBack) {
 		t.Errorf("added under the old key: %v", err)
 	}
-	forged, err := Make(stolen, Head{Seq: 2, Hash: last.Prev}, 0, 1, "host-0", at, []Entry{{At: at, Act: Done, On: "req-0"}})
+	forged, err := NewBlock(stolen, Head{Seq: 2, Hash: last.Prev}, 0, 1, "host-0", at, []Entry{{At: at, Action: Done, Subject: "req-0"}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,18 +174,18 @@
 // A slip holds only where it was put.
 func TestSlip(t *testing.T) {
 	ring := keyringtest.New(t)
-	s := Slip{Entries: []Entry{{At: at, Act: Withdrawn, Who: "ana", On: "req-1"}}}
+	s := PendingEntries{Entries: []Entry{{At: at, Action: Cancelled, Actor: "ana", Subject: "req-1"}}}
 	raw, err := s.Encode(ring, "a/s/req-1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := OpenSlip(ring, "a/s/req-1", raw); err != nil || got.Entries[0].Who != "ana" {
+	if got, err := OpenPending(ring, "a/s/req-1", raw); err != nil || got.Entries[0].Actor != "ana" {
 		t.Errorf("%+v, %v", got, err)
 	}
-	if _, err := OpenSlip(ring, "a/s/req-2", raw); !errors.Is(err, ErrSeal) {
+	if _, err := OpenPending(ring, "a/s/req-2", raw); !errors.Is(err, ErrSeal) {
 		t.Errorf("moved: %v", err)
 	}
-	if _, err := OpenSlip(keyringtest.New(t), "a/s/req-1", raw); err == nil {
+	if _, err := OpenPending(keyringtest.New(t), "a/s/req-1", raw); err == nil {
 		t.Error("another's seal holds")
 	}
 }
@@ -193,8 +193,8 @@
 func entry(t *rapid.T) Entry {
 	word := rapid.SampledFrom([]string{"", "ana", "host-0", "req-1", "req-22", "museum", "long " + string(bytes.Repeat([]byte("x"), 300))})
 	e := Entry{
-		At: at.Add(time.Duration(rapid.IntRange(-1e6, 1e6).Draw(t, "at")) * time.Millisecond), Act: Act(rapid.IntRange(1, int(Trimmed)).Draw(t, "act")),
-		Who: word.Draw(t, "who"), Via: word.Draw(t, "via"), On: word.Draw(t, "on"), For: word.Draw(t, "for"), Why: word.Draw(t, "why"), Owner: word.Draw(t, "owner"), Rank: word.Draw(t, "rank"),
+		At: at.Add(time.Duration(rapid.IntRange(-1e6, 1e6).Draw(t, "at")) * time.Millisecond), Action: Action(rapid.IntRange(1, int(Trimmed)).Draw(t, "act")),
+		Actor: word.Draw(t, "who"), Controller: word.Draw(t, "via"), Subject: word.Draw(t, "on"), Purpose: word.Draw(t, "for"), Reason: word.Draw(t, "why"), Team: word.Draw(t, "owner"), Priority: word.Draw(t, "rank"),
 	}
 	for range rapid.IntRange(0, 40).Draw(t, "tasks") {
 		e.Tasks = append(e.Tasks, Task{rapid.IntRange(0, 100_000).Draw(t, "index"), rapid.Uint64().Draw(t, "try"), word.Draw(t, "host")})
@@ -219,11 +219,11 @@
 			}
 			for i, e := range out {
 				p := part[i]
-				if !e.At.Equal(p.At) || e.Act != p.Act || *e.strings()[0] != p.Who || e.On != p.On || e.Why != p.Why || !slices.Equal(e.Tasks, p.Tasks) {
+				if !e.At.Equal(p.At) || e.Action != p.Action || *e.strings()[0] != p.Actor || e.Subject != p.Subject || e.Reason != p.Reason || !slices.Equal(e.Tasks, p.Tasks) {
 					t.Fatalf("%+v came back as %+v", p, e)
 				}
 				tasks += len(e.Tasks)
-				if e.Act == Missed && e.Why == "1" {
+				if e.Action == Missed && e.Reason == "1" {
 					missed++
 				}
 			}
@@ -279,14 +279,14 @@
 	var blocks [][]byte
 	var entries []Entry
 	for i := range 16 {
-		e := Entry{At: at.Add(time.Duration(i) * time.Millisecond), Act: Claimed, On: fmt.Sprintf("req-%06d", i)}
+		e := Entry{At: at.Add(time.Duration(i) * time.Millisecond), Action: Claimed, Subject: fmt.Sprintf("req-%06d", i)}
 		for k := range 8 {
 			e.Tasks = append(e.Tasks, Task{k, 1, fmt.Sprintf("i-%06d", i*8+k)})
 		}
 		entries = append(entries, e)
 	}
 	for range 1_000_000 / len(entries) {
-		blk, err := Make(ring, head, 0, 1, "host-0", at, entries)
+		blk, err := NewBlock(ring, head, 0, 1, "host-0", at, entries)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/internal/audit/block.go
+++ b/internal/audit/block.go
@@ -17,12 +17,12 @@
 	"rillflow/internal/keyring"
 )
 
-// Keys of the state service. Blocks are named so that the newest comes first in a
+// Keys of the store. Blocks are named so that the newest comes first in a
 // list: a new leader finds the end of the chain by reading one key.
 const (
-	BlockPrefix = "a/b/"
-	SlipPrefix  = "a/s/"
-	TrimKey     = "a/trim"
+	BlockPrefix   = "a/b/"
+	PendingPrefix = "a/s/"
+	TrimKey       = "a/trim"
 )
 
 // BlockKey is the key of a block.
@@ -60,7 +60,7 @@
 type Block struct {
 	Seq     uint64 // from 1, without a gap
 	Epoch   uint64 // of the leader that wrote it
-	Writer  string // its node
+	Writer  string // the controller that wrote it
 	At      time.Time
 	Prev    [keyring.Size]byte // digest of the block before, seal included
 	Key     uint32             // of the ring, that seals it
@@ -69,53 +69,53 @@
 }
 
 // A block is: format (1 byte), key (4), number (8), epoch (8), time in milliseconds
-// (8), digest of the block before (32), writer, entries packed or not, seal (32).
+// (8), digest of the block before (32), writer, entries compressed or not, seal (32).
 const (
-	format   = 1
-	fixedLen = 1 + 4 + 8 + 8 + 8 + keyring.Size
-	sealLen  = keyring.Size
+	format          = 1
+	blockFixedBytes = 1 + 4 + 8 + 8 + 8 + keyring.Size
+	sealBytes       = keyring.Size
 )
 
 // ErrSeal says that a seal does not match what it seals.
 var ErrSeal = errors.New("audit: the seal does not hold")
 
-// Make seals a block that follows a head, under the ring's newest key, or the one given
+// NewBlock seals a block that follows a head, under the ring's newest key, or the one given
 // if that is newer: no block is sealed under an older key than the one before, whatever
 // the clocks of two leaders say.
-func Make(
-	ring *keyring.Ring, head Head, least uint32, epoch uint64, writer string, at time.Time, entries []Entry,
+func NewBlock(
+	ring *keyring.Ring, head Head, minKey uint32, epoch uint64, writer string, at time.Time, entries []Entry,
 ) (*Block, error) {
-	b := &Block{
+	block := &Block{
 		Seq: head.Seq + 1, Epoch: epoch, Writer: writer, At: at, Prev: head.Hash,
-		Key: max(ring.Newest(), least), Entries: entries,
+		Key: max(ring.Newest(), minKey), Entries: entries,
 	}
 	raw := make([]byte, 0, 256)
 	raw = append(raw, format)
-	raw = binary.BigEndian.AppendUint32(raw, b.Key)
-	raw = binary.BigEndian.AppendUint64(raw, b.Seq)
-	raw = binary.BigEndian.AppendUint64(raw, b.Epoch)
+	raw = binary.BigEndian.AppendUint32(raw, block.Key)
+	raw = binary.BigEndian.AppendUint64(raw, block.Seq)
+	raw = binary.BigEndian.AppendUint64(raw, block.Epoch)
 	raw = binary.BigEndian.AppendUint64(raw, uint64(at.UnixMilli()))
-	raw = append(raw, b.Prev[:]...)
+	raw = append(raw, block.Prev[:]...)
 	e := codec.Encoder{B: raw}
 	e.Str(writer)
 	body := encode(entries)
-	packed := pack(body)
+	packed := compress(body)
 	e.Bool(len(packed) < len(body))
 	if len(packed) < len(body) {
 		body = packed
 	}
 	e.Bytes(body)
-	seal, err := ring.Seal(b.Key, keyring.ForAudit, e.B)
+	seal, err := ring.Seal(block.Key, keyring.ForAudit, e.B)
 	if err != nil {
 		return nil, err
 	}
-	b.Raw = append(e.B, seal[:]...)
-	return b, nil
+	block.Raw = append(e.B, seal[:]...)
+	return block, nil
 }
 
 // Open reads a block without a look at its seal.
 func Open(raw []byte) (*Block, error) {
-	if len(raw) < fixedLen+sealLen || raw[0] != format {
+	if len(raw) < blockFixedBytes+sealBytes || raw[0] != format {
 		return nil, fmt.Errorf("audit: block: %w", codec.ErrFormat)
 	}
 	b := &Block{
@@ -123,7 +123,7 @@
 		Epoch: binary.BigEndian.Uint64(raw[13:]),
 		At:    time.UnixMilli(int64(binary.BigEndian.Uint64(raw[21:]))), Prev: [keyring.Size]byte(raw[29:]), Raw: raw,
 	}
-	d := codec.Decoder{B: raw[fixedLen : len(raw)-sealLen]}
+	d := codec.Decoder{B: raw[blockFixedBytes : len(raw)-sealBytes]}
 	b.Writer = d.Str()
 	packed, body := d.Bool(), d.Bytes()
 	if err := d.Done(); err != nil {
@@ -131,7 +131,7 @@
 	}
 	var err error
 	if packed {
-		if body, err = unpack(body); err != nil {
+		if body, err = decompress(body); err != nil {
 			return nil, fmt.Errorf("audit: block %d: %w", b.Seq, err)
 		}
 	}
@@ -141,10 +141,10 @@
 	return b, nil
 }
 
-// Sealed checks a block's seal. A ring without the key cannot tell.
-func (b *Block) Sealed(ring *keyring.Ring) error {
-	body, seal := b.Raw[:len(b.Raw)-sealLen], b.Raw[len(b.Raw)-sealLen:]
-	ok, err := ring.Check(b.Key, keyring.ForAudit, seal, body)
+// VerifySeal checks a block's seal. A ring without the key cannot tell.
+func (block *Block) VerifySeal(ring *keyring.Ring) error {
+	body, seal := block.Raw[:len(block.Raw)-sealBytes], block.Raw[len(block.Raw)-sealBytes:]
+	ok, err := ring.Check(block.Key, keyring.ForAudit, seal, body)
 	if err == nil && !ok {
 		err = ErrSeal
 	}
@@ -152,14 +152,14 @@
 }
 
 // Head is the chain's end with this block as its last.
-func (b *Block) Head() Head { return Head{b.Seq, keyring.Digest(b.Raw)} }
+func (block *Block) Head() Head { return Head{block.Seq, keyring.Digest(block.Raw)} }
 
-// stored is a block, a slip or a mark as the state service has it.
+// stored is a block, pending entries or a mark as the store has it.
 type stored struct {
 	Raw string `json:"b"`
 }
 
-// Value is raw data as the state service keeps it.
+// Value is raw data as the store keeps it.
 func Value(raw []byte) json.RawMessage {
 	out := make([]byte, 0, ValueLen(len(raw)))
 	out = append(out, `{"b":"`...)
@@ -183,8 +183,8 @@
 	return raw, nil
 }
 
-// Same tells whether a value holds exactly a block.
-func (b *Block) Same(value []byte) bool {
+// EqualsStored tells whether a value holds exactly a block.
+func (block *Block) EqualsStored(value []byte) bool {
 	raw, err := Raw(value)
-	return err == nil && bytes.Equal(raw, b.Raw)
+	return err == nil && bytes.Equal(raw, block.Raw)
 }
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -29,12 +29,12 @@
 
 func goldenEntries(n int) []Entry {
 	e := goldentest.Filled[Entry]()
-	e.At, e.Act = at, Claimed
-	e.Tasks = append(e.Tasks, Task{Index: 2, Try: 5, Host: "i-1"}, Task{Index: 1, Try: 6, Host: "i-1"})
-	es := []Entry{e, {At: at.Add(-time.Second), Act: Done, On: e.On}}
+	e.At, e.Action = at, Claimed
+	e.Tasks = append(e.Tasks, Task{Index: 2, Attempt: 5, Worker: "i-1"}, Task{Index: 1, Attempt: 6, Worker: "i-1"})
+	es := []Entry{e, {At: at.Add(-time.Second), Action: Done, Subject: e.Subject}}
 	for i := len(es); i < n; i++ {
 		later := at.Add(time.Duration(i) * time.Second)
-		es = append(es, Entry{At: later, Act: Accepted, Who: "ana", On: fmt.Sprintf("req-%d", i)})
+		es = append(es, Entry{At: later, Action: Accepted, Actor: "ana", Subject: fmt.Sprintf("req-%d", i)})
 	}
 	return es
 }
@@ -44,24 +44,24 @@
 func TestGoldenStored(t *testing.T) {
 	ring := goldenRing(t)
 	head := Head{Seq: 6, Hash: keyring.Digest([]byte("before"))}
-	b, err := Make(ring, head, 0, 12, "host-0", at, goldenEntries(2))
+	b, err := NewBlock(ring, head, 0, 12, "host-0", at, goldenEntries(2))
 	if err != nil {
 		t.Fatal(err)
 	}
-	slip, err := (&Slip{Entries: goldenEntries(2)}).Change(ring, SlipPrefix+"req-1")
+	slip, err := (&PendingEntries{Entries: goldenEntries(2)}).Put(ring, PendingPrefix+"req-1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got, err := Open(b.Raw); err != nil || !reflect.DeepEqual(got.Entries, b.Entries) || got.Head() != b.Head() {
 		t.Errorf("the block reads back as %+v, %v", got, err)
 	}
-	if got, err := ReadSlip(ring, slip.Put, slip.Value); err != nil || !reflect.DeepEqual(got.Entries, b.Entries) {
+	if got, err := ReadPending(ring, slip.Put, slip.Value); err != nil || !reflect.DeepEqual(got.Entries, b.Entries) {
 		t.Errorf("the slip reads back as %+v, %v", got, err)
 	}
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s\t%s\n", BlockKey(b.Seq), Value(b.Raw))
 	fmt.Fprintf(&out, "%s\t%s\n%s\n%s\n", slip.Put, slip.Value, TrimKey, b.Head())
-	for a := Act(1); int(a) <= len(acts); a++ {
+	for a := Action(1); int(a) <= len(actionNames); a++ {
 		fmt.Fprintf(&out, "%d %s\n", a, a)
 	}
 	goldentest.Check(t, "stored.txt", out.String())
@@ -73,7 +73,7 @@
 	ring := goldenRing(t)
 	entries := goldenEntries(64)
 	raw := goldentest.Read(t, "packed.block", func() []byte {
-		b, err := Make(ring, Head{}, 0, 12, "host-0", at, entries)
+		b, err := NewBlock(ring, Head{}, 0, 12, "host-0", at, entries)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 	if !reflect.DeepEqual(*b, want) {
 		t.Fatalf("reads as %+v", b)
 	}
-	if err := b.Sealed(ring); err != nil {
+	if err := b.VerifySeal(ring); err != nil {
 		t.Error(err)
 	}
 	if plain := len(encode(entries)); len(raw) >= plain {
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -21,21 +21,21 @@
 }
 
 // A segment is: mark (4 bytes), format (1), key (4), number and digest of the block
-// before (8, 32), of the last block (8, 32), blocks with their lengths, packed, seal
+// before (8, 32), of the last block (8, 32), blocks with their lengths, compressed, seal
 // (32). The seal is over all before it as it stands in the file, so that a change of
-// any bit shows, also one that unpacking would not notice.
+// any bit shows, also one that decompressing would not notice.
 const (
-	segmentMark  = "RFSG"
-	segmentFixed = len(segmentMark) + 1 + 4 + 2*(8+keyring.Size)
-	maxSegment   = 1 << 30 // unpacked
+	segmentMagic      = "RFSG"
+	segmentFixedBytes = len(segmentMagic) + 1 + 4 + 2*(8+keyring.Size)
+	maxSegmentBytes   = 1 << 30 // decompressed
 )
 
 // Encode seals the segment under the newest key.
-func (s *Segment) Encode(ring *keyring.Ring) ([]byte, error) {
+func (segment *Segment) Encode(ring *keyring.Ring) ([]byte, error) {
 	key := ring.Newest()
-	raw := append([]byte(segmentMark), format)
+	raw := append([]byte(segmentMagic), format)
 	raw = binary.BigEndian.AppendUint32(raw, key)
-	for _, h := range []Head{s.Before, s.Last} {
+	for _, h := range []Head{segment.Before, segment.Last} {
 		raw = binary.BigEndian.AppendUint64(raw, h.Seq)
 		raw = append(raw, h.Hash[:]...)
 	}
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
-	for _, b := range s.Blocks {
+	for _, b := range segment.Blocks {
 		if _, err := z.Write(append(binary.AppendUvarint(nil, uint64(len(b))), b...)); err != nil {
 			return nil, fmt.Errorf("audit: %w", err)
 		}
@@ -62,12 +62,12 @@
 // OpenSegment reads a segment and checks its seal; the blocks are still to be
 // verified. With no ring the seal is left alone.
 func OpenSegment(ring *keyring.Ring, raw []byte) (*Segment, error) {
-	if len(raw) < segmentFixed+sealLen || string(raw[:len(segmentMark)]) != segmentMark ||
-		raw[len(segmentMark)] != format {
+	if len(raw) < segmentFixedBytes+sealBytes || string(raw[:len(segmentMagic)]) != segmentMagic ||
+		raw[len(segmentMagic)] != format {
 		return nil, fmt.Errorf("audit: segment: %w", codec.ErrFormat)
 	}
-	body, seal := raw[:len(raw)-sealLen], raw[len(raw)-sealLen:]
-	at := len(segmentMark) + 1
+	body, seal := raw[:len(raw)-sealBytes], raw[len(raw)-sealBytes:]
+	at := len(segmentMagic) + 1
 	key := binary.BigEndian.Uint32(raw[at:])
 	if ring != nil {
 		ok, err := ring.Check(key, keyring.ForAudit, seal, body)
@@ -86,21 +86,21 @@
 		at += 8 + keyring.Size
 	}
 	var err error
-	if s.Blocks, err = unpackBlocks(body[segmentFixed:]); err != nil {
+	if s.Blocks, err = decompressBlocks(body[segmentFixedBytes:]); err != nil {
 		return nil, fmt.Errorf("audit: segment: %w", err)
 	}
 	return &s, nil
 }
 
-func unpackBlocks(packed []byte) ([][]byte, error) {
+func decompressBlocks(packed []byte) ([][]byte, error) {
 	z, err := zstd.NewReader(
-		bytes.NewReader(packed), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSegment),
+		bytes.NewReader(packed), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSegmentBytes),
 	)
 	if err != nil {
 		return nil, err
 	}
 	defer z.Close()
-	data, err := io.ReadAll(io.LimitReader(z, maxSegment))
+	data, err := io.ReadAll(io.LimitReader(z, maxSegmentBytes))
 	if err != nil {
 		return nil, err
 	}
@@ -121,12 +121,13 @@
 
 // Follow checks that a segment joins what a verifier has checked, and checks its
 // blocks. Every fault is passed to found, entries that hold to each.
-func (s *Segment) Follow(v *Verifier, each func(*Block), found func(error)) {
-	if was := v.Head(); s.Before != was {
-		found(fmt.Errorf("segment of blocks %d to %d after block %d: %w", s.Before.Seq+1, s.Last.Seq, was.Seq, ErrSegments))
-		v.head = s.Before
+func (segment *Segment) Follow(v *Verifier, each func(*Block), found func(error)) {
+	if was := v.Head(); segment.Before != was {
+		found(fmt.Errorf("segment of blocks %d to %d after block %d: %w",
+			segment.Before.Seq+1, segment.Last.Seq, was.Seq, ErrSegments))
+		v.head = segment.Before
 	}
-	for _, raw := range s.Blocks {
+	for _, raw := range segment.Blocks {
 		b, err := v.Add(raw)
 		if err != nil {
 			found(err)
@@ -134,7 +135,8 @@
 		}
 		each(b)
 	}
-	if v.Head() != s.Last {
-		found(fmt.Errorf("segment of blocks %d to %d ends at block %d: %w", s.Before.Seq+1, s.Last.Seq, v.Head().Seq, ErrGap))
+	if v.Head() != segment.Last {
+		found(fmt.Errorf("segment of blocks %d to %d ends at block %d: %w",
+			segment.Before.Seq+1, segment.Last.Seq, v.Head().Seq, ErrGap))
 	}
 }
--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/keyring"
 )
 
-// Faults of a record. Each error of a Verifier names the blocks.
+// Faults of the log. Each error of a Verifier names the blocks.
 var (
 	ErrGap     = errors.New("blocks are missing")
 	ErrOrder   = errors.New("blocks are out of order, or there twice")
@@ -25,50 +25,50 @@
 	epoch  uint64
 }
 
-// NewVerifier begins after a head: the zero head at the start of a record, or that of
+// NewVerifier begins after a head: the zero head at the start of the log, or that of
 // a mark or segment which was checked itself.
 func NewVerifier(ring *keyring.Ring, after Head) *Verifier {
 	return &Verifier{ring: ring, head: after}
 }
 
 // Head is the end of what was checked.
-func (v *Verifier) Head() Head { return v.head }
+func (verifier *Verifier) Head() Head { return verifier.head }
 
 // First is the number of the first block that was checked; 0 if none was.
-func (v *Verifier) First() uint64 { return v.first }
+func (verifier *Verifier) First() uint64 { return verifier.first }
 
 // Blocks is how many were checked.
-func (v *Verifier) Blocks() int { return v.blocks }
+func (verifier *Verifier) Blocks() int { return verifier.blocks }
 
 // Add checks the next block. After a fault the check goes on from the block as it
 // is, so that one fault is told once.
-func (v *Verifier) Add(raw []byte) (*Block, error) {
+func (verifier *Verifier) Add(raw []byte) (*Block, error) {
 	b, err := Open(raw)
 	if err != nil {
 		// Its number cannot be trusted; the next one has to be the one after.
-		v.head.Seq++
-		v.head.Hash = keyring.Digest(raw)
-		return nil, fmt.Errorf("block %d: %w", v.head.Seq, err)
+		verifier.head.Seq++
+		verifier.head.Hash = keyring.Digest(raw)
+		return nil, fmt.Errorf("block %d: %w", verifier.head.Seq, err)
 	}
-	was := v.head
+	was := verifier.head
 	// What is in a block says nothing until its seal holds: a changed number is
 	// a changed block, not a gap.
-	if v.ring != nil {
-		if err := b.Sealed(v.ring); err != nil {
-			v.head = Head{was.Seq + 1, keyring.Digest(raw)}
+	if verifier.ring != nil {
+		if err := b.VerifySeal(verifier.ring); err != nil {
+			verifier.head = Head{was.Seq + 1, keyring.Digest(raw)}
 			return b, fmt.Errorf("block %d: %w", was.Seq+1, err)
 		}
 	}
-	v.head = b.Head()
-	v.blocks++
-	if v.blocks == 1 {
-		v.first = b.Seq
+	verifier.head = b.Head()
+	verifier.blocks++
+	if verifier.blocks == 1 {
+		verifier.first = b.Seq
 	}
-	late := b.Key < v.key
-	v.key = max(v.key, b.Key)
+	late := b.Key < verifier.key
+	verifier.key = max(verifier.key, b.Key)
 	switch {
 	case b.Seq <= was.Seq:
-		v.head = was
+		verifier.head = was
 		return b, fmt.Errorf("block %d after %d: %w", b.Seq, was.Seq, ErrOrder)
 	case b.Seq > was.Seq+1:
 		return b, fmt.Errorf("blocks %d to %d: %w", was.Seq+1, b.Seq-1, ErrGap)
@@ -77,9 +77,9 @@
 	case late:
 		// Whoever still has an old key could write with it.
 		return b, fmt.Errorf("block %d, key %d: %w", b.Seq, b.Key, ErrKeyBack)
-	case b.Epoch < v.epoch:
-		return b, fmt.Errorf("block %d: of epoch %d after %d: %w", b.Seq, b.Epoch, v.epoch, ErrOrder)
+	case b.Epoch < verifier.epoch:
+		return b, fmt.Errorf("block %d: of epoch %d after %d: %w", b.Seq, b.Epoch, verifier.epoch, ErrOrder)
 	}
-	v.epoch = b.Epoch
+	verifier.epoch = b.Epoch
 	return b, nil
 }
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -48,11 +48,11 @@
 		txn.Operations = append(txn.Operations, wire.Operation{Put: c.key, Value: data})
 	}
 	if admin.Audited {
-		e.At, e.Who = admin.Now(), admin.Actor
+		e.At, e.Actor = admin.Now(), admin.Actor
 		// The name is used once: the records' stamps are in the guards.
-		place := fmt.Sprintf("%s%s.%x", audit.SlipPrefix, e.On, admin.Now().UnixNano())
-		s := audit.Slip{Entries: []audit.Entry{e}}
-		put, err := s.Change(admin.Ring, place)
+		place := fmt.Sprintf("%s%s.%x", audit.PendingPrefix, e.Subject, admin.Now().UnixNano())
+		s := audit.PendingEntries{Entries: []audit.Entry{e}}
+		put, err := s.Put(admin.Ring, place)
 		if err != nil {
 			return err
 		}
@@ -149,7 +149,7 @@
 		"token %s until %s; teams %v, roles %v", id, time.Unix(t.ExpiresUnix, 0).UTC().Format(time.RFC3339),
 		rec.Teams, rec.Roles,
 	)
-	return token, admin.commit(ctx, cs, audit.Entry{Act: audit.Issued, On: name, Why: why})
+	return token, admin.commit(ctx, cs, audit.Entry{Action: audit.Issued, Subject: name, Reason: why})
 }
 
 // Rotate gives an identity a new token, and lets its others hold for a grace at most.
@@ -183,7 +183,7 @@
 		t.Revoked = true
 		return admin.commit(
 			ctx, []recordChange{{TokenPrefix + id, stamp, t}},
-			audit.Entry{Act: audit.Revoked, On: t.Identity, Why: "token " + id},
+			audit.Entry{Action: audit.Revoked, Subject: t.Identity, Reason: "token " + id},
 		)
 	}
 	var rec Record
@@ -198,7 +198,7 @@
 	rec.Revoked = true
 	if err := admin.commit(
 		ctx, []recordChange{{IdentityPrefix + name, stamp, rec}},
-		audit.Entry{Act: audit.Revoked, On: name, Why: "with all tokens"},
+		audit.Entry{Action: audit.Revoked, Subject: name, Reason: "with all tokens"},
 	); err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 		}
 		if err := admin.commit(
 			ctx, []recordChange{{it.Key, it.ModRevision, t}},
-			audit.Entry{Act: audit.Revoked, On: name, Why: "token " + id + " " + why},
+			audit.Entry{Action: audit.Revoked, Subject: name, Reason: "token " + id + " " + why},
 		); err != nil {
 			return err
 		}
--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -72,7 +72,7 @@
 	entries := append([]audit.Entry(nil), a.queue[:batch.queued]...)
 	if a.dropped > 0 && batch.queued == len(a.queue) {
 		batch.dropped = a.dropped
-		entries = append(entries, audit.Entry{At: now, Act: audit.Missed, Why: strconv.Itoa(a.dropped)})
+		entries = append(entries, audit.Entry{At: now, Action: audit.Missed, Reason: strconv.Itoa(a.dropped)})
 	}
 	return entries
 }
@@ -83,12 +83,12 @@
 	var entries []audit.Entry
 	job := decision.Job
 	if !job.Audited {
-		entries = append(entries, audit.Accepting(a.keys, job.Record()))
+		entries = append(entries, audit.AcceptedEntry(a.keys, job.Record()))
 		batch.jobs = append(batch.jobs, job)
 		job.Audited = true
 	}
 	if len(decision.Claims) > 0 {
-		entry := audit.Entry{At: now, Act: audit.Claimed, On: job.Ref}
+		entry := audit.Entry{At: now, Action: audit.Claimed, Subject: job.Ref}
 		for _, claim := range decision.Claims {
 			claim.Audited = true
 			batch.claims = append(batch.claims, claim)
@@ -97,7 +97,7 @@
 		entries = append(entries, entry)
 	}
 	if decision.EndsJob {
-		entries = append(entries, audit.Entry{At: now, Act: audit.Done, On: job.Ref})
+		entries = append(entries, audit.Entry{At: now, Action: audit.Done, Subject: job.Ref})
 	}
 	return entries
 }
@@ -111,10 +111,10 @@
 	var entries []audit.Entry
 	for _, job := range jobs {
 		if !job.Audited {
-			entries = append(entries, audit.Accepting(a.keys, job.Record()))
+			entries = append(entries, audit.AcceptedEntry(a.keys, job.Record()))
 		}
 		entries = append(entries, audit.Entry{
-			At: common.now, Act: audit.Withdrawn, On: job.Ref, Why: "needs " + job.CancelledUpstream(),
+			At: common.now, Action: audit.Cancelled, Subject: job.Ref, Reason: "needs " + job.CancelledUpstream(),
 		})
 	}
 	return a.sealBlocks(batch, entries, common)
@@ -130,7 +130,7 @@
 			a.dropped += len(blockEntries)
 			continue
 		}
-		block, err := audit.Make(a.keys, head, a.lastKey, common.epoch, a.controller, common.now, blockEntries)
+		block, err := audit.NewBlock(a.keys, head, a.lastKey, common.epoch, a.controller, common.now, blockEntries)
 		if err != nil {
 			return err
 		}
@@ -180,12 +180,12 @@
 
 // retract takes back what was queued about a claim that was never made.
 func (a *auditWriter) retract(claim *ledger.Claim) {
-	isOfClaim := func(task audit.Task) bool { return task.Index == claim.Index && task.Try == claim.Attempt }
+	isOfClaim := func(task audit.Task) bool { return task.Index == claim.Index && task.Attempt == claim.Attempt }
 	a.queue = slices.DeleteFunc(a.queue, func(entry audit.Entry) bool {
-		return entry.On == claim.Job.Ref && len(entry.Tasks) == 1 && isOfClaim(entry.Tasks[0])
+		return entry.Subject == claim.Job.Ref && len(entry.Tasks) == 1 && isOfClaim(entry.Tasks[0])
 	})
 	for i := range a.queue {
-		if entry := &a.queue[i]; entry.On == claim.Job.Ref && len(entry.Tasks) > 1 {
+		if entry := &a.queue[i]; entry.Subject == claim.Job.Ref && len(entry.Tasks) > 1 {
 			entry.Tasks = slices.DeleteFunc(entry.Tasks, isOfClaim)
 		}
 	}
@@ -201,5 +201,5 @@
 	if err != nil {
 		return txnOutcome{}, err
 	}
-	return txnOutcome{applied: b.blocks[0].Same(item.Value), revision: item.ModRevision}, nil
+	return txnOutcome{applied: b.blocks[0].EqualsStored(item.Value), revision: item.ModRevision}, nil
 }
--- a/internal/leader/auditcollector.go
+++ b/internal/leader/auditcollector.go
@@ -22,7 +22,7 @@
 		return nil
 	}
 	return c.store.WatchPrefix(ctx, kvstore.Watcher{
-		Prefix: audit.SlipPrefix, PollWait: c.settings.WorkerLease() / 2,
+		Prefix: audit.PendingPrefix, PollWait: c.settings.WorkerLease() / 2,
 		BackoffBase: c.settings.HeartbeatInterval() / 32, BackoffLimit: c.settings.HeartbeatInterval() / 4,
 		OnSnapshot: func(items []wire.KeyValue, _ time.Time) {
 			c.mu.Lock()
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -135,7 +135,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if err := block.Sealed(a.keys); err != nil {
+	if err := block.VerifySeal(a.keys); err != nil {
 		return 0, err
 	}
 	return block.Key, nil
@@ -168,7 +168,8 @@
 		return false
 	}
 	last := &a.queue[queued-1]
-	same := last.Act == entry.Act && last.On == entry.On && last.For == entry.For && last.Why == entry.Why
+	same := last.Action == entry.Action && last.Subject == entry.Subject &&
+		last.Purpose == entry.Purpose && last.Reason == entry.Reason
 	if !same || len(last.Tasks) >= maxTasksPerEntry {
 		return false
 	}
@@ -178,17 +179,17 @@
 
 // enqueueTask queues an entry about a claim, if the log tells of the claim. Callers
 // hold mu.
-func (a *auditWriter) enqueueTask(now time.Time, action audit.Act, claim *ledger.Claim, reason, beneficiary string) {
+func (a *auditWriter) enqueueTask(now time.Time, action audit.Action, claim *ledger.Claim, reason, beneficiary string) {
 	if a == nil || !claim.Audited {
 		return
 	}
 	a.enqueue(now, audit.Entry{
-		Act: action, On: claim.Job.Ref, Why: reason, For: beneficiary, Tasks: []audit.Task{auditTask(claim)},
+		Action: action, Subject: claim.Job.Ref, Reason: reason, Purpose: beneficiary, Tasks: []audit.Task{auditTask(claim)},
 	})
 }
 
 func auditTask(claim *ledger.Claim) audit.Task {
-	return audit.Task{Index: claim.Index, Try: claim.Attempt, Host: claim.Worker}
+	return audit.Task{Index: claim.Index, Attempt: claim.Attempt, Worker: claim.Worker}
 }
 
 // isDue tells whether what is queued is to be written though nothing else is.
@@ -205,10 +206,10 @@
 
 // takePending takes in a pending entry that another controller wrote. Callers hold mu.
 func (a *auditWriter) takePending(key string, data json.RawMessage, revision uint64) {
-	pending, err := audit.ReadSlip(a.keys, key, data)
+	pending, err := audit.ReadPending(a.keys, key, data)
 	if err != nil {
 		a.log.Error("pending audit entry invalid", "key", key, "err", err)
-		unsealed := audit.Entry{At: time.Now(), Act: audit.Unsealed, On: key, Why: err.Error()}
+		unsealed := audit.Entry{At: time.Now(), Action: audit.Unsealed, Subject: key, Reason: err.Error()}
 		a.pending[key] = pendingEntry{revision, []audit.Entry{unsealed}}
 		return
 	}
@@ -218,7 +219,7 @@
 // dropPending tells whether a compare that failed was of a pending entry, which then is no
 // more. Callers hold mu.
 func (a *auditWriter) dropPending(key string) bool {
-	if a == nil || !strings.HasPrefix(key, audit.SlipPrefix) {
+	if a == nil || !strings.HasPrefix(key, audit.PendingPrefix) {
 		return false
 	}
 	delete(a.pending, key)
--- a/internal/leader/auditwriter_test.go
+++ b/internal/leader/auditwriter_test.go
@@ -29,7 +29,7 @@
 
 // taskEntry is an entry about one task of a job.
 func taskEntry(jobID string, index int, reason string) audit.Entry {
-	return audit.Entry{Act: audit.Lost, On: jobID, Why: reason, Tasks: []audit.Task{{Index: index, Try: 1, Host: "h0"}}}
+	return audit.Entry{Action: audit.Freed, Subject: jobID, Reason: reason, Tasks: []audit.Task{{Index: index, Attempt: 1, Worker: "h0"}}}
 }
 
 // What is told of the tasks of a job together is one entry, unless that is in flight or full.
@@ -59,7 +59,7 @@
 func TestAuditQueueIsBounded(t *testing.T) {
 	writer := newTestAuditWriter(t)
 	for range maxQueuedEntries + 7 {
-		writer.enqueue(now, audit.Entry{Act: audit.Returned, On: "h0"})
+		writer.enqueue(now, audit.Entry{Action: audit.Released, Subject: "h0"})
 	}
 	if len(writer.queue) != maxQueuedEntries || writer.dropped != 7 {
 		t.Fatalf("%d entries, %d dropped", len(writer.queue), writer.dropped)
@@ -106,13 +106,13 @@
 	if !job.Audited || !claim.Audited || len(batch.blocks) != 1 {
 		t.Fatalf("told of the job: %v, of the claim: %v, in %d blocks", job.Audited, claim.Audited, len(batch.blocks))
 	}
-	leader.auditLog.enqueueTask(now, audit.Lost, claim, "halted", "")
+	leader.auditLog.enqueueTask(now, audit.Freed, claim, "halted", "")
 	leader.auditLog.enqueue(now, taskEntry("req-2", 0, "halted"))
 	leader.auditLog.batchFailed(batch)
 	if job.Audited || claim.Audited || leader.auditLog.head.Seq != 0 {
 		t.Errorf("told of the job: %v, of the claim: %v, head %v", job.Audited, claim.Audited, leader.auditLog.head)
 	}
-	if queue := leader.auditLog.queue; len(queue) != 1 || queue[0].On != "req-2" {
+	if queue := leader.auditLog.queue; len(queue) != 1 || queue[0].Subject != "req-2" {
 		t.Errorf("queue %+v", queue)
 	}
 }
--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -147,7 +147,7 @@
 // noteRelease logs why an instance is about to be released. Callers hold mu.
 func (a *autoscaler) noteRelease(name, reason string, now time.Time) {
 	a.log.Info("releasing", "worker", name, "reason", reason, "claims", len(a.jobs.ClaimsOnWorker(name)))
-	a.auditLog.enqueue(now, audit.Entry{Act: audit.Returned, On: name, Why: reason})
+	a.auditLog.enqueue(now, audit.Entry{Action: audit.Released, Subject: name, Reason: reason})
 }
 
 // releaseInstances releases instances. The answer is proof that what was on them is gone, and
--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -129,7 +129,7 @@
 	}
 	t.mu.Lock()
 	t.auditLog.enqueue(t.now(), audit.Entry{
-		Act: audit.TookOver, On: t.settings.Name, Why: fmt.Sprintf("epoch %d", t.firstEpoch),
+		Action: audit.TookOver, Subject: t.settings.Name, Reason: fmt.Sprintf("epoch %d", t.firstEpoch),
 	})
 	phase := t.leadership.Incarnation().Phase
 	if phase == dataloss.PhaseComplete || phase == dataloss.PhaseProvisional {
--- a/internal/leader/scope.go
+++ b/internal/leader/scope.go
@@ -99,7 +99,7 @@
 func (s *termScope) freeClaim(claim *ledger.Claim, reason string) {
 	s.log.Debug("claim freed", "task", claim.Task(), "worker", claim.Worker, "reason", reason)
 	now := s.now()
-	s.auditLog.enqueueTask(now, audit.Lost, claim, reason, "")
+	s.auditLog.enqueueTask(now, audit.Freed, claim, reason, "")
 	s.jobs.Free(claim, now)
 }
 
--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -109,7 +109,7 @@
 				}
 				leaders := 0
 				for _, e := range h.Others {
-					if e.Act == audit.TookOver {
+					if e.Action == audit.TookOver {
 						leaders++
 					}
 				}
@@ -136,15 +136,15 @@
 			t.Errorf("%s: %s", ref, f)
 		}
 		j := w.jobs[ref]
-		if e := s.Accepted; e == nil || e.Act != audit.Accepted || e.Owner != j.Team || e.Rank != j.Priority || e.Tasks[0].Index != j.TaskCount || e.Via == "" {
+		if e := s.Accepted; e == nil || e.Action != audit.Accepted || e.Team != j.Team || e.Priority != j.Priority || e.Tasks[0].Index != j.TaskCount || e.Controller == "" {
 			t.Errorf("%s: its acceptance is told as %+v", ref, e)
 		}
-		if (w.told[ref] == wire.PhaseCancelled) != (s.Withdrawn != nil) || (w.told[ref] == wire.PhaseDone) != (s.Done != nil) {
-			t.Errorf("%s is %s, told withdrawn %v, done %v", ref, w.told[ref], s.Withdrawn, s.Done)
+		if (w.told[ref] == wire.PhaseCancelled) != (s.Cancelled != nil) || (w.told[ref] == wire.PhaseDone) != (s.Done != nil) {
+			t.Errorf("%s is %s, told withdrawn %v, done %v", ref, w.told[ref], s.Cancelled, s.Done)
 		}
 		// One that was asked for may have been carried there from a needed job first.
-		if e := s.Withdrawn; e != nil && (e.Via != "" && !w.asked[ref] || e.Via == "" && e.Why == "") {
-			t.Errorf("%s: asked %v, told %s", ref, w.asked[ref], e.Says())
+		if e := s.Cancelled; e != nil && (e.Controller != "" && !w.asked[ref] || e.Controller == "" && e.Reason == "") {
+			t.Errorf("%s: asked %v, told %s", ref, w.asked[ref], e.Describe())
 		}
 	}
 	claimed := make(map[run]bool)
@@ -154,8 +154,8 @@
 		}
 		for _, e := range s.Entries {
 			for _, c := range e.Tasks {
-				if e.Act == audit.Claimed {
-					claimed[run{ledger.Task{JobRef: ref, Index: c.Index}, c.Try, c.Host}] = true
+				if e.Action == audit.Claimed {
+					claimed[run{ledger.Task{JobRef: ref, Index: c.Index}, c.Attempt, c.Worker}] = true
 				}
 			}
 		}
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -144,17 +144,17 @@
 			t.Error(b)
 		}
 		h, _ := history(t, w, ring)
-		if s := h.Jobs["req-2"]; s == nil || s.Accepted == nil || s.Accepted.Who != "ana" || s.Withdrawn == nil || s.Withdrawn.Who != "ana" {
+		if s := h.Jobs["req-2"]; s == nil || s.Accepted == nil || s.Accepted.Actor != "ana" || s.Cancelled == nil || s.Cancelled.Actor != "ana" {
 			t.Errorf("req-2 is told as %+v", s)
 		}
 		for ref, who := range map[string]string{"req-1": "", "req-3": "ana", "req-4": "gus", "req-6": "gus"} {
-			if s := h.Jobs[ref]; s == nil || len(s.Refused) == 0 || s.Refused[0].Who != who || s.Accepted != nil {
+			if s := h.Jobs[ref]; s == nil || len(s.Refused) == 0 || s.Refused[0].Actor != who || s.Accepted != nil {
 				t.Errorf("%s, refused to %q, is told as %+v", ref, who, s)
 			}
 		}
 		acts := make(map[string]int)
 		for _, e := range h.Others {
-			acts[e.Act.String()+" "+e.On]++
+			acts[e.Action.String()+" "+e.Subject]++
 		}
 		if acts[audit.Issued.String()+" gus"] != 1 || acts[audit.Revoked.String()+" gus"] < 1 || acts[audit.Revoked.String()+" ana"] != 1 {
 			t.Errorf("identities are told as %v", acts)
