--- a/internal/cancellation/set_test.go
+++ b/internal/cancellation/set_test.go
@@ -53,10 +53,10 @@
 	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
 	set := newTestSet(c, &storeUnavailable, 8)
 	heartbeat := &wire.Heartbeat{Tasks: []wire.TaskStatus{
-		{Task: "req-1/0", Attempt: 1, Phase: wire.PhaseRunning},
+		{Task: "req-1/0", Attempt: 1, Phase: wire.TaskRunning},
 		{Task: "req-1/1", Attempt: 2, Phase: wire.TaskFetching},
 		{Task: "req-1/2", Attempt: 1, Phase: wire.TaskExited},
-		{Task: "req-10/0", Attempt: 1, Phase: wire.PhaseRunning},
+		{Task: "req-10/0", Attempt: 1, Phase: wire.TaskRunning},
 	}}
 	given := []wire.Command{
 		{Action: wire.ActionStop, Task: "req-1/0", Attempt: 1},
--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -202,7 +202,7 @@
 			worker.InstanceType, worker.Spot = instance.InstanceType, instance.Spot
 			a.registry.setZone(worker, instance.Zone)
 		}
-		if instance.Phase == wire.PhaseRunning && worker.ListedRunningAt.IsZero() {
+		if instance.Phase == wire.InstanceRunning && worker.ListedRunningAt.IsZero() {
 			worker.ListedRunningAt = now
 		}
 	}
--- a/internal/leader/commander.go
+++ b/internal/leader/commander.go
@@ -117,7 +117,7 @@
 	var pollable []*agent.Worker
 	for _, instance := range c.instances {
 		_, isReleased := c.released[instance.Name]
-		if isReleased || instance.Phase != wire.PhaseRunning || instance.Address == "" {
+		if isReleased || instance.Phase != wire.InstanceRunning || instance.Address == "" {
 			continue
 		}
 		worker := c.registry.worker(instance.Name)
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -185,7 +185,7 @@
 	claim *ledger.Claim, worker *agent.Worker, reported wire.TaskStatus, now time.Time,
 ) {
 	switch reported.Phase {
-	case wire.PhaseRunning:
+	case wire.TaskRunning:
 		if claim.RunningSince.IsZero() {
 			claim.RunningSince = now
 			h.taskStarted(claim, worker, now)
--- a/internal/leader/modelworker_test.go
+++ b/internal/leader/modelworker_test.go
@@ -47,7 +47,7 @@
 				continue
 			}
 			m.checkStart(worker, command)
-			worker.tasks[command.Task] = &wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Phase: wire.PhaseRunning}
+			worker.tasks[command.Task] = &wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Phase: wire.TaskRunning}
 		case wire.ActionStop:
 			if task != nil && task.Attempt == command.Attempt && task.Phase != wire.TaskExited {
 				task.Phase, task.ExitReason = wire.TaskExited, wire.ExitStopped
@@ -240,7 +240,7 @@
 func (m *model) finishTask() {
 	worker := m.drawWorker()
 	for _, name := range slices.Sorted(maps.Keys(worker.tasks)) {
-		if task := worker.tasks[name]; task.Phase == wire.PhaseRunning && !worker.released {
+		if task := worker.tasks[name]; task.Phase == wire.TaskRunning && !worker.released {
 			task.Phase, task.ExitReason = wire.TaskExited, wire.ExitDone
 			m.completed[name] = true
 			return
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -184,7 +184,7 @@
 		return false
 	}
 	switch status.Phase {
-	case wire.PhaseRunning:
+	case wire.TaskRunning:
 		claim.RunningSince = status.Since
 	case wire.TaskExited:
 		o.heartbeats.taskEnded(claim, worker, status.EndCause, now)
@@ -200,7 +200,7 @@
 		return 0, false
 	}
 	o.eachTaskOf(jobID, func(_ *agent.Worker, _ ledger.Task, status agent.TaskStatus) {
-		if status.Phase == wire.PhaseRunning {
+		if status.Phase == wire.TaskRunning {
 			running++
 		}
 	})
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		instance, listed := r.instances[worker.Name]
-		up := listed && instance.Phase == wire.PhaseRunning || len(r.jobs.ClaimsOnWorker(worker.Name)) > 0
+		up := listed && instance.Phase == wire.InstanceRunning || len(r.jobs.ClaimsOnWorker(worker.Name)) > 0
 		heard := !worker.LastHeartbeat.IsZero() || !worker.LastUpdate.IsZero()
 		if up && (!heard || worker.SeenEpoch < r.firstEpoch) {
 			names = append(names, worker.Name)
--- a/internal/leader/placementhold_test.go
+++ b/internal/leader/placementhold_test.go
@@ -59,7 +59,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newLeaderTerm(t.Context(), env, nil, firstEpoch, nil)
 			leader.recovery.progress = tc.progress
-			leader.instances = map[string]wire.Instance{"i-1": {Name: "i-1", Phase: wire.PhaseRunning}}
+			leader.instances = map[string]wire.Instance{"i-1": {Name: "i-1", Phase: wire.InstanceRunning}}
 			leader.addWorker(tc.worker)
 			if got := leader.recovery.placementOnHold(startedAt.Add(tc.after)); got != tc.onHold {
 				t.Errorf("on hold: %v", got)
--- a/internal/leader/status_test.go
+++ b/internal/leader/status_test.go
@@ -55,7 +55,7 @@
 				worker.LastHeartbeat, worker.SeenEpoch = now, 6
 			}
 			leader.addWorker(worker)
-			leader.instances = map[string]wire.Instance{"h9": {Name: "h9", Phase: wire.PhaseRunning}}
+			leader.instances = map[string]wire.Instance{"h9": {Name: "h9", Phase: wire.InstanceRunning}}
 			runner := runnerOf(leader)
 			if _, known, err := runner.TaskCounts("req-9"); known || !errors.Is(err, tc.err) {
 				t.Errorf("known %v, %v; want %v", known, err, tc.err)
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -134,8 +134,8 @@
 			}
 			owner.cancellations.Add("", "req-1")
 			heartbeat := &wire.Heartbeat{Worker: "i-1", Epoch: 7, Tasks: []wire.TaskStatus{
-				{Task: "req-1/0", Attempt: 2, Phase: wire.PhaseRunning},
-				{Task: "req-2/0", Attempt: 1, Phase: wire.PhaseRunning},
+				{Task: "req-1/0", Attempt: 2, Phase: wire.TaskRunning},
+				{Task: "req-2/0", Attempt: 1, Phase: wire.TaskRunning},
 			}}
 			batch, err := owner.Heartbeat(t.Context(), heartbeat, fakeLeader{no})
 			if batch.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
