--- a/internal/agent/commands_test.go
+++ b/internal/agent/commands_test.go
@@ -41,7 +41,7 @@
 func finished(claim *ledger.Claim)    { claim.Finished = true }
 
 func TestCommands(t *testing.T) {
-	live, cancelled := &ledger.Job{Ref: "req-1"}, &ledger.Job{Ref: "req-2", Cancelled: true}
+	live, cancelled := &ledger.Job{ID: "req-1"}, &ledger.Job{ID: "req-2", Cancelled: true}
 	running, ended := []reportedTask{{"req-1/0", 4, "running"}}, []reportedTask{{"req-1/0", 4, "ended"}}
 	unclaimed := []reportedTask{{"req-9/1", 2, "running"}}
 	for _, tc := range []commandsTest{
--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -88,7 +88,7 @@
 		job.Audited = true
 	}
 	if len(decision.Claims) > 0 {
-		entry := audit.Entry{At: now, Action: audit.Claimed, Subject: job.Ref}
+		entry := audit.Entry{At: now, Action: audit.Claimed, Subject: job.ID}
 		for _, claim := range decision.Claims {
 			claim.Audited = true
 			batch.claims = append(batch.claims, claim)
@@ -97,7 +97,7 @@
 		entries = append(entries, entry)
 	}
 	if decision.EndsJob {
-		entries = append(entries, audit.Entry{At: now, Action: audit.Done, Subject: job.Ref})
+		entries = append(entries, audit.Entry{At: now, Action: audit.Done, Subject: job.ID})
 	}
 	return entries
 }
@@ -114,7 +114,7 @@
 			entries = append(entries, audit.AcceptedEntry(a.keys, job.Record()))
 		}
 		entries = append(entries, audit.Entry{
-			At: common.now, Action: audit.Cancelled, Subject: job.Ref, Reason: "needs " + job.CancelledUpstream(),
+			At: common.now, Action: audit.Cancelled, Subject: job.ID, Reason: "needs " + job.CancelledUpstream(),
 		})
 	}
 	return a.sealBlocks(batch, entries, common)
@@ -182,10 +182,10 @@
 func (a *auditWriter) retract(claim *ledger.Claim) {
 	isOfClaim := func(task audit.Task) bool { return task.Index == claim.Index && task.Attempt == claim.Attempt }
 	a.queue = slices.DeleteFunc(a.queue, func(entry audit.Entry) bool {
-		return entry.Subject == claim.Job.Ref && len(entry.Tasks) == 1 && isOfClaim(entry.Tasks[0])
+		return entry.Subject == claim.Job.ID && len(entry.Tasks) == 1 && isOfClaim(entry.Tasks[0])
 	})
 	for i := range a.queue {
-		if entry := &a.queue[i]; entry.Subject == claim.Job.Ref && len(entry.Tasks) > 1 {
+		if entry := &a.queue[i]; entry.Subject == claim.Job.ID && len(entry.Tasks) > 1 {
 			entry.Tasks = slices.DeleteFunc(entry.Tasks, isOfClaim)
 		}
 	}
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -184,7 +184,7 @@
 		return
 	}
 	a.enqueue(now, audit.Entry{
-		Action: action, Subject: claim.Job.Ref, Reason: reason, Purpose: beneficiary, Tasks: []audit.Task{auditTask(claim)},
+		Action: action, Subject: claim.Job.ID, Reason: reason, Purpose: beneficiary, Tasks: []audit.Task{auditTask(claim)},
 	})
 }
 
--- a/internal/leader/claimcommit.go
+++ b/internal/leader/claimcommit.go
@@ -152,7 +152,7 @@
 	}
 	for _, job := range result.Ended {
 		now := w.now()
-		w.log.Info("job finished", "job", job.Ref, "class", job.Spec.Class, "tasks", job.Spec.TaskCount,
+		w.log.Info("job finished", "job", job.ID, "class", job.Spec.Class, "tasks", job.Spec.TaskCount,
 			"took_s", now.Sub(job.ArrivedAt).Seconds(), "ready_s", now.Sub(job.ReadyAt).Seconds())
 	}
 	w.dependencies.jobsReady(result.Unblocked)
--- a/internal/leader/claimwriter_test.go
+++ b/internal/leader/claimwriter_test.go
@@ -37,7 +37,7 @@
 			t.Fatalf("no batch: %v", err)
 		}
 		leader.jobs.BatchCommitted(batch.Batch, 5)
-		return batch.JobRefs()
+		return batch.JobIDs()
 	}
 	commit()
 	leader.jobs.Finish(finished)
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -101,7 +101,7 @@
 func (d *dependencies) jobsReady(jobs []*ledger.Job) {
 	for _, job := range jobs {
 		waited := job.ReadyAt.Sub(job.ArrivedAt)
-		d.log.Info("job ready", "job", job.Ref, "class", job.Spec.Class, "waited_s", waited.Seconds())
+		d.log.Info("job ready", "job", job.ID, "class", job.Spec.Class, "waited_s", waited.Seconds())
 	}
 	if len(jobs) > 0 {
 		notify(d.scheduleSignal)
@@ -186,12 +186,12 @@
 		record := job.Record()
 		end, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, now))
 		if err != nil {
-			return nil, fmt.Errorf("leader: encode end of job %s: %w", job.Ref, err)
+			return nil, fmt.Errorf("leader: encode end of job %s: %w", job.ID, err)
 		}
-		live := ledger.LiveKey(job.Ref)
+		live := ledger.LiveKey(job.ID)
 		batch.Compares = append(batch.Compares, wire.Compare{Key: live, ModRevision: job.ModRevision()})
 		batch.Operations = append(batch.Operations,
-			wire.Operation{Delete: live}, wire.Operation{Put: ledger.EndedKey(job.Ref), Value: end})
+			wire.Operation{Delete: live}, wire.Operation{Put: ledger.EndedKey(job.ID), Value: end})
 	}
 	err := d.auditLog.attachCancellations(batch, jobs, blockContext{d.leadership.Epoch(), now, limits})
 	if err != nil {
@@ -225,8 +225,8 @@
 	for _, job := range batch.cancelled {
 		// A live key that is not as it was is gone: the user cancelled the job, for it
 		// cannot have been done.
-		if applied || slices.Contains(failed, ledger.LiveKey(job.Ref)) {
-			d.cancellations.cancelJob(job.Ref)
+		if applied || slices.Contains(failed, ledger.LiveKey(job.ID)) {
+			d.cancellations.cancelJob(job.ID)
 		}
 	}
 	return nil
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -197,11 +197,11 @@
 		for i, drawn := range jobs {
 			got := leader.dependencies.effectivePriority(drawn.job)
 			if drawn.ofGuest && got < priorityLevel("standard") {
-				rt.Fatalf("%s, a guest's, goes by %s", drawn.job.Ref, priorityName(got))
+				rt.Fatalf("%s, a guest's, goes by %s", drawn.job.ID, priorityName(got))
 			}
 			if drawn.job.Spec.Team == "t" && got < best[i] {
 				rt.Fatalf("%s goes by %s for a guest's sake, not %s",
-					drawn.job.Ref, priorityName(got), priorityName(best[i]))
+					drawn.job.ID, priorityName(got), priorityName(best[i]))
 			}
 		}
 	})
@@ -239,7 +239,7 @@
 			if rapid.Bool().Draw(rt, "need") {
 				need := rights.Request{Action: rights.DependOn, Team: earlier.job.Spec.Team}
 				decision.Allowed = decision.Allowed && rules.Decide(who, need).Allowed
-				spec.DependsOn = append(spec.DependsOn, earlier.job.Ref)
+				spec.DependsOn = append(spec.DependsOn, earlier.job.ID)
 				drawn.dependsOn = append(drawn.dependsOn, n)
 			}
 		}
--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -114,7 +114,7 @@
 	maxMoves := max(minMoves, len(d.workersByName)/workersPerMove)
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
 		job := claim.Job
-		if len(moved) >= maxMoves || moved[job.Ref] || claim.Stopping || !d.hasRunLongEnough(claim, now) ||
+		if len(moved) >= maxMoves || moved[job.ID] || claim.Stopping || !d.hasRunLongEnough(claim, now) ||
 			job.Spec.Kind != wire.KindService || job.ClaimedTasks() < job.Spec.TaskCount {
 			continue
 		}
@@ -123,7 +123,7 @@
 			continue
 		}
 		target.allocate(job)
-		moved[job.Ref] = true
+		moved[job.ID] = true
 		claim.Stopping = true
 		d.auditLog.enqueueTask(now, audit.Stopped, claim, stopDrained, "")
 		worker.WakeSender()
--- a/internal/leader/faults.go
+++ b/internal/leader/faults.go
@@ -33,9 +33,9 @@
 	job.FailedOn[worker.Name] = true
 	job.ConsecutiveFailures++
 	if worker.LastFailure = now; len(worker.FailedJobs) < maxFailuresKept {
-		worker.FailedJobs = append(worker.FailedJobs, job.Ref)
+		worker.FailedJobs = append(worker.FailedJobs, job.ID)
 	}
-	f.log.Info("task failed", "job", job.Ref, "worker", worker.Name,
+	f.log.Info("task failed", "job", job.ID, "worker", worker.Name,
 		"job_failures", job.ConsecutiveFailures, "worker_failures", len(worker.FailedJobs))
 	if f.jobFaulty(job) {
 		job.RetryAt = now.Add(f.retryDelay(job.ConsecutiveFailures))
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -40,7 +40,7 @@
 			}
 			for _, job := range jobs {
 				if leader.faults.jobFaulty(job) {
-					badJobs += " " + job.Ref
+					badJobs += " " + job.ID
 				}
 			}
 			if badWorkers != tc.badWorkers || badJobs != tc.badJobs {
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -23,7 +23,7 @@
 		return cmp.Or(
 			cmp.Compare(s.ranking.tier(a), s.ranking.tier(b)),
 			a.ReadyAt.Compare(b.ReadyAt),
-			cmp.Compare(a.Ref, b.Ref),
+			cmp.Compare(a.ID, b.ID),
 		)
 	})
 	claimed := 0
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -202,8 +202,8 @@
 	}
 	for _, job := range m.leader.jobs.BatchCommitted(batch, m.revision+10).Ended {
 		for i := range job.Spec.TaskCount {
-			if name := (ledger.Task{JobRef: job.Ref, Index: i}).String(); !m.completed[name] {
-				m.t.Fatalf("not_done: %s ended without %s", job.Ref, name)
+			if name := (ledger.Task{JobID: job.ID, Index: i}).String(); !m.completed[name] {
+				m.t.Fatalf("not_done: %s ended without %s", job.ID, name)
 			}
 		}
 	}
--- a/internal/leader/offer.go
+++ b/internal/leader/offer.go
@@ -115,7 +115,7 @@
 		}
 	}
 	if target.reservedFor != nil {
-		described.ReservedFor, described.ReservedTier = target.reservedFor.Ref, o.ranking.tier(target.reservedFor)
+		described.ReservedFor, described.ReservedTier = target.reservedFor.ID, o.ranking.tier(target.reservedFor)
 	}
 	return described
 }
@@ -125,7 +125,7 @@
 func (o *offerMaker) describeJob(job *ledger.Job, index *candidateIndex, now time.Time) placement.WaitingJob {
 	spec := &job.Spec
 	waiting := placement.WaitingJob{
-		Ref: job.Ref, Tasks: job.WaitingTasks(), Tier: o.ranking.tier(job), Age: now.Sub(job.WaitingSince),
+		JobID: job.ID, Tasks: job.WaitingTasks(), Tier: o.ranking.tier(job), Age: now.Sub(job.WaitingSince),
 		CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB, Image: spec.Image, ImageGB: spec.ImageGB,
 		Service: spec.Kind == wire.KindService, AllowSpot: spec.AllowSpot, InstanceTypes: spec.InstanceTypes,
 		ExcludedWorkers: slices.Sorted(maps.Keys(job.FailedOn)), StartWithinSeconds: o.ranking.startWithinSeconds(job),
--- a/internal/leader/offer_test.go
+++ b/internal/leader/offer_test.go
@@ -22,7 +22,7 @@
 	}
 	var picks []placement.Pick
 	for _, target := range offer.Candidates {
-		picks = append(picks, placement.Pick{Worker: target.Worker, Ref: "req-1"})
+		picks = append(picks, placement.Pick{Worker: target.Worker, JobID: "req-1"})
 	}
 	return picks, nil
 }
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -43,13 +43,13 @@
 	incarnation := o.leadership.Incarnation()
 	// An incarnation that has just begun may be a loss that is yet to show.
 	mayBeLost := incarnation.DataLost || incarnation.Phase == dataloss.PhaseProvisional
-	if !mayBeLost || o.jobs.Job(task.JobRef) != nil {
+	if !mayBeLost || o.jobs.Job(task.JobID) != nil {
 		return false
 	}
-	orphan := o.orphanedJobs[task.JobRef]
+	orphan := o.orphanedJobs[task.JobID]
 	if orphan == nil && len(o.orphanedJobs) < maxOrphanedJobs {
 		orphan = &orphanedJob{}
-		o.orphanedJobs[task.JobRef] = orphan
+		o.orphanedJobs[task.JobID] = orphan
 	}
 	return orphan == nil || !orphan.ended
 }
@@ -116,7 +116,7 @@
 func (o *orphanTracker) eachTaskOf(jobID string, visit func(*agent.Worker, ledger.Task, agent.TaskStatus)) {
 	for _, worker := range o.workersByName {
 		for task, status := range worker.Tasks {
-			if task.JobRef == jobID {
+			if task.JobID == jobID {
 				visit(worker, task, status)
 			}
 		}
@@ -179,7 +179,7 @@
 	if status.Phase == wire.TaskExited && status.EndCause != wire.ExitDone {
 		return false // it starts again like any other
 	}
-	claim := o.adoptClaim(o.jobs.Job(task.JobRef), task.Index, worker, status.Attempt)
+	claim := o.adoptClaim(o.jobs.Job(task.JobID), task.Index, worker, status.Attempt)
 	if claim == nil {
 		return false
 	}
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -116,7 +116,7 @@
 // adoptReported takes in what a worker shows of a task whose claim may have been lost: what the
 // worker shows is there, whatever is remembered of it. Callers hold mu.
 func (r *dataRecovery) adoptReported(worker *agent.Worker, task ledger.Task, status wire.TaskStatus) {
-	job := r.jobs.Job(task.JobRef)
+	job := r.jobs.Job(task.JobID)
 	if job == nil {
 		return
 	}
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -71,9 +71,9 @@
 		victim.Stopping = true
 		reason := fmt.Sprintf(stopPreempted,
 			priorityName(p.dependencies.effectivePriority(victim.Job)), priorityName(p.dependencies.effectivePriority(job)))
-		p.auditLog.enqueueTask(now, audit.Stopped, victim, reason, job.Ref)
+		p.auditLog.enqueueTask(now, audit.Stopped, victim, reason, job.ID)
 		target.worker.WakeSender()
-		p.log.Info("task preempted", "task", victim.Task(), "worker", target.worker.Name, "job", job.Ref)
+		p.log.Info("task preempted", "task", victim.Task(), "worker", target.worker.Name, "job", job.ID)
 	}
 }
 
--- a/internal/leader/ranking.go
+++ b/internal/leader/ranking.go
@@ -48,9 +48,9 @@
 	case b.starved && !a.starved:
 		return 1
 	case a.starved:
-		return cmp.Or(a.job.WaitingSince.Compare(b.job.WaitingSince), cmp.Compare(a.job.Ref, b.job.Ref))
+		return cmp.Or(a.job.WaitingSince.Compare(b.job.WaitingSince), cmp.Compare(a.job.ID, b.job.ID))
 	}
-	return cmp.Or(a.slack.compare(b.slack), a.job.ReadyAt.Compare(b.job.ReadyAt), cmp.Compare(a.job.Ref, b.job.Ref))
+	return cmp.Or(a.slack.compare(b.slack), a.job.ReadyAt.Compare(b.job.ReadyAt), cmp.Compare(a.job.ID, b.job.ID))
 }
 
 // orderJobs sorts jobs of one type in the order in which their tasks go.
@@ -83,7 +83,7 @@
 		return
 	}
 	slices.SortFunc(lastChances, func(a, b *orderedJob) int {
-		return cmp.Or(cmp.Compare(a.slack.work, b.slack.work), cmp.Compare(a.job.Ref, b.job.Ref))
+		return cmp.Or(cmp.Compare(a.slack.work, b.slack.work), cmp.Compare(a.job.ID, b.job.ID))
 	})
 	freeCPUs := make(map[string]float64) // by team
 	for _, entry := range lastChances {
--- a/internal/leader/ranking_test.go
+++ b/internal/leader/ranking_test.go
@@ -118,7 +118,7 @@
 			for i, j := range jobs {
 				first := tc.tasks[len(tc.tasks)-1-min(i, len(tc.tasks)-1)]
 				if i < tc.last && j.Spec.TaskCount != first || i == tc.last && j != early {
-					t.Errorf("place %d has %s with %d tasks", i, j.Ref, j.Spec.TaskCount)
+					t.Errorf("place %d has %s with %d tasks", i, j.ID, j.Spec.TaskCount)
 				}
 			}
 		})
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -109,7 +109,7 @@
 	claimed, tierChanged := prepared.claimed, false
 	fresh := make(map[string]*candidate)
 	for _, pick := range picks {
-		job, target := s.jobs.Job(pick.Ref), fresh[pick.Worker]
+		job, target := s.jobs.Job(pick.JobID), fresh[pick.Worker]
 		if target == nil {
 			target = s.candidate(s.workers[pick.Worker], now)
 			fresh[pick.Worker] = target
--- a/internal/leader/starvation.go
+++ b/internal/leader/starvation.go
@@ -66,7 +66,7 @@
 	current.starvedJobs = make(map[string]bool)
 	for i := range entries {
 		if entries[i].starved {
-			current.starvedJobs[entries[i].job.Ref] = true
+			current.starvedJobs[entries[i].job.ID] = true
 			entries[i].starved = current.surplus <= 0
 		}
 	}
@@ -79,7 +79,7 @@
 		return
 	}
 	work := max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)
-	if !current.starvedJobs[job.Ref] {
+	if !current.starvedJobs[job.ID] {
 		work = -work
 	}
 	current.surplus += work
--- a/internal/leader/starvation_test.go
+++ b/internal/leader/starvation_test.go
@@ -76,7 +76,7 @@
 func refsOf(jobs []*ledger.Job) []string {
 	var refs []string
 	for _, job := range jobs {
-		refs = append(refs, job.Ref)
+		refs = append(refs, job.ID)
 	}
 	return refs
 }
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -158,7 +158,7 @@
 	var blocked []BlockedJob
 	jobs := v.jobs.BlockedJobs()
 	for _, job := range jobs[:min(len(jobs), maxBlockedJobs)] {
-		blocked = append(blocked, BlockedJob{Job: job.Ref, Class: job.Spec.Class, WaitsOn: job.UnmetDependencies()})
+		blocked = append(blocked, BlockedJob{Job: job.ID, Class: job.Spec.Class, WaitsOn: job.UnmetDependencies()})
 	}
 	return blocked
 }
--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -70,12 +70,12 @@
 	return keys
 }
 
-// JobRefs are the jobs in the batch.
-func (b *Batch) JobRefs() []string {
+// JobIDs are the jobs in the batch.
+func (b *Batch) JobIDs() []string {
 	var refs []string
 	for _, write := range b.writes {
-		if !slices.Contains(refs, write.job.Ref) {
-			refs = append(refs, write.job.Ref)
+		if !slices.Contains(refs, write.job.ID) {
+			refs = append(refs, write.job.ID)
 		}
 	}
 	return refs
@@ -131,7 +131,7 @@
 // hasRoom reports whether the batch may take a further chunk.
 func (b *batchBuilder) hasRoom(ref chunkRef) bool {
 	operations := 1
-	if ref.job.Finished && !b.compared[ref.job.Ref] {
+	if ref.job.Finished && !b.compared[ref.job.ID] {
 		operations = endOperations
 	}
 	if len(b.batch.Operations)+operations > b.limits.MaxOperations || b.bytesLeft <= 0 {
@@ -159,7 +159,7 @@
 		}
 	}
 	write.claims, write.finished = ref.undurableClaims()
-	if (len(write.claims) > 0 || job.Finished) && !b.compared[job.Ref] {
+	if (len(write.claims) > 0 || job.Finished) && !b.compared[job.ID] {
 		b.compareLiveKey(job)
 		if job.Finished && !b.endJob(&write) {
 			return true
@@ -213,8 +213,8 @@
 // compareLiveKey has the batch fail if the job was cancelled meanwhile, which changes the key:
 // no claim of a cancelled job becomes durable.
 func (b *batchBuilder) compareLiveKey(job *Job) {
-	b.compared[job.Ref] = true
-	b.compare(LiveKey(job.Ref), job.modRevision)
+	b.compared[job.ID] = true
+	b.compare(LiveKey(job.ID), job.modRevision)
 }
 
 // endJob replaces the job's record by its end record. It returns false if that cannot be
@@ -231,7 +231,7 @@
 		return false
 	}
 	b.batch.Operations = append(b.batch.Operations,
-		wire.Operation{Delete: LiveKey(job.Ref)}, wire.Operation{Put: EndedKey(job.Ref), Value: end})
+		wire.Operation{Delete: LiveKey(job.ID)}, wire.Operation{Put: EndedKey(job.ID), Value: end})
 	return true
 }
 
--- a/internal/ledger/batch_test.go
+++ b/internal/ledger/batch_test.go
@@ -150,8 +150,8 @@
 	if !table.HasUrgentWrites() {
 		t.Error("a claim is not urgent")
 	}
-	if batch := table.NextBatch(batchLimits(1), now); len(batch.JobRefs()) != 1 || batch.JobRefs()[0] != "req-2" {
-		t.Errorf("first %v, want the claim", batch.JobRefs())
+	if batch := table.NextBatch(batchLimits(1), now); len(batch.JobIDs()) != 1 || batch.JobIDs()[0] != "req-2" {
+		t.Errorf("first %v, want the claim", batch.JobIDs())
 	}
 }
 
@@ -181,7 +181,7 @@
 	idle := batchLimits(3)
 	idle.NonUrgentOnly = true
 	batch := table.NextBatch(idle, now)
-	if got := fmt.Sprint(batch.JobRefs()); got != "[req-4]" {
+	if got := fmt.Sprint(batch.JobIDs()); got != "[req-4]" {
 		t.Errorf("of what nothing waits for, %s is written", got)
 	}
 	table.BatchFailed(batch)
@@ -190,13 +190,13 @@
 	urgent.UrgentOnly = true
 	for table.HasUrgentWrites() {
 		batch := table.NextBatch(urgent, now)
-		got = append(got, batch.JobRefs()...)
+		got = append(got, batch.JobIDs()...)
 		table.BatchCommitted(batch, 11)
 	}
 	if fmt.Sprint(got) != "[req-1 req-5 req-2]" {
 		t.Errorf("written %v, want the end that others wait for, the claim, the other end, and no plain finish", got)
 	}
-	if batch := table.NextBatch(batchLimits(3), now); batch == nil || batch.JobRefs()[0] != "req-4" {
+	if batch := table.NextBatch(batchLimits(3), now); batch == nil || batch.JobIDs()[0] != "req-4" {
 		t.Error("the finish is not written in the end")
 	}
 }
--- a/internal/ledger/claim.go
+++ b/internal/ledger/claim.go
@@ -7,12 +7,12 @@
 
 // Task names one task of a job.
 type Task struct {
-	JobRef string
-	Index  int
+	JobID string
+	Index int
 }
 
 // String is the task's name on the wire.
-func (t Task) String() string { return t.JobRef + "/" + strconv.Itoa(t.Index) }
+func (t Task) String() string { return t.JobID + "/" + strconv.Itoa(t.Index) }
 
 // ParseTask reads a task's name and reports whether it is one.
 func ParseTask(name string) (Task, bool) {
@@ -60,7 +60,7 @@
 }
 
 // Task is the claimed task.
-func (c *Claim) Task() Task { return Task{c.Job.Ref, c.Index} }
+func (c *Claim) Task() Task { return Task{c.Job.ID, c.Index} }
 
 // mayBeRunning reports whether the claimed task can have been started: only a durable claim
 // is, and whether a write in flight makes it durable is not known yet.
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -22,7 +22,7 @@
 		result.Claims = append(result.Claims, t.commitClaims(write)...)
 		if write.endsJob {
 			result.Ended = append(result.Ended, job)
-			result.Unblocked = append(result.Unblocked, t.dependencies.markDone(job.Ref, write.endedAt)...)
+			result.Unblocked = append(result.Unblocked, t.dependencies.markDone(job.ID, write.endedAt)...)
 		}
 		if job.Cancelled {
 			if chunk.modRevision != 0 && len(chunk.claims) == 0 {
--- a/internal/ledger/compat_test.go
+++ b/internal/ledger/compat_test.go
@@ -199,7 +199,7 @@
 func checkReadsBack(t *testing.T, table *Table, job *Job, put wire.Operation) {
 	t.Helper()
 	successor := New("n", testTeams())
-	loaded := successor.AddJob(job.Ref, job.Record(), 1)
+	loaded := successor.AddJob(job.ID, job.Record(), 1)
 	if err := successor.LoadChunk(put.Put, put.Value, 3, 1); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ledger/dependencies.go
+++ b/internal/ledger/dependencies.go
@@ -45,13 +45,13 @@
 	return &dependencyGraph{jobs: jobs, dependents: make(map[string][]*Job)}
 }
 
-func (g *dependencyGraph) hasDependents(job *Job) bool { return len(g.dependents[job.Ref]) > 0 }
+func (g *dependencyGraph) hasDependents(job *Job) bool { return len(g.dependents[job.ID]) > 0 }
 
 // add notes what a new job depends on. The job shares the fate of a dependency that is to be
 // cancelled at once.
 func (g *dependencyGraph) add(job *Job) {
 	for _, ref := range job.Spec.DependsOn {
-		if job.unmetDependencies[ref] || ref == job.Ref {
+		if job.unmetDependencies[ref] || ref == job.ID {
 			continue
 		}
 		if job.unmetDependencies == nil {
@@ -105,7 +105,7 @@
 		}
 		job.cancelledUpstream = cancelled
 		g.toCancel = append(g.toCancel, job)
-		pending = append(pending, g.dependents[job.Ref]...)
+		pending = append(pending, g.dependents[job.ID]...)
 	}
 }
 
@@ -121,7 +121,7 @@
 		}
 	}
 	job.unmetDependencies = nil
-	g.markCancelled(job.Ref)
+	g.markCancelled(job.ID)
 }
 
 // resetInherited has the inherited priority of all that a job depends on, through however many
@@ -140,7 +140,7 @@
 }
 
 // Dependents are the jobs that depend on this one and wait for it.
-func (t *Table) Dependents(job *Job) []*Job { return t.dependencies.dependents[job.Ref] }
+func (t *Table) Dependents(job *Job) []*Job { return t.dependencies.dependents[job.ID] }
 
 // UnresolvedDependencies are the jobs, in order, that others wait for and that the table does
 // not know to be live: whether they are done or cancelled must be looked up. So it is for what
@@ -186,6 +186,6 @@
 			}
 		}
 	}
-	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(a.Ref, b.Ref) })
+	slices.SortFunc(jobs, func(a, b *Job) int { return cmp.Compare(a.ID, b.ID) })
 	return jobs
 }
--- a/internal/ledger/dependencies_test.go
+++ b/internal/ledger/dependencies_test.go
@@ -42,7 +42,7 @@
 func shortRefs(jobs []*Job) string {
 	var refs []string
 	for _, job := range jobs {
-		refs = append(refs, strings.TrimPrefix(job.Ref, "req-"))
+		refs = append(refs, strings.TrimPrefix(job.ID, "req-"))
 	}
 	slices.Sort(refs)
 	return strings.Join(refs, " ")
@@ -100,10 +100,10 @@
 			for jobs := table.JobsToCancel(2); len(jobs) > 0; jobs = table.JobsToCancel(2) {
 				for _, job := range jobs {
 					if job.CancelledUpstream() == "" || job.WaitingTasks() != 0 {
-						t.Errorf("%s: because of %q, %d tasks wait", job.Ref, job.CancelledUpstream(), job.WaitingTasks())
+						t.Errorf("%s: because of %q, %d tasks wait", job.ID, job.CancelledUpstream(), job.WaitingTasks())
 					}
 					got = append(got, job)
-					table.Cancel(job.Ref)
+					table.Cancel(job.ID)
 				}
 			}
 			if shortRefs(got) != tc.want {
@@ -188,10 +188,10 @@
 			for next := table.JobsToCancel(1 + rnd.IntN(3)); len(next) > 0; next = table.JobsToCancel(2) {
 				for _, job := range next {
 					if !slices.ContainsFunc(job.Spec.DependsOn, upstreamCancelled) {
-						t.Fatalf("seed %d: %s is cancelled for nothing", seed, job.Ref)
+						t.Fatalf("seed %d: %s is cancelled for nothing", seed, job.ID)
 					}
-					table.Cancel(job.Ref)
-					cancelled[job.Ref] = true
+					table.Cancel(job.ID)
+					cancelled[job.ID] = true
 				}
 			}
 		}
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -9,7 +9,7 @@
 // Job is a job that has not ended, or that has ended and of which claims or stored chunks
 // are left.
 type Job struct {
-	Ref  string // the job's ID, by which its keys are named
+	ID   string // the job's ID, by which its keys are named
 	Spec wire.Job
 	// SubmittedAt is when the job was submitted, by the clock of the controller that
 	// accepted it, and ArrivedAt the same by this controller's clock, as near as is known.
@@ -75,7 +75,7 @@
 func newJob(ref string, record JobRecord, modRevision uint64) *Job {
 	submitted := time.UnixMilli(record.SubmittedMS)
 	return &Job{
-		Ref:          ref,
+		ID:           ref,
 		Spec:         record.Job,
 		Origin:       record.Origin,
 		SubmittedAt:  submitted,
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -218,6 +218,6 @@
 // forgetIfGone forgets a job that has ended once nothing of it is left, here or stored.
 func (t *Table) forgetIfGone(job *Job) {
 	if job.isForgettable() {
-		delete(t.jobs, job.Ref)
+		delete(t.jobs, job.ID)
 	}
 }
--- a/internal/ledger/table_test.go
+++ b/internal/ledger/table_test.go
@@ -188,7 +188,7 @@
 				}
 			}
 			if chunk.uncommitted != want {
-				t.Fatalf("step %d, %s/%d: %d claims not durable, counted %d", step, job.Ref, index, chunk.uncommitted, want)
+				t.Fatalf("step %d, %s/%d: %d claims not durable, counted %d", step, job.ID, index, chunk.uncommitted, want)
 			}
 		}
 	}
--- a/internal/ledger/writequeue.go
+++ b/internal/ledger/writequeue.go
@@ -11,7 +11,7 @@
 // chunk is the chunk itself, or nil.
 func (r chunkRef) chunk() *taskChunk { return r.job.chunks[r.index] }
 
-func (r chunkRef) key() string { return ChunkKey(r.job.Ref, r.index) }
+func (r chunkRef) key() string { return ChunkKey(r.job.ID, r.index) }
 
 // writePriority orders what is to be written: the lower, the earlier.
 type writePriority int
--- a/internal/peer/answers.go
+++ b/internal/peer/answers.go
@@ -223,7 +223,7 @@
 func limitToFrame(picks []placement.Pick) []placement.Pick {
 	size := 0
 	for i := range picks {
-		if size += maxPickBytes + len(picks[i].Worker) + len(picks[i].Ref); size > maxPayloadBytes-headerBytes {
+		if size += maxPickBytes + len(picks[i].Worker) + len(picks[i].JobID); size > maxPayloadBytes-headerBytes {
 			return picks[:i]
 		}
 	}
--- a/internal/peer/frame_test.go
+++ b/internal/peer/frame_test.go
@@ -25,7 +25,7 @@
 		Images: []string{"x"}, PullingImages: []string{"y", "z"}, PullingGB: 2.5, ReservedFor: "req-9", ReservedTier: 3,
 	}},
 	Queues: []placement.Queue{{Type: "t", Unfinished: 40, Jobs: []placement.WaitingJob{{
-		Ref: "req-1", Tasks: 2, Tier: 6, Age: time.Second, CPUs: 1, MemoryGB: 2, Image: "x", ImageGB: 1.5, Service: true,
+		JobID: "req-1", Tasks: 2, Tier: 6, Age: time.Second, CPUs: 1, MemoryGB: 2, Image: "x", ImageGB: 1.5, Service: true,
 		InstanceTypes: []string{"big"}, ZoneSlots: map[string]int{"a": 1, "b": -1}, ExcludedWorkers: []string{"i-3"}, StartWithinSeconds: 1, WarmZones: []string{"a"},
 	}}}},
 }
@@ -36,7 +36,7 @@
 		OK: true, Commands: wire.CommandBatch{Epoch: 4, Commands: []wire.Command{{Action: "stop", Task: "req-1/0", Attempt: 2, GraceSeconds: 1.5}}},
 		Samples: []agent.RuntimeSample{{JobType: "t", InstanceType: "big", Duration: time.Hour}},
 	}
-	picks      = []placement.Pick{{Worker: "i-1", Ref: "req-1", Tier: 2, Cost: -0.5, Weight: 8}}
+	picks      = []placement.Pick{{Worker: "i-1", JobID: "req-1", Tier: 2, Cost: -0.5, Weight: 8}}
 	user       = UserRequest{Method: "POST", Path: "/v1/jobs", Body: []byte("{}")}
 	userAs     = UserRequest{Method: "POST", Path: "/v1/jobs", Body: []byte("{}"), Auth: "Bearer x"}
 	useranswer = UserAnswer{Status: 503, RetryAfter: "1", Body: []byte("x")}
--- a/internal/peer/offer_messages.go
+++ b/internal/peer/offer_messages.go
@@ -44,7 +44,7 @@
 }
 
 func encodeWaitingJob(encoder *codec.Encoder, job *placement.WaitingJob) {
-	encoder.Str(job.Ref)
+	encoder.Str(job.JobID)
 	encoder.Int(int64(job.Tasks))
 	encoder.Int(int64(job.Tier))
 	encoder.Int(int64(job.Age))
@@ -101,7 +101,7 @@
 }
 
 func decodeWaitingJob(decoder *codec.Decoder) (job placement.WaitingJob) {
-	job.Ref = decoder.Str()
+	job.JobID = decoder.Str()
 	job.Tasks = int(decoder.Int())
 	job.Tier = int(decoder.Int())
 	job.Age = time.Duration(decoder.Int())
@@ -140,7 +140,7 @@
 	encoder.Uint(uint64(len(picks)))
 	for _, pick := range picks {
 		encoder.Str(pick.Worker)
-		encoder.Str(pick.Ref)
+		encoder.Str(pick.JobID)
 		encoder.Int(int64(pick.Tier))
 		encoder.Float(pick.Cost)
 		encoder.Float(pick.Weight)
@@ -152,7 +152,7 @@
 	decoder := codec.Decoder{B: b}
 	for range decoder.Items() {
 		picks = append(picks, placement.Pick{
-			Worker: decoder.Str(), Ref: decoder.Str(), Tier: int(decoder.Int()),
+			Worker: decoder.Str(), JobID: decoder.Str(), Tier: int(decoder.Int()),
 			Cost: decoder.Float(), Weight: decoder.Float(),
 		})
 	}
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -50,7 +50,7 @@
 					frames++
 					var ps []placement.Pick
 					for _, r := range o.Candidates {
-						ps = append(ps, placement.Pick{Worker: r.Worker, Ref: tc.ref})
+						ps = append(ps, placement.Pick{Worker: r.Worker, JobID: tc.ref})
 					}
 					return ps
 				}}
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -89,7 +89,7 @@
 	}
 	c.job = jobs[selected]
 	c.pick = Pick{
-		Worker: candidate.Worker, Ref: c.job.Ref, Tier: heads[selected].Tier,
+		Worker: candidate.Worker, JobID: c.job.JobID, Tier: heads[selected].Tier,
 		Weight: heads[selected].Weight, Cost: c.job.cost(candidate, run.tuning),
 	}
 }
--- a/internal/placement/choose_test.go
+++ b/internal/placement/choose_test.go
@@ -22,7 +22,7 @@
 	}
 	// one is an offer to candidates of a single queue with a single job of two CPUs a task.
 	one := func(cs []Candidate, tasks int, tweak func(job *WaitingJob)) Offer {
-		job := WaitingJob{Ref: "x", Tasks: tasks, CPUs: 2}
+		job := WaitingJob{JobID: "x", Tasks: tasks, CPUs: 2}
 		if tweak != nil {
 			tweak(&job)
 		}
@@ -37,8 +37,8 @@
 		{"until the worker is full", one(candidates(candidate("h", "a", 5)), 9, nil), "h:x h:x"},
 		{"until no task waits", one(candidates(candidate("h", "a", 8)), 1, nil), "h:x"},
 		{"the greater count", Offer{candidates(candidate("h", "a", 2)), []Queue{
-			queue("t", 2, WaitingJob{Ref: "x", Tasks: 2, CPUs: 2}),
-			queue("u", 3, WaitingJob{Ref: "y", Tasks: 3, CPUs: 2}),
+			queue("t", 2, WaitingJob{JobID: "x", Tasks: 2, CPUs: 2}),
+			queue("u", 3, WaitingJob{JobID: "y", Tasks: 3, CPUs: 2}),
 		}}, "h:y"},
 		{"the worker with the image", one(candidates(candidate("h", "a", 2), candidate("i", "a", 2, "img")), 1,
 			func(job *WaitingJob) { job.Image, job.ImageGB = "img", 2 }), "i:x"},
@@ -58,7 +58,7 @@
 			tuning := Tuning{AgingThreshold: time.Minute, NearTie: 0.1, OnDemandPenalty: 3}
 			var got []string
 			for _, pick := range NewTable(params(), t0).Choose(tc.offer, tuning, t0) {
-				got = append(got, pick.Worker+":"+pick.Ref)
+				got = append(got, pick.Worker+":"+pick.JobID)
 			}
 			slices.Sort(got)
 			if got := strings.Join(got, " "); got != tc.want {
--- a/internal/placement/offer.go
+++ b/internal/placement/offer.go
@@ -39,7 +39,7 @@
 
 // WaitingJob is a job with tasks that wait to be placed.
 type WaitingJob struct {
-	Ref                  string
+	JobID                string
 	Tasks                int // that wait and may be claimed now
 	Tier                 int
 	Age                  time.Duration
@@ -58,7 +58,7 @@
 // Pick is one worker's choice of a job, a bid until the leader confirms it.
 type Pick struct {
 	Worker string
-	Ref    string
+	JobID  string
 	Tier   int
 	Cost   float64 // how badly worker and job suit each other
 	Weight float64 // the rule's product
@@ -85,7 +85,7 @@
 		(len(job.InstanceTypes) == 0 || slices.Contains(job.InstanceTypes, candidate.InstanceType)) &&
 		(job.ZoneSlots == nil || job.ZoneSlots[candidate.Zone] > 0) &&
 		!slices.Contains(job.ExcludedWorkers, candidate.Worker) &&
-		(candidate.ReservedFor == "" || candidate.ReservedFor == job.Ref || job.Tier < candidate.ReservedTier)
+		(candidate.ReservedFor == "" || candidate.ReservedFor == job.JobID || job.Tier < candidate.ReservedTier)
 }
 
 // place takes one task of the job off the queue and its resources off the candidate, whose
--- a/internal/recovery/simulation_test.go
+++ b/internal/recovery/simulation_test.go
@@ -105,7 +105,7 @@
 		s.truth.done[claim.Task().String()] = true
 		s.table.Finish(claim)
 		if job.Finished {
-			s.truth.ended[job.Ref] = wire.PhaseDone
+			s.truth.ended[job.ID] = wire.PhaseDone
 		}
 	}
 }
@@ -116,10 +116,10 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	delete(s.stored, ledger.LiveKey(job.Ref))
-	s.stored[ledger.EndedKey(job.Ref)] = data
-	s.truth.ended[job.Ref] = wire.PhaseCancelled
-	s.table.Cancel(job.Ref)
+	delete(s.stored, ledger.LiveKey(job.ID))
+	s.stored[ledger.EndedKey(job.ID)] = data
+	s.truth.ended[job.ID] = wire.PhaseCancelled
+	s.table.Cancel(job.ID)
 }
 
 // commit stores all that the table has to write.
@@ -266,20 +266,20 @@
 			t.Fatal(err)
 		}
 		for i, claim := range chunk.Claims {
-			claimed[ledger.Task{JobRef: jobID, Index: number*2 + i}.String()] = claim
+			claimed[ledger.Task{JobID: jobID, Index: number*2 + i}.String()] = claim
 		}
 		for i := range chunk.Done {
-			done[ledger.Task{JobRef: jobID, Index: number*2 + i}.String()] = true
+			done[ledger.Task{JobID: jobID, Index: number*2 + i}.String()] = true
 		}
 	}
 	for task := range truth.done {
-		if id, _ := ledger.ParseTask(task); truth.ended[id.JobRef] == "" && !done[task] {
+		if id, _ := ledger.ParseTask(task); truth.ended[id.JobID] == "" && !done[task] {
 			t.Fatalf("%s was done", task)
 		}
 	}
 	for task, want := range truth.latest {
 		id, _ := ledger.ParseTask(task)
-		if truth.ended[id.JobRef] == wire.PhaseDone {
+		if truth.ended[id.JobID] == wire.PhaseDone {
 			continue
 		}
 		if got, ok := claimed[task]; !ok || got.Attempt != want.Attempt || got.Worker != want.Worker {
--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -155,7 +155,7 @@
 		for _, e := range s.Entries {
 			for _, c := range e.Tasks {
 				if e.Action == audit.Claimed {
-					claimed[run{ledger.Task{JobRef: ref, Index: c.Index}, c.Attempt, c.Worker}] = true
+					claimed[run{ledger.Task{JobID: ref, Index: c.Index}, c.Attempt, c.Worker}] = true
 				}
 			}
 		}
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -111,7 +111,7 @@
 		c.w.mu.Lock()
 		for n := range f.tasks {
 			id, _ := ledger.ParseTask(n)
-			j := c.w.jobs[id.JobRef]
+			j := c.w.jobs[id.JobID]
 			f.cores, f.ram = f.cores-j.CPUs, f.ram-j.MemoryGB
 		}
 		c.w.mu.Unlock()
@@ -135,7 +135,7 @@
 	}
 	waits, zones, all := false, make(map[string]int), 0
 	for i := range j.TaskCount {
-		id := ledger.Task{JobRef: j.ID, Index: i}
+		id := ledger.Task{JobID: j.ID, Index: i}
 		if w.done[id] {
 			continue
 		}
--- a/internal/sim/loss_test.go
+++ b/internal/sim/loss_test.go
@@ -168,7 +168,7 @@
 			d.w.mu.Lock()
 			asked, unknown := map[string]bool{}, 0
 			for id, host := range before {
-				if d.w.where[id] == host && d.w.told[id.JobRef] == wire.PhaseRunning {
+				if d.w.where[id] == host && d.w.told[id.JobID] == wire.PhaseRunning {
 					unknown++
 				}
 			}
@@ -207,7 +207,7 @@
 
 func (p places) job(ref string) bool {
 	for id := range p {
-		if id.JobRef == ref {
+		if id.JobID == ref {
 			return true
 		}
 	}
@@ -217,7 +217,7 @@
 // finished tells whether all of a job's tasks are done.
 func (w *world) finished(ref string) bool {
 	for i := range w.jobs[ref].TaskCount {
-		if !w.done[ledger.Task{JobRef: ref, Index: i}] {
+		if !w.done[ledger.Task{JobID: ref, Index: i}] {
 			return false
 		}
 	}
@@ -232,7 +232,7 @@
 	defer d.w.mu.Unlock()
 	n := 0
 	for id, host := range before {
-		if d.w.where[id] == host || d.w.done[id] || d.w.asked[id.JobRef] {
+		if d.w.where[id] == host || d.w.done[id] || d.w.asked[id.JobID] {
 			n++
 		}
 	}
--- a/internal/sim/meeting_test.go
+++ b/internal/sim/meeting_test.go
@@ -108,7 +108,7 @@
 			switch {
 			case gone:
 				for k := range w.jobs[r].TaskCount {
-					if at := w.where[ledger.Task{JobRef: r, Index: k}]; at != "" {
+					if at := w.where[ledger.Task{JobID: r, Index: k}]; at != "" {
 						t.Errorf("%s/%d is withdrawn and on %s at the end", r, k, at)
 					}
 				}
@@ -135,7 +135,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task, host := range w.where {
-		if at, ok := w.gone[task.JobRef]; ok && time.Since(at) > cancel {
+		if at, ok := w.gone[task.JobID]; ok && time.Since(at) > cancel {
 			w.broke("ran_cancelled: %s is on %s %v after", task, host, time.Since(at))
 		}
 	}
@@ -344,8 +344,8 @@
 		m.w.mu.Lock()
 		var refs []string
 		for t := range m.w.where {
-			if !slices.Contains(refs, t.JobRef) && len(refs) < 4 {
-				refs = append(refs, t.JobRef)
+			if !slices.Contains(refs, t.JobID) && len(refs) < 4 {
+				refs = append(refs, t.JobID)
 			}
 		}
 		m.w.mu.Unlock()
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -108,17 +108,17 @@
 	defer w.mu.Unlock()
 	w.starts++
 	w.ran[run{id, try, h.Name}] = true
-	if w.begun[id.JobRef].IsZero() {
-		w.begun[id.JobRef] = time.Now()
+	if w.begun[id.JobID].IsZero() {
+		w.begun[id.JobID] = time.Now()
 	}
-	j, ok := w.jobs[id.JobRef]
+	j, ok := w.jobs[id.JobID]
 	if !ok {
 		w.broke("%s started, which nobody submitted", id)
 		return j
 	}
 	for _, n := range j.DependsOn {
 		for i := range w.jobs[n].TaskCount {
-			if !w.done[ledger.Task{JobRef: n, Index: i}] {
+			if !w.done[ledger.Task{JobID: n, Index: i}] {
 				w.broke("too_early: %s starts before %s/%d is done", id, n, i)
 			}
 		}
@@ -127,7 +127,7 @@
 		w.broke("ran_twice: %s starts on %s while on %s", id, h.Name, other)
 	}
 	w.place(id, h.Name)
-	if at, ok := w.gone[id.JobRef]; ok {
+	if at, ok := w.gone[id.JobID]; ok {
 		w.late = append(w.late, time.Since(at))
 		if time.Since(at) > cancel {
 			w.broke("ran_cancelled: %s starts %v after", id, time.Since(at))
@@ -144,7 +144,7 @@
 	}
 	used, zone, all := w.used[j.Team], 0, 0
 	for i := range j.TaskCount {
-		if k := w.workers[w.where[ledger.Task{JobRef: id.JobRef, Index: i}]]; k != nil {
+		if k := w.workers[w.where[ledger.Task{JobID: id.JobID, Index: i}]]; k != nil {
 			if all++; k.h.Zone == h.Zone {
 				zone++
 			}
@@ -154,7 +154,7 @@
 		w.broke("quota: %v CPUs of %s", used, j.Team)
 	}
 	if j.SpreadZones && zone > (j.TaskCount+1)/2 {
-		w.broke("wrong_place: %d of %d tasks of %s in a zone", zone, j.TaskCount, id.JobRef)
+		w.broke("wrong_place: %d of %d tasks of %s in a zone", zone, j.TaskCount, id.JobID)
 	}
 	if j.SingleZone && zone < all {
 		w.broke("wrong_place: %s in another zone than %d tasks of its job", id, all-zone)
@@ -179,7 +179,7 @@
 	id, _ := ledger.ParseTask(member)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if at, ok := w.gone[id.JobRef]; ok && time.Since(at) > cancel {
+	if at, ok := w.gone[id.JobID]; ok && time.Since(at) > cancel {
 		w.broke("ran_cancelled: %s was on %s %v after", id, host, time.Since(at))
 	}
 	if w.where[id] == host {
@@ -190,7 +190,7 @@
 // place notes where a task is, "" for nowhere, and what its team uses; run it with the
 // lock held.
 func (w *world) place(id ledger.Task, host string) {
-	j := w.jobs[id.JobRef]
+	j := w.jobs[id.JobID]
 	if _, there := w.where[id]; there {
 		w.used[j.Team] -= j.CPUs
 		delete(w.where, id)
@@ -444,7 +444,7 @@
 		}
 		if phase == wire.PhaseDone {
 			for i := range j.TaskCount {
-				if !w.done[ledger.Task{JobRef: j.ID, Index: i}] {
+				if !w.done[ledger.Task{JobID: j.ID, Index: i}] {
 					w.broke("not_done: %s/%d", j.ID, i)
 				}
 			}
@@ -815,7 +815,7 @@
 	}{
 		{"ran_twice", every(func(w *world, ref string, j *wire.Job) {
 			for i := range j.TaskCount {
-				w.where[ledger.Task{JobRef: ref, Index: i}] = "elsewhere"
+				w.where[ledger.Task{JobID: ref, Index: i}] = "elsewhere"
 			}
 		})},
 		{"too_early", every(func(w *world, ref string, j *wire.Job) {
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -100,7 +100,7 @@
 		w.mu.Lock()
 		inZone := map[string]int{}
 		for id, host := range w.where {
-			if w.jobs[id.JobRef].Kind == wire.KindService {
+			if w.jobs[id.JobID].Kind == wire.KindService {
 				inZone[w.workers[host].h.Zone]++
 			}
 		}
--- a/internal/sim/together_test.go
+++ b/internal/sim/together_test.go
@@ -83,7 +83,7 @@
 		case got == wire.PhaseDone || got == wire.PhaseCancelled && w.asked[ref]:
 		case j.Kind == wire.KindService && !w.asked[ref]:
 			for i := range j.TaskCount {
-				if w.where[ledger.Task{JobRef: ref, Index: i}] == "" {
+				if w.where[ledger.Task{JobID: ref, Index: i}] == "" {
 					t.Errorf("%s/%d does not run at the end", ref, i)
 				}
 			}
