--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -86,7 +86,7 @@
 }
 
 // A day of crashes, cuts and takeovers is told by its record alone: who was accepted
-// and withdrawn, every start of a task with the claim that allowed it, every end, and
+// and cancelled, every start of a task with the claim that allowed it, every end, and
 // nothing that did not happen.
 func TestRecordTellsTheDay(t *testing.T) {
 	for seed := range seeds(6) {
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -15,7 +15,7 @@
 	"rillflow/internal/wire"
 )
 
-// What users may count on once the troubles are over, and at all times.
+// What users may count on once the faults are over, and at all times.
 const (
 	unanswered = 75 * time.Second // without an answer about a job it is forgotten
 	idleRoom   = 90 * time.Second // a job waits no longer while a machine has room for it
@@ -38,7 +38,7 @@
 	}
 }
 
-// calms says that the last trouble is over, and watches from then on that nothing waits
+// calms says that the last fault is over, and watches from then on that nothing waits
 // where there is room.
 func (w *world) calms(cl *cloud) {
 	w.mu.Lock()
@@ -55,7 +55,7 @@
 	})
 }
 
-// idle notes which jobs wait though a machine that fits has room, and their team too.
+// idle notes which jobs wait though a worker that fits has room, and their team too.
 func (w *world) idle(cl *cloud) {
 	rooms := cl.rooms()
 	w.mu.Lock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// free is what is free of a machine.
+// free is what is free of a worker.
 type free struct {
 	h     wire.Instance
 	cores float64
@@ -85,7 +85,7 @@
 	tasks map[string]bool
 }
 
-// rooms are the machines that are up and well.
+// free capacity are the workers that are up and well.
 func (c *cloud) rooms() (out []free) {
 	c.mu.Lock()
 	hosts := maps.Clone(c.hosts)
@@ -122,7 +122,7 @@
 	return out
 }
 
-// fits tells whether a task of a job waits that one of the rooms has room for; run it with
+// fits tells whether a task of a job waits that one of the free capacity has room for; run it with
 // the lock held.
 func (w *world) fits(j wire.Job, rooms []free) bool {
 	if w.taken[j.ID].IsZero() || w.asked[j.ID] || j.Kind == wire.KindGang || w.used[j.Team]+j.CPUs > w.limit {
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -14,11 +14,11 @@
 	"rillflow/internal/wire"
 )
 
-// Many machines fall together: a zone is cut off from everything for longer than
-// a lease, with the leader outside crashing meanwhile; then some machines hang and
+// Many workers fall together: a zone is cut off from everything for longer than
+// a lease, with the leader outside crashing meanwhile; then some workers hang and
 // others stop, all at once. No rule is broken, what runs behind the cut is neither
 // returned nor lost, and everything is done in the end. SIM_FLEET gives another
-// number of machines; 700 take 40 s, 2,000 were not seen to the end.
+// number of workers; 700 take 40 s, 2,000 were not seen to the end.
 func TestFallTogether(t *testing.T) {
 	machines := 96
 	if n, err := strconv.Atoi(os.Getenv("SIM_FLEET")); err == nil {
@@ -44,7 +44,7 @@
 		before := maps.Clone(cl.hosts)
 		cl.mu.Unlock()
 		zone := zoneOf(1)
-		w.cutZone(cl, zone, true)
+		w.partitionZone(cl, zone, true)
 		time.Sleep(10 * time.Second)
 		for n := range nodes {
 			if zoneOf(n) != zone && strings.Contains(st.get("lead"), fmt.Sprintf("host-%d", n)) {
@@ -55,7 +55,7 @@
 			}
 		}
 		time.Sleep(35 * time.Second)
-		w.cutZone(cl, zone, false)
+		w.partitionZone(cl, zone, false)
 		cl.mu.Lock()
 		kept, all := 0, 0
 		for ref, h := range before {
@@ -97,7 +97,7 @@
 				t.Errorf("%s is %q, want %s", ref, w.told[ref], want)
 			}
 		}
-		// Only machines with a withdrawn task, which would outlive its time, go.
+		// Only workers with a cancelled task, which would outlive its time, go.
 		if kept*2 < all || all < machines/4 {
 			t.Errorf("%d of %d machines behind the cut were kept", kept, all)
 		}
@@ -105,8 +105,8 @@
 	})
 }
 
-// One controller is left with all machines, and has fewer places for connections than
-// there are machines: their leases last all the same, and their tasks run on.
+// One controller is left with all workers, and has fewer places for connections than
+// there are workers: their leases last all the same, and their tasks run on.
 func TestMoreMachinesThanSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const machines = 96
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -25,7 +25,7 @@
 </access><tls><folder>%s</folder><back>require</back><front>accept</front></tls></rillflow>`
 
 // Who may do what, on whole controllers: a guest does not get above its rank by any
-// way, a token that was withdrawn is of no use on any controller, also on one that was
+// way, a token that was cancelled is of no use on any controller, also on one that was
 // cut off when it was, and the record tells who did what and who was refused. The
 // controllers speak TLS with one another.
 func TestIdentities(t *testing.T) {
@@ -106,7 +106,7 @@
 			}
 		}
 
-		// The state service refuses one controller; meanwhile the guest is withdrawn.
+		// The store refuses one controller; meanwhile the guest is cancelled.
 		refuse := func(on bool) {
 			st.mu.Lock()
 			defer st.mu.Unlock()
--- a/internal/sim/loss_test.go
+++ b/internal/sim/loss_test.go
@@ -18,12 +18,12 @@
 	"rillflow/internal/wire"
 )
 
-// lost is a day on which the state service loses data.
+// lost is a day on which the store loses data.
 type lost struct {
 	name string
 	// at is what happens, 50 s into the day.
 	at func(d *lossDay)
-	// kept is the least share of the tasks on machines that run on where they are, or
+	// kept is the least share of the tasks on workers that run on where they are, or
 	// are done, a minute later.
 	kept float64
 }
@@ -44,7 +44,7 @@
 	d.cs[n] = d.w.boot(n)
 }
 
-func (d *lossDay) lose(how string, ago time.Duration, key string) { d.st.lose(how, ago, key) }
+func (d *lossDay) lose(how string, ago time.Duration, key string) { d.st.loseData(how, ago, key) }
 
 func losses() []lost {
 	return []lost{
@@ -87,11 +87,11 @@
 			d.st.outage(false)
 		}, 0.99},
 		{"all keys, a zone cut off", func(d *lossDay) {
-			d.w.cutZone(d.cl, "b", true)
+			d.w.partitionZone(d.cl, "b", true)
 			time.Sleep(8 * time.Second)
 			d.lose(wiped, 0, "")
 			time.Sleep(20 * time.Second)
-			d.w.cutZone(d.cl, "b", false)
+			d.w.partitionZone(d.cl, "b", false)
 		}, 0.6},
 		{"20 s ago, behind a takeover", func(d *lossDay) { d.crash(d.leader(), 8*time.Second); d.lose(restored, 12*time.Second, "") }, 0.9},
 	}
@@ -110,7 +110,7 @@
 }
 
 // All controllers are down when everything is lost: there are workers, and a snapshot of
-// some age. Jobs accepted since are missing if no machine has a task of them, and are
+// some age. Jobs accepted since are missing if no worker has a task of them, and are
 // named; no other is, and what runs runs on.
 func TestWorkersAndSnapshot(t *testing.T) {
 	for seed := range seeds(1) {
@@ -150,7 +150,7 @@
 	}
 }
 
-// Not even a snapshot is left. What machines have runs on and is known to run; it is
+// Not even a snapshot is left. What workers have runs on and is known to run; it is
 // whole again once its users submit it again. Nothing runs twice, and no limit breaks.
 func TestWorkersAlone(t *testing.T) {
 	for seed := range seeds(2) {
@@ -182,7 +182,7 @@
 			time.Sleep(170 * time.Second)
 			end()
 			for _, b := range d.w.breaches {
-				// Who was told an end, or has nothing on a machine, is forgotten: nobody is
+				// Who was told an end, or has nothing on a worker, is forgotten: nobody is
 				// left who knows.
 				if ref, ok := strings.CutPrefix(b, "forgotten: "); ok && (!before.job(ref) || d.w.finished(ref)) || strings.HasPrefix(b, "went_back") {
 					continue
@@ -224,7 +224,7 @@
 	return true
 }
 
-// kept counts the tasks that run on where they were, are done, or were withdrawn, after
+// kept counts the tasks that run on where they were, are done, or were cancelled, after
 // a while.
 func (d *lossDay) kept(before places, after time.Duration) int {
 	time.Sleep(after)
@@ -312,7 +312,7 @@
 	}
 }
 
-// A loss at the size that the environment gives, in machines: how much runs on, how long
+// A loss at the size that the environment gives, in workers: how much runs on, how long
 // until all is stored again and tasks are placed, and what that takes. In CI it is small.
 func TestLossAtSize(t *testing.T) {
 	machines := 48
@@ -329,7 +329,7 @@
 	}
 }
 
-// playSize has ten tasks on a machine, in arrays of 50 and services of 10 replicas, and
+// playSize has ten tasks on a worker, in arrays of 50 and services of 10 replicas, and
 // then the loss.
 func playSize(t *testing.T, l lost, machines int) {
 	ctx, w, st, cl, cs, end := begin(t, 5, float64(8*machines), machines/2, "")
--- a/internal/sim/quick_test.go
+++ b/internal/sim/quick_test.go
@@ -72,12 +72,12 @@
 	return false
 }
 
-// offerFrame tells whether what is sent is an offer of rooms to a part's owner.
+// offerFrame tells whether what is sent is an offer of free capacity to a part's owner.
 func offerFrame(from, to string, b []byte) bool {
 	return strings.HasPrefix(from, "host-") && strings.HasPrefix(to, "host-") && len(b) > 1 && b[0] == 1 && b[1] == 3
 }
 
-// Whoever is back within a fraction of a second meets its own past: the grant that it
+// Whoever is back within a fraction of a second meets its own past: the lease that it
 // led by, links that its peers take to stand, what it sent in its last moment. No rule
 // breaks, what runs runs on, everything comes to its end, and nobody storms the state
 // service.
@@ -173,11 +173,11 @@
 			d.crash(d.leader(), back)
 			return came
 		}},
-		{"machines, for 900 ms", func(d *lossDay) bool { d.w.blink(d.cl, 900*time.Millisecond); return true }},
+		{"machines, for 900 ms", func(d *lossDay) bool { d.w.restartEverything(d.cl, 900*time.Millisecond); return true }},
 		{"machines and the leader", func(d *lossDay) bool {
 			n := d.leader()
 			d.cs[n].crash()
-			d.w.blink(d.cl, 300*time.Millisecond)
+			d.w.restartEverything(d.cl, 300*time.Millisecond)
 			d.cs[n] = d.w.boot(n)
 			return true
 		}},
@@ -192,7 +192,7 @@
 						t.Error("the moment never came")
 					}
 					kept := d.kept(before, 30*time.Second)
-					asked, wrote := d.st.peak(at)
+					asked, wrote := d.st.peakRates(at)
 					time.Sleep(180 * time.Second)
 					end()
 					for _, b := range d.w.breaches {
--- /dev/null
+++ b/internal/sim/respond_test.go
@@ -0,0 +1,22 @@
+package sim
+
+import (
+	"encoding/json"
+	"net/http"
+	"strconv"
+)
+
+func answer(w http.ResponseWriter, status int, v any) {
+	b, _ := json.Marshal(v)
+	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
+	w.WriteHeader(status)
+	w.Write(b)
+}
+
+// Ways to lose data. All are told by nothing but what is read after.
+const (
+	wiped    = "all keys, generation back to 1"
+	restored = "back to some time ago, generation too"
+	holes    = "a third of the keys"
+	rotten   = "a value"
+)
--- a/internal/sim/services_test.go
+++ b/internal/sim/store_test.go
@@ -16,14 +16,7 @@
 	"rillflow/internal/wire"
 )
 
-func answer(w http.ResponseWriter, status int, v any) {
-	b, _ := json.Marshal(v)
-	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
-	w.WriteHeader(status)
-	w.Write(b)
-}
-
-// store stands in for the state service.
+// store stands in for the store.
 type store struct {
 	mu     sync.Mutex
 	cond   *sync.Cond
@@ -50,8 +43,8 @@
 	done         func(node string, t wire.Txn) (lost bool)
 }
 
-// peak is the most requests and changes in a second since a time.
-func (s *store) peak(since time.Time) (asked, wrote int) {
+// peakRates is the most requests and changes in a second since a time.
+func (s *store) peakRates(since time.Time) (asked, wrote int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for sec, n := range s.asked {
@@ -62,16 +55,8 @@
 	return asked, wrote
 }
 
-// Ways to lose data. All are told by nothing but what is read after.
-const (
-	wiped    = "all keys, generation back to 1"
-	restored = "back to some time ago, generation too"
-	holes    = "a third of the keys"
-	rotten   = "a value"
-)
-
-// lose has the store lose data.
-func (s *store) lose(how string, ago time.Duration, key string) {
+// loseData has the store lose data.
+func (s *store) loseData(how string, ago time.Duration, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch how {
@@ -118,8 +103,8 @@
 	s.cond.Broadcast()
 }
 
-// note adds to the log; run it with the lock held.
-func (s *store) note(c wire.Operation) {
+// recordEvent adds to the log; run it with the lock held.
+func (s *store) recordEvent(c wire.Operation) {
 	s.log, s.times = append(s.log, c), append(s.times, time.Now())
 }
 
@@ -142,39 +127,39 @@
 	s.cond.Broadcast()
 }
 
-// delay has a share of the transactions get no answer and be carried out late.
-func (s *store) delay(share float64) {
+// delayTransactions has a share of the transactions get no answer and be carried out late.
+func (s *store) delayTransactions(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.late = share
 }
 
-// crawl has answers take up to so long.
-func (s *store) crawl(slow time.Duration) {
+// respondSlowly has answers take up to so long.
+func (s *store) respondSlowly(slow time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slow = slow
 }
 
-// expire ends grants that ran out; run it with the lock held.
+// expire ends leases that ran out; run it with the lock held.
 func (s *store) expire() {
 	if s.down {
 		return
 	}
 	for t, at := range s.grants {
 		if time.Now().After(at) {
-			s.drop(t)
+			s.dropLease(t)
 		}
 	}
 }
 
-func (s *store) drop(ticket uint64) {
+func (s *store) dropLease(ticket uint64) {
 	delete(s.grants, ticket)
 	for k, it := range s.keys {
 		if it.LeaseID == ticket {
 			s.rev++
 			delete(s.keys, k)
-			s.note(wire.Operation{Delete: k, ModRevision: s.rev})
+			s.recordEvent(wire.Operation{Delete: k, ModRevision: s.rev})
 		}
 	}
 	s.cond.Broadcast()
@@ -209,7 +194,7 @@
 		var t wire.Txn
 		json.Unmarshal(body, &t)
 		if s.late > 0 && s.rnd.Float64() < s.late {
-			s.again(t, 2*time.Second+time.Duration(s.rnd.Int64N(int64(10*time.Second))))
+			s.applyLate(t, 2*time.Second+time.Duration(s.rnd.Int64N(int64(10*time.Second))))
 			if s.rnd.IntN(2) == 0 {
 				panic(http.ErrAbortHandler)
 			}
@@ -221,7 +206,7 @@
 		status, res := s.commit(t)
 		s.wrote[time.Now().Unix()] += len(t.Operations)
 		if s.rnd.IntN(50) == 0 { // a copy of it comes once more, much later or at once
-			s.again(t, time.Duration(s.rnd.Int64N(int64(2*lease))))
+			s.applyLate(t, time.Duration(s.rnd.Int64N(int64(2*lease))))
 		}
 		if status == 200 && s.done != nil && s.done(node, t) || s.rnd.IntN(100) == 0 {
 			panic(http.ErrAbortHandler) // executed, but the answer is lost
@@ -285,7 +270,7 @@
 			return
 		}
 		if r.Method == http.MethodDelete {
-			s.drop(t)
+			s.dropLease(t)
 		} else {
 			s.grants[t] = time.Now().Add(s.lives[t])
 		}
@@ -293,8 +278,8 @@
 	}
 }
 
-// again carries a transaction out after a while, whatever came of it before.
-func (s *store) again(t wire.Txn, after time.Duration) {
+// applyLate carries a transaction out after a while, whatever came of it before.
+func (s *store) applyLate(t wire.Txn, after time.Duration) {
 	time.AfterFunc(after, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -304,7 +289,7 @@
 	})
 }
 
-// refuseAlone has the state service refuse a controller alone, or ends that.
+// refuseAlone has the store refuse a controller alone, or ends that.
 func (s *store) refuseAlone(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -325,8 +310,8 @@
 	return string(s.keys[key].Value)
 }
 
-// lower lets the limits fall, as was announced to the controllers.
-func (s *store) lower(value, ops int) {
+// lowerLimits lets the limits fall, as was announced to the controllers.
+func (s *store) lowerLimits(value, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.value, s.ops, s.fallen = value, ops, true
@@ -376,114 +361,8 @@
 		} else {
 			delete(s.keys, c.Delete)
 		}
-		s.note(c)
+		s.recordEvent(c)
 	}
 	s.cond.Broadcast()
 	return 200, wire.TxnResponse{Revision: s.rev}
 }
-
-// cloud stands in for the cloud. Machines come up after a while; the list is
-// two seconds old.
-type cloud struct {
-	w     *world
-	mu    sync.Mutex
-	types []wire.InstanceType
-	asks  map[string][]string
-	hosts map[string]wire.Instance
-	seen  map[string]time.Time // when listed first
-	count map[string]int
-	next  int
-	sizes map[string]wire.ScaleOutRequest // what was asked for, by its name
-	freed int                             // machines returned
-	most  int                             // machines of a type, zone and kind
-	few   map[string]int                  // in zones that have less
-}
-
-func (c *cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	body, _ := io.ReadAll(r.Body)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	switch r.URL.Path {
-	case "/machine_types":
-		answer(w, 200, wire.InstanceTypeList{Types: c.types})
-	case "/hosts/release":
-		var l wire.InstanceNames
-		json.Unmarshal(body, &l)
-		for _, n := range l.Names {
-			if h, ok := c.hosts[n]; ok {
-				c.count[h.InstanceType+h.Zone]--
-				delete(c.hosts, n)
-				c.freed++
-				c.w.stop(n)
-			}
-		}
-		answer(w, 200, struct{}{})
-	case "/hosts":
-		if r.Method == http.MethodGet {
-			var l wire.InstancePage
-			for n, h := range c.hosts {
-				if time.Since(c.seen[n]) > 2*time.Second {
-					l.Instances = append(l.Instances, h)
-				}
-			}
-			slices.SortFunc(l.Instances, func(a, b wire.Instance) int { return strings.Compare(a.Name, b.Name) })
-			answer(w, 200, l)
-			return
-		}
-		var q wire.ScaleOutRequest
-		json.Unmarshal(body, &q)
-		if was, ok := c.sizes[q.RequestID]; ok && was != q {
-			c.w.mu.Lock()
-			c.w.broke("names: %s was used for %v and for %v", q.RequestID, was, q)
-			c.w.mu.Unlock()
-		}
-		c.sizes[q.RequestID] = q
-		if names, ok := c.asks[q.RequestID]; ok {
-			answer(w, 200, wire.InstanceNames{Names: names})
-			return
-		}
-		var names []string
-		most := c.most
-		if n, ok := c.few[q.Zone]; ok {
-			most = n
-		}
-		for len(names) < q.Count && c.count[q.InstanceType+q.Zone] < most {
-			c.count[q.InstanceType+q.Zone]++
-			c.next++
-			n := fmt.Sprintf("i-%06d", c.next)
-			h := wire.Instance{Name: n, Address: n + ":9000", InstanceType: q.InstanceType, Zone: q.Zone, Spot: q.Spot, Phase: wire.InstanceStarting}
-			c.hosts[n], c.seen[n] = h, time.Now()
-			names = append(names, n)
-			time.AfterFunc(3*time.Second, func() { c.up(n) })
-		}
-		if len(names) == 0 {
-			answer(w, 503, wire.ErrorResponse{Error: "no capacity"})
-			return
-		}
-		c.asks[q.RequestID] = names
-		answer(w, 200, wire.InstanceNames{Names: names})
-	}
-}
-
-// die has a machine stop on its own. It is listed as running for some more time.
-func (c *cloud) die(n string) {
-	c.w.stop(n)
-	time.AfterFunc(30*time.Second, func() {
-		c.mu.Lock()
-		defer c.mu.Unlock()
-		if h, ok := c.hosts[n]; ok {
-			h.Phase = wire.InstanceFailed
-			c.hosts[n] = h
-		}
-	})
-}
-
-func (c *cloud) up(n string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if h, ok := c.hosts[n]; ok && !c.w.ended() {
-		h.Phase = wire.InstanceRunning
-		c.hosts[n] = h
-		c.w.start(h)
-	}
-}
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -20,7 +20,7 @@
 	}
 }
 
-// Sixteen equal teams share machines for half as much again as their guarantees; one of
+// Sixteen equal teams share workers for half as much again as their guarantees; one of
 // them asks for ten times its share all the while, ahead of the others. Each of the others
 // is served as if it were alone, and the greedy one gets what they leave.
 func TestSixteenTeams(t *testing.T) {
@@ -78,7 +78,7 @@
 }
 
 // Of two zones one has room for a third of what spread services want there. Arrays do not
-// hold it, each service runs with all that its other half may have, machines of the large
+// hold it, each service runs with all that its other half may have, workers of the large
 // zone do not pile up for what cannot be there, and new services start in full while old
 // ones wait.
 func TestScarceZone(t *testing.T) {
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -23,7 +23,7 @@
 	timer *time.Timer
 }
 
-// worker stands in for a machine's worker.
+// worker stands in for a worker's worker.
 type worker struct {
 	w      *world
 	h      wire.Instance
@@ -78,7 +78,7 @@
 		t.timer.Stop()
 	}
 	if t.Phase == wire.TaskRunning {
-		k.w.off(t.TaskStatus.Task, k.h.Name)
+		k.w.taskLeft(t.TaskStatus.Task, k.h.Name)
 	}
 	t.Phase, t.ExitReason = wire.TaskExited, cause
 }
@@ -165,7 +165,7 @@
 	}
 }
 
-// lost tells whether a report does not arrive: the worker waits for an answer, and tries
+// lost tells whether a heartbeat does not arrive: the worker waits for an answer, and tries
 // the next controller.
 func (k *worker) lost(ctx context.Context, body []byte) bool {
 	k.mu.Lock()
@@ -189,7 +189,7 @@
 	return true
 }
 
-// late delivers the report that was held back, to a controller, and tells whether there
+// late delivers the heartbeat that was held back, to a controller, and tells whether there
 // was one. Nobody waits for the answer any more.
 func (k *worker) late(ctx context.Context, node int) bool {
 	k.mu.Lock()
@@ -202,7 +202,7 @@
 	return body != nil
 }
 
-// post sends a report whose answer goes to nobody.
+// post sends a heartbeat whose answer goes to nobody.
 func (k *worker) post(ctx context.Context, node int, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
@@ -213,7 +213,7 @@
 	}
 }
 
-// echo has a copy of a report arrive again, for a share of them: much later, and at
+// echo has a copy of a heartbeat arrive again, for a share of them: much later, and at
 // whichever controller is there.
 func (k *worker) echo(ctx context.Context, node int, body []byte) {
 	k.w.mu.Lock()
@@ -275,7 +275,7 @@
 		return
 	}
 	id, _ := ledger.ParseTask(t.TaskStatus.Task)
-	j := k.w.on(id, t.Attempt, k.h)
+	j := k.w.taskStarted(id, t.Attempt, k.h)
 	if long := time.Since(k.muted); k.mute && long > lease {
 		k.w.mu.Lock()
 		k.w.broke("mute: %s starts on %s, which has reached no controller for %v", id, k.h.Name, long)
@@ -293,7 +293,7 @@
 	}
 }
 
-// complete ends a task that is done, once its machine goes on.
+// complete ends a task that is done, once its worker goes on.
 func (k *worker) complete(t *task, id ledger.Task) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
