--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -85,7 +85,7 @@
 	tasks map[string]bool
 }
 
-// free capacity are the workers that are up and well.
+// rooms are the free resources of the workers that are up and well.
 func (c *cloud) rooms() (out []free) {
 	c.mu.Lock()
 	hosts := maps.Clone(c.hosts)
@@ -122,7 +122,7 @@
 	return out
 }
 
-// fits tells whether a task of a job waits that one of the free capacity has room for; run it with
+// fits tells whether a task of a job waits that one of the rooms fits; run it with
 // the lock held.
 func (w *world) fits(j wire.Job, rooms []free) bool {
 	if w.taken[j.ID].IsZero() || w.asked[j.ID] || j.Kind == wire.KindGang || w.used[j.Team]+j.CPUs > w.limit {
--- a/internal/sim/controllers_test.go
+++ b/internal/sim/controllers_test.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// restartEverything cuts every worker off from all controllers for a moment.
-func (w *world) restartEverything(cl *cloud, long time.Duration) {
+// cutWorkersOff cuts every worker off from all controllers for a moment.
+func (w *world) cutWorkersOff(cl *cloud, long time.Duration) {
 	cl.mu.Lock()
 	hosts := slices.Sorted(maps.Keys(cl.hosts))
 	cl.mu.Unlock()
--- a/internal/sim/faultplan_test.go
+++ b/internal/sim/faultplan_test.go
@@ -60,7 +60,7 @@
 		p.rest = 200 * time.Second
 	}
 	time.Sleep(p.rest)
-	w.delayLastPackets()
+	w.checkCancelledTasksGone()
 	w.mu.Lock()
 	w.begins()
 	w.mu.Unlock()
--- a/internal/sim/leaderfaults_test.go
+++ b/internal/sim/leaderfaults_test.go
@@ -253,7 +253,7 @@
 			checkScenario(t, 9, false, func(m *scenario) {
 				other := (m.leader + 1) % nodes
 				machines := m.randomWorkers(1)
-				m.refuseStoreFor(m.leader, true)
+				m.cutFromPeers(m.leader, true)
 				m.w.net.cut(name(m.leader), "state", true)
 				if tc.only {
 					go m.partition(m.others(m.leader), machines, 3*cancel)
@@ -272,10 +272,10 @@
 				}
 				m.st.outage(tc.outage > 0)
 				time.Sleep(2 * cancel)
-				m.w.delayLastPackets()
+				m.w.checkCancelledTasksGone()
 				m.st.outage(false)
 				m.w.net.cut(name(m.leader), "state", false)
-				m.refuseStoreFor(m.leader, false)
+				m.cutFromPeers(m.leader, false)
 				time.Sleep(cancel)
 			})
 		})
@@ -313,7 +313,7 @@
 				other, told := (m.leader+1)%nodes, 0
 				m.st.refuseAlone(name(m.leader), true)
 				if tc.cut {
-					m.refuseStoreFor(m.leader, true)
+					m.cutFromPeers(m.leader, true)
 				}
 				time.Sleep(tc.refused)
 				for i := range 4 {
@@ -337,7 +337,7 @@
 				}
 				m.st.outage(false)
 				m.st.refuseAlone(name(m.leader), false)
-				m.refuseStoreFor(m.leader, false)
+				m.cutFromPeers(m.leader, false)
 			})
 		})
 	}
--- a/internal/sim/messagefaults_test.go
+++ b/internal/sim/messagefaults_test.go
@@ -138,7 +138,7 @@
 				if len(leaders) > tc.terms {
 					m.Errorf("%d terms: %s", len(leaders), strings.Join(leaders, " "))
 				}
-				// A task is lost once with a unable to send heartbeats worker; with one that hangs too, once more.
+				// A task is lost once with a worker that cannot send heartbeats; with one that hangs too, once more.
 				most := 2 * jobs * members
 				if strings.Contains(tc.name, "hang") {
 					most += jobs * members
@@ -187,7 +187,7 @@
 				t.Parallel()
 				playFaults(t, faultPlan{seed: 13, limit: 20, jobs: arrays(12, 3, long, nil), rest: 330 * time.Second, troubles: func(m *scenario) {
 					hosts := m.busy()
-					m.strikeWorkers(hosts, 7*time.Second, keepTasks) // held, and newer ones have come
+					m.strikeWorkers(hosts, 7*time.Second, holdNextHeartbeat) // held, and newer ones have come
 					m.crashController(m.leader, 6*time.Second)
 					tc.then(m, hosts)
 					came := m.deliverHeldHeartbeats(hosts)
--- a/internal/sim/quick_test.go
+++ b/internal/sim/quick_test.go
@@ -173,11 +173,11 @@
 			d.crash(d.leader(), back)
 			return came
 		}},
-		{"machines, for 900 ms", func(d *lossDay) bool { d.w.restartEverything(d.cl, 900*time.Millisecond); return true }},
+		{"machines, for 900 ms", func(d *lossDay) bool { d.w.cutWorkersOff(d.cl, 900*time.Millisecond); return true }},
 		{"machines and the leader", func(d *lossDay) bool {
 			n := d.leader()
 			d.cs[n].crash()
-			d.w.restartEverything(d.cl, 300*time.Millisecond)
+			d.w.cutWorkersOff(d.cl, 300*time.Millisecond)
 			d.cs[n] = d.w.boot(n)
 			return true
 		}},
--- a/internal/sim/randomfaults_test.go
+++ b/internal/sim/randomfaults_test.go
@@ -88,7 +88,7 @@
 	}},
 	{"reports held back", func(m *scenario, n int, long time.Duration) {
 		hosts := m.randomWorkers(0.4)
-		m.strikeWorkers(hosts, 7*time.Second, keepTasks)
+		m.strikeWorkers(hosts, 7*time.Second, holdNextHeartbeat)
 		time.Sleep(long)
 		m.deliverHeldHeartbeats(hosts)
 	}},
@@ -192,7 +192,7 @@
 		troubles(m)
 		w.calms(cl)
 		time.Sleep(max(240*time.Second, 480*time.Second-time.Since(m.began))) // the longest task takes 170 s, from a start of its own
-		w.delayLastPackets()
+		w.checkCancelledTasksGone()
 		end()
 		w.mu.Lock()
 		defer w.mu.Unlock()
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -39,8 +39,8 @@
 
 func name(n int) string { return fmt.Sprintf("host-%d", n) }
 
-// refuseStoreFor cuts a controller off from the others.
-func (m *scenario) refuseStoreFor(n int, on bool) {
+// cutFromPeers cuts a controller off from the others.
+func (m *scenario) cutFromPeers(n int, on bool) {
 	for o := range m.w.size {
 		if o != n {
 			m.w.net.cut(name(n), name(o), on)
@@ -93,7 +93,7 @@
 		began := time.Now()
 		troubles(m)
 		w.calms(cl)
-		w.delayLastPackets()
+		w.checkCancelledTasksGone()
 		time.Sleep(max(0, 400*time.Second-time.Since(began)))
 		end()
 		for _, b := range w.breaches {
@@ -126,9 +126,9 @@
 	w.echoes = share
 }
 
-// delayLastPackets checks what is on workers: what stays there breaks the rule too, not only what
+// checkCancelledTasksGone checks what is on workers: what stays there breaks the rule too, not only what
 // leaves late.
-func (w *world) delayLastPackets() {
+func (w *world) checkCancelledTasksGone() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task, host := range w.where {
@@ -195,14 +195,14 @@
 	}
 }
 
-// What strike does to workers.
+// What strikeWorkers does to workers.
 func dropHeartbeats(k *worker, on bool) { k.mute, k.muted = on, time.Now() }
 
 func pause(k *worker, on bool) { k.hung = on }
 
 func dropAnswers(k *worker, on bool) { k.deaf = on }
 
-func keepTasks(k *worker, on bool) { k.keep = on }
+func holdNextHeartbeat(k *worker, on bool) { k.keep = on }
 
 // deliverHeldHeartbeats has the heartbeats of workers that were held back arrive at whoever leads now, and
 // tells how many there were.
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -196,7 +196,7 @@
 			time.Sleep(time.Duration(5+rnd.IntN(30)) * time.Second)
 			st.respondSlowly(0)
 		case blinks:
-			w.restartEverything(cl, time.Duration(50+rnd.IntN(1500))*time.Millisecond)
+			w.cutWorkersOff(cl, time.Duration(50+rnd.IntN(1500))*time.Millisecond)
 		case 2:
 			st.outage(true)
 			time.Sleep(time.Duration(5+rnd.IntN(30)) * time.Second)
--- a/internal/sim/users_test.go
+++ b/internal/sim/users_test.go
@@ -89,7 +89,7 @@
 			w.told[j.ID] = phase
 		}
 		if phase == wire.PhaseCancelled {
-			if !w.asked[j.ID] && !w.hasPartitionedTask(j.ID) {
+			if !w.asked[j.ID] && !w.dependsOnCancelled(j.ID) {
 				w.broke("went_back: %s called withdrawn", j.ID)
 			}
 			if w.gone[j.ID].IsZero() {
@@ -115,11 +115,11 @@
 	}
 }
 
-// hasPartitionedTask tells whether a user has asked to withdraw something before a job; run
+// dependsOnCancelled tells whether a user has asked to withdraw something before a job; run
 // it with the lock held.
-func (w *world) hasPartitionedTask(ref string) bool {
+func (w *world) dependsOnCancelled(ref string) bool {
 	for _, n := range w.jobs[ref].DependsOn {
-		if w.asked[n] || w.hasPartitionedTask(n) {
+		if w.asked[n] || w.dependsOnCancelled(n) {
 			return true
 		}
 	}
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -68,7 +68,7 @@
 	w.breaches = append(w.breaches, fmt.Sprintf(format, a...))
 }
 
-// run is a attempt of a task on a worker.
+// run is an attempt of a task on a worker.
 type run struct {
 	task ledger.Task
 	try  uint64
