--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -12,31 +12,32 @@
 	"rillflow/internal/wire"
 )
 
-// leaderKey is the key that the leader holds under its lease.
+// leaderKey is the key that the leader writes under its lease.
 const leaderKey = "lead"
 
-// leaderRecord is what the leader key holds.
+// leaderRecord is the stored value of the leader key.
 type leaderRecord struct {
 	Controller string `json:"node"`
 	Epoch      uint64 `json:"epoch"`
 }
 
-// Reasons for which data loss is suspected. Peers are sent them and /operator/status shows
-// them, so their spelling stays.
+// Reasons for suspecting data loss. They are sent to peers and shown in /operator/status, so
+// their spelling must not change.
 const (
 	reasonLeaderKeyUnreadable = "the leader's key cannot be read"
 	reasonEpochKeyUnreadable  = "the epoch's key cannot be read"
 )
 
-// Why a look at the leader key gave neither a leader nor a term. Run backs off from each.
+// Errors of an election attempt that found no valid leader and won no term. Run backs off
+// after each.
 var (
-	errCampaignPaused     = errors.New("election: campaign paused after stepping down")
-	errCampaignLost       = errors.New("election: another controller was elected")
-	errStaleLeaderRemoved = errors.New("election: leader key of an earlier leader")
+	errCampaignPaused = errors.New("election: campaign paused after stepping down")
+	errCampaignLost   = errors.New("election: another controller was elected")
+	errStaleLeader    = errors.New("election: leader key is stale")
 )
 
-// observeOrCampaign reads who leads, and campaigns if nobody does. It returns the term that
-// this controller won, or else the leader key's mod revision, from which to watch the key.
+// observeOrCampaign reads the leader key, and campaigns if it is absent. It returns the term
+// that this controller won, or else the leader key's mod revision, from which to watch it.
 func (e *Elector) observeOrCampaign(ctx context.Context) (*Term, uint64, error) {
 	item, err := e.store.Get(ctx, leaderKey)
 	if err == nil {
@@ -54,14 +55,15 @@
 	return term, 0, err
 }
 
-// campaignPause returns how long this controller is not to campaign yet.
+// campaignPause returns how much longer this controller must not campaign.
 func (e *Elector) campaignPause() time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return time.Until(e.campaignAfter)
 }
 
-// observeLeader takes in the leader key, and removes it if it is stale.
+// observeLeader records the leader that the leader key names, or removes the key if it is
+// stale.
 func (e *Elector) observeLeader(ctx context.Context, item wire.KeyValue) error {
 	var record leaderRecord
 	if err := json.Unmarshal(item.Value, &record); err != nil {
@@ -73,40 +75,42 @@
 	}
 	leader := record.Controller
 	if leader == e.controller {
-		leader = "" // left by this controller's last run: its lease will expire
+		leader = "" // left over from before a restart; its lease will expire
 	}
 	e.setLeader(leader)
 	return nil
 }
 
-// leaderObservation is what the leader key says, whether data loss is suspected meanwhile,
-// and since when both are as they are. It is guarded by the Elector's mutex.
+// leaderObservation is the last observed leader record, whether data loss was suspected then,
+// and since when neither has changed. It is guarded by the Elector's mutex.
 type leaderObservation struct {
-	record    leaderRecord
-	suspected bool
-	since     time.Time
+	record         leaderRecord
+	suspected      bool
+	unchangedSince time.Time
 }
 
-// note takes in what is observed now, and returns for how long it has been so.
-func (o *leaderObservation) note(record leaderRecord, suspected bool) time.Duration {
-	if record != o.record || suspected != o.suspected || o.since.IsZero() {
-		*o = leaderObservation{record: record, suspected: suspected, since: time.Now()}
+// update records a new observation, and returns for how long it has been unchanged.
+func (o *leaderObservation) update(record leaderRecord, suspected bool) time.Duration {
+	if record != o.record || suspected != o.suspected || o.unchangedSince.IsZero() {
+		*o = leaderObservation{record: record, suspected: suspected, unchangedSince: time.Now()}
 	}
-	return time.Since(o.since)
+	return time.Since(o.unchangedSince)
 }
 
-// isStaleLeader reports whether the leader key is of an incarnation that was lost, so that
-// nobody leads by it: it came back with a restore, and its lease may never expire. Either
-// its epoch lies below one that is known, or data loss is suspected and for several lease
-// durations the key has named the same controller, which does not lead.
+// isStaleLeader reports whether no controller leads under the leader key, because a restore of
+// the store's data brought it back: its lease may then never expire. That is assumed in two
+// cases. The key's epoch may have been below a known one for longer than a lease duration,
+// while data loss is suspected or the latest shard map names another leader. Or the key may
+// have been unchanged for more than two lease durations, while data loss is suspected or the
+// key names this controller, which does not lead.
 func (e *Elector) isStaleLeader(record leaderRecord) bool {
 	suspected := e.detector.Suspicion().Active
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	unchangedFor := e.observed.note(record, suspected)
+	unchangedFor := e.observed.update(record, suspected)
 	switch {
 	case record.Epoch < e.epochs.highest():
-		// Between one leader's end and the next one's start this is as it should be.
+		// This is normal for a short time between two terms.
 		return unchangedFor > e.leaseDuration && (suspected || e.epochs.shardMap.Leader != record.Controller)
 	case suspected || record.Controller == e.controller:
 		return unchangedFor > 2*e.leaseDuration
@@ -114,19 +118,19 @@
 	return false
 }
 
-// removeStaleLeader deletes a leader key that nobody leads by. It always returns an error,
-// so that the key is looked at again.
+// removeStaleLeader deletes a leader key under which no controller leads. It always returns
+// an error, so that Run reads the key again.
 func (e *Elector) removeStaleLeader(ctx context.Context, item wire.KeyValue) error {
 	e.log.Warn("removing stale leader key", "value", string(item.Value))
 	_, _, err := e.store.Commit(ctx, wire.Txn{
 		Compares:   []wire.Compare{{Key: leaderKey, ModRevision: item.ModRevision}},
 		Operations: []wire.Operation{{Delete: leaderKey}},
 	})
-	return errors.Join(err, errStaleLeaderRemoved)
+	return errors.Join(err, errStaleLeader)
 }
 
-// campaign tries to take the leader key, and with it the next epoch. Both are written in one
-// transaction, together with the incarnation that the term begins, if it begins one.
+// campaign tries to create the leader key and to take the next epoch. Both are written in one
+// transaction, together with a new store incarnation if the term begins one.
 func (e *Elector) campaign(ctx context.Context) (*Term, error) {
 	stored, epochRevision, err := e.readEpoch(ctx)
 	if err != nil {
@@ -158,20 +162,20 @@
 	return term, nil
 }
 
-// nextEpoch returns the epoch to campaign with: above every one that is stored or known.
+// nextEpoch returns the epoch to campaign with, which is above all stored and known ones.
 func (e *Elector) nextEpoch(stored ShardMap, epochRevision uint64) uint64 {
 	epoch := max(stored.Epoch, e.highestEpoch()) + 1
 	if epochRevision == 0 {
-		// Nothing is stored: all may have been lost, and what workers have seen is yet to
-		// be heard. Epochs never rise by one a second for long, so the time of day lies
-		// above any that was given out.
+		// Nothing is stored: all data may have been lost, and workers may not yet have
+		// reported the epochs that they have seen. Epochs never rise by one a second for
+		// long, so the Unix time in seconds is above any that was issued.
 		epoch = max(epoch, uint64(time.Now().Unix()))
 	}
 	return epoch
 }
 
-// commitCampaign writes the leader key under the lease, the shard map and the changes of
-// the plan, and returns the revision of the transaction. If it fails, the lease is revoked.
+// commitCampaign writes the leader key under the lease, the shard map and the plan's
+// operations, and returns the revision of the transaction. If it fails, the lease is revoked.
 func (e *Elector) commitCampaign(
 	ctx context.Context, plan incarnationPlan, shardMap ShardMap, epochRevision, leaseID uint64,
 ) (uint64, error) {
@@ -191,9 +195,8 @@
 	if err == nil && len(failed) == 0 {
 		return revision, nil
 	}
-	// Should the transaction have been applied after all, revoking its lease deletes the
-	// leader key again; the epoch that it used up is never used again. If revoking fails too,
-	// the lease expires by itself.
+	// If the transaction was applied despite the error, revoking its lease deletes the leader
+	// key again, and its epoch is skipped. If revoking fails too, the lease expires by itself.
 	e.store.RevokeLease(ctx, leaseID)
 	if err != nil {
 		return 0, fmt.Errorf("election: campaign for epoch %d: %w", shardMap.Epoch, err)
@@ -201,7 +204,7 @@
 	return 0, errCampaignLost
 }
 
-// newTerm returns the term of a campaign that was won by a transaction of a revision.
+// newTerm returns the term won by a campaign whose transaction was committed at revision.
 func (e *Elector) newTerm(plan incarnationPlan, shardMap ShardMap, revision, leaseID uint64) *Term {
 	incarnation := plan.incarnation
 	if plan.beginsIncarnation() {
--- a/internal/election/campaign_test.go
+++ b/internal/election/campaign_test.go
@@ -9,7 +9,8 @@
 	"rillflow/internal/kvstore"
 )
 
-// A leader key that came back with a restore is told from one that somebody leads by.
+// A leader key that was brought back by a restore must be recognized as stale, and one under
+// which a controller leads must not.
 func TestStaleLeader(t *testing.T) {
 	const leaseDuration = time.Second
 	for _, tc := range []struct {
@@ -20,18 +21,18 @@
 		unchangedFor time.Duration
 		want         bool
 	}{
-		{"another leads", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, false, time.Hour, false},
-		{"it raised the epoch since", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "b"}, false, time.Hour, false},
-		{"it has just begun", leaderRecord{"b", 5}, ShardMap{Epoch: 4, Leader: "c"}, false, time.Hour, false},
-		{"below an epoch of another's", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "c"}, false,
+		{"another controller leads", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, false, time.Hour, false},
+		{"its leader has raised the epoch", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "b"}, false, time.Hour, false},
+		{"a term newer than the known shard map", leaderRecord{"b", 5}, ShardMap{Epoch: 4, Leader: "c"}, false, time.Hour, false},
+		{"epoch below that of another leader", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "c"}, false,
 			2 * leaseDuration, true},
-		{"the same, not for long", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "c"}, false,
+		{"epoch below that of another leader, only just observed", leaderRecord{"b", 5}, ShardMap{Epoch: 9, Leader: "c"}, false,
 			leaseDuration / 2, false},
-		{"suspected", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, true, 3 * leaseDuration, true},
-		{"suspected, not for long", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, true, leaseDuration, false},
-		{"left by this controller's last run", leaderRecord{"a", 5}, ShardMap{Epoch: 5, Leader: "a"}, false,
+		{"data loss suspected", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, true, 3 * leaseDuration, true},
+		{"data loss suspected, only just observed", leaderRecord{"b", 5}, ShardMap{Epoch: 5, Leader: "b"}, true, leaseDuration, false},
+		{"left over from before a restart", leaderRecord{"a", 5}, ShardMap{Epoch: 5, Leader: "a"}, false,
 			3 * leaseDuration, true},
-		{"the same, its lease yet to expire", leaderRecord{"a", 5}, ShardMap{Epoch: 5, Leader: "a"}, false,
+		{"left over from before a restart, lease not expired", leaderRecord{"a", 5}, ShardMap{Epoch: 5, Leader: "a"}, false,
 			leaseDuration, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -47,7 +48,7 @@
 			e.epochs.shardMap = tc.known
 			e.observed = leaderObservation{tc.record, tc.suspected, time.Now().Add(-tc.unchangedFor)}
 			if got := e.isStaleLeader(tc.record); got != tc.want {
-				t.Errorf("stale: %v", got)
+				t.Errorf("stale: got %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/election/elector.go
+++ b/internal/election/elector.go
@@ -1,13 +1,13 @@
-// Package election elects the leader among the controllers. A candidate takes the leader
-// key of the key-value store under a lease, which it then renews; the key's absence is what
-// others campaign on. Each leadership has an epoch above all earlier ones, which fences the
-// commands of those before it, and every write of a leader compares the leader key's mod
+// Package election elects the leader among the controllers. A candidate creates the leader
+// key in the key-value store under a lease, which it then renews; the others campaign once
+// the key is absent. Each term begins at an epoch above all earlier ones, which fences off
+// the commands of earlier leaders, and every write by a leader compares the leader key's mod
 // revision.
 //
-// The package owns the leader key and the epoch key, which holds the shard map, and what
-// this controller knows of both. Package serve runs an Elector; package leader is served
-// each Term and writes under its compares; package shard reads the shard map. The package
-// must not decide what a leader does: it knows no jobs and no workers.
+// The package owns the leader key, the epoch key, which holds the shard map, and this
+// controller's view of both. Package serve runs an Elector; package leader serves each Term
+// and writes under its compares; package shard reads the shard map. The package must not
+// decide what a leader does: it deals with neither jobs nor the state of workers.
 package election
 
 import (
@@ -22,15 +22,15 @@
 	"rillflow/internal/retry"
 )
 
-// The first and the longest pause after a failed request, as parts of a lease's duration.
+// The lease duration divided by these gives the first and the longest back-off after failed
+// requests.
 const (
 	backoffBaseDivisor  = 16
 	backoffLimitDivisor = 2
 )
 
-// Elector campaigns for leadership and follows who leads. One mutex guards all that it
-// knows; it is held for no request to the store and for no call out of the package but to
-// the log.
+// Elector campaigns for leadership and tracks the current leader. One mutex guards its state;
+// it is not held during requests to the store or calls to other packages, except to the log.
 type Elector struct {
 	store                *kvstore.Client
 	controller           string
@@ -40,29 +40,29 @@
 	remembersIncarnation func() bool
 	log                  *slog.Logger
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	leader        string
 	epochs        knownEpochs
 	observed      leaderObservation
-	campaignAfter time.Time // not a candidate before this
-	term          *Term     // that is served, nil: none
+	campaignAfter time.Time // no campaign before this time
+	term          *Term     // the term being served, or nil
 	termsBegun    int
 	endTerm       context.CancelCauseFunc
 	stopRenewal   context.CancelFunc
 }
 
-// Options are what an Elector works with.
+// Options are the dependencies and settings of an Elector.
 type Options struct {
 	Store                *kvstore.Client
 	Controller           string // the name of this controller
 	LeaseDuration        time.Duration
-	ShardOwners          func() []string // among whom a new leader shards the workers
+	ShardOwners          func() []string // the controllers among which a new leader shards the workers
 	Detector             *dataloss.Detector
-	RemembersIncarnation func() bool // whether this controller remembers an earlier incarnation
+	RemembersIncarnation func() bool // reports whether this controller holds data of an earlier incarnation
 	Log                  *slog.Logger
 }
 
-// New returns an Elector that knows of no leader yet.
+// New returns an Elector with no known leader.
 func New(options Options) *Elector {
 	return &Elector{
 		store:                options.Store,
@@ -75,8 +75,8 @@
 	}
 }
 
-// Run follows the leader key and campaigns whenever there is none, until ctx ends. serve is
-// called for each term and must return soon after its context ends.
+// Run watches the leader key and campaigns whenever it is absent, until ctx ends. It calls
+// serve for each term won; serve must return soon after its context ends.
 func (e *Elector) Run(ctx context.Context, serve func(context.Context, *Term) error) error {
 	for attempt := 0; ctx.Err() == nil; {
 		term, leaderRevision, err := e.observeOrCampaign(ctx)
@@ -90,7 +90,7 @@
 			e.serveTerm(ctx, term, serve)
 		default:
 			attempt = 0
-			// The key is deleted when its lease expires: watch for that.
+			// The store deletes the key when its lease expires; wait for that or another change.
 			if _, err := e.store.Watch(ctx, leaderKey, leaderRevision, e.leaseDuration); err != nil {
 				e.backoff(ctx, 0)
 			}
@@ -99,7 +99,7 @@
 	return ctx.Err()
 }
 
-// backoff waits before a request to the store is tried again.
+// backoff waits before a request to the store is retried.
 func (e *Elector) backoff(ctx context.Context, attempt int) {
 	retry.Backoff(ctx, attempt, e.leaseDuration/backoffBaseDivisor, e.leaseDuration/backoffLimitDivisor)
 }
@@ -135,8 +135,8 @@
 	}
 }
 
-// beginTerm lets LeaseHeld, StepDown and EndTermForDataLoss reach the term that begins. The context
-// returned ends when the lease is no longer to be renewed.
+// beginTerm makes a new term visible to LeaseHeld, StepDown and EndTermForDataLoss. The
+// returned context ends when the lease must no longer be renewed.
 func (e *Elector) beginTerm(termCtx context.Context, term *Term, endTerm context.CancelCauseFunc) context.Context {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,10 +147,10 @@
 	return renewalCtx
 }
 
-// StepDown gives the leadership up to a successor, and does not campaign for a while: the
-// lease is no longer renewed. The term goes on until there is a successor, which cannot be
-// while the store answers nobody: until then somebody has to answer the workers and to see
-// that cancelled tasks stop.
+// StepDown hands the leadership over: it stops renewing the lease and does not campaign for
+// the given pause. The term continues until a successor is elected, which is impossible while
+// the store is unreachable: in the meantime this controller still has to answer the workers
+// and make sure that cancelled tasks stop.
 func (e *Elector) StepDown(pause time.Duration, reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -162,8 +162,8 @@
 	}
 }
 
-// EndTermForDataLoss ends the leadership, if this controller has it: the store may have lost
-// data. This controller may campaign again at once.
+// EndTermForDataLoss ends this controller's term, if it leads, because the store may have
+// lost data. The controller may campaign again at once.
 func (e *Elector) EndTermForDataLoss(reason string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -172,7 +172,8 @@
 	}
 }
 
-// LeaseHeld reports whether this controller leads and no other can at present.
+// LeaseHeld reports whether this controller leads under a lease that cannot have expired, so
+// that no other controller can lead at present.
 func (e *Elector) LeaseHeld() bool {
 	e.mu.Lock()
 	term := e.term
@@ -180,14 +181,15 @@
 	return term != nil && term.LeaseHeld(time.Now())
 }
 
-// TermsBegun returns how many terms this controller has begun to lead.
+// TermsBegun returns the number of terms that this controller has begun.
 func (e *Elector) TermsBegun() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.termsBegun
 }
 
-// Leader returns the controller that leads, as far as this one knows, or "".
+// Leader returns the current leader as last observed by this controller, or "" if there is
+// none.
 func (e *Elector) Leader() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/election/epoch.go
+++ b/internal/election/epoch.go
@@ -9,110 +9,111 @@
 	"rillflow/internal/kvstore"
 )
 
-// epochKey is the key that holds the shard map of the highest epoch given out. Unlike the
-// leader key it has no lease: epochs rise across leaderships.
+// epochKey is the key that holds the shard map of the highest epoch issued. Unlike the
+// leader key it has no lease, so that epochs keep rising from one term to the next.
 const epochKey = "epoch"
 
-// maxCredibleEpoch bounds which epochs shown by a worker are believed: above it, too few
-// would be left to rise through.
+// maxCredibleEpoch is the limit from which epochs reported by workers are ignored: starting
+// above it would leave too few epochs to count up through.
 const maxCredibleEpoch = 1 << 62
 
-// watchLeases is how many lease durations a watch of the epoch key is kept open.
-const watchLeases = 4
+// epochWatchLeases is how many lease durations one watch request for the epoch key stays open.
+const epochWatchLeases = 4
 
-// knownEpochs is what this controller knows of the epochs given out. It is guarded by the
+// knownEpochs tracks the epochs that this controller has learned of. It is guarded by the
 // Elector's mutex.
 type knownEpochs struct {
-	shardMap ShardMap // of the highest epoch known from the store or a peer
-	stored   bool     // shardMap was read from the store, not only heard of
-	shown    uint64   // the highest epoch that a worker has shown
+	shardMap  ShardMap // the one with the highest epoch received from the store or a peer
+	fromStore bool     // whether shardMap was read from the store, not only received from a peer
+	reported  uint64   // the highest epoch reported by a worker
 }
 
-// learn takes in a shard map from the store or a peer, and reports whether its epoch is
-// above the one known. A map older than the one known changes nothing.
-func (k *knownEpochs) learn(m ShardMap) (risen bool) {
-	if m.Epoch == k.shardMap.Epoch && m.ZoneFallback {
-		// A ping, which does not carry these fields, brought the rest first.
-		k.shardMap.ZoneFallback, k.shardMap.Incarnation = true, m.Incarnation
+// learn replaces the known shard map by one from the store or a peer if that has a higher
+// epoch, and reports whether it does. A map with a lower epoch is ignored.
+func (k *knownEpochs) learn(received ShardMap) (isNewer bool) {
+	if received.Epoch == k.shardMap.Epoch && received.ZoneFallback {
+		// The known map may come from a ping, which does not carry these two fields.
+		k.shardMap.ZoneFallback, k.shardMap.Incarnation = true, received.Incarnation
 	}
-	if m.Epoch <= k.shardMap.Epoch {
+	if received.Epoch <= k.shardMap.Epoch {
 		return false
 	}
-	k.shardMap, k.stored = m, false
+	k.shardMap, k.fromStore = received, false
 	return true
 }
 
-// observe takes in an epoch that a worker has seen.
+// observe records an epoch that a worker has reported.
 func (k *knownEpochs) observe(epoch uint64) {
 	if epoch < maxCredibleEpoch {
-		k.shown = max(k.shown, epoch)
+		k.reported = max(k.reported, epoch)
 	}
 }
 
-// highest returns the highest epoch that is known to have been given out.
-func (k *knownEpochs) highest() uint64 { return max(k.shardMap.Epoch, k.shown) }
+// highest returns the highest epoch known to have been issued.
+func (k *knownEpochs) highest() uint64 { return max(k.shardMap.Epoch, k.reported) }
 
-// legacyLeader reports whether the stored shard map was written by a version that knows
-// nothing of store incarnations.
+// legacyLeader reports whether the stored shard map was written by a version without store
+// incarnations (before 0.5).
 func (k *knownEpochs) legacyLeader() bool {
-	return k.stored && k.shardMap.Epoch > 0 && k.shardMap.Incarnation == ""
+	return k.fromStore && k.shardMap.Epoch > 0 && k.shardMap.Incarnation == ""
 }
 
-// ShardMap returns the latest shard map that this controller knows of.
+// ShardMap returns the shard map with the highest epoch that this controller has learned.
 func (e *Elector) ShardMap() ShardMap {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.epochs.shardMap
 }
 
-// LegacyLeader reports whether the present leader is of a version that knows nothing of
-// store incarnations.
+// LegacyLeader reports whether the current leader runs a version without store incarnations
+// (before 0.5).
 func (e *Elector) LegacyLeader() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.epochs.legacyLeader()
 }
 
-// ObserveEpoch notes an epoch that a worker has seen. The next leadership of this controller
-// begins above it.
+// ObserveEpoch records an epoch that a worker has reported. This controller's next term will
+// begin above it.
 func (e *Elector) ObserveEpoch(epoch uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.epochs.observe(epoch)
 }
 
-// highestEpoch returns the highest epoch that is known to have been given out.
+// highestEpoch returns the highest epoch known to have been issued.
 func (e *Elector) highestEpoch() uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.epochs.highest()
 }
 
-// LearnShardMap takes in a shard map from the store or a peer. A map older than the one
-// known changes nothing.
-func (e *Elector) LearnShardMap(m ShardMap) {
+// LearnShardMap replaces the known shard map by one from the store or a peer if that has a
+// higher epoch. A map with a lower epoch is ignored.
+func (e *Elector) LearnShardMap(received ShardMap) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.epochs.learn(m) {
-		e.log.Info("shard map changed", "epoch", m.Epoch, "leader", m.Leader, "owners", m.Owners)
+	if e.epochs.learn(received) {
+		e.log.Info("shard map changed",
+			"epoch", received.Epoch, "leader", received.Leader, "owners", received.Owners)
 	}
 }
 
-// learnStored takes in a shard map as it is stored.
+// learnStored decodes the stored shard map and learns it.
 func (e *Elector) learnStored(record []byte) (ShardMap, error) {
-	var m ShardMap
-	if err := json.Unmarshal(record, &m); err != nil {
+	var stored ShardMap
+	if err := json.Unmarshal(record, &stored); err != nil {
 		return ShardMap{}, fmt.Errorf("election: decode %s: %w", epochKey, err)
 	}
-	e.LearnShardMap(m)
+	e.LearnShardMap(stored)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.epochs.stored = e.epochs.stored || m.Epoch == e.epochs.shardMap.Epoch
-	return m, nil
+	e.epochs.fromStore = e.epochs.fromStore || stored.Epoch == e.epochs.shardMap.Epoch
+	return stored, nil
 }
 
-// ReadShardMap reads the shard map from the store; it returns one of epoch 0 if none is
-// stored.
+// ReadShardMap reads and learns the shard map from the store. It returns the zero ShardMap,
+// whose epoch is 0, if none is stored.
 func (e *Elector) ReadShardMap(ctx context.Context) (ShardMap, error) {
 	item, err := e.store.Get(ctx, epochKey)
 	switch {
@@ -124,9 +125,9 @@
 	return e.learnStored(item.Value)
 }
 
-// WatchShardMap keeps to the latest shard map in the store until ctx ends.
+// WatchShardMap learns every shard map stored until ctx ends.
 func (e *Elector) WatchShardMap(ctx context.Context) error {
-	var revision uint64 // that is known; 0: the key must be read first
+	var revision uint64 // the revision to watch from; 0: the key must be read first
 	for attempt := 0; ctx.Err() == nil; {
 		var err error
 		if revision == 0 {
@@ -144,7 +145,7 @@
 	return ctx.Err()
 }
 
-// loadShardMap reads and learns the stored shard map. It returns the revision to watch
+// loadShardMap reads the stored shard map and learns it. It returns the revision to watch
 // from, which is 0 if the key could not be read.
 func (e *Elector) loadShardMap(ctx context.Context) (uint64, error) {
 	item, err := e.store.Get(ctx, epochKey)
@@ -156,9 +157,9 @@
 }
 
 // awaitShardMap watches for shard maps stored after a revision and learns them. It returns
-// the revision to watch from next, which is 0 if the key must be read anew.
+// the revision to watch from next, which is 0 if the key must be read again.
 func (e *Elector) awaitShardMap(ctx context.Context, revision uint64) (uint64, error) {
-	response, err := e.store.Watch(ctx, epochKey, revision, watchLeases*e.leaseDuration)
+	response, err := e.store.Watch(ctx, epochKey, revision, epochWatchLeases*e.leaseDuration)
 	if err != nil {
 		if errors.Is(err, kvstore.ErrCompacted) {
 			revision = 0
@@ -174,8 +175,9 @@
 	return max(revision, response.Revision), err
 }
 
-// readEpoch reads the stored shard map as a candidate does. The revision is 0 if nothing is
-// stored. A record that cannot be decoded counts as epoch 0, and data loss is suspected.
+// readEpoch reads the stored shard map for a campaign. The revision is 0 if nothing is
+// stored. A record that cannot be decoded counts as epoch 0 and raises a suspicion of data
+// loss.
 func (e *Elector) readEpoch(ctx context.Context) (stored ShardMap, revision uint64, err error) {
 	item, err := e.store.Get(ctx, epochKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/goldentest"
 )
 
-// The leader key and the epoch key with its shard map are stored as they are today.
+// The stored form of the leader key and of the epoch key with its shard map must not change.
 func TestGoldenStored(t *testing.T) {
 	goldentest.Check(t, "stored.txt", strings.Join([]string{
 		leaderKey + "\t" + goldentest.JSON(t, goldentest.Filled[leaderRecord]()),
--- a/internal/election/incarnation.go
+++ b/internal/election/incarnation.go
@@ -9,20 +9,19 @@
 	"rillflow/internal/wire"
 )
 
-// incarnationPlan is what a candidate makes of the store's data: the incarnation that it is
-// to lead in, and what its campaign has to compare and write for that.
+// incarnationPlan is the store incarnation that a candidate is to lead in, together with the
+// compares and operations that its campaign transaction needs for it.
 type incarnationPlan struct {
 	incarnation dataloss.IncarnationState
 	compares    []wire.Compare
-	operations  []wire.Operation // that begin the incarnation; none if it goes on
+	operations  []wire.Operation // begin a new incarnation; empty if the present one continues
 }
 
 // beginsIncarnation reports whether the term begins a new incarnation.
 func (p incarnationPlan) beginsIncarnation() bool { return len(p.operations) > 0 }
 
-// chooseIncarnation reads the store's incarnation and decides whether a new leader goes on
-// with it or begins another. stored is the shard map as stored, epoch the one to campaign
-// with.
+// chooseIncarnation reads the store's incarnation and decides whether a new leader continues
+// it or begins another. stored is the shard map in the store, epoch the one to campaign with.
 func (e *Elector) chooseIncarnation(
 	ctx context.Context, stored ShardMap, epoch uint64,
 ) (incarnationPlan, error) {
@@ -52,7 +51,8 @@
 }
 
 // dataLossSuspected reports whether data of the present incarnation may have been lost: this
-// controller suspects this very one, or knows of one that should not have gone.
+// controller suspects this incarnation, or the store no longer holds any, or it holds an
+// older one than the controller last saw.
 func (e *Elector) dataLossSuspected(present dataloss.IncarnationState) bool {
 	suspicion := e.detector.Suspicion()
 	known := e.detector.Current()
@@ -65,9 +65,9 @@
 	return suspicion.Active && (present.ID == "" || suspicion.IncarnationID == present.ID)
 }
 
-// newIncarnation returns the incarnation to begin with an epoch. Data counts as lost unless
-// the store looks untouched, or all that it holds was written by versions that know nothing
-// of incarnations.
+// newIncarnation returns a new incarnation that begins at an epoch. Data counts as lost
+// unless the store looks new, or its shard map was written by a version without incarnations
+// (before 0.5).
 func (e *Elector) newIncarnation(stored ShardMap, epoch uint64, lost bool) dataloss.Incarnation {
 	next := dataloss.Incarnation{
 		ID:           rand.Text(),
--- a/internal/election/lease.go
+++ b/internal/election/lease.go
@@ -9,51 +9,55 @@
 	"rillflow/internal/kvstore"
 )
 
-// renewalsPerLease is how often a lease is renewed within its duration.
+// renewalsPerLease is the number of renewals within one lease duration.
 const renewalsPerLease = 4
 
-// clockDriftMargin is the divisor by which a lease is taken to be shorter than granted. A
-// clock may run fast by one part in 2,000, and the store never ends a lease early.
-const clockDriftMargin = 500
+// clockDriftDivisor gives the part of a lease's duration that is left unused to allow for
+// clock drift. A clock may run fast by one part in 2,000, and the store never expires a lease
+// early.
+const clockDriftDivisor = 500
 
-// LeaseHeld reports whether no other controller can lead at present. What the store cannot
-// fence, above all releasing instances, is done only while it holds: a leader cut off from
-// the store would otherwise release instances that work for its successor.
+// LeaseHeld reports whether the lease cannot have expired yet, so that no other controller
+// can lead. Actions that the store cannot fence, above all releasing instances, require it: a
+// leader partitioned from the store would otherwise release instances that its successor
+// uses.
 func (t *Term) LeaseHeld(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return now.Before(t.leaseHeldUntil)
 }
 
-// SteppedDown returns since when the term only waits for its successor, and whether it does.
+// SteppedDown reports whether the term has stepped down and only waits for a successor, and
+// since when.
 func (t *Term) SteppedDown() (since time.Time, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.steppedDownAt, !t.steppedDownAt.IsZero()
 }
 
-// markSteppedDown notes that the lease is no longer renewed. It counts as not held from
-// then on.
+// markSteppedDown records that the lease is no longer renewed. From then on the lease counts
+// as not held.
 func (t *Term) markSteppedDown() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.steppedDownAt, t.leaseHeldUntil = time.Now(), time.Time{}
 }
 
-// leaseRenewed notes that the lease was granted or renewed by a request sent at a time. It
-// counts from the sending, since the store may have handled the request right away.
+// leaseRenewed records that the lease was granted or renewed by a request sent at sentAt. The
+// lease is counted from then, not from the response, since the store may have handled the
+// request immediately. It has no effect after the term has stepped down.
 func (t *Term) leaseRenewed(sentAt time.Time, duration time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.steppedDownAt.IsZero() {
 		return
 	}
-	t.leaseHeldUntil = sentAt.Add(duration - duration/clockDriftMargin)
+	t.leaseHeldUntil = sentAt.Add(duration - duration/clockDriftDivisor)
 }
 
 // renewLease renews the term's lease until ctx ends, and calls endTerm if the store no
-// longer knows the lease. Other failures are endured: in an outage nobody else can lead
-// either, and after it every lease has its full duration again.
+// longer has the lease. Other failures are ignored: during an outage of the store no other
+// controller can be elected either, and after it every lease has its full duration again.
 func (e *Elector) renewLease(ctx context.Context, term *Term, endTerm context.CancelCauseFunc) {
 	ticker := time.NewTicker(e.leaseDuration / renewalsPerLease)
 	defer ticker.Stop()
@@ -75,9 +79,9 @@
 	}
 }
 
-// revokeLease ends a term's lease, if the store answers at all. It is sent even if ctx has
-// ended, so that a controller that shuts down does not delay its successor. A failure is
-// ignored: the lease then expires by itself.
+// revokeLease revokes a term's lease. The request is sent even if ctx has ended, so that a
+// controller that shuts down does not delay its successor. A failure is ignored: the lease
+// then expires by itself.
 func (e *Elector) revokeLease(ctx context.Context, term *Term) {
 	revokeCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), e.leaseDuration/2)
 	defer cancel()
--- a/internal/election/shardmap.go
+++ b/internal/election/shardmap.go
@@ -2,14 +2,13 @@
 
 import "hash/fnv"
 
-// ShardMap says who acts under an epoch: which controller leads, and among which
-// controllers the workers are sharded. It is stored under the epoch key and travels
-// between controllers.
+// ShardMap names the leader of an epoch and the controllers among which the workers are
+// sharded. It is stored under the epoch key and sent between controllers.
 type ShardMap struct {
 	Epoch  uint64   `json:"n"`
 	Leader string   `json:"leader"`
 	Owners []string `json:"parts"`
-	// ZoneFallback says that the writer of the map expects every controller in Owners to
+	// ZoneFallback is set if the writer of the map expects every controller in Owners to
 	// answer the workers of its own zone, whichever owner they are assigned to. Versions
 	// before 0.3 neither write nor read it, and a ping does not carry it.
 	ZoneFallback bool `json:"near,omitempty"`
@@ -19,8 +18,8 @@
 }
 
 // Owner returns the controller that answers a worker's heartbeats, or "" if the map has no
-// owners. It uses rendezvous hashing: when a controller joins or leaves, only the workers
-// that it gains or loses change owner.
+// owners. Rendezvous hashing makes sure that when a controller joins or leaves, only the
+// workers that it gains or loses change owner.
 func (m ShardMap) Owner(worker string) string {
 	best, bestScore := "", uint64(0)
 	for _, owner := range m.Owners {
@@ -32,8 +31,9 @@
 	return best
 }
 
-// rendezvousScore is the weight of a controller for a worker; the highest one owns it. All
-// controllers must compute the same score, so changing it is a change of protocol.
+// rendezvousScore returns the score of a controller for a worker; the controller with the
+// highest score owns the worker. All controllers must compute the same score, so changing it
+// is a protocol change.
 func rendezvousScore(owner, worker string) uint64 {
 	// The finalizer's shift and multiplier are those of MurmurHash3.
 	const shift, multiplier = 33, 0xff51afd7ed558ccd
@@ -41,7 +41,7 @@
 	hash.Write([]byte(owner))
 	hash.Write([]byte{0})
 	hash.Write([]byte(worker))
-	// FNV alone gives similar names similar high bits, so mix them.
+	// FNV alone gives similar names similar high bits, so the bits are mixed.
 	score := hash.Sum64()
 	score ^= score >> shift
 	score *= multiplier
--- a/internal/election/term.go
+++ b/internal/election/term.go
@@ -14,53 +14,52 @@
 	"rillflow/internal/wire"
 )
 
-// ErrDeposed says that a leadership has ended: another controller leads, or the lease
+// ErrDeposed reports that a term has ended because another controller leads or the lease
 // expired.
 var ErrDeposed = errors.New("election: deposed")
 
-// Term is one leadership. It is made by an Elector that won the leader key and lives until
-// the context that it is served under ends. Its methods may be called by several goroutines.
+// Term is one term of leadership. An Elector creates it on winning an election, and it lasts
+// until the context that it is served under ends. Its methods are safe for concurrent use.
 type Term struct {
-	FirstEpoch uint64 // the epoch it began with
+	FirstEpoch uint64 // the epoch that the term began with
 
-	incarnation    dataloss.IncarnationState // that it belongs to, as it was at the start
-	previousMap    ShardMap                  // the latest map known when it began
+	incarnation    dataloss.IncarnationState // the store incarnation at the start of the term
+	previousMap    ShardMap                  // the latest map known before the term
 	store          *kvstore.Client
 	leaderRevision uint64 // mod revision of the leader key
 	leaseID        uint64
 	elector        *Elector
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	shardMap       ShardMap
 	epochRevision  uint64    // mod revision of the epoch key
-	leaseHeldUntil time.Time // the lease lasts until then at least
-	steppedDownAt  time.Time // the lease is no longer renewed since then; zero: it is
+	leaseHeldUntil time.Time // the lease cannot expire before then
+	steppedDownAt  time.Time // when renewal of the lease stopped; zero: it is being renewed
 }
 
-// Epoch returns the term's present epoch.
+// Epoch returns the term's current epoch.
 func (t *Term) Epoch() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.shardMap.Epoch
 }
 
-// ShardMap returns the term's present shard map.
+// ShardMap returns the term's current shard map.
 func (t *Term) ShardMap() ShardMap {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.shardMap
 }
 
-// Incarnation returns the store incarnation that the term belongs to, as it was when the
-// term began.
+// Incarnation returns the state that the term's store incarnation was in when the term began.
 func (t *Term) Incarnation() dataloss.IncarnationState { return t.incarnation }
 
-// PreviousMap returns the latest shard map that this controller knew before the term.
+// PreviousMap returns the latest shard map known to this controller before the term.
 func (t *Term) PreviousMap() ShardMap { return t.previousMap }
 
-// Compares returns the conditions that every write of the leader carries: that it leads,
-// and that the store holds the incarnation that it leads in. The second is needed where
-// data was lost, since a mod revision of the leader key may then come again.
+// Compares returns the compares that every write of the leader carries: that it still leads,
+// and that the store holds the term's incarnation. The second is needed because after a loss
+// of data the leader key can get the same mod revision again.
 func (t *Term) Compares() []wire.Compare {
 	compares := []wire.Compare{{Key: leaderKey, ModRevision: t.leaderRevision}}
 	if compare, ok := t.incarnation.Compare(); ok {
@@ -69,9 +68,9 @@
 	return compares
 }
 
-// CheckCompares returns the error that a transaction's failed compares stand for: that
-// another controller leads, or that the store holds another incarnation. It returns nil if
-// neither of the term's own compares is among them.
+// CheckCompares maps the keys of a transaction's failed compares to an error: ErrDeposed if
+// another controller leads, dataloss.ErrIncarnationReplaced if the store holds another
+// incarnation. It returns nil if neither of the term's own compares failed.
 func (t *Term) CheckCompares(failed []string) error {
 	replaced := dataloss.CompareFailed(failed)
 	if replaced {
@@ -86,13 +85,13 @@
 	return nil
 }
 
-// LeaderCompareFailed reports whether the keys of failed compares contain the leader key,
-// so that the leadership has ended.
+// LeaderCompareFailed reports whether the keys of failed compares include the leader key,
+// which means that the term has ended.
 func LeaderCompareFailed(failed []string) bool {
 	return slices.Contains(failed, leaderKey)
 }
 
-// AdvancePhase stores that the term's incarnation has reached a recovery phase.
+// AdvancePhase stores the recovery phase that the term's incarnation has reached.
 func (t *Term) AdvancePhase(ctx context.Context, phase dataloss.Phase) error {
 	operation, err := t.incarnation.PhaseOperation(phase)
 	if err != nil {
@@ -107,8 +106,8 @@
 	return t.CheckCompares(failed)
 }
 
-// RaiseEpoch moves the term to the next epoch, with the workers sharded among owners, so
-// that workers that see it refuse commands sent before.
+// RaiseEpoch moves the term to the next epoch, with the workers sharded among owners. Workers
+// that have seen the new epoch reject commands sent under earlier ones.
 func (t *Term) RaiseEpoch(ctx context.Context, owners []string) error {
 	ctx = kvstore.WithPriority(ctx, kvstore.PriorityCoordination)
 	next, epochRevision := t.nextShardMap(owners)
@@ -127,7 +126,7 @@
 		return err
 	}
 	if len(failed) > 0 {
-		// An earlier raise whose response was lost did go through.
+		// An earlier attempt to raise the epoch was applied, though its response was lost.
 		item, err := t.store.Get(ctx, epochKey)
 		if err != nil {
 			return fmt.Errorf("election: read raised epoch: %w", err)
@@ -142,8 +141,8 @@
 	return nil
 }
 
-// nextShardMap returns the map of the epoch after the present one, and the mod revision
-// that the epoch key must still have for it to be stored.
+// nextShardMap returns the shard map of the next epoch, and the mod revision that the epoch
+// key must still have when that map is stored.
 func (t *Term) nextShardMap(owners []string) (next ShardMap, epochRevision uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -157,7 +156,7 @@
 	return next, t.epochRevision
 }
 
-// setShardMap notes a map that was stored under the epoch key, and at which revision.
+// setShardMap records the map stored under the epoch key and its revision.
 func (t *Term) setShardMap(shardMap ShardMap, epochRevision uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/election/term_test.go
+++ b/internal/election/term_test.go
@@ -8,8 +8,8 @@
 	"rillflow/internal/wire"
 )
 
-// Every write of a leader compares its key and its store incarnation; where versions that
-// know no incarnations wrote all there is, only its key.
+// Every write of a leader compares the leader key and the store incarnation. If the store has
+// no incarnation, because only versions before 0.5 wrote to it, only the leader key is compared.
 func TestTermCompares(t *testing.T) {
 	incarnation := dataloss.Incarnation{ID: "A", Revision: 7}
 	term := &Term{leaderRevision: 3, incarnation: dataloss.IncarnationState{Incarnation: incarnation}}
