--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -8,56 +8,58 @@
 	"rillflow/internal/wire"
 )
 
-// How many operations a chunk takes with which its job ends: the removal of the live key and the
-// end record, and the chunk's own unless that is deferred.
+// Number of operations needed for a chunk whose write ends its job: the deletion of the live key,
+// the put of the end record, and, unless it is deferred, the deletion of the chunk.
 const (
 	endOperations     = 3
 	endOnlyOperations = 2
 )
 
-// Batch is one transaction's worth of changes.
+// Batch holds the changes for one transaction.
 type Batch struct {
 	Compares   []wire.Compare
 	Operations []wire.Operation
-	Writer     string // the mark that every chunk in it carries
+	Writer     string // unique per batch, stored in each of its chunks
 	writes     []chunkWrite
 }
 
-// chunkWrite is what a batch changes of one chunk.
+// chunkWrite is the change that a batch makes to one chunk.
 type chunkWrite struct {
 	chunkRef
-	claims   []*Claim // that become durable
-	finished []*Claim // whose finish becomes durable
-	remove   bool
-	deferred bool // the chunk stays as it is stored, to be deleted later
-	endsJob  bool // the job's end is in this batch
-	endedAt  time.Time
+	claims         []*Claim // claims that become durable
+	finished       []*Claim // claims whose finish becomes durable
+	deletesChunk   bool     // the chunk is deleted
+	defersDeletion bool     // the stored chunk is left unchanged, to be deleted later
+	endsJob        bool     // the batch also writes the job's end
+	endedAt        time.Time
 }
 
-// BatchLimits bound a batch.
+// BatchLimits limits the size and the content of a batch.
 type BatchLimits struct {
 	MaxOperations int
-	MaxBytes      int // of all values together, exceeded by at most one value
-	MaxValueBytes int // of one value
-	// UrgentOnly leaves out what nothing waits for, NonUrgentOnly all else.
+	MaxBytes      int // total size of the values; may be exceeded by at most one value
+	MaxValueBytes int // size of a single value
+	// UrgentOnly leaves out non-urgent changes, NonUrgentOnly urgent ones. A change is urgent if
+	// tasks, users or other jobs wait for it.
 	UrgentOnly, NonUrgentOnly bool
-	// DeferCleanup has jobs end without the deletion of their chunks, which is left for later, and
-	// leaves out the deletions that were left.
+	// DeferCleanup leaves out the deletion of chunks of ended jobs, so that a job can end before its
+	// chunks are deleted.
 	DeferCleanup bool
-	// AuditBlock is the block of the audit log that is to tell of the batch's claims and ends,
-	// and MaxClaims about how many claims it has room for. 0: no audit log is kept.
+	// AuditBlock is the block of the audit log that will record the batch's claims and ends, 0 if
+	// no audit log is kept. MaxClaims is the approximate number of claims that the block has room
+	// for.
 	AuditBlock uint64
 	MaxClaims  int
 }
 
-// Decision is what a batch makes durable of a job.
+// Decision lists the claims of a job, and its end, that a batch makes durable.
 type Decision struct {
 	Job     *Job
 	Claims  []*Claim
 	EndsJob bool
 }
 
-// Decisions are the claims and ends in the batch.
+// Decisions returns the claims and ends in the batch, by job.
 func (b *Batch) Decisions() []Decision {
 	var decisions []Decision
 	for _, write := range b.writes {
@@ -68,39 +70,39 @@
 	return decisions
 }
 
-// JobIDs are the jobs in the batch.
+// JobIDs returns the IDs of the jobs in the batch.
 func (b *Batch) JobIDs() []string {
-	var refs []string
+	var jobIDs []string
 	for _, write := range b.writes {
-		if !slices.Contains(refs, write.job.ID) {
-			refs = append(refs, write.job.ID)
+		if !slices.Contains(jobIDs, write.job.ID) {
+			jobIDs = append(jobIDs, write.job.ID)
 		}
 	}
-	return refs
+	return jobIDs
 }
 
-// NextBatch makes a batch, or returns nil when nothing needs writing. Until BatchCommitted or
-// BatchFailed is called with it, no other batch may be made. The ends of jobs that others wait
-// for go first, then claims, then other ends, then finishes, then what is left of jobs that
-// have ended.
+// NextBatch returns the next batch, or nil when nothing within the limits needs writing. It must
+// not be called again until the batch has been passed to BatchCommitted or BatchFailed. The order
+// is: ends of jobs that others depend on, claims, other ends, finishes, then the deletion of chunks
+// of ended jobs.
 func (t *Table) NextBatch(limits BatchLimits, now time.Time) *Batch {
 	t.writeCount++
 	builder := batchBuilder{
-		batch:     &Batch{Writer: fmt.Sprintf("%s.%d", t.writer, t.writeCount)},
-		number:    t.writeCount,
-		limits:    limits,
-		now:       now,
-		bytesLeft: limits.MaxBytes,
-		compared:  make(map[string]bool),
+		batch:        &Batch{Writer: fmt.Sprintf("%s.%d", t.writer, t.writeCount)},
+		writeNumber:  t.writeCount,
+		limits:       limits,
+		now:          now,
+		bytesLeft:    limits.MaxBytes,
+		comparedJobs: make(map[string]bool),
 	}
-	t.writes.noteEnds(now)
+	t.writes.recordPendingEnds(now)
 	t.writes.sort()
 	var deferred []chunkRef
 	for _, ref := range t.writes.pending {
 		if chunk := ref.chunk(); chunk == nil || !chunk.dirty {
 			continue
 		}
-		if !limits.include(t.writes.priority(ref)) || !builder.hasRoom(ref) || !builder.add(ref) {
+		if !limits.includes(t.writes.priority(ref)) || !builder.hasRoom(ref) || !builder.add(ref) {
 			deferred = append(deferred, ref)
 		}
 	}
@@ -111,8 +113,8 @@
 	return builder.batch
 }
 
-// include tells whether a batch within the limits takes changes of a priority.
-func (l *BatchLimits) include(priority writePriority) bool {
+// includes reports whether a batch within the limits may contain changes of a priority.
+func (l *BatchLimits) includes(priority writePriority) bool {
 	switch {
 	case priority.isUrgent():
 		return !l.NonUrgentOnly
@@ -124,19 +126,19 @@
 
 // batchBuilder fills one batch.
 type batchBuilder struct {
-	batch     *Batch
-	number    uint64 // of the write
-	limits    BatchLimits
-	now       time.Time
-	bytesLeft int
-	claims    int
-	compared  map[string]bool // jobs whose live key is compared
+	batch        *Batch
+	writeNumber  uint64 // number of the write
+	limits       BatchLimits
+	now          time.Time
+	bytesLeft    int
+	claimCount   int
+	comparedJobs map[string]bool // IDs of the jobs whose live key the batch compares
 }
 
-// hasRoom reports whether the batch may take a further chunk.
+// hasRoom reports whether one more chunk fits the batch's limits.
 func (b *batchBuilder) hasRoom(ref chunkRef) bool {
 	operations := 1
-	switch endsJob := ref.job.Finished && !b.compared[ref.job.ID]; {
+	switch endsJob := ref.job.Finished && !b.comparedJobs[ref.job.ID]; {
 	case endsJob && b.limits.DeferCleanup:
 		operations = endOnlyOperations
 	case endsJob:
@@ -145,41 +147,41 @@
 	if len(b.batch.Operations)+operations > b.limits.MaxOperations || b.bytesLeft <= 0 {
 		return false
 	}
-	auditBlockFull := b.claims > 0 && b.claims+ref.chunk().uncommitted > b.limits.MaxClaims
+	auditBlockFull := b.claimCount > 0 && b.claimCount+ref.chunk().uncommittedClaims > b.limits.MaxClaims
 	return b.limits.AuditBlock == 0 || !auditBlockFull
 }
 
-// add puts a chunk into the batch, and with its job's last chunks the job's end. It returns
-// false if the chunk must wait for a later batch.
+// add adds a chunk's changes to the batch, and the end of its job if all tasks are done. It
+// returns false if the chunk must wait for a later batch.
 func (b *batchBuilder) add(ref chunkRef) bool {
 	job, chunk := ref.job, ref.chunk()
 	write := chunkWrite{chunkRef: ref}
 	switch {
 	case job.Cancelled && len(chunk.claims) > 0:
-		chunk.dirty = false // nothing to write until the claims are gone
+		chunk.dirty = false // nothing to write until the claims are freed
 		return true
 	case job.Finished && b.limits.DeferCleanup:
-		if b.compared[job.ID] {
-			return false // its end is in this batch; it is deleted after that
+		if b.comparedJobs[job.ID] {
+			return false // this batch already ends the job; the chunk is deleted later
 		}
-		write.deferred = true
+		write.defersDeletion = true
 	case job.Cancelled, job.Finished:
-		write.remove = true
+		write.deletesChunk = true
 		b.deleteChunk(ref)
 	default:
 		if !b.putChunk(ref) {
 			return false
 		}
 	}
-	write.claims, write.finished = ref.undurableClaims()
-	if (len(write.claims) > 0 || job.Finished) && !b.compared[job.ID] {
+	write.claims, write.finished = ref.uncommittedChanges()
+	if (len(write.claims) > 0 || job.Finished) && !b.comparedJobs[job.ID] {
 		b.compareLiveKey(job)
 		if job.Finished && !b.endJob(&write) {
 			return true
 		}
 	}
 	chunk.dirty = false
-	chunk.inFlightWrite = b.number
+	chunk.inFlightWrite = b.writeNumber
 	b.batch.writes = append(b.batch.writes, write)
 	return true
 }
@@ -191,13 +193,14 @@
 	}
 }
 
-// putChunk returns false for a chunk that is too large even packed, which takes names of
-// hundreds of bytes: it waits for tasks of it to end, by which it shrinks.
+// putChunk adds the put of a chunk. It returns false if the chunk is too large even in the packed
+// form, which takes names of hundreds of bytes: such a chunk must wait until enough of its tasks
+// have ended for it to fit.
 func (b *batchBuilder) putChunk(ref chunkRef) bool {
 	chunk := ref.chunk()
-	if chunk.uncommitted > 0 {
+	if chunk.uncommittedClaims > 0 {
 		chunk.auditBlock = b.limits.AuditBlock
-		b.claims += chunk.uncommitted
+		b.claimCount += chunk.uncommittedClaims
 	}
 	data, err := chunk.encode(b.batch.Writer, b.limits.MaxValueBytes)
 	if err != nil {
@@ -209,10 +212,11 @@
 	return true
 }
 
-// undurableClaims are the chunk's claims that are not durable, and those whose finish is not.
-func (r chunkRef) undurableClaims() (claims, finished []*Claim) {
+// uncommittedChanges returns the chunk's claims that are not durable yet, and those whose finish is
+// not.
+func (r chunkRef) uncommittedChanges() (claims, finished []*Claim) {
 	job := r.job
-	end := min((r.index+1)*job.chunkTasks, job.nextIndex)
+	end := min((r.index+1)*job.chunkTasks, job.nextNewTask)
 	for task := r.index * job.chunkTasks; task < end; task++ {
 		if claim := job.claims[task]; claim != nil && claim.Finished {
 			finished = append(finished, claim)
@@ -223,15 +227,15 @@
 	return claims, finished
 }
 
-// compareLiveKey has the batch fail if the job was cancelled meanwhile, which changes the key:
-// no claim of a cancelled job becomes durable.
+// compareLiveKey adds a compare of the job's live key, so that the batch fails if the job has been
+// cancelled meanwhile: no claim of a cancelled job may become durable.
 func (b *batchBuilder) compareLiveKey(job *Job) {
-	b.compared[job.ID] = true
+	b.comparedJobs[job.ID] = true
 	b.compare(LiveKey(job.ID), job.modRevision)
 }
 
-// endJob replaces the job's record by its end record. It returns false if that cannot be
-// encoded, which does not happen: it has strings and integers only.
+// endJob replaces the job's record by its end record. It returns false if the end record cannot be
+// encoded, which cannot happen, since it has only strings and integers.
 func (b *batchBuilder) endJob(write *chunkWrite) bool {
 	job := write.job
 	write.endsJob = true
--- a/internal/ledger/batch_test.go
+++ b/internal/ledger/batch_test.go
@@ -11,18 +11,19 @@
 	"rillflow/internal/wire"
 )
 
-// A worker is told to forget a finished task only once the finish is durable.
+// The claim of a finished task must remain until the finish is durable: only then may its worker be
+// told to forget the task.
 func TestClaimStaysUntilFinishIsDurable(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindArray, 1, 1), 7)
 	claim, _ := table.Claim(job, "h", 1, "x")
 	batch := table.NextBatch(batchLimits(16), now)
 	if result := table.BatchCommitted(batch, 8); len(result.Claims) != 1 || !claim.Committed {
-		t.Fatalf("claims %v", result.Claims)
+		t.Fatalf("claims made durable %v, committed %v; want one, true", result.Claims, claim.Committed)
 	}
 	table.Finish(claim)
 	if table.ClaimsOnWorker("h")[claim.Task()] == nil {
-		t.Fatal("the claim went before its finish was durable")
+		t.Fatal("the claim was removed before its finish was durable")
 	}
 	batch = table.NextBatch(batchLimits(16), now)
 	var keys []string
@@ -30,18 +31,18 @@
 		keys = append(keys, operation.Put+operation.Delete)
 	}
 	if got := strings.Join(keys, " "); got != "c/req-1/0 j/req-1 d/req-1" {
-		t.Errorf("wrote %s", got)
+		t.Errorf("wrote %s, want c/req-1/0 j/req-1 d/req-1", got)
 	}
 	if result := table.BatchCommitted(batch, 9); len(result.Finished) != 1 || len(result.Ended) != 1 {
-		t.Errorf("result %+v", result)
+		t.Errorf("result %+v, want one finish and one end", result)
 	}
 	if table.ClaimsOnWorker("h") != nil || table.Job("req-1") != nil {
-		t.Error("something is left of a job that is done")
+		t.Error("the job or its claim remains after its end is durable")
 	}
 }
 
-// A claim never reaches the store once its job is cancelled: the comparison of the live key fails,
-// and the claim, whose task was never started, is freed.
+// A claim must not become durable once its job is cancelled: the compare of the live key fails the
+// batch, and the claim, whose task was never started, is removed.
 func TestCancelBeforeCommit(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindService, 2, 1), 7)
@@ -50,19 +51,20 @@
 	}
 	batch := table.NextBatch(batchLimits(16), now)
 	if !slices.Contains(batch.Compares, wire.Compare{Key: "j/req-1", ModRevision: 7}) {
-		t.Fatal("the write of a claim does not depend on its job being live")
+		t.Fatal("the batch does not compare the job's live key")
 	}
 	table.Cancel("req-1")
 	if len(table.ClaimsOnWorker("h")) != 1 {
-		t.Fatal("the fate of a claim being written is not known yet")
+		t.Fatal("a claim with a write in flight was removed on cancellation")
 	}
 	table.BatchFailed(batch)
 	if len(table.ClaimsOnWorker("h")) != 0 || table.Usage("b").CPUs != 0 {
-		t.Error("the claim outlived its failed write")
+		t.Error("the claim of a cancelled job remains after its write failed")
 	}
 }
 
-// A claim whose task may have been started stands after a cancellation until proof.
+// After a cancellation, a claim whose task may have been started must remain until there is proof
+// that the task no longer runs.
 func TestCancelAfterStart(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindService, 1, 1), 7)
@@ -71,20 +73,21 @@
 	claim.StartSent = true
 	table.Cancel("req-1")
 	if table.Usage("b").CPUs != 1 {
-		t.Fatal("a task that may run no longer counts")
+		t.Fatal("a task that may still run no longer counts in the quota")
 	}
 	table.Free(claim, now)
 	batch := table.NextBatch(batchLimits(16), now)
 	if batch == nil || len(batch.Operations) != 1 || batch.Operations[0].Delete != "c/req-1/0" {
-		t.Fatalf("batch %+v", batch)
+		t.Fatalf("batch %+v, want only the deletion of c/req-1/0", batch)
 	}
 	table.BatchCommitted(batch, 9)
 	if table.Job("req-1") != nil {
-		t.Error("the job is not forgotten")
+		t.Error("the cancelled job remains in the table after its chunk was deleted")
 	}
 }
 
-// A job cancelled after its last task finished but before that was durable leaves nothing behind.
+// A job that is cancelled after its last task finished, but before that was durable, must be removed
+// completely.
 func TestCancelWhileFinishing(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindArray, 1, 1), 7)
@@ -100,11 +103,11 @@
 		}
 	}
 	if table.Job("req-1") != nil || table.Usage("b").CPUs != 0 {
-		t.Error("something is left")
+		t.Error("the job or its quota usage remains")
 	}
 }
 
-// A batch keeps within its limits, and all claims become durable in the end.
+// Batches must keep within their limits, and all claims must become durable in the end.
 func TestBatchLimits(t *testing.T) {
 	table := New("w", []settings.Team{{Name: "a", CPUsMax: 1e6}})
 	job := table.AddJob("req-1", newJobRecord("a", wire.KindArray, 1000, 1), 7)
@@ -115,21 +118,21 @@
 	seen := 0
 	for batch := table.NextBatch(limits, now); batch != nil; batch = table.NextBatch(limits, now) {
 		if len(batch.Operations) > limits.MaxOperations {
-			t.Fatalf("%d operations in a batch", len(batch.Operations))
+			t.Fatalf("%d operations in a batch, want at most %d", len(batch.Operations), limits.MaxOperations)
 		}
 		for _, operation := range batch.Operations {
 			if len(operation.Value) > 1<<10 {
-				t.Fatalf("a value of %d bytes", len(operation.Value))
+				t.Fatalf("a value of %d bytes, want at most 1024", len(operation.Value))
 			}
 		}
 		seen += len(table.BatchCommitted(batch, 9).Claims)
 	}
 	if seen != 1000 {
-		t.Errorf("%d claims became durable", seen)
+		t.Errorf("%d claims became durable, want 1000", seen)
 	}
 }
 
-// Where not all fits a batch, claims go first: their tasks wait for it.
+// If a batch cannot hold all changes, claims are written before finishes, since tasks wait for them.
 func TestClaimsWrittenFirst(t *testing.T) {
 	table := New("w", testTeams())
 	record := newJobRecord("b", wire.KindArray, 4, 1)
@@ -142,48 +145,48 @@
 	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 2)
 	table.Finish(claim)
 	if table.HasUrgentWrites() {
-		t.Error("a finish alone is urgent")
+		t.Error("a finish without an end counts as urgent")
 	}
 	young := table.AddJob("req-2", record, 3)
 	if _, err := table.Claim(young, "h1", 1, "a"); err != nil {
 		t.Fatal(err)
 	}
 	if !table.HasUrgentWrites() {
-		t.Error("a claim is not urgent")
+		t.Error("a claim does not count as urgent")
 	}
 	if batch := table.NextBatch(batchLimits(1), now); len(batch.JobIDs()) != 1 || batch.JobIDs()[0] != "req-2" {
-		t.Errorf("first %v, want the claim", batch.JobIDs())
+		t.Errorf("the first batch writes %v, want the claim of req-2", batch.JobIDs())
 	}
 }
 
-// What others wait for is written first, and alone where only the urgent is asked for: the end of
-// a job that others depend on, then claims, then other ends, then plain finishes.
+// Changes are written in order of priority: ends of jobs that others depend on, claims, other ends,
+// finishes. An urgent-only batch contains no finishes, and a non-urgent-only batch nothing else.
 func TestWriteOrder(t *testing.T) {
 	table := newDependencyTable("1", "2", "3 1")
 	unfinished := newJobRecord("b", wire.KindArray, 3, 1)
 	unfinished.ChunkTasks = 4
 	table.AddJob("req-4", unfinished, 9)
 	held := map[string]*Claim{}
-	for _, ref := range []string{"req-4", "req-2", "req-1"} {
-		claim, err := table.Claim(table.Job(ref), "h", 1, "x")
+	for _, jobID := range []string{"req-4", "req-2", "req-1"} {
+		claim, err := table.Claim(table.Job(jobID), "h", 1, "x")
 		if err != nil {
 			t.Fatal(err)
 		}
-		held[ref] = claim
+		held[jobID] = claim
 	}
 	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 10)
-	for _, ref := range []string{"req-4", "req-2", "req-1"} {
-		table.Finish(held[ref])
+	for _, jobID := range []string{"req-4", "req-2", "req-1"} {
+		table.Finish(held[jobID])
 	}
 	table.AddJob("req-5", newJobRecord("b", wire.KindArray, 1, 1), 12)
 	if _, err := table.Claim(table.Job("req-5"), "h", 1, "x"); err != nil {
 		t.Fatal(err)
 	}
-	idle := batchLimits(3)
-	idle.NonUrgentOnly = true
-	batch := table.NextBatch(idle, now)
+	nonUrgent := batchLimits(3)
+	nonUrgent.NonUrgentOnly = true
+	batch := table.NextBatch(nonUrgent, now)
 	if got := fmt.Sprint(batch.JobIDs()); got != "[req-4]" {
-		t.Errorf("of what nothing waits for, %s is written", got)
+		t.Errorf("a non-urgent batch writes %s, want [req-4]", got)
 	}
 	table.BatchFailed(batch)
 	var got []string
@@ -195,19 +198,20 @@
 		table.BatchCommitted(batch, 11)
 	}
 	if fmt.Sprint(got) != "[req-1 req-5 req-2]" {
-		t.Errorf("written %v, want the end that others wait for, the claim, the other end, and no plain finish", got)
+		t.Errorf("written %v, want the end that others wait for, the claim, the other end, and no finish", got)
 	}
 	if batch := table.NextBatch(batchLimits(3), now); batch == nil || batch.JobIDs()[0] != "req-4" {
-		t.Error("the finish is not written in the end")
+		t.Error("the finish is not written by a batch without restriction")
 	}
 }
 
-// Guards against ends of jobs that wait for long without anybody seeing it.
-func TestWriteBacklogTellsTheOldestEnd(t *testing.T) {
+// The write backlog must report since when the oldest end waits, or long delays of ends would go
+// unnoticed.
+func TestWriteBacklogReportsOldestEnd(t *testing.T) {
 	table := New("w", testTeams())
 	var claims []*Claim
-	for _, ref := range []string{"req-1", "req-2"} {
-		claim, err := table.Claim(table.AddJob(ref, newJobRecord("b", wire.KindArray, 1, 1), 7), "h", 1, "x")
+	for _, jobID := range []string{"req-1", "req-2"} {
+		claim, err := table.Claim(table.AddJob(jobID, newJobRecord("b", wire.KindArray, 1, 1), 7), "h", 1, "x")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -227,14 +231,14 @@
 	}
 }
 
-// deferredLimits are those of a batch while ends wait.
+// deferredLimits returns the limits of a batch while cleanup is deferred.
 func deferredLimits(operations int) BatchLimits {
 	limits := batchLimits(operations)
 	limits.DeferCleanup = true
 	return limits
 }
 
-// addClaimedJobs adds jobs of one task each, whose claims are stored at revision 8.
+// addClaimedJobs adds jobs of one task each, with claims committed at revision 8.
 func addClaimedJobs(t *testing.T, table *Table, jobs int) {
 	t.Helper()
 	for i := range jobs {
@@ -246,7 +250,7 @@
 	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 8)
 }
 
-// batchKeys are the keys that a batch writes, in order.
+// batchKeys returns the keys that a batch writes, in order.
 func batchKeys(batch *Batch) string {
 	if batch == nil {
 		return ""
@@ -258,8 +262,8 @@
 	return strings.Join(keys, " ")
 }
 
-// Guards against ends of jobs that wait behind deletions for which nobody waits: while cleanup is
-// deferred an end takes two operations, and the chunk is deleted later, as it was stored.
+// Ends of jobs must not wait behind the deletion of chunks: while cleanup is deferred an end takes
+// two operations, and the stored chunk is deleted later at the revision of its last write.
 func TestEndsDoNotWaitForCleanup(t *testing.T) {
 	table := New("w", testTeams())
 	addClaimedJobs(t, table, 3)
@@ -268,37 +272,37 @@
 	}
 	batch := table.NextBatch(deferredLimits(5), now)
 	if got := batchKeys(batch); got != "j/req-0 d/req-0 j/req-1 d/req-1" {
-		t.Errorf("wrote %s", got)
+		t.Errorf("wrote %s, want the ends of req-0 and req-1", got)
 	}
 	if result := table.BatchCommitted(batch, 9); len(result.Ended) != 2 || len(result.Finished) != 2 {
-		t.Errorf("result %+v", result)
+		t.Errorf("result %+v, want two ends and two finishes", result)
 	}
 	if len(table.ClaimsOnWorker("h")) != 1 {
-		t.Error("a claim of a job that is done is left")
+		t.Errorf("%d claims on the worker, want only that of req-2", len(table.ClaimsOnWorker("h")))
 	}
 	table.BatchCommitted(table.NextBatch(deferredLimits(5), now), 10)
 	if batch := table.NextBatch(deferredLimits(16), now); batch != nil {
-		t.Errorf("%s is written though cleanup is deferred", batchKeys(batch))
+		t.Errorf("%s written though cleanup is deferred", batchKeys(batch))
 	}
 	if backlog := table.WriteBacklog(); backlog.Cleanup != 3 || backlog.Ends != 0 {
 		t.Errorf("backlog %+v, want three chunks to delete", backlog)
 	}
 	batch = table.NextBatch(batchLimits(16), now)
 	if got := batchKeys(batch); got != "c/req-0/0 c/req-1/0 c/req-2/0" {
-		t.Errorf("deleted %s", got)
+		t.Errorf("deleted %s, want the chunks of all three jobs", got)
 	}
 	for _, compare := range batch.Compares {
 		if compare.ModRevision != 8 {
-			t.Errorf("%s is compared with revision %d, want that of its last write", compare.Key, compare.ModRevision)
+			t.Errorf("%s is compared with revision %d, want 8, that of its last write", compare.Key, compare.ModRevision)
 		}
 	}
 	if table.BatchCommitted(batch, 11); len(table.Jobs()) != 0 {
-		t.Errorf("%d jobs are left", len(table.Jobs()))
+		t.Errorf("%d jobs remain, want none", len(table.Jobs()))
 	}
 }
 
-// Guards against ends that are passed over again and again: one whose batch failed goes before
-// those that came later.
+// An end whose batch failed must be written before ends that came later, or it could be delayed
+// again and again.
 func TestEndsAreWrittenOldestFirst(t *testing.T) {
 	table := New("w", testTeams())
 	addClaimedJobs(t, table, 3)
--- a/internal/ledger/chunk.go
+++ b/internal/ledger/chunk.go
@@ -2,23 +2,23 @@
 
 import "math/bits"
 
-// taskChunk is the state of those tasks of a job that share one key of the key-value store.
-// Tasks are counted from the chunk's first.
+// taskChunk is the state of the tasks of a job that share one key of the key-value store. Task
+// indexes are relative to the chunk's first task.
 type taskChunk struct {
-	modRevision uint64 // of the key; 0: it does not exist
-	lastAttempt uint64 // the last one given out
+	modRevision uint64 // mod revision of the key; 0: the key does not exist
+	lastAttempt uint64 // the last attempt number issued
 	done        bitmap
-	claims      map[int]ClaimRecord // of tasks that are not done
-	auditBlock  uint64              // block of the audit log that tells of the last claims; 0: none
+	claims      map[int]ClaimRecord // claims of tasks that are not done
+	auditBlock  uint64              // audit log block that records the latest claims; 0: none
 
-	dirty         bool   // differs from what is stored
-	uncommitted   int    // claims that are not durable
-	inFlightWrite uint64 // number of the write under way; 0: none
+	dirty             bool   // differs from the stored chunk
+	uncommittedClaims int    // number of claims that are not durable
+	inFlightWrite     uint64 // number of the write in flight; 0: none
 }
 
 func (c *taskChunk) inFlight() bool { return c.inFlightWrite != 0 }
 
-// lastTask is the last task that is claimed or done, or -1.
+// lastTask returns the last task that is claimed or done, or -1.
 func (c *taskChunk) lastTask() int {
 	last := c.done.last()
 	for task := range c.claims {
@@ -27,7 +27,7 @@
 	return last
 }
 
-// bitmap is a set of small integers, as short as its largest member allows.
+// bitmap is a set of small integers, only as long as its largest member requires.
 type bitmap []byte
 
 func (b bitmap) has(i int) bool { return i/8 < len(b) && b[i/8]&(1<<(i%8)) != 0 }
@@ -47,7 +47,7 @@
 	return n
 }
 
-// last is the largest member, or -1.
+// last returns the largest member, or -1.
 func (b bitmap) last() int {
 	for i := len(b) - 1; i >= 0; i-- {
 		if b[i] != 0 {
@@ -57,7 +57,7 @@
 	return -1
 }
 
-// members are the integers in the set.
+// members returns the integers in the set.
 func (b bitmap) members() map[int]bool {
 	members := make(map[int]bool)
 	for i, octet := range b {
--- a/internal/ledger/chunkrecord.go
+++ b/internal/ledger/chunkrecord.go
@@ -13,25 +13,25 @@
 	"strings"
 )
 
-// maxUnpackedBytes bounds what the packed claims of a chunk may grow to.
+// maxUnpackedBytes limits the size of a chunk's claims when they are decompressed.
 const maxUnpackedBytes = 1 << 20
 
-// claimFields is how many fields the stored line of a claim has.
-const claimFields = 5
+// claimFieldCount is the number of fields in a claim's stored line.
+const claimFieldCount = 5
 
-// errChunkTooLarge: a chunk does not fit a value in any form.
+// errChunkTooLarge reports that a chunk exceeds the size limit of a value even in the packed form.
 var errChunkTooLarge = errors.New("chunk: too large")
 
-// ChunkRecord is what a stored chunk tells of its tasks, which are counted from the chunk's
-// first. It serves those that compare or recover stored data without a Table.
+// ChunkRecord is the content of a stored chunk. Task indexes are relative to the chunk's first
+// task. It is for code that compares or recovers stored data without a Table.
 type ChunkRecord struct {
-	LastAttempt uint64 // the last one given out
+	LastAttempt uint64 // the last attempt number issued
 	Done        map[int]bool
 	Claims      map[int]ClaimRecord
 	AuditBlock  uint64
 }
 
-// DecodeChunkRecord reads a stored chunk.
+// DecodeChunkRecord decodes a stored chunk.
 func DecodeChunkRecord(data []byte) (ChunkRecord, error) {
 	chunk, err := decodeChunk(data, 0)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}, nil
 }
 
-// Encode gives a chunk as stored, in at most maxBytes bytes.
+// Encode returns the stored form of a chunk, in at most maxBytes bytes.
 func (r ChunkRecord) Encode(writer string, maxBytes int) (json.RawMessage, error) {
 	chunk := taskChunk{lastAttempt: r.LastAttempt, auditBlock: r.AuditBlock, claims: r.Claims}
 	for task := range r.Done {
@@ -54,7 +54,7 @@
 	return chunk.encode(writer, maxBytes)
 }
 
-// AuditBlockOf is the block of the audit log that a stored chunk or end record refers to, or 0.
+// AuditBlockOf returns the audit log block that a stored chunk or end record refers to, or 0.
 func AuditBlockOf(data []byte) uint64 {
 	var value struct {
 		AuditBlock uint64 `json:"a"`
@@ -65,7 +65,7 @@
 	return value.AuditBlock
 }
 
-// WriterOf is the mark of who wrote a stored chunk, or "".
+// WriterOf returns the Writer of the batch that wrote a stored chunk, or "" if it is unreadable.
 func WriterOf(data []byte) string {
 	var value storedChunk
 	if json.Unmarshal(data, &value) != nil {
@@ -74,21 +74,21 @@
 	return value.Writer
 }
 
-// storedChunk is a chunk as it is stored. A claim is a line of task, worker, incarnation,
-// attempt and zone, with spaces between.
+// storedChunk is the stored form of a chunk. A claim is a line with the task, worker, incarnation,
+// attempt and zone, separated by spaces.
 type storedChunk struct {
 	LastAttempt uint64   `json:"q"`
 	Done        string   `json:"d,omitempty"`
 	Claims      []string `json:"c,omitempty"`
-	Packed      []byte   `json:"z,omitempty"` // the claims, a line each, deflated
+	Packed      []byte   `json:"z,omitempty"` // the claims' lines, compressed by DEFLATE
 	Writer      string   `json:"w"`
 	AuditBlock  uint64   `json:"a,omitempty"`
 }
 
-// encode gives a chunk as stored, in at most maxBytes bytes. The plain form is what every
-// version reads. The packed one is for chunks laid out under a larger limit than the store
-// has now: it is only written after that has fallen, and the limits fall only when no version
-// is left that cannot read it.
+// encode returns the stored form of a chunk, in at most maxBytes bytes. Every version reads the
+// plain form. The packed form is for chunks that were laid out under a larger value limit than the
+// store has now: it is written only after the limit has been lowered, and the limit is lowered only
+// once no version is in use that cannot read it.
 func (c *taskChunk) encode(writer string, maxBytes int) (json.RawMessage, error) {
 	value := storedChunk{
 		LastAttempt: c.lastAttempt,
@@ -110,7 +110,7 @@
 	return data, err
 }
 
-// packClaims turns the plain form of a chunk into the packed one.
+// packClaims converts a chunk from the plain to the packed form.
 func packClaims(plain []byte) (json.RawMessage, error) {
 	var value storedChunk
 	if err := json.Unmarshal(plain, &value); err != nil {
@@ -179,10 +179,10 @@
 	return fmt.Sprintf("%d %s %d %d %s", task, claim.Worker, claim.Incarnation, claim.Attempt, claim.Zone)
 }
 
-// decodeClaim reads a claim's line. The zone is the last field, so it may have spaces.
+// decodeClaim parses a claim's line. The zone is the last field, so it may contain spaces.
 func decodeClaim(line string) (task int, claim ClaimRecord, ok bool) {
-	fields := strings.SplitN(line, " ", claimFields)
-	if len(fields) != claimFields {
+	fields := strings.SplitN(line, " ", claimFieldCount)
+	if len(fields) != claimFieldCount {
 		return 0, ClaimRecord{}, false
 	}
 	task, taskErr := strconv.Atoi(fields[0])
--- a/internal/ledger/chunkrecord_test.go
+++ b/internal/ledger/chunkrecord_test.go
@@ -10,7 +10,7 @@
 	"rillflow/internal/wire"
 )
 
-// What can be decoded is encoded to the same, plain and packed.
+// Every chunk that can be decoded must survive encoding and decoding, plain and packed.
 func FuzzChunk(f *testing.F) {
 	f.Add([]byte(`{"q":3,"d":"AQ","c":["1 h 2 3 z"],"w":"x"}`))
 	f.Add([]byte(`{"q":3,"d":"AQ","z":"MlTIUDBSMFaoAgQAAP//","w":"x"}`))
@@ -24,41 +24,41 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := decodeChunk(out, 1)
-		if err != nil || len(again.claims) != len(chunk.claims) || again.done.count() != chunk.done.count() {
-			t.Fatalf("%q became %q: %v", data, out, err)
+		decoded, err := decodeChunk(out, 1)
+		if err != nil || len(decoded.claims) != len(chunk.claims) || decoded.done.count() != chunk.done.count() {
+			t.Fatalf("%q is encoded as %q, which does not decode to the same chunk: %v", data, out, err)
 		}
 		for _, claim := range chunk.claims {
 			if strings.Contains(claim.Zone+claim.Worker, "\n") {
-				return // packed a line each: no name has a line break
+				return // the packed form has a claim per line, so names must not contain line breaks
 			}
 		}
-		small, err := packClaims(out)
+		packed, err := packClaims(out)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err = decodeChunk(small, 1)
-		if err != nil || !maps.Equal(again.claims, chunk.claims) {
-			t.Fatalf("%q packed as %q: %v", out, small, err)
+		decoded, err = decodeChunk(packed, 1)
+		if err != nil || !maps.Equal(decoded.claims, chunk.claims) {
+			t.Fatalf("%q is packed as %q, which does not decode to the same claims: %v", out, packed, err)
 		}
 	})
 }
 
-// What is read of a stored chunk is what is stored again, and a key written again is compared by
-// its new revision.
+// A ChunkRecord must survive encoding and decoding, plain and packed. After SetModRevision, batches
+// must compare the new revision of a rewritten key.
 func TestChunkRecordRoundTrip(t *testing.T) {
 	record := ChunkRecord{
 		LastAttempt: 9, AuditBlock: 3, Done: map[int]bool{0: true, 9: true},
 		Claims: map[int]ClaimRecord{2: {Worker: "h", Incarnation: 4, Attempt: 9, Zone: "z"}},
 	}
-	for _, limit := range []int{1 << 10, 150} { // plain, and packed
+	for _, limit := range []int{1 << 10, 150} { // the plain form, and the packed one
 		data, err := record.Encode("w", limit)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := DecodeChunkRecord(data)
 		if err != nil || !reflect.DeepEqual(got, record) {
-			t.Errorf("%d: %+v, %v", limit, got, err)
+			t.Errorf("limit of %d bytes: got %+v, %v, want %+v", limit, got, err, record)
 		}
 	}
 	table := New("w", nil)
@@ -78,6 +78,6 @@
 	table.Free(job.claims[0], time.Time{})
 	batch := table.NextBatch(BatchLimits{MaxOperations: 8, MaxBytes: 1 << 20, MaxValueBytes: 1 << 10}, time.Time{})
 	if job.ModRevision() != 21 || len(batch.Compares) != 1 || batch.Compares[0].ModRevision != 22 {
-		t.Errorf("compares %v, job %d", batch.Compares, job.ModRevision())
+		t.Errorf("compares %v, job at %d; want one compare at 22, job at 21", batch.Compares, job.ModRevision())
 	}
 }
--- a/internal/ledger/claim.go
+++ b/internal/ledger/claim.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Task names one task of a job.
+// Task identifies one task of a job.
 type Task struct {
 	JobID string
 	Index int
 }
 
-// String is the task's name on the wire.
+// String returns the task's name as used on the wire.
 func (t Task) String() string { return t.JobID + "/" + strconv.Itoa(t.Index) }
 
-// ParseTask reads a task's name and reports whether it is one.
+// ParseTask parses a task's name and reports whether it is valid.
 func ParseTask(name string) (Task, bool) {
 	for i := len(name) - 1; i > 0; i-- {
 		if name[i] == '/' {
@@ -25,45 +25,46 @@
 	return Task{}, false
 }
 
-// ClaimRecord is the stored part of a claim: where a task may be running. It stands from
-// before the task is started until there is proof that the task is gone.
+// ClaimRecord is the stored part of a claim: where a task may be running. It exists from before
+// the task is started until there is proof that the task no longer runs.
 type ClaimRecord struct {
 	Worker      string
-	Incarnation uint64 // of the worker
-	Attempt     uint64 // of the task
+	Incarnation uint64 // incarnation of the worker
+	Attempt     uint64 // attempt number of the task
 	Zone        string
 }
 
-// Claim is the assignment of a task to a worker, with what the leader knows of it.
+// Claim is the assignment of a task to a worker, with the leader's view of its state.
 type Claim struct {
 	ClaimRecord
 	Job   *Job
-	Index int // of the task in its job
+	Index int // index of the task in its job
 
-	// Committed: the claim is durable, so the task may be started.
+	// Committed is set once the claim is durable, so that the task may be started.
 	Committed bool
-	// StartSent: a start command may have left this or an earlier leader.
+	// StartSent is set if this or an earlier leader may have sent a start command.
 	StartSent bool
-	// StartEpoch is the highest epoch of such a command.
+	// StartEpoch is the highest epoch of those start commands.
 	StartEpoch uint64
-	// Finished: the task is done; the claim is kept until that is durable.
+	// Finished is set once the task is done. The claim is kept until that is durable.
 	Finished bool
-	// RunningSince is when the task was first seen running.
+	// RunningSince is when the task was first reported running.
 	RunningSince time.Time
-	// Stopping: the leader decided to stop the task.
+	// Stopping is set once the leader has decided to stop the task.
 	Stopping bool
-	// Audited: the audit log has the claim, or a block being written has. The caller sets it.
+	// Audited is set once the claim is in the audit log or in a block being written to it. The
+	// caller sets it.
 	Audited bool
-	// Unconfirmed: the claim was read after a loss of stored data, and its worker has not
-	// shown the task since.
+	// Unconfirmed is set if the claim was read after a loss of stored data and its worker has not
+	// reported the task since.
 	Unconfirmed bool
 }
 
-// Task is the claimed task.
+// Task returns the claimed task.
 func (c *Claim) Task() Task { return Task{c.Job.ID, c.Index} }
 
-// mayBeRunning reports whether the claimed task can have been started: only a durable claim
-// is, and whether a write in flight makes it durable is not known yet.
+// mayBeRunning reports whether the claimed task may have been started. A task is started only once
+// its claim is durable; a write in flight may already have made it so.
 func (c *Claim) mayBeRunning() bool {
 	return c.Committed || c.StartSent || c.Job.chunkOf(c.Index).inFlight()
 }
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -1,23 +1,23 @@
 package ledger
 
-// CommitResult is what a committed batch brought.
+// CommitResult lists the changes that a committed batch made durable.
 type CommitResult struct {
-	Claims    []*Claim // whose tasks may now be started
-	Finished  []*Claim // whose finish is now durable
-	Ended     []*Job   // that are now done
-	Unblocked []*Job   // that now wait for no other
+	Claims    []*Claim // claims whose tasks may now be started
+	Finished  []*Claim // claims whose finish is now durable
+	Ended     []*Job   // jobs that are now durably done
+	Unblocked []*Job   // jobs whose last unmet dependency is now done
 }
 
-// BatchCommitted notes that a batch was committed at a revision.
+// BatchCommitted records that a batch was committed at a revision.
 func (t *Table) BatchCommitted(batch *Batch, revision uint64) CommitResult {
 	var result CommitResult
 	for _, write := range batch.writes {
 		job, chunk := write.job, write.chunk()
 		chunk.inFlightWrite = 0
 		switch {
-		case write.remove:
+		case write.deletesChunk:
 			chunk.modRevision = 0
-		case !write.deferred:
+		case !write.defersDeletion:
 			chunk.modRevision = revision
 		}
 		result.Finished = append(result.Finished, t.commitFinished(write)...)
@@ -28,9 +28,9 @@
 		}
 		if job.Cancelled {
 			if chunk.modRevision != 0 && len(chunk.claims) == 0 {
-				t.writes.mark(write.chunkRef)
+				t.writes.enqueue(write.chunkRef)
 			}
-			t.forgetIfGone(job)
+			t.removeIfCleanedUp(job)
 		}
 	}
 	for _, job := range result.Ended {
@@ -49,15 +49,15 @@
 		wasDirty := write.chunk().dirty
 		t.removeClaim(claim)
 		if !wasDirty {
-			t.writes.unmark(write.chunkRef) // the write just made has the claim gone already
+			t.writes.remove(write.chunkRef) // the write just committed already omits the claim
 		}
 		finished = append(finished, claim)
 	}
 	return finished
 }
 
-// commitClaims notes the claims that a write made durable, and returns those that stand. A
-// claim whose job was cancelled meanwhile was never started, and goes.
+// commitClaims records the claims that a write made durable, and returns those that remain. If the
+// job was cancelled meanwhile, claims whose task was never started are removed.
 func (t *Table) commitClaims(write chunkWrite) []*Claim {
 	var claims []*Claim
 	for _, claim := range write.claims {
@@ -65,7 +65,7 @@
 			continue
 		}
 		claim.Committed = true
-		write.chunk().uncommitted--
+		write.chunk().uncommittedClaims--
 		if write.job.Cancelled && !claim.StartSent {
 			t.removeClaim(claim)
 			continue
@@ -75,8 +75,8 @@
 	return claims
 }
 
-// removeEnded removes a job that is durably done; chunks still stored are deleted as those of
-// a cancelled job are.
+// removeEnded removes a job that is durably done. Chunks still stored are queued for deletion,
+// like those of a cancelled job.
 func (t *Table) removeEnded(job *Job) {
 	job.Finished = false
 	job.Cancelled = true
@@ -85,17 +85,17 @@
 	}
 	for index, chunk := range job.chunks {
 		if chunk.modRevision != 0 {
-			t.writes.mark(chunkRef{job, index})
+			t.writes.enqueue(chunkRef{job, index})
 		}
 	}
-	t.forgetIfGone(job)
+	t.removeIfCleanedUp(job)
 }
 
-// BatchFailed notes that a batch was surely not committed: all of it is to be written again.
+// BatchFailed records that a batch was definitely not committed, and queues its changes again.
 func (t *Table) BatchFailed(batch *Batch) {
 	for _, write := range batch.writes {
 		write.chunk().inFlightWrite = 0
-		t.writes.mark(write.chunkRef)
+		t.writes.enqueue(write.chunkRef)
 	}
 	for _, write := range batch.writes {
 		job := write.job
@@ -107,6 +107,6 @@
 				t.removeClaim(claim)
 			}
 		}
-		t.forgetIfGone(job)
+		t.removeIfCleanedUp(job)
 	}
 }
--- a/internal/ledger/dependencies.go
+++ b/internal/ledger/dependencies.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// InheritedPriority is what a job has from the jobs that depend on it.
+// InheritedPriority is the priority and the deadlines that a job inherits from the jobs that
+// depend on it.
 type InheritedPriority struct {
-	Priority  int         // the lower the higher
-	Deadlines []time.Time // by objective: when the job must be done for the last dependent to be in time; zero: none
+	Priority  int         // a lower number is a higher priority
+	Deadlines []time.Time // by objective: when the job must be done for its last dependent to be on time; zero: none
 }
 
 // DependenciesMet reports whether every job that this one depends on is durably done. Until
@@ -18,27 +19,27 @@
 	return len(j.unmetDependencies) == 0 && j.cancelledUpstream == ""
 }
 
-// CancelledUpstream names a cancelled job that this one depends on, directly or through
-// others, or is "".
+// CancelledUpstream returns the ID of a cancelled job that this one depends on, directly or
+// transitively, or "".
 func (j *Job) CancelledUpstream() string { return j.cancelledUpstream }
 
-// UnmetDependencies are the jobs that this one depends on and that are not known to be done,
-// in order.
+// UnmetDependencies returns the IDs of the jobs that this one depends on and that are not known
+// to be done, sorted.
 func (j *Job) UnmetDependencies() []string {
-	var refs []string
-	for ref := range j.unmetDependencies {
-		refs = append(refs, ref)
+	var dependencyIDs []string
+	for dependencyID := range j.unmetDependencies {
+		dependencyIDs = append(dependencyIDs, dependencyID)
 	}
-	slices.Sort(refs)
-	return refs
+	slices.Sort(dependencyIDs)
+	return dependencyIDs
 }
 
-// dependencyGraph holds which jobs wait for which. A job that is durably done or cancelled is
-// no longer in it.
+// dependencyGraph holds the dependencies between jobs that are still waited for. A job that is
+// durably done or cancelled is no longer in it.
 type dependencyGraph struct {
-	jobs       map[string]*Job   // the table's
-	dependents map[string][]*Job // by the job that they depend on
-	toCancel   []*Job            // by a cancelled upstream job
+	jobs       map[string]*Job   // the jobs of the Table, by ID
+	dependents map[string][]*Job // by the ID of the job that they depend on
+	toCancel   []*Job            // jobs to be cancelled because an upstream job was
 }
 
 func newDependencyGraph(jobs map[string]*Job) *dependencyGraph {
@@ -47,32 +48,33 @@
 
 func (g *dependencyGraph) hasDependents(job *Job) bool { return len(g.dependents[job.ID]) > 0 }
 
-// add notes what a new job depends on. The job shares the fate of a dependency that is to be
-// cancelled at once.
+// add adds a new job's dependencies to the graph. If one of them is already to be cancelled, so is
+// the new job.
 func (g *dependencyGraph) add(job *Job) {
-	for _, ref := range job.Spec.DependsOn {
-		if job.unmetDependencies[ref] || ref == job.ID {
+	for _, dependencyID := range job.Spec.DependsOn {
+		if job.unmetDependencies[dependencyID] || dependencyID == job.ID {
 			continue
 		}
 		if job.unmetDependencies == nil {
 			job.unmetDependencies = make(map[string]bool)
 		}
-		job.unmetDependencies[ref] = true
-		g.dependents[ref] = append(g.dependents[ref], job)
+		job.unmetDependencies[dependencyID] = true
+		g.dependents[dependencyID] = append(g.dependents[dependencyID], job)
 	}
-	g.resetInherited(job)
-	for ref := range job.unmetDependencies {
-		if dependency := g.jobs[ref]; dependency != nil && dependency.cancelledUpstream != "" {
-			g.cancelDownstream(job, dependency.cancelledUpstream, dependency.cancelPendingFrom)
+	g.resetInheritedPriorities(job)
+	for dependencyID := range job.unmetDependencies {
+		if dependency := g.jobs[dependencyID]; dependency != nil && dependency.cancelledUpstream != "" {
+			g.cancelDownstream(job, dependency.cancelledUpstream, dependency.cancelPendingSince)
 		}
 	}
 }
 
-// markDone notes that a job is durably done, and returns the jobs that now wait for no other.
-func (g *dependencyGraph) markDone(ref string, at time.Time) []*Job {
+// markDone records that a job is durably done, and returns the jobs whose last unmet dependency it
+// was.
+func (g *dependencyGraph) markDone(jobID string, at time.Time) []*Job {
 	var ready []*Job
-	for _, job := range g.dependents[ref] {
-		delete(job.unmetDependencies, ref)
+	for _, job := range g.dependents[jobID] {
+		delete(job.unmetDependencies, jobID)
 		if at.After(job.ReadyAt) {
 			job.ReadyAt = at
 		}
@@ -81,21 +83,21 @@
 			ready = append(ready, job)
 		}
 	}
-	delete(g.dependents, ref)
+	delete(g.dependents, jobID)
 	return ready
 }
 
-// markCancelled notes that a job is durably cancelled: all that depend on it are to be
+// markCancelled records that a job is durably cancelled, and marks all that depend on it as to be
 // cancelled too.
-func (g *dependencyGraph) markCancelled(ref string, at time.Time) {
-	for _, job := range g.dependents[ref] {
-		g.cancelDownstream(job, ref, at)
+func (g *dependencyGraph) markCancelled(jobID string, at time.Time) {
+	for _, job := range g.dependents[jobID] {
+		g.cancelDownstream(job, jobID, at)
 	}
-	delete(g.dependents, ref)
+	delete(g.dependents, jobID)
 }
 
-// cancelDownstream marks a job, and all that depend on it through however many others, as to
-// be cancelled because of a job that was cancelled at a time.
+// cancelDownstream marks a job, and all that depend on it directly or transitively, as to be
+// cancelled because of a job that was cancelled at a given time.
 func (g *dependencyGraph) cancelDownstream(job *Job, cancelled string, at time.Time) {
 	for pending := []*Job{job}; len(pending) > 0; {
 		job = pending[len(pending)-1]
@@ -103,21 +105,21 @@
 		if job.cancelledUpstream != "" || job.Cancelled {
 			continue
 		}
-		job.cancelledUpstream, job.cancelPendingFrom = cancelled, laterOf(at, job.ArrivedAt)
+		job.cancelledUpstream, job.cancelPendingSince = cancelled, laterOf(at, job.ArrivedAt)
 		g.toCancel = append(g.toCancel, job)
 		pending = append(pending, g.dependents[job.ID]...)
 	}
 }
 
-// removeCancelled removes a cancelled job: it waits for nothing any more, and those that wait
-// for it never run.
+// removeCancelled removes a cancelled job from the graph and marks its dependents as to be
+// cancelled.
 func (g *dependencyGraph) removeCancelled(job *Job) {
-	g.resetInherited(job)
-	for ref := range job.unmetDependencies {
+	g.resetInheritedPriorities(job)
+	for dependencyID := range job.unmetDependencies {
 		isJob := func(other *Job) bool { return other == job }
-		g.dependents[ref] = slices.DeleteFunc(g.dependents[ref], isJob)
-		if len(g.dependents[ref]) == 0 {
-			delete(g.dependents, ref)
+		g.dependents[dependencyID] = slices.DeleteFunc(g.dependents[dependencyID], isJob)
+		if len(g.dependents[dependencyID]) == 0 {
+			delete(g.dependents, dependencyID)
 		}
 	}
 	job.unmetDependencies = nil
@@ -131,14 +133,15 @@
 	return b
 }
 
-// resetInherited has the inherited priority of all that a job depends on, through however many
-// others, be computed again. A job without one has none above it, so the walk ends there.
-func (g *dependencyGraph) resetInherited(job *Job) {
+// resetInheritedPriorities clears the inherited priority of all jobs that a job depends on, directly
+// or transitively, so that it is computed again. It stops at jobs whose inherited priority is
+// already cleared, since that of the jobs upstream of them is cleared too.
+func (g *dependencyGraph) resetInheritedPriorities(job *Job) {
 	for pending := []*Job{job}; len(pending) > 0; {
 		job = pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
-		for ref := range job.unmetDependencies {
-			if dependency := g.jobs[ref]; dependency != nil && dependency.Inherited != nil {
+		for dependencyID := range job.unmetDependencies {
+			if dependency := g.jobs[dependencyID]; dependency != nil && dependency.Inherited != nil {
 				dependency.Inherited = nil
 				pending = append(pending, dependency)
 			}
@@ -146,61 +149,61 @@
 	}
 }
 
-// Dependents are the jobs that depend on this one and wait for it.
+// Dependents returns the jobs that depend on this one and wait for it.
 func (t *Table) Dependents(job *Job) []*Job { return t.dependencies.dependents[job.ID] }
 
-// UnresolvedDependencies are the jobs, in order, that others wait for and that the table does
-// not know to be live: whether they are done or cancelled must be looked up. So it is for what
-// ended in an earlier term, and for what ended before a late dependent came.
+// UnresolvedDependencies returns the IDs, sorted, of the jobs that others wait for and that are
+// not live in the table: whether they are done or cancelled must be looked up in the store. They
+// are jobs that ended in an earlier term, or before one of their dependents was submitted.
 func (t *Table) UnresolvedDependencies() []string {
-	var refs []string
-	for ref := range t.dependencies.dependents {
-		if job := t.jobs[ref]; job == nil || job.Cancelled {
-			refs = append(refs, ref)
+	var dependencyIDs []string
+	for dependencyID := range t.dependencies.dependents {
+		if job := t.jobs[dependencyID]; job == nil || job.Cancelled {
+			dependencyIDs = append(dependencyIDs, dependencyID)
 		}
 	}
-	slices.Sort(refs)
-	return refs
+	slices.Sort(dependencyIDs)
+	return dependencyIDs
 }
 
-// ResolveDependency notes the durable end of a job that others wait for, done or cancelled,
-// and returns those that now wait for no other.
-func (t *Table) ResolveDependency(ref string, done bool, at time.Time) []*Job {
+// ResolveDependency records that a job that others wait for has durably ended, done or cancelled,
+// and returns the jobs whose last unmet dependency it was.
+func (t *Table) ResolveDependency(jobID string, done bool, at time.Time) []*Job {
 	if done {
-		return t.dependencies.markDone(ref, at)
+		return t.dependencies.markDone(jobID, at)
 	}
-	t.dependencies.markCancelled(ref, at)
+	t.dependencies.markCancelled(jobID, at)
 	return nil
 }
 
-// PendingCancellation is a job that is to be cancelled because of a cancelled one.
+// PendingCancellation is a job that is to be cancelled because one that it depends on was.
 type PendingCancellation struct {
 	Job   string
 	Cause string    // the cancelled job that it depends on
-	Since time.Time // the cause was cancelled or, if that was later, the job came
+	Since time.Time // when the cause was cancelled or the job was submitted, whichever is later
 }
 
-// OldestPendingCancellation returns the job that waits longest to be cancelled because of another,
-// if there is one.
+// OldestPendingCancellation returns the pending cancellation that has waited longest, if there is
+// one.
 func (t *Table) OldestPendingCancellation() (oldest PendingCancellation, ok bool) {
 	for _, job := range t.dependencies.toCancel {
-		if !job.Cancelled && (!ok || job.cancelPendingFrom.Before(oldest.Since)) {
-			oldest = PendingCancellation{Job: job.ID, Cause: job.cancelledUpstream, Since: job.cancelPendingFrom}
+		if !job.Cancelled && (!ok || job.cancelPendingSince.Before(oldest.Since)) {
+			oldest = PendingCancellation{Job: job.ID, Cause: job.cancelledUpstream, Since: job.cancelPendingSince}
 			ok = true
 		}
 	}
 	return oldest, ok
 }
 
-// JobsToCancel are up to limit jobs that are to be cancelled because one that they depend on
-// was, in the order in which that was found.
+// JobsToCancel returns up to limit jobs that are to be cancelled because one that they depend on
+// was, in the order in which they were marked.
 func (t *Table) JobsToCancel(limit int) []*Job {
 	g := t.dependencies
 	g.toCancel = slices.DeleteFunc(g.toCancel, func(job *Job) bool { return job.Cancelled })
 	return slices.Clone(g.toCancel[:min(limit, len(g.toCancel))])
 }
 
-// BlockedJobs are the jobs that wait for others, by reference.
+// BlockedJobs returns the jobs that wait for others, sorted by ID.
 func (t *Table) BlockedJobs() []*Job {
 	seen := make(map[*Job]bool)
 	var jobs []*Job
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -11,11 +11,11 @@
 	"rillflow/internal/wire"
 )
 
-// What is stored of jobs and claims stays as it is written today, key and value.
-// testdata/production has what version 0.1 wrote; here are the fields added since.
+// The stored form of jobs and claims, keys and values, must not change. testdata/production has
+// records written by version 0.1; this test covers the fields added since.
 func TestGoldenStored(t *testing.T) {
 	record := goldentest.Filled[JobRecord]()
-	least := JobRecord{Job: wire.Job{ID: "req-1"}, ChunkTasks: 8}
+	minimal := JobRecord{Job: wire.Job{ID: "req-1"}, ChunkTasks: 8}
 	at := time.UnixMilli(1_764_600_000_123)
 	stored := ChunkRecord{
 		LastAttempt: 9, Done: map[int]bool{0: true, 9: true}, AuditBlock: 77,
@@ -28,16 +28,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if back, err := DecodeChunkRecord(chunk); err != nil || !reflect.DeepEqual(back, stored) {
-		t.Errorf("the chunk reads back as %+v, %v", back, err)
+	if decoded, err := DecodeChunkRecord(chunk); err != nil || !reflect.DeepEqual(decoded, stored) {
+		t.Errorf("the chunk reads back as %+v, %v, want %+v", decoded, err, stored)
 	}
 	if WriterOf(chunk) != "writer.4" || AuditBlockOf(chunk) != 77 {
-		t.Errorf("writer %q, block %d", WriterOf(chunk), AuditBlockOf(chunk))
+		t.Errorf("writer %q, audit block %d; want \"writer.4\", 77", WriterOf(chunk), AuditBlockOf(chunk))
 	}
 	var out strings.Builder
 	line := func(key, value string) { fmt.Fprintf(&out, "%s\t%s\n", key, value) }
 	line(LiveKey("req-1"), goldentest.JSON(t, record))
-	line(LiveKey("req-1"), goldentest.JSON(t, least))
+	line(LiveKey("req-1"), goldentest.JSON(t, minimal))
 	line(ChunkKey("req-1", 3), string(chunk))
 	line(EndedKey("req-1"), goldentest.JSON(t, goldentest.Filled[EndRecord]()))
 	line(EndedKey("req-1"), goldentest.JSON(t, EndRecord{Phase: wire.PhaseDone, Tasks: 4}))
@@ -46,7 +46,7 @@
 	goldentest.Check(t, "stored.txt", out.String())
 }
 
-// A packed chunk as written today stays readable. Its bytes are up to the compressor.
+// Packed chunks must stay readable. Their exact bytes depend on the compressor.
 func TestGoldenPackedChunk(t *testing.T) {
 	want := ChunkRecord{LastAttempt: 400, Done: map[int]bool{70: true}, Claims: make(map[int]ClaimRecord), AuditBlock: 5}
 	for i := range 64 {
@@ -62,10 +62,10 @@
 	}
 	data := goldentest.Read(t, "packed.json", write)
 	if !strings.Contains(string(data), `"z":`) || !strings.Contains(string(write()), `"z":`) {
-		t.Fatal("the chunk is not packed: the case shows nothing")
+		t.Fatal("the chunk is not packed, so the test does not test the packed form")
 	}
 	got, err := DecodeChunkRecord(data)
 	if err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("reads as %+v, %v", got, err)
+		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 }
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -6,78 +6,80 @@
 	"rillflow/internal/wire"
 )
 
-// Job is a job that has not ended, or that has ended and of which claims or stored chunks
-// are left.
+// Job is a job that has not ended, or one that has ended but still has claims or stored chunks.
 type Job struct {
-	ID   string // the job's ID, by which its keys are named
+	ID   string // part of the names of the job's keys
 	Spec wire.Job
 	// SubmittedAt is when the job was submitted, by the clock of the controller that
-	// accepted it, and ArrivedAt the same by this controller's clock, as near as is known.
+	// accepted it. ArrivedAt is the same by this controller's clock if it saw the job arrive;
+	// otherwise it equals SubmittedAt.
 	SubmittedAt time.Time
 	ArrivedAt   time.Time
-	// ArrivalSeen: the job came while this controller watched, not before.
+	// ArrivalSeen is set if the job arrived while this controller was watching for new jobs.
 	ArrivalSeen bool
 
-	// Cancelled: the job is cancelled, or done with chunks of it left to delete.
+	// Cancelled is set if the job is cancelled, or is durably done but still has stored chunks
+	// to delete.
 	Cancelled bool
-	// CancelledAt is when the user may first have been told of the cancellation; the caller
-	// sets it for jobs cancelled later. Zero: not known.
+	// CancelledAt is the earliest time at which the cancellation may have been confirmed to the
+	// user, zero if unknown. The caller sets it for jobs cancelled after loading.
 	CancelledAt time.Time
-	// Finished: all tasks are done, and that is not durable yet.
+	// Finished is set while all tasks are done but that is not durable yet.
 	Finished bool
 
-	// Origin is who submitted the job, where that is kept.
+	// Origin records who submitted the job; nil if the record has none.
 	Origin *Origin
-	// Audited: the audit log has the job. The caller sets it.
+	// Audited is set once the job is in the audit log. The caller sets it.
 	Audited bool
 
-	// ReadyAt is since when the job waits for no other.
+	// ReadyAt is the time from which the job has had no unmet dependencies.
 	ReadyAt time.Time
-	// Inherited is what the job has from its dependents. The caller sets it; it is reset to
-	// nil whenever those change.
+	// Inherited is the priority inherited from the job's dependents. The caller sets it; it is
+	// reset to nil whenever the dependents change.
 	Inherited *InheritedPriority
-	// WaitingSince is since when a task of the job waits.
+	// WaitingSince is when the job's tasks began to wait for a claim.
 	WaitingSince time.Time
 
-	// RetryAt holds the job back after failures. The caller sets it, like all that follows.
+	// RetryAt is when the job may be placed again after failures. The caller sets it and the
+	// exported fields below.
 	RetryAt time.Time
-	// ConsecutiveFailures counts failures since a task last ran well, and FailedOn has the
-	// workers where one failed.
+	// ConsecutiveFailures counts failures since a task last ran successfully; FailedOn has the
+	// names of the workers on which a task failed.
 	ConsecutiveFailures int
 	FailedOn            map[string]bool
-	// RunSeconds is how long its finished tasks ran, of those that were seen running.
+	// RunSeconds is the run time of the job's finished tasks, as far as they were seen running.
 	RunSeconds Mean
-	// PlacementType is the job's type for the placement rule.
+	// PlacementType is the job type that the placement rule uses.
 	PlacementType string
-	// NextPreemptionAt is when others may next be stopped for the job.
+	// NextPreemptionAt is when tasks of other jobs may next be stopped for this one.
 	NextPreemptionAt time.Time
 
-	modRevision  uint64 // of the job's live key
+	modRevision  uint64 // mod revision of the job's live key
 	chunkTasks   int    // tasks per chunk
 	chunks       map[int]*taskChunk
 	claims       map[int]*Claim // by task
 	claimsByZone map[string]int
-	nextIndex    int   // tasks from here on were never claimed
-	requeued     []int // tasks below nextIndex to be claimed again
+	nextNewTask  int   // the first of the tasks that were never claimed
+	requeued     []int // tasks below nextNewTask that wait to be claimed again
 	doneTasks    int
 
-	alreadyDone       bool            // read as done; only its chunks are left
-	endPendingFrom    time.Time       // since when its end waits to be written, as batches see it
-	unmetDependencies map[string]bool // jobs not known to be done
-	cancelledUpstream string          // a job that it depends on, if that was cancelled
-	cancelPendingFrom time.Time       // since when it is to be cancelled for that
+	loadedAsDone       bool            // loaded as a done job; only its chunks remain
+	endPendingSince    time.Time       // when NextBatch first found the job's end waiting to be written
+	unmetDependencies  map[string]bool // IDs of dependencies not known to be done
+	cancelledUpstream  string          // ID of a cancelled job that this one depends on, or ""
+	cancelPendingSince time.Time       // since when the job is to be cancelled because of it
 }
 
-// Mean is a sum with the number of its terms.
+// Mean accumulates values for their mean.
 type Mean struct {
 	Sum   float64
 	Count int
 }
 
-func newJob(ref string, record JobRecord, modRevision uint64) *Job {
+func newJob(jobID string, record JobRecord, modRevision uint64) *Job {
 	submitted := time.UnixMilli(record.SubmittedMS)
 	return &Job{
-		ID:           ref,
+		ID:           jobID,
 		Spec:         record.Job,
 		Origin:       record.Origin,
 		SubmittedAt:  submitted,
@@ -92,9 +94,9 @@
 	}
 }
 
-// MarkArrived notes that this controller saw the job come at a time. All that is counted
-// from its submission counts from then: the clock of the controller that accepted it may be
-// off by more than what its users wait for.
+// MarkArrived records when this controller saw the job arrive. Waiting times are counted from
+// then instead of from the submission: the clock of the controller that accepted the job may
+// be off by more than its users wait.
 func (j *Job) MarkArrived(at time.Time) {
 	j.ArrivalSeen, j.ArrivedAt = true, at
 	if j.ReadyAt.Equal(j.SubmittedAt) {
@@ -102,39 +104,40 @@
 	}
 }
 
-// ModRevision is the revision of the job's live key.
+// ModRevision returns the mod revision of the job's live key.
 func (j *Job) ModRevision() uint64 { return j.modRevision }
 
-// Record is the job as stored.
+// Record returns the job's record as stored.
 func (j *Job) Record() JobRecord {
 	return JobRecord{Job: j.Spec, SubmittedMS: j.SubmittedAt.UnixMilli(), ChunkTasks: j.chunkTasks, Origin: j.Origin}
 }
 
-// IsGang reports whether the job's tasks start together or not at all.
+// IsGang reports whether the job's tasks must all start together.
 func (j *Job) IsGang() bool { return j.Spec.Kind == wire.KindGang }
 
-// DoneTasks counts the tasks that are done.
+// DoneTasks returns the number of tasks that are done.
 func (j *Job) DoneTasks() int { return j.doneTasks }
 
-// ClaimedTasks counts the tasks with a claim.
+// ClaimedTasks returns the number of tasks with a claim.
 func (j *Job) ClaimedTasks() int { return len(j.claims) }
 
-// UnfinishedTasks counts the tasks that are not done.
+// UnfinishedTasks returns the number of tasks that are not done.
 func (j *Job) UnfinishedTasks() int { return j.Spec.TaskCount - j.doneTasks }
 
-// WaitingTasks counts the tasks that wait for a claim. A job that waits for others has none.
+// WaitingTasks returns the number of tasks that wait for a claim, which is 0 while the job has
+// unmet dependencies.
 func (j *Job) WaitingTasks() int {
 	if j.Cancelled || j.Finished || !j.DependenciesMet() {
 		return 0
 	}
-	return j.Spec.TaskCount - j.nextIndex + len(j.requeued)
+	return j.Spec.TaskCount - j.nextNewTask + len(j.requeued)
 }
 
-// ClaimsInZone counts the job's claims in a zone.
+// ClaimsInZone returns the number of the job's claims in a zone.
 func (j *Job) ClaimsInZone(zone string) int { return j.claimsByZone[zone] }
 
-// zoneHeadroom is how many more tasks of the job a zone may take. Spread and single zone are
-// kept against every claim, also those whose task may be gone: it may also be running still.
+// zoneHeadroom returns how many more tasks of the job a zone may take. The spread and single-zone
+// rules count every claim, even if its task may no longer run, since it may still be running.
 func (j *Job) zoneHeadroom(zone string) int {
 	wrongZone := j.Spec.Zone != "" && j.Spec.Zone != zone
 	claimedElsewhere := len(j.claims) > j.claimsByZone[zone]
@@ -147,7 +150,7 @@
 	return j.Spec.TaskCount
 }
 
-// allTasksDone reports whether the job is done. A service never is.
+// allTasksDone reports whether all tasks are done. A service's tasks never are.
 func (j *Job) allTasksDone() bool {
 	return j.Spec.Kind != wire.KindService && j.doneTasks >= j.Spec.TaskCount
 }
@@ -157,10 +160,10 @@
 	return chunk != nil && chunk.done.has(task%j.chunkTasks)
 }
 
-// chunkOf is the chunk of a task, or nil if there is none yet.
+// chunkOf returns the chunk of a task, or nil if it does not exist yet.
 func (j *Job) chunkOf(task int) *taskChunk { return j.chunks[task/j.chunkTasks] }
 
-// ensureChunk is the chunk of a task, made if there is none yet.
+// ensureChunk returns the chunk of a task, and creates it if it does not exist yet.
 func (j *Job) ensureChunk(task int, minAttempt uint64) *taskChunk {
 	chunk := j.chunkOf(task)
 	if chunk == nil {
@@ -170,20 +173,21 @@
 	return chunk
 }
 
-// takeNextTask takes the next task to be claimed: one to be claimed again before a new one.
+// takeNextTask removes and returns the next task to be claimed. Requeued tasks go before tasks that
+// were never claimed.
 func (j *Job) takeNextTask() int {
 	if last := len(j.requeued) - 1; last >= 0 {
 		task := j.requeued[last]
 		j.requeued = j.requeued[:last]
 		return task
 	}
-	task := j.nextIndex
-	j.nextIndex++
+	task := j.nextNewTask
+	j.nextNewTask++
 	return task
 }
 
-// nextGangAttempt is the attempt of a gang's next claim: that of the tasks claimed already,
-// or a new one for the first.
+// nextGangAttempt returns the attempt number for a gang's next claim: that of its present claims,
+// or a new one if there are none.
 func (j *Job) nextGangAttempt(minAttempt uint64) uint64 {
 	for _, claim := range j.claims {
 		return claim.Attempt
@@ -195,7 +199,8 @@
 	return highest + 1
 }
 
-// requeueLoadedTasks finds the tasks that wait, once all of the job's chunks are loaded.
+// requeueLoadedTasks determines which tasks wait for a claim, once all of the job's chunks are
+// loaded.
 func (j *Job) requeueLoadedTasks() {
 	last := -1
 	for index, chunk := range j.chunks {
@@ -203,16 +208,16 @@
 			last = max(last, index*j.chunkTasks+offset)
 		}
 	}
-	j.nextIndex = min(last+1, j.Spec.TaskCount)
-	for task := range j.nextIndex {
+	j.nextNewTask = min(last+1, j.Spec.TaskCount)
+	for task := range j.nextNewTask {
 		if j.claims[task] == nil && !j.isTaskDone(task) {
 			j.requeued = append(j.requeued, task)
 		}
 	}
 }
 
-// isForgettable reports whether nothing is left of a job that has ended, here or stored.
-func (j *Job) isForgettable() bool {
+// isCleanedUp reports whether the job has ended and has neither claims nor stored chunks left.
+func (j *Job) isCleanedUp() bool {
 	if !j.Cancelled || len(j.claims) > 0 {
 		return false
 	}
@@ -224,8 +229,8 @@
 	return true
 }
 
-// recordedTeam is the job's team where identities are on, as the team that may ask about the
-// job once it has ended; "" where they are off.
+// recordedTeam returns the team to store in the end record, whose members may query the job after
+// its end: the job's team if identities are on, otherwise "".
 func (j *Job) recordedTeam() string {
 	if j.Origin == nil {
 		return ""
--- a/internal/ledger/keys.go
+++ b/internal/ledger/keys.go
@@ -6,36 +6,36 @@
 )
 
 // Prefixes of the table's keys in the key-value store. A job's record is under LivePrefix
-// until the job has ended and its end record under EndedPrefix from then on, so that a new
-// leader reads only the live ones. Chunks with claims are under ChunkPrefix.
+// until the job ends, and its end record is under EndedPrefix from then on, so that a new
+// leader reads only the live jobs. Chunks are under ChunkPrefix.
 const (
 	LivePrefix  = "j/"
 	EndedPrefix = "d/"
 	ChunkPrefix = "c/"
 )
 
-// LiveKey is the key of the record of a job that has not ended.
-func LiveKey(ref string) string { return LivePrefix + ref }
+// LiveKey returns the key of the record of a job that has not ended.
+func LiveKey(jobID string) string { return LivePrefix + jobID }
 
-// EndedKey is the key of the end record of a job.
-func EndedKey(ref string) string { return EndedPrefix + ref }
+// EndedKey returns the key of a job's end record.
+func EndedKey(jobID string) string { return EndedPrefix + jobID }
 
-// ChunkKey is the key of a job's chunk.
-func ChunkKey(ref string, index int) string { return ChunkPrefix + ref + "/" + strconv.Itoa(index) }
+// ChunkKey returns the key of a job's chunk.
+func ChunkKey(jobID string, index int) string { return ChunkPrefix + jobID + "/" + strconv.Itoa(index) }
 
-// ParseChunkKey takes a chunk's key apart.
-func ParseChunkKey(key string) (ref string, index int, ok bool) {
+// ParseChunkKey returns the job ID and the chunk index that a chunk's key is made of.
+func ParseChunkKey(key string) (jobID string, index int, ok bool) {
 	rest, ok := strings.CutPrefix(key, ChunkPrefix)
 	if !ok {
 		return "", 0, false
 	}
-	ref, number, ok := strings.Cut(rest, "/")
+	jobID, number, ok := strings.Cut(rest, "/")
 	index, err := strconv.Atoi(number)
-	return ref, index, ok && err == nil && index >= 0
+	return jobID, index, ok && err == nil && index >= 0
 }
 
-// JobOfChunkKey is the job that a chunk's key belongs to.
+// JobOfChunkKey returns the ID of the job that a chunk's key belongs to.
 func JobOfChunkKey(key string) (string, bool) {
-	ref, _, ok := ParseChunkKey(key)
-	return ref, ok
+	jobID, _, ok := ParseChunkKey(key)
+	return jobID, ok
 }
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -9,27 +9,27 @@
 	"rillflow/internal/wire"
 )
 
-// AddEndedJob adds a job that has ended but of which chunks are stored. The status document
-// shows the error's text, like LoadChunk's, as the reason of a suspected data loss.
-func (t *Table) AddEndedJob(ref string, data []byte) error {
+// AddEndedJob adds a job that has ended but still has stored chunks. The operator's status document
+// shows the text of its error, like that of LoadChunk's, as the reason of a suspected data loss.
+func (t *Table) AddEndedJob(jobID string, data []byte) error {
 	var end EndRecord
 	if err := json.Unmarshal(data, &end); err != nil {
-		return fmt.Errorf("ledger: %s: %w", ref, err)
+		return fmt.Errorf("ledger: %s: %w", jobID, err)
 	}
-	job := t.AddJob(ref, JobRecord{Job: end.Job, ChunkTasks: end.ChunkTasks}, 0)
+	job := t.AddJob(jobID, JobRecord{Job: end.Job, ChunkTasks: end.ChunkTasks}, 0)
 	job.Cancelled = true
 	if end.EndedMS > 0 {
 		job.CancelledAt = time.UnixMilli(end.EndedMS)
 	}
-	job.alreadyDone = end.Phase == wire.PhaseDone
+	job.loadedAsDone = end.Phase == wire.PhaseDone
 	return nil
 }
 
-// LoadChunk loads a stored chunk of a job already added. The tasks of its claims may have
-// been started by an earlier leader, under an epoch of at most the one given.
+// LoadChunk loads a stored chunk of a job that has been added. The tasks of its claims may have
+// been started by an earlier leader, under the given epoch at most.
 func (t *Table) LoadChunk(key string, data []byte, modRevision, epoch uint64) error {
-	ref, index, ok := ParseChunkKey(key)
-	job := t.jobs[ref]
+	jobID, index, ok := ParseChunkKey(key)
+	job := t.jobs[jobID]
 	if !ok || job == nil {
 		return fmt.Errorf("ledger: no job for %s", key)
 	}
@@ -37,10 +37,10 @@
 	if err != nil {
 		return fmt.Errorf("ledger: %s: %w", key, err)
 	}
-	if job.alreadyDone {
-		// All its tasks are done, also those that an earlier leader had no time to note here.
-		// Nor is it known which tasks the claims are of: end records of version 0.1 do not
-		// tell the size of a done job's chunks.
+	if job.loadedAsDone {
+		// All its tasks are done, including those that an earlier leader did not get to record
+		// in this chunk. The claims could not be assigned to tasks either: end records of
+		// version 0.1 do not have the chunk size of a done job.
 		clear(chunk.claims)
 	}
 	job.chunks[index] = chunk
@@ -56,8 +56,8 @@
 	return nil
 }
 
-// FinishLoading is called once all chunks are loaded: it finds the tasks that wait and the
-// chunks to be deleted.
+// FinishLoading completes loading once all chunks are loaded: it determines the tasks that wait for
+// a claim and the chunks to be deleted.
 func (t *Table) FinishLoading() {
 	for _, job := range t.jobs {
 		job.requeueLoadedTasks()
@@ -67,23 +67,23 @@
 		}
 		for index, chunk := range job.chunks {
 			if len(chunk.claims) == 0 {
-				t.writes.mark(chunkRef{job, index})
+				t.writes.enqueue(chunkRef{job, index})
 			}
 		}
 	}
 }
 
-// SetModRevision notes at which revision a key was written again with the content that this
-// table was loaded from.
+// SetModRevision records the revision at which a key was rewritten with the content that this table
+// was loaded from, as recovery does.
 func (t *Table) SetModRevision(key string, modRevision uint64) {
-	if ref, ok := strings.CutPrefix(key, LivePrefix); ok {
-		if job := t.jobs[ref]; job != nil {
+	if jobID, ok := strings.CutPrefix(key, LivePrefix); ok {
+		if job := t.jobs[jobID]; job != nil {
 			job.modRevision = modRevision
 		}
 		return
 	}
-	if ref, index, ok := ParseChunkKey(key); ok {
-		if job := t.jobs[ref]; job != nil && job.chunks[index] != nil {
+	if jobID, index, ok := ParseChunkKey(key); ok {
+		if job := t.jobs[jobID]; job != nil && job.chunks[index] != nil {
 			job.chunks[index].modRevision = modRevision
 		}
 	}
--- a/internal/ledger/origin.go
+++ b/internal/ledger/origin.go
@@ -8,24 +8,24 @@
 	"rillflow/internal/keyring"
 )
 
-// Origin says who submitted a job and why that was allowed. It is stored with the job, in the
-// same transaction, under a seal of the controller that accepted it. Versions before 0.4
+// Origin records who submitted a job and which rule allowed it. It is stored with the job, in the
+// same transaction, and sealed by the controller that accepted the job. Versions before 0.4
 // neither write nor check it.
 type Origin struct {
-	Submitter  string `json:"who,omitempty"`  // "" where identities are off, or anonymous
-	Controller string `json:"via"`            // that accepted the job
-	Rule       string `json:"rule,omitempty"` // of the policy that allowed it
-	// MaxPriority is the highest priority that the job may inherit; "" for any.
+	Submitter  string `json:"who,omitempty"`  // "" if identities are off or the user is anonymous
+	Controller string `json:"via"`            // the controller that accepted the job
+	Rule       string `json:"rule,omitempty"` // the rule of the policy that allowed it
+	// MaxPriority is the highest priority that the job may inherit; "" means any.
 	MaxPriority string `json:"cap,omitempty"`
-	KeyID       uint32 `json:"key,omitempty"` // of the seal
+	KeyID       uint32 `json:"key,omitempty"` // the key of the seal
 	Seal        []byte `json:"seal,omitempty"`
 }
 
-// ErrInvalidSeal reports that the seal of a job record is missing or not of its content. Audit
-// entries store this text, and that of Verify's other errors: it must not change.
+// ErrInvalidSeal reports that the seal of a job record is missing or does not match the record.
+// Audit entries store its text and that of Verify's other errors, so the texts must not change.
 var ErrInvalidSeal = errors.New("ledger: the record's seal does not hold")
 
-// Sign seals a record together with its origin.
+// Sign seals a record, including its origin.
 func (r *JobRecord) Sign(ring *keyring.Ring) error {
 	r.Origin.KeyID, r.Origin.Seal = ring.Newest(), nil
 	data, err := json.Marshal(r)
@@ -37,8 +37,8 @@
 	return err
 }
 
-// Verify checks a record's seal. It is made over the record as this version writes it, not
-// over the text as stored, which the key-value store may reformat.
+// Verify checks a record's seal. The seal covers the record as this version encodes it, not the
+// stored bytes, which the key-value store may reformat.
 func (r JobRecord) Verify(ring *keyring.Ring) error {
 	if r.Origin == nil {
 		return ErrInvalidSeal
--- a/internal/ledger/quota.go
+++ b/internal/ledger/quota.go
@@ -4,19 +4,19 @@
 	"rillflow/internal/settings"
 )
 
-// quotaTolerance forgives the rounding of sums of decimal amounts; limits are given in
-// far coarser steps.
+// quotaTolerance allows for rounding errors in sums of decimal amounts. Limits are specified in far
+// coarser steps.
 const quotaTolerance = 1e-6
 
-// Usage is what a team's claims count in its quota.
+// Usage is the amount of resources that a team's claims use of its quota.
 type Usage struct{ CPUs, GPUs float64 }
 
-// quotas holds the teams' quotas and their usage by claims. A claim counts from when it is
-// made until its task is done or gone for sure.
+// quotas holds the teams' quotas and their usage by claims. A claim counts from its creation until
+// its task is done or is proven to be no longer running.
 type quotas struct {
 	teams    map[string]settings.Team
 	usage    map[string]*Usage
-	reserved Usage // for tasks of unknown jobs, against every team's limit
+	reserved Usage // for tasks of unknown jobs; counts against every team's limit
 }
 
 func newQuotas(teams []settings.Team) *quotas {
@@ -28,7 +28,7 @@
 	return q
 }
 
-// add counts a number of the job's tasks, negative to give them back.
+// add adds a number of the job's tasks to its team's usage; a negative number subtracts them.
 func (q *quotas) add(job *Job, tasks float64) {
 	if usage := q.usage[job.Spec.Team]; usage != nil {
 		usage.CPUs += tasks * job.Spec.CPUs
@@ -36,16 +36,16 @@
 	}
 }
 
-// of is a team's usage, zero for an unknown team.
-func (q *quotas) of(team string) Usage {
+// usageOf returns a team's usage, which is zero for an unknown team.
+func (q *quotas) usageOf(team string) Usage {
 	if usage := q.usage[team]; usage != nil {
 		return *usage
 	}
 	return Usage{}
 }
 
-// fitsLimit reports whether a number of further tasks of the job is within its team's limit.
-// An unknown team has none.
+// fitsLimit reports whether a number of additional tasks of the job is within its team's limit. For
+// an unknown team it returns false.
 func (q *quotas) fitsLimit(job *Job, tasks float64) bool {
 	team, usage := q.teams[job.Spec.Team], q.usage[job.Spec.Team]
 	return usage != nil &&
@@ -53,8 +53,8 @@
 		usage.GPUs+q.reserved.GPUs+tasks*job.Spec.GPUs <= team.GPUsMax+quotaTolerance
 }
 
-// fitsGuarantee reports whether one further task of the job is within what its team is
-// guaranteed.
+// fitsGuarantee reports whether one additional task of the job is within its team's guaranteed
+// quota.
 func (q *quotas) fitsGuarantee(job *Job) bool {
 	team, usage := q.teams[job.Spec.Team], q.usage[job.Spec.Team]
 	return usage != nil &&
@@ -62,7 +62,7 @@
 		usage.GPUs+job.Spec.GPUs <= team.GPUs+quotaTolerance
 }
 
-// headroom is how many further tasks of the job its team's limit allows.
+// headroom returns how many additional tasks of the job its team's limit allows.
 func (q *quotas) headroom(job *Job) int {
 	team, usage := q.teams[job.Spec.Team], q.usage[job.Spec.Team]
 	if usage == nil {
@@ -78,18 +78,19 @@
 	return max(tasks, 0)
 }
 
-// Usage is what a team's claims count in its quota.
-func (t *Table) Usage(team string) Usage { return t.quotas.of(team) }
+// Usage returns the amount of resources that a team's claims use of its quota.
+func (t *Table) Usage(team string) Usage { return t.quotas.usageOf(team) }
 
-// Team is a team's quota.
+// Team returns a team's settings, which hold its quota.
 func (t *Table) Team(name string) settings.Team { return t.quotas.teams[name] }
 
-// QuotaHeadroom is how many more tasks of the job its team's limit allows.
+// QuotaHeadroom returns how many additional tasks of the job its team's limit allows.
 func (t *Table) QuotaHeadroom(job *Job) int { return t.quotas.headroom(job) }
 
-// WithinGuaranteedQuota reports whether one more task is within its team's guarantee.
+// WithinGuaranteedQuota reports whether one additional task of the job is within its team's
+// guaranteed quota.
 func (t *Table) WithinGuaranteedQuota(job *Job) bool { return t.quotas.fitsGuarantee(job) }
 
-// Reserve counts CPUs and GPUs against every team's limit: tasks of jobs whose record was
-// lost run on them, and any team's they may be.
+// Reserve sets the CPUs and GPUs that count against every team's limit because they are used by
+// tasks whose job record was lost, so that their team is unknown. It replaces the earlier amounts.
 func (t *Table) Reserve(cpus, gpus float64) { t.quotas.reserved = Usage{cpus, gpus} }
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -7,34 +7,35 @@
 	"rillflow/internal/wire"
 )
 
-// JobRecord is an accepted job as it is stored.
+// JobRecord is the stored form of an accepted job.
 type JobRecord struct {
 	Job         wire.Job `json:"job"`
 	SubmittedMS int64    `json:"at"`    // time of day of the submission
 	ChunkTasks  int      `json:"chunk"` // tasks per chunk
-	// Origin is there where the audit log is kept or identities are on.
+	// Origin is set if the audit log is kept or identities are on.
 	Origin *Origin `json:"from,omitempty"`
 }
 
-// EndRecord is what is kept of a job that has ended.
+// EndRecord is the stored form of a job that has ended.
 type EndRecord struct {
 	Phase string `json:"phase"`
 	Tasks int    `json:"tasks"`
-	// Job is there for a cancelled job: its claims still count.
+	// Job is set for a cancelled job, whose claims still count in its team's quota.
 	Job wire.Job `json:"job,omitzero"`
-	// ChunkTasks is the job record's: chunks may be left that only the next leader deletes,
-	// and version 0.1 stops on claims that it finds in those of a job that is done, unless it
-	// is told their size.
+	// ChunkTasks is copied from the job record: chunks may remain that only the next leader
+	// deletes, and version 0.1 stops on claims that it finds in the chunks of a done job if it
+	// does not have the chunk size.
 	ChunkTasks int   `json:"chunk,omitempty"`
 	EndedMS    int64 `json:"at,omitempty"` // time of day of the end
-	// Team is who may ask about the job, where identities are on.
+	// Team is the team that may query the job, set if identities are on.
 	Team string `json:"own,omitempty"`
-	// AuditBlock is the block of the audit log that tells of the end.
+	// AuditBlock is the audit log block that records the end, 0 if there is none.
 	AuditBlock uint64 `json:"a,omitempty"`
 }
 
-// NewCancelledEndRecord makes the end record of a cancelled job. Of the job it keeps what its
-// claims count by and no more, so that it fits a value however large the submission was.
+// NewCancelledEndRecord returns the end record of a cancelled job. It keeps only those fields of
+// the job that are needed to count its claims, so that the record fits a value however large the
+// submission was.
 func NewCancelledEndRecord(record *JobRecord, now time.Time) EndRecord {
 	job := &record.Job
 	end := EndRecord{
@@ -50,38 +51,37 @@
 	return end
 }
 
-// NewLostEndRecord makes the end record of a cancelled job of which nothing but its reference
-// is known.
-func NewLostEndRecord(ref string, now time.Time) EndRecord {
-	return EndRecord{Phase: wire.PhaseCancelled, EndedMS: now.UnixMilli(), Job: wire.Job{ID: ref}}
+// NewLostEndRecord returns the end record of a cancelled job of which only the ID is known.
+func NewLostEndRecord(jobID string, now time.Time) EndRecord {
+	return EndRecord{Phase: wire.PhaseCancelled, EndedMS: now.UnixMilli(), Job: wire.Job{ID: jobID}}
 }
 
-// DecodeJobRecord reads a stored job.
+// DecodeJobRecord decodes a stored job record.
 func DecodeJobRecord(data []byte) (JobRecord, error) {
 	var record JobRecord
 	err := json.Unmarshal(data, &record)
 	return record, err
 }
 
-// Encode gives a job record or an end record as stored.
+// Encode returns the stored form of a job record or an end record.
 func Encode(record any) (json.RawMessage, error) { return json.Marshal(record) }
 
-// ChunkSize is how many tasks share a chunk of the job.
+// ChunkSize returns the number of tasks in each chunk of the job.
 func (r *JobRecord) ChunkSize() int { return max(1, r.ChunkTasks) }
 
-// Sizes by which chunks are laid out. A claim takes some 32 bytes, and with long names up to
-// 64. A value over the store's limit is refused, so three quarters of it are left free.
+// Sizes for the layout of chunks. A claim takes some 32 bytes, and up to 64 with long names. The
+// store refuses values over its limit, so three quarters of that are left free as a margin.
 const (
 	bytesPerTask = 256
-	// lowLimitBytesPerTask applies where the limit is announced to fall: of the lesser one,
-	// 15/16 are counted on, and chunks of long names are packed.
+	// lowLimitBytesPerTask applies if a reduction of the limit is announced: chunks are then laid
+	// out to use 15/16 of the lower limit, and those with long names are packed.
 	lowLimitBytesPerTask = 48
 
 	minChunkTasks = 8
 )
 
-// ChunkTasks is how many tasks are to share a chunk, given the store's limit on a value and
-// the least that it may fall to.
+// ChunkTasks returns the number of tasks to put in each chunk, given the store's value limit and
+// the lowest value that it may be reduced to.
 func ChunkTasks(valueKB, minValueKB float64) int {
 	tasks := valueKB * 1024 / bytesPerTask
 	if minValueKB < valueKB {
--- a/internal/ledger/recovery.go
+++ b/internal/ledger/recovery.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// MarkClaimsUnconfirmed marks all claims as read after a loss of stored data: that a task is
-// on its worker shows only when the worker reports it. Until then the claim counts, and the
-// task is neither started nor claimed elsewhere. Attempts go on above minAttempt, where none
-// was ever given out.
+// MarkClaimsUnconfirmed marks all claims as read after a loss of stored data: whether a task is on
+// its worker is known only once the worker reports it. Until then the claim counts, and the task is
+// neither started nor claimed elsewhere. New attempts are numbered above minAttempt; no attempt
+// above it may ever have been issued.
 func (t *Table) MarkClaimsUnconfirmed(minAttempt uint64) {
 	t.minAttempt = minAttempt
 	for _, job := range t.jobs {
@@ -20,10 +20,11 @@
 	}
 }
 
-// AdoptOrphan adds the claim of a task that a worker has and that the table does not know to
-// be there: it was claimed in data since lost. A claim of an earlier attempt had ended before
-// that attempt was given out, and is removed. It returns nil for a task that is done, that has
-// a later attempt, or that is none of the job's.
+// AdoptOrphan adds a claim for a task that a worker reports and for which the table has no claim on
+// that worker, because the claim was in data since lost. An unconfirmed claim of an earlier attempt
+// is removed: it had ended before the reported attempt was issued. AdoptOrphan returns nil if the
+// job has ended or has no such task, or if the task is done or has a claim that is confirmed or not
+// of an earlier attempt.
 func (t *Table) AdoptOrphan(job *Job, task int, record ClaimRecord, epoch uint64) *Claim {
 	if job.Cancelled || job.Finished || task < 0 || task >= job.Spec.TaskCount || job.isTaskDone(task) {
 		return nil
@@ -37,24 +38,24 @@
 	chunk := job.ensureChunk(task, t.minAttempt)
 	chunk.lastAttempt = max(chunk.lastAttempt, record.Attempt)
 	chunk.claims[task%job.chunkTasks] = record
-	job.takeTask(task)
+	job.removeFromWaiting(task)
 	claim := &Claim{
 		ClaimRecord: record, Job: job, Index: task,
 		Committed: true, StartSent: true, StartEpoch: epoch,
 	}
 	t.addClaim(claim)
-	t.writes.markTask(job, task)
+	t.writes.enqueueTask(job, task)
 	return claim
 }
 
-// takeTask takes one given task from those that wait to be claimed.
-func (j *Job) takeTask(task int) {
+// removeFromWaiting removes a given task from those that wait to be claimed.
+func (j *Job) removeFromWaiting(task int) {
 	if position := slices.Index(j.requeued, task); position >= 0 {
 		j.requeued = slices.Delete(j.requeued, position, position+1)
 	}
-	for ; j.nextIndex <= task; j.nextIndex++ {
-		if j.nextIndex != task {
-			j.requeued = append(j.requeued, j.nextIndex)
+	for ; j.nextNewTask <= task; j.nextNewTask++ {
+		if j.nextNewTask != task {
+			j.requeued = append(j.requeued, j.nextNewTask)
 		}
 	}
 }
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -7,8 +7,9 @@
 	"rillflow/internal/wire"
 )
 
-// A claim read after a loss of data counts, and goes only for a later attempt or by proof; a task
-// that a worker has is adopted once; attempts go on where none was given out.
+// A claim read after a loss of data must count in the quota, and be replaced only if a worker reports
+// a later attempt. A task that a worker reports without a claim must be adopted once, and new
+// attempts must be numbered above all earlier ones.
 func TestAdoptOrphan(t *testing.T) {
 	const minAttempt = 1 << 20
 	on := func(worker string, attempt uint64) ClaimRecord {
@@ -24,14 +25,14 @@
 		adopted bool
 		used    float64 // CPUs after
 	}{
-		{"not known to be there", 3, on("b", 7), nil, true, 2},
-		{"a later attempt than is stored", 0, on("b", 7), nil, true, 1},
-		{"an earlier one", 0, on("b", 1), nil, false, 1},
-		{"the same attempt elsewhere", 0, on("b", 2), nil, false, 1},
-		{"a later attempt of what was seen on its worker", 0, on("b", 7), confirm, false, 1},
-		{"of a task that is done", 1, on("b", 7), nil, false, 1},
-		{"of a job that is cancelled", 3, on("b", 7), cancel, false, 1},
-		{"no task of the job", 6, on("b", 7), nil, false, 1},
+		{"task without a claim", 3, on("b", 7), nil, true, 2},
+		{"later attempt than the unconfirmed claim", 0, on("b", 7), nil, true, 1},
+		{"earlier attempt than the unconfirmed claim", 0, on("b", 1), nil, false, 1},
+		{"same attempt on another worker", 0, on("b", 2), nil, false, 1},
+		{"later attempt than a confirmed claim", 0, on("b", 7), confirm, false, 1},
+		{"task is done", 1, on("b", 7), nil, false, 1},
+		{"job is cancelled", 3, on("b", 7), cancel, false, 1},
+		{"no such task", 6, on("b", 7), nil, false, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			table, job := newLoadedTable(t, ChunkRecord{
@@ -42,17 +43,17 @@
 				tc.prepare(table, job)
 			}
 			if got := table.AdoptOrphan(job, tc.task, tc.record, 8); (got != nil) != tc.adopted {
-				t.Fatalf("adopted: %v", got)
+				t.Fatalf("adopted claim %v, want one: %v", got, tc.adopted)
 			}
 			if used := table.Usage("t").CPUs; used != tc.used {
-				t.Errorf("the team uses %v, want %v", used, tc.used)
+				t.Errorf("the team uses %v CPUs, want %v", used, tc.used)
 			}
 			if tc.adopted {
 				if table.AdoptOrphan(job, tc.task, tc.record, 8) != nil {
 					t.Error("adopted twice")
 				}
 				if n := job.WaitingTasks() + job.ClaimedTasks() + job.DoneTasks(); n != 6 {
-					t.Errorf("%d tasks in all", n)
+					t.Errorf("%d tasks waiting, claimed or done, want 6", n)
 				}
 			}
 			for job.WaitingTasks() > 0 {
@@ -61,14 +62,15 @@
 					t.Fatal(err)
 				}
 				if claim.Attempt <= minAttempt || claim.Index == tc.task && tc.adopted {
-					t.Errorf("task %d is claimed as attempt %d", claim.Index, claim.Attempt)
+					t.Errorf("task %d is claimed as attempt %d, want a task without a claim and an attempt above %d",
+						claim.Index, claim.Attempt, minAttempt)
 				}
 			}
 		})
 	}
 }
 
-// newLoadedTable loads a job of six tasks with its first chunk.
+// newLoadedTable returns a table with a job of six tasks, loaded with the given first chunk.
 func newLoadedTable(t *testing.T, chunk ChunkRecord) (*Table, *Job) {
 	t.Helper()
 	table := New("w", []settings.Team{{Name: "t", CPUsMax: 10}})
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -1,15 +1,15 @@
-// Package ledger is the leader's table of jobs, tasks and claims. It decides which task may
-// be claimed for which worker, keeps the teams' usage and the dependencies between jobs, and
-// makes the transactions by which all that becomes durable in the key-value store.
+// Package ledger is the leader's table of jobs, tasks and claims. It decides which tasks may be
+// claimed for a worker, tracks the teams' quota usage and the dependencies between jobs, and
+// builds the transactions that make changes durable in the key-value store.
 //
-// A claim is the durable record that a task is assigned to a worker. It is made before the
-// task is started and freed only on proof that the task is gone; all that time it counts in
+// A claim is the durable record that a task is assigned to a worker. It is created before the
+// task is started and freed only on proof that the task no longer runs; until then it counts in
 // its team's quota.
 //
-// The package is pure: it does no input or output, reads no clock and takes no lock. The
-// leader owns the Table, guards it by its own lock, and writes the batches that NextBatch
-// gives; recovery, anti-entropy and the job API use the stored records and their keys. Stored
-// bytes must stay readable by every released version: see testdata.
+// The package is pure: it does no input or output, reads no clock and takes no lock. The leader
+// owns the Table, guards it by its own lock, and writes the batches that NextBatch returns;
+// recovery, anti-entropy and the job API use the stored records and their keys. Stored bytes
+// must stay readable by every released version: see testdata.
 package ledger
 
 import (
@@ -19,7 +19,7 @@
 	"rillflow/internal/settings"
 )
 
-// Reasons why a task may not be claimed now.
+// Errors that give the reason why no task of a job may be claimed at present.
 var (
 	ErrNoWaitingTask  = errors.New("ledger: no task of the job waits")
 	ErrQuotaExceeded  = errors.New("ledger: the team's quota limit is reached")
@@ -28,7 +28,7 @@
 
 // Table holds the jobs and claims of one leader term. It is not safe for concurrent use.
 type Table struct {
-	writer     string // marks this leader's writes
+	writer     string // identifies this leader in the chunks that it writes
 	writeCount uint64
 
 	jobs         map[string]*Job
@@ -37,10 +37,10 @@
 	dependencies *dependencyGraph
 	writes       *writeQueue
 
-	minAttempt uint64 // new chunks give out attempts above it
+	minAttempt uint64 // attempts in new chunks are numbered above it
 }
 
-// New makes an empty table whose writes carry the writer's mark.
+// New returns an empty table. Each batch's Writer begins with writer.
 func New(writer string, teams []settings.Team) *Table {
 	jobs := make(map[string]*Job)
 	dependencies := newDependencyGraph(jobs)
@@ -54,13 +54,13 @@
 	}
 }
 
-// Job finds a job, or returns nil.
-func (t *Table) Job(ref string) *Job { return t.jobs[ref] }
+// Job returns a job by its ID, or nil.
+func (t *Table) Job(jobID string) *Job { return t.jobs[jobID] }
 
-// Jobs are all jobs, by reference. The map is the table's own: do not change it.
+// Jobs returns all jobs by ID. The map belongs to the table and must not be modified.
 func (t *Table) Jobs() map[string]*Job { return t.jobs }
 
-// ClaimsOfJob are a job's claims, in no order.
+// ClaimsOfJob returns a job's claims in no particular order.
 func (t *Table) ClaimsOfJob(job *Job) []*Claim {
 	claims := make([]*Claim, 0, len(job.claims))
 	for _, claim := range job.claims {
@@ -69,18 +69,19 @@
 	return claims
 }
 
-// AddJob adds a job read from the key-value store. A known job is left alone.
-func (t *Table) AddJob(ref string, record JobRecord, modRevision uint64) *Job {
-	if job := t.jobs[ref]; job != nil {
+// AddJob adds a job read from the key-value store and returns it. If the table already has the job,
+// that is returned unchanged.
+func (t *Table) AddJob(jobID string, record JobRecord, modRevision uint64) *Job {
+	if job := t.jobs[jobID]; job != nil {
 		return job
 	}
-	job := newJob(ref, record, modRevision)
-	t.jobs[ref] = job
+	job := newJob(jobID, record, modRevision)
+	t.jobs[jobID] = job
 	t.dependencies.add(job)
 	return job
 }
 
-// CheckClaim returns why no further task of the job may be claimed in a zone, or nil.
+// CheckClaim returns nil if another task of the job may be claimed in a zone, or the reason why not.
 func (t *Table) CheckClaim(job *Job, zone string) error {
 	switch {
 	case job.WaitingTasks() == 0:
@@ -93,14 +94,14 @@
 	return nil
 }
 
-// CanClaimGang reports whether all waiting tasks of a gang are within its team's limit, and
-// no claim of an earlier start is left.
+// CanClaimGang reports whether all tasks of a gang may be claimed: they are within its team's limit,
+// and no claim from an earlier start remains.
 func (t *Table) CanClaimGang(job *Job) bool {
 	waiting := job.WaitingTasks()
 	return waiting > 0 && len(job.claims) == 0 && t.quotas.fitsLimit(job, float64(waiting))
 }
 
-// ZoneHeadroom is how many more tasks of the job a zone may take.
+// ZoneHeadroom returns how many more tasks of the job a zone may take.
 func (t *Table) ZoneHeadroom(job *Job, zone string) int { return job.zoneHeadroom(zone) }
 
 // Claim claims the job's next task for a worker. The claim must be committed before the task
@@ -111,8 +112,8 @@
 	}
 	task := job.takeNextTask()
 	chunk := job.ensureChunk(task, t.minAttempt)
-	// An attempt is never used twice, whatever became of the last. The tasks of a gang find
-	// one another by having the same.
+	// An attempt number is never reused, whatever became of the last attempt. The tasks of a gang
+	// share one, by which they find each other.
 	if job.IsGang() {
 		chunk.lastAttempt = job.nextGangAttempt(t.minAttempt)
 	} else {
@@ -120,15 +121,15 @@
 	}
 	record := ClaimRecord{Worker: worker, Incarnation: incarnation, Attempt: chunk.lastAttempt, Zone: zone}
 	chunk.claims[task%job.chunkTasks] = record
-	chunk.uncommitted++
+	chunk.uncommittedClaims++
 	claim := &Claim{ClaimRecord: record, Job: job, Index: task}
 	t.addClaim(claim)
-	t.writes.markTask(job, task)
+	t.writes.enqueueTask(job, task)
 	return claim, nil
 }
 
-// Free gives a claim up on proof that its task is gone, and lets the task be claimed again.
-// A claim that stands no longer, or whose task is done, is left alone.
+// Free removes a claim on proof that its task no longer runs, and lets the task be claimed again.
+// It has no effect if the claim has already been removed or its task is done.
 func (t *Table) Free(claim *Claim, now time.Time) {
 	job := claim.Job
 	if job.claims[claim.Index] != claim || claim.Finished {
@@ -141,37 +142,37 @@
 	job.requeued = append(job.requeued, claim.Index)
 }
 
-// Finish notes that a claim's task is done. The claim stays until that is durable, so that
-// the worker is not told to forget the task before; but the task is surely gone from its
-// worker, so it takes nothing more of it, nor of its team's quota.
+// Finish records that a claim's task is done. The claim remains until that is durable, so that the
+// worker is not told to forget the task earlier. The task no longer runs, so its share of the
+// worker's resources and of its team's quota is released at once.
 func (t *Table) Finish(claim *Claim) {
 	job := claim.Job
 	if job.claims[claim.Index] != claim || claim.Finished {
 		return
 	}
 	claim.Finished = true
-	t.workers.finish(claim)
+	t.workers.releaseResources(claim)
 	t.quotas.add(job, -1)
 	job.doneTasks++
 	chunk, offset := job.chunkOf(claim.Index), claim.Index%job.chunkTasks
 	chunk.done.set(offset)
 	delete(chunk.claims, offset)
-	t.writes.markTask(job, claim.Index)
+	t.writes.enqueueTask(job, claim.Index)
 	t.checkFinished(job)
 }
 
-// checkFinished notes that a job whose last task is done is to be ended.
+// checkFinished marks a job as finished, to be ended, if all its tasks are done.
 func (t *Table) checkFinished(job *Job) {
 	if !job.Cancelled && !job.Finished && job.allTasksDone() {
 		job.Finished = true
-		t.writes.markJob(job)
+		t.writes.enqueueJob(job)
 	}
 }
 
-// Cancel notes that a job was durably cancelled. Claims whose task was surely never started
-// are freed; the rest stand until proof.
-func (t *Table) Cancel(ref string) {
-	job := t.jobs[ref]
+// Cancel records that a job was durably cancelled. Claims whose task certainly never started or is
+// done are removed; the others remain until there is proof that their task no longer runs.
+func (t *Table) Cancel(jobID string) {
+	job := t.jobs[jobID]
 	if job == nil || job.Cancelled {
 		return
 	}
@@ -179,14 +180,14 @@
 	job.Finished = false
 	t.dependencies.removeCancelled(job)
 	for _, claim := range job.claims {
-		// A finish still to be written is proof that the task is gone; the finish itself no
-		// longer matters.
+		// A finish that is not written yet is proof enough that the task no longer runs, and need
+		// not be written any more.
 		if claim.Finished || !claim.mayBeRunning() {
 			t.removeClaim(claim)
 		}
 	}
-	t.writes.markJob(job)
-	t.forgetIfGone(job)
+	t.writes.enqueueJob(job)
+	t.removeIfCleanedUp(job)
 }
 
 func (t *Table) addClaim(claim *Claim) {
@@ -210,14 +211,15 @@
 	chunk := job.chunkOf(claim.Index)
 	delete(chunk.claims, claim.Index%job.chunkTasks)
 	if !claim.Committed {
-		chunk.uncommitted--
+		chunk.uncommittedClaims--
 	}
-	t.writes.markTask(job, claim.Index)
+	t.writes.enqueueTask(job, claim.Index)
 }
 
-// forgetIfGone forgets a job that has ended once nothing of it is left, here or stored.
-func (t *Table) forgetIfGone(job *Job) {
-	if job.isForgettable() {
+// removeIfCleanedUp removes a job from the table if it has ended and has neither claims nor stored
+// chunks left.
+func (t *Table) removeIfCleanedUp(job *Job) {
+	if job.isCleanedUp() {
 		delete(t.jobs, job.ID)
 	}
 }
--- a/internal/ledger/table_test.go
+++ b/internal/ledger/table_test.go
@@ -14,8 +14,8 @@
 
 var now = time.Unix(5000, 0)
 
-func batchLimits(ops int) BatchLimits {
-	return BatchLimits{MaxOperations: ops, MaxBytes: 40 << 10, MaxValueBytes: 16 << 10}
+func batchLimits(operations int) BatchLimits {
+	return BatchLimits{MaxOperations: operations, MaxBytes: 40 << 10, MaxValueBytes: 16 << 10}
 }
 
 func testTeams() []settings.Team {
@@ -36,27 +36,27 @@
 	for _, tc := range []struct {
 		name   string
 		record JobRecord
-		tweak  func(*wire.Job)
-		zones  []string // of claims made before
+		modify func(*wire.Job)
+		zones  []string // zones of the earlier claims
 		zone   string
 		want   error
 	}{
 		{"plain", array(4), nil, nil, "x", nil},
-		{"limit reached by one's own claims", large, nil, []string{"x", "x", "y", "y"}, "x", ErrQuotaExceeded},
+		{"limit reached by the job's own claims", large, nil, []string{"x", "x", "y", "y"}, "x", ErrQuotaExceeded},
 		{"just within the limit", large, nil, []string{"x", "x", "y"}, "x", nil},
-		{"none left", array(1), nil, []string{"x"}, "x", ErrNoWaitingTask},
+		{"no waiting task", array(1), nil, []string{"x"}, "x", ErrNoWaitingTask},
 		{"unknown team", newJobRecord("c", wire.KindArray, 1, 1), nil, nil, "x", ErrQuotaExceeded},
-		{"zone", array(1), inZoneY, nil, "x", ErrZoneNotAllowed},
-		{"spread: 5 of 9", service(9), spread, []string{"x", "x", "x", "x"}, "x", nil},
-		{"spread: not 6 of 9", service(9), spread, []string{"x", "x", "x", "x", "x"}, "x", ErrZoneNotAllowed},
-		{"spread: 1 of 1", service(1), spread, nil, "x", nil},
-		{"single zone", array(3), singleZone, []string{"y"}, "x", ErrZoneNotAllowed},
-		{"single zone kept", array(3), singleZone, []string{"x"}, "x", nil},
+		{"other zone required", array(1), inZoneY, nil, "x", ErrZoneNotAllowed},
+		{"spread: fifth of 9", service(9), spread, []string{"x", "x", "x", "x"}, "x", nil},
+		{"spread: sixth of 9", service(9), spread, []string{"x", "x", "x", "x", "x"}, "x", ErrZoneNotAllowed},
+		{"spread: only task", service(1), spread, nil, "x", nil},
+		{"single zone, claimed elsewhere", array(3), singleZone, []string{"y"}, "x", ErrZoneNotAllowed},
+		{"single zone, claimed there", array(3), singleZone, []string{"x"}, "x", nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			table := New("w", testTeams())
-			if tc.tweak != nil {
-				tc.tweak(&tc.record.Job)
+			if tc.modify != nil {
+				tc.modify(&tc.record.Job)
 			}
 			job := table.AddJob("req-1", tc.record, 1)
 			for i, zone := range tc.zones {
@@ -71,7 +71,8 @@
 	}
 }
 
-// A claim counts in the quota and the spread until it is freed, whatever is known of its task.
+// A claim must count in the quota until it is freed. Freeing it twice must have no further effect,
+// and the task's next claim must have a higher attempt number.
 func TestClaimCountsUntilFreed(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("a", wire.KindArray, 9, 16), 1)
@@ -80,21 +81,22 @@
 		t.Fatal(err)
 	}
 	if _, err := table.Claim(job, "g", 1, "x"); !errors.Is(err, ErrQuotaExceeded) {
-		t.Fatalf("second claim: %v", err)
+		t.Fatalf("second claim: got error %v, want %v", err, ErrQuotaExceeded)
 	}
 	table.Free(claim, now)
-	table.Free(claim, now) // a second proof changes nothing
+	table.Free(claim, now) // freeing it again must change nothing
 	if usage := table.Usage("a"); usage.CPUs != 0 {
-		t.Errorf("usage %v after freeing", usage)
+		t.Errorf("usage %v after freeing, want 0 CPUs", usage)
 	}
 	again, err := table.Claim(job, "g", 1, "x")
 	if err != nil || again.Index != claim.Index || again.Attempt <= claim.Attempt {
-		t.Errorf("claimed again as %+v, %v: the attempt must rise", again, err)
+		t.Errorf("claimed again as %+v, %v, want task %d with an attempt above %d",
+			again, err, claim.Index, claim.Attempt)
 	}
 }
 
-// A finished task is gone from its worker: before that is durable its team may claim another in
-// its place, and once it is, nothing is given back twice.
+// A finished task must stop counting in its team's quota even before the finish is durable, and must
+// not be subtracted a second time once it is.
 func TestFinishedTaskUsesNothing(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("a", wire.KindArray, 3, 16), 1)
@@ -102,53 +104,53 @@
 	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 2)
 	table.Finish(claim)
 	if usage := table.Usage("a"); usage.CPUs != 0 {
-		t.Fatalf("%v CPUs", usage.CPUs)
+		t.Fatalf("%v CPUs used after the finish, want 0", usage.CPUs)
 	}
 	if _, err := table.Claim(job, "g", 1, "x"); err != nil {
 		t.Fatal(err)
 	}
 	table.BatchCommitted(table.NextBatch(batchLimits(16), now), 3)
 	if usage := table.Usage("a"); usage.CPUs != 16 {
-		t.Errorf("%v CPUs, want one task's", usage.CPUs)
+		t.Errorf("%v CPUs used, want the 16 of one task", usage.CPUs)
 	}
 }
 
-// The tasks of a gang have one attempt number, which rises with each start of the gang.
+// The tasks of a gang must share one attempt number, which rises with each start of the gang.
 func TestGangSharesAttempt(t *testing.T) {
 	table := New("w", testTeams())
 	job := table.AddJob("req-1", newJobRecord("b", wire.KindGang, 20, 1), 7)
 	for round := uint64(1); round < 4; round++ {
 		if !table.CanClaimGang(job) {
-			t.Fatal("the gang may not start")
+			t.Fatalf("round %d: the gang may not be claimed", round)
 		}
 		for i := range 20 {
 			claim, err := table.Claim(job, fmt.Sprint("h", i), 1, "x")
 			if err != nil || claim.Attempt != round {
-				t.Fatalf("round %d: %+v %v", round, claim, err)
+				t.Fatalf("round %d: got claim %+v, %v, want attempt %d", round, claim, err, round)
 			}
 		}
 		for _, claim := range table.ClaimsOfJob(job) {
 			if table.CanClaimGang(job) {
-				t.Fatal("a gang may start while claims of its last start are left")
+				t.Fatalf("round %d: the gang may be claimed while claims of its last start remain", round)
 			}
 			table.Free(claim, now)
 		}
 	}
 }
 
-// What a worker's claims take, and how many of a chunk are not durable, is kept as they come and
-// go; counted afresh it is the same.
+// The incrementally maintained totals, the resources used on each worker and the number of
+// uncommitted claims of each chunk, must equal a recount after every step of a random sequence.
 func TestCountersEqualRecount(t *testing.T) {
 	table := New("w", []settings.Team{{Name: "t", CPUs: 1e6, CPUsMax: 1e6}})
 	rnd := rand.New(rand.NewPCG(3, 4))
 	var held []*Claim
 	for step := range 2000 {
-		ref := fmt.Sprintf("req-%d", rnd.IntN(12))
-		job := table.Job(ref)
+		jobID := fmt.Sprintf("req-%d", rnd.IntN(12))
+		job := table.Job(jobID)
 		if job == nil {
 			record := newJobRecord("t", wire.KindArray, 40, 0.1+float64(rnd.IntN(9)))
 			record.Job.MemoryGB = 1.3
-			job = table.AddJob(ref, record, uint64(step+1))
+			job = table.AddJob(jobID, record, uint64(step+1))
 		}
 		switch action := rnd.IntN(10); {
 		case action < 5:
@@ -169,15 +171,15 @@
 			}
 		default:
 			if rnd.IntN(20) == 0 {
-				table.Cancel(ref)
+				table.Cancel(jobID)
 			}
 		}
-		recountUncommitted(t, table, step)
-		recountResources(t, table, step)
+		checkUncommittedCounts(t, table, step)
+		checkUsedResources(t, table, step)
 	}
 }
 
-func recountUncommitted(t *testing.T, table *Table, step int) {
+func checkUncommittedCounts(t *testing.T, table *Table, step int) {
 	t.Helper()
 	for _, job := range table.Jobs() {
 		for index, chunk := range job.chunks {
@@ -187,14 +189,15 @@
 					want++
 				}
 			}
-			if chunk.uncommitted != want {
-				t.Fatalf("step %d, %s/%d: %d claims not durable, counted %d", step, job.ID, index, chunk.uncommitted, want)
+			if chunk.uncommittedClaims != want {
+				t.Fatalf("step %d, %s/%d: %d uncommitted claims, recount gives %d",
+					step, job.ID, index, chunk.uncommittedClaims, want)
 			}
 		}
 	}
 }
 
-func recountResources(t *testing.T, table *Table, step int) {
+func checkUsedResources(t *testing.T, table *Table, step int) {
 	t.Helper()
 	const tolerance = 1e-9
 	for i := range 5 {
@@ -208,7 +211,7 @@
 		got := table.UsedOnWorker(worker)
 		offCPUs, offMemory := math.Abs(got.CPUs-want.CPUs), math.Abs(got.MemoryGB-want.MemoryGB)
 		if offCPUs > tolerance || offMemory > tolerance || got.GPUs != want.GPUs {
-			t.Fatalf("step %d, %s: %+v, counted %+v", step, worker, got, want)
+			t.Fatalf("step %d, %s: %+v used, recount gives %+v", step, worker, got, want)
 		}
 	}
 }
--- a/internal/ledger/takeover_test.go
+++ b/internal/ledger/takeover_test.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/wire"
 )
 
-// fakeStore applies batches as the key-value store would.
+// fakeStore holds keys and values, and applies batches like the key-value store.
 type fakeStore map[string]json.RawMessage
 
 func (s fakeStore) apply(batch *Batch) {
@@ -24,15 +24,16 @@
 	}
 }
 
-// write applies all that the table has to write, and returns the revision of the last batch.
-func (s fakeStore) write(t *testing.T, table *Table, operations int, revision uint64) uint64 {
+// writeAll applies and commits batches until the table has nothing to write, and returns the revision
+// of the last one.
+func (s fakeStore) writeAll(t *testing.T, table *Table, operations int, revision uint64) uint64 {
 	t.Helper()
 	limits := batchLimits(operations)
 	for batch := table.NextBatch(limits, now); batch != nil; batch = table.NextBatch(limits, now) {
 		revision++
 		for _, operation := range batch.Operations {
 			if len(operation.Value) > limits.MaxValueBytes/4 {
-				t.Fatalf("a value of %d bytes", len(operation.Value))
+				t.Fatalf("a value of %d bytes, want at most %d", len(operation.Value), limits.MaxValueBytes/4)
 			}
 		}
 		s.apply(batch)
@@ -41,7 +42,7 @@
 	return revision
 }
 
-// loadChunks loads the stored chunks as a new leader would.
+// loadChunks loads the stored chunks as a new leader does.
 func (s fakeStore) loadChunks(t *testing.T, table *Table) {
 	t.Helper()
 	for key, data := range s {
@@ -55,9 +56,9 @@
 	table.FinishLoading()
 }
 
-// TestTakeover runs a job through random claims, ends, finishes and failed writes, and has a new
-// leader read what is stored after each write: it must find each durable claim, every durable
-// finish and no task twice.
+// TestTakeover runs a job through random claims, finishes, freed claims and failed writes. A new
+// leader that loads the stored data after any write must find every durable claim, and account for
+// each task exactly once.
 func TestTakeover(t *testing.T) {
 	const tasks = 30
 	for seed := range uint64(40) {
@@ -90,20 +91,21 @@
 				}
 				got := successor.ClaimsOnWorker(claim.Worker)[claim.Task()]
 				if got == nil || got.ClaimRecord != claim.ClaimRecord {
-					t.Fatalf("seed %d: durable claim of task %d on %s is not found", seed, claim.Index, claim.Worker)
+					t.Fatalf("seed %d: the new leader does not find the durable claim of task %d on %s",
+						seed, claim.Index, claim.Worker)
 				}
 			}
 			if n := loaded.WaitingTasks() + loaded.ClaimedTasks() + loaded.DoneTasks(); n != tasks {
-				t.Fatalf("seed %d: %d tasks accounted for", seed, n)
+				t.Fatalf("seed %d: %d tasks waiting, claimed or done, want %d", seed, n, tasks)
 			}
 		}
 		if table.Job("req-1") != nil || len(store) != 1 {
-			t.Fatalf("seed %d: the job did not end: %v", seed, store)
+			t.Fatalf("seed %d: the job did not end, or keys other than its end record remain: %v", seed, store)
 		}
 	}
 }
 
-// claimOrEndTask claims a task, or has a claimed one finish or fail.
+// claimOrEndTask claims a task, or finishes or frees a claimed one.
 func claimOrEndTask(table *Table, job *Job, rnd *rand.Rand) {
 	held := table.ClaimsOfJob(job)
 	if rnd.IntN(2) == 0 && job.WaitingTasks() > 0 {
@@ -124,12 +126,12 @@
 	}
 }
 
-// The largest job the protocol allows runs to its end in small values and batches, and a leader
-// that takes over midway goes on from there.
+// The largest job that the protocol allows must run to its end with small values and batches, and a
+// leader that takes over midway must continue from the stored state.
 func TestLargestJob(t *testing.T) {
 	const (
 		tasks          = 100_000
-		running        = 500 // at a time, by quota
+		running        = 500 // tasks at a time, limited by quota
 		takeoverRound  = 100
 		operationLimit = 16
 	)
@@ -146,32 +148,33 @@
 				t.Fatal(err)
 			}
 		}
-		revision = store.write(t, table, operationLimit, revision)
+		revision = store.writeAll(t, table, operationLimit, revision)
 		if round == takeoverRound {
 			table = New("x", teams)
 			job = table.AddJob("req-1", record, 1)
 			store.loadChunks(t, table)
 			done, claimed, waiting := job.DoneTasks(), job.ClaimedTasks(), job.WaitingTasks()
 			if done != round*running || claimed != running || waiting != tasks-(round+1)*running {
-				t.Fatalf("took over %d done, %d claimed, %d waiting", done, claimed, waiting)
+				t.Fatalf("took over %d done, %d claimed, %d waiting; want %d, %d, %d", done, claimed, waiting,
+					round*running, running, tasks-(round+1)*running)
 			}
 		}
 		for _, claim := range table.ClaimsOfJob(job) {
 			table.Finish(claim)
 		}
-		revision = store.write(t, table, operationLimit, revision)
+		revision = store.writeAll(t, table, operationLimit, revision)
 		if round > tasks/running {
-			t.Fatal("the job does not end")
+			t.Fatalf("the job has not ended after %d rounds", round)
 		}
 	}
 	if len(store) != 1 {
-		t.Errorf("%d keys are left of a job that is done", len(store))
+		t.Errorf("%d keys of the done job remain, want only its end record", len(store))
 	}
 }
 
-// A leader may end between the transaction in which a job is done and those that delete its other
-// chunks. The next one finds claims in them, of tasks that are done: it drops them with the chunk.
-// End records of version 0.1 do not tell the size of the chunks.
+// A leader may stop between the transaction that ends a job and those that delete the job's other
+// chunks. Its successor then finds claims of done tasks in them, and must drop these and delete the
+// chunks. End records of version 0.1 do not have the chunk size.
 func TestDoneJobWithStoredChunks(t *testing.T) {
 	for _, operations := range []int{4, 6} {
 		for _, endV01 := range []string{"", `{"phase":"done","tasks":70}`} {
@@ -186,18 +189,18 @@
 			}
 			store.loadChunks(t, successor)
 			if workers := successor.ClaimedWorkers(); len(workers) != 0 {
-				t.Errorf("claims on %v", workers)
+				t.Errorf("claims on %v, want none", workers)
 			}
-			store.write(t, successor, operations, 9)
+			store.writeAll(t, successor, operations, 9)
 			if len(store) != 1 || len(successor.Jobs()) != 0 {
-				t.Errorf("%d keys are left", len(store))
+				t.Errorf("%d keys and %d jobs remain, want only the end record", len(store), len(successor.Jobs()))
 			}
 		}
 	}
 }
 
-// endWithChunksLeft is what is stored when a leader ends right after the transaction that ends a
-// job of several chunks.
+// endWithChunksLeft returns a store as it is when a leader stops right after the transaction that ends
+// a job of several chunks.
 func endWithChunksLeft(t *testing.T, operations int) fakeStore {
 	t.Helper()
 	const tasks = 70
@@ -211,21 +214,21 @@
 		}
 	}
 	store := fakeStore{}
-	revision := store.write(t, table, operations, 1)
+	revision := store.writeAll(t, table, operations, 1)
 	for _, claim := range table.ClaimsOfJob(job) {
 		table.Finish(claim)
 	}
-	batch := table.NextBatch(batchLimits(operations), now) // done, and no more
+	batch := table.NextBatch(batchLimits(operations), now) // ends the job, but does not delete all chunks
 	store.apply(batch)
 	table.BatchCommitted(batch, revision+1)
 	if store["d/req-1"] == nil || len(store) < 2 {
-		t.Fatalf("with %d operations nothing is left to find", operations)
+		t.Fatalf("with %d operations per batch no chunks remain, so the test has nothing to check", operations)
 	}
 	return store
 }
 
-// Guards against tasks that are lost or run again after a takeover, where ends were written and
-// their chunks were left for later.
+// Tasks must not be lost or run again after a takeover if ends of jobs were written while the
+// deletion of their chunks was deferred.
 func TestTakeoverWithCleanupDeferred(t *testing.T) {
 	const jobs, tasks = 4, 20
 	for seed := range uint64(40) {
@@ -255,22 +258,22 @@
 			checkSuccessor(t, seed, store, record, jobs)
 		}
 		if len(table.Jobs()) != 0 || len(store) != jobs {
-			t.Fatalf("seed %d: the jobs did not end: %v", seed, store)
+			t.Fatalf("seed %d: jobs remain, or keys other than their end records: %v", seed, store)
 		}
 	}
 }
 
-// checkSuccessor has a new leader load what is stored: ended jobs have no claims, all others each
-// task once.
+// checkSuccessor checks what a new leader loads from the store: ended jobs must have no claims, and
+// each task of the others must be accounted for once.
 func checkSuccessor(t *testing.T, seed uint64, store fakeStore, record JobRecord, jobs int) {
 	t.Helper()
 	successor := New("n", testTeams())
 	for i := range jobs {
-		ref := fmt.Sprint("req-", i)
-		end, hasEnded := store[EndedKey(ref)]
+		jobID := fmt.Sprint("req-", i)
+		end, hasEnded := store[EndedKey(jobID)]
 		if !hasEnded {
-			successor.AddJob(ref, record, 1)
-		} else if err := successor.AddEndedJob(ref, end); err != nil {
+			successor.AddJob(jobID, record, 1)
+		} else if err := successor.AddEndedJob(jobID, end); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -280,9 +283,9 @@
 		_, hasEnded := store[EndedKey(fmt.Sprint("req-", i))]
 		switch {
 		case hasEnded && job != nil && job.ClaimedTasks() != 0:
-			t.Fatalf("seed %d: %s has ended and has %d claims", seed, job.ID, job.ClaimedTasks())
+			t.Fatalf("seed %d: ended job %s has %d claims, want none", seed, job.ID, job.ClaimedTasks())
 		case !hasEnded && job.WaitingTasks()+job.ClaimedTasks()+job.DoneTasks() != record.Job.TaskCount:
-			t.Fatalf("seed %d: not all tasks of %s are accounted for", seed, job.ID)
+			t.Fatalf("seed %d: %s does not have each task once waiting, claimed or done", seed, job.ID)
 		}
 	}
 }
--- a/internal/ledger/workers.go
+++ b/internal/ledger/workers.go
@@ -6,7 +6,7 @@
 	"rillflow/internal/wire"
 )
 
-// Resources is what tasks take of a worker.
+// Resources are the resources of a worker that tasks use.
 type Resources struct{ CPUs, GPUs, MemoryGB float64 }
 
 func (r *Resources) add(job *wire.Job, tasks float64) {
@@ -15,13 +15,13 @@
 	r.MemoryGB += tasks * job.MemoryGB
 }
 
-// workerClaims are a worker's claims, with what those take whose tasks are not done.
+// workerClaims holds a worker's claims and the resources used by those whose tasks are not done.
 type workerClaims struct {
 	claims map[Task]*Claim
 	used   Resources
 }
 
-// workerIndex finds claims by worker. Workers without a claim are not in it.
+// workerIndex indexes claims by worker name. Workers without a claim are not in it.
 type workerIndex map[string]*workerClaims
 
 func (w workerIndex) add(claim *Claim) {
@@ -34,8 +34,8 @@
 	worker.used.add(&claim.Job.Spec, 1)
 }
 
-// finish frees the resources of a claim whose task is done; the claim itself stays.
-func (w workerIndex) finish(claim *Claim) { w[claim.Worker].used.add(&claim.Job.Spec, -1) }
+// releaseResources releases the resources of a claim whose task is done; the claim itself remains.
+func (w workerIndex) releaseResources(claim *Claim) { w[claim.Worker].used.add(&claim.Job.Spec, -1) }
 
 func (w workerIndex) remove(claim *Claim) {
 	worker := w[claim.Worker]
@@ -48,7 +48,8 @@
 	}
 }
 
-// ClaimsOnWorker are the claims on a worker. The map is the table's own: do not change it.
+// ClaimsOnWorker returns the claims on a worker. The map belongs to the table and must not be
+// modified.
 func (t *Table) ClaimsOnWorker(name string) map[Task]*Claim {
 	if worker := t.workers[name]; worker != nil {
 		return worker.claims
@@ -56,8 +57,8 @@
 	return nil
 }
 
-// UsedOnWorker is what the claims on a worker take of it. A finished task takes nothing,
-// though its claim stands until that is durable.
+// UsedOnWorker returns the resources that the claims on a worker use. A finished task uses none,
+// though its claim remains until the finish is durable.
 func (t *Table) UsedOnWorker(name string) Resources {
 	if worker := t.workers[name]; worker != nil {
 		return worker.used
@@ -65,7 +66,7 @@
 	return Resources{}
 }
 
-// ClaimedWorkers are the names of all workers with a claim, in order.
+// ClaimedWorkers returns the names of all workers with a claim, sorted.
 func (t *Table) ClaimedWorkers() []string {
 	var names []string
 	for name := range t.workers {
--- a/internal/ledger/writebacklog.go
+++ b/internal/ledger/writebacklog.go
@@ -2,23 +2,23 @@
 
 import "time"
 
-// WriteBacklog is what waits to be written, in chunks.
+// WriteBacklog counts the chunks that wait to be written, by kind of change.
 type WriteBacklog struct {
-	Claims    int       // with claims that are not durable
-	Ends      int       // of jobs all of whose tasks are done
-	Finishes  int       // with finished tasks and freed claims, which nothing waits for
-	Cleanup   int       // to be deleted: their jobs have ended
-	OldestEnd time.Time // since when the end of a job waits; zero: none does
+	Claims    int       // chunks with claims that are not durable
+	Ends      int       // chunks of jobs all of whose tasks are done
+	Finishes  int       // chunks with only finished tasks and freed claims, for which nothing waits
+	Cleanup   int       // chunks to be deleted because their jobs have ended
+	OldestEnd time.Time // since when the oldest pending end waits; zero: no end waits
 }
 
-// WriteBacklog returns what waits to be written.
+// WriteBacklog returns the current backlog.
 func (t *Table) WriteBacklog() WriteBacklog {
 	var backlog WriteBacklog
 	for _, ref := range t.writes.pending {
 		switch t.writes.priority(ref) {
-		case priorityNeededEnd, priorityEnd:
+		case priorityBlockingEnd, priorityEnd:
 			backlog.Ends++
-			if from := ref.job.endPendingFrom; !from.IsZero() &&
+			if from := ref.job.endPendingSince; !from.IsZero() &&
 				(backlog.OldestEnd.IsZero() || from.Before(backlog.OldestEnd)) {
 				backlog.OldestEnd = from
 			}
--- a/internal/ledger/writequeue.go
+++ b/internal/ledger/writequeue.go
@@ -5,76 +5,77 @@
 	"time"
 )
 
-// chunkRef names a chunk of a job.
+// chunkRef identifies a chunk of a job.
 type chunkRef struct {
 	job   *Job
 	index int
 }
 
-// chunk is the chunk itself, or nil.
+// chunk returns the chunk, or nil if it does not exist.
 func (r chunkRef) chunk() *taskChunk { return r.job.chunks[r.index] }
 
 func (r chunkRef) key() string { return ChunkKey(r.job.ID, r.index) }
 
-// writePriority orders what is to be written: the lower, the earlier.
+// writePriority is the priority of a chunk's write; a lower number is written earlier.
 type writePriority int
 
 const (
-	priorityNeededEnd writePriority = iota // the end of a job that others depend on
+	priorityBlockingEnd writePriority = iota // the end of a job that others depend on
 	priorityClaim
 	priorityEnd
-	priorityFinish  // done tasks and freed claims, which nothing waits for
+	priorityFinish  // done tasks and freed claims, for which nothing waits
 	priorityCleanup // chunks of jobs that have ended
 )
 
-// writeQueue holds the chunks that differ from what is stored of them.
+// writeQueue holds the chunks that differ from their stored form.
 type writeQueue struct {
 	pending      []chunkRef
-	dependencies *dependencyGraph // tells whose ends others wait for
+	dependencies *dependencyGraph // to find jobs whose end others wait for
 }
 
-// mark queues a chunk, unless it is queued already.
-func (q *writeQueue) mark(ref chunkRef) {
+// enqueue queues a chunk unless it is already queued.
+func (q *writeQueue) enqueue(ref chunkRef) {
 	if chunk := ref.chunk(); !chunk.dirty {
 		chunk.dirty = true
 		q.pending = append(q.pending, ref)
 	}
 }
 
-// markTask queues the chunk of a task.
-func (q *writeQueue) markTask(job *Job, task int) { q.mark(chunkRef{job, task / job.chunkTasks}) }
+// enqueueTask queues the chunk of a task.
+func (q *writeQueue) enqueueTask(job *Job, task int) { q.enqueue(chunkRef{job, task / job.chunkTasks}) }
 
-// markJob queues all chunks of a job.
-func (q *writeQueue) markJob(job *Job) {
+// enqueueJob queues all chunks of a job.
+func (q *writeQueue) enqueueJob(job *Job) {
 	for index := range job.chunks {
-		q.mark(chunkRef{job, index})
+		q.enqueue(chunkRef{job, index})
 	}
 }
 
-// unmark takes a chunk out of the queue.
-func (q *writeQueue) unmark(ref chunkRef) {
+// remove removes a chunk from the queue.
+func (q *writeQueue) remove(ref chunkRef) {
 	ref.chunk().dirty = false
 	q.pending = slices.DeleteFunc(q.pending, func(other chunkRef) bool { return other == ref })
 }
 
-// noteEnds notes since when ends wait that came since the last batch.
-func (q *writeQueue) noteEnds(now time.Time) {
+// recordPendingEnds sets endPendingSince of the jobs that have finished since the last batch.
+func (q *writeQueue) recordPendingEnds(now time.Time) {
 	for _, ref := range q.pending {
-		if ref.job.Finished && ref.job.endPendingFrom.IsZero() {
-			ref.job.endPendingFrom = now
+		if ref.job.Finished && ref.job.endPendingSince.IsZero() {
+			ref.job.endPendingSince = now
 		}
 	}
 }
 
-// sort puts the queue in order of priority, ends in that in which they came to wait, and all else
-// in that of marking: what was in a batch that failed is marked again.
+// sort orders the queue by priority. Ends of the same priority are ordered by the time since which
+// they wait, since those of a failed batch are queued again behind later ones; all other changes
+// are in the order in which they were queued.
 func (q *writeQueue) sort() {
 	slices.SortStableFunc(q.pending, func(a, b chunkRef) int {
 		first, second := q.priority(a), q.priority(b)
-		if first != second || first != priorityEnd && first != priorityNeededEnd {
+		if first != second || first != priorityEnd && first != priorityBlockingEnd {
 			return int(first - second)
 		}
-		return a.job.endPendingFrom.Compare(b.job.endPendingFrom)
+		return a.job.endPendingSince.Compare(b.job.endPendingSince)
 	})
 }
 
@@ -83,7 +84,7 @@
 	case ref.job.Cancelled:
 		return priorityCleanup
 	case ref.job.Finished && q.dependencies.hasDependents(ref.job):
-		return priorityNeededEnd
+		return priorityBlockingEnd
 	case ref.hasNewClaims():
 		return priorityClaim
 	case ref.job.Finished:
@@ -92,24 +93,24 @@
 	return priorityFinish
 }
 
-// isUrgent reports whether something waits for changes of the priority.
+// isUrgent reports whether tasks, users or other jobs wait for changes of the priority.
 func (p writePriority) isUrgent() bool { return p <= priorityEnd }
 
-// isUrgent reports whether something waits for the chunk to be written.
+// isUrgent reports whether tasks, users or other jobs wait for the chunk to be written.
 func (q *writeQueue) isUrgent(ref chunkRef) bool { return q.priority(ref).isUrgent() }
 
-// hasNewClaims reports whether the chunk has claims that are not durable, without which their
-// tasks cannot be started.
+// hasNewClaims reports whether the chunk has claims that are not durable yet, so that their tasks
+// cannot be started.
 func (r chunkRef) hasNewClaims() bool {
 	chunk := r.chunk()
-	return chunk != nil && chunk.dirty && chunk.uncommitted > 0 && !r.job.Cancelled
+	return chunk != nil && chunk.dirty && chunk.uncommittedClaims > 0 && !r.job.Cancelled
 }
 
-// NothingToWrite reports whether all that the table holds is stored or being written.
+// NothingToWrite reports whether all changes are stored or being written.
 func (t *Table) NothingToWrite() bool { return len(t.writes.pending) == 0 }
 
-// HasUrgentWrites reports whether a claim or the end of a job waits to be written: tasks,
-// users and later jobs wait for those.
+// HasUrgentWrites reports whether a claim or the end of a job waits to be written: tasks, users and
+// dependent jobs wait for those.
 func (t *Table) HasUrgentWrites() bool {
 	return slices.ContainsFunc(t.writes.pending, t.writes.isUrgent)
 }
