--- a/internal/cancellation/acknowledgement.go
+++ b/internal/cancellation/acknowledgement.go
@@ -2,13 +2,13 @@
 
 import "slices"
 
-// unacknowledgedBy returns the cancelled jobs that a peer is not known to have, sorted.
+// unacknowledgedBy returns the cancelled jobs that a peer has not acknowledged, sorted.
 func (s *Set) unacknowledgedBy(peer string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var jobIDs []string
-	for jobID, cancelled := range s.entries {
-		if !cancelled.acknowledgedBy[peer] {
+	for jobID, cancellation := range s.entries {
+		if !cancellation.acknowledgedBy[peer] {
 			jobIDs = append(jobIDs, jobID)
 		}
 	}
@@ -16,23 +16,23 @@
 	return jobIDs
 }
 
-// acknowledge records that a peer has these cancellations.
+// acknowledge records that a peer has acknowledged the cancellations of these jobs.
 func (s *Set) acknowledge(peer string, jobIDs []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, jobID := range jobIDs {
-		if cancelled := s.entries[jobID]; cancelled != nil {
-			cancelled.acknowledgedBy[peer] = true
+		if cancellation := s.entries[jobID]; cancellation != nil {
+			cancellation.acknowledgedBy[peer] = true
 		}
 	}
 }
 
-// forgetAcknowledgements discards what a peer acknowledged. It is called for each new
-// connection: the process behind it may be a new one that knows nothing.
+// forgetAcknowledgements discards the acknowledgements of a peer. It is called for each
+// new connection, since the peer may have restarted with an empty set.
 func (s *Set) forgetAcknowledgements(peer string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, cancelled := range s.entries {
-		delete(cancelled.acknowledgedBy, peer)
+	for _, cancellation := range s.entries {
+		delete(cancellation.acknowledgedBy, peer)
 	}
 }
--- a/internal/cancellation/broadcast.go
+++ b/internal/cancellation/broadcast.go
@@ -12,13 +12,13 @@
 
 // Errors of a broadcast.
 var (
-	// ErrUnsupported means that a peer's version has no cancellation messages.
+	// ErrUnsupported means that a peer runs a version without cancellation messages.
 	ErrUnsupported = errors.New("cancellation: peer does not support cancellation messages")
-	// ErrNotAcknowledged means that some controller may still answer workers without
-	// knowing of the cancellation, so that the user must not be told yet.
+	// ErrNotAcknowledged means that a controller without the cancellation may still answer
+	// workers, so that the cancellation must not be acknowledged to the user yet.
 	ErrNotAcknowledged = errors.New("cancellation: not acknowledged by all controllers that may renew leases")
-	// errLaunchesUnresolved means that the leader knows, but that a start command it gave
-	// earlier may still take effect. It is worth asking again soon.
+	// errLaunchesUnresolved means that the leader has the cancellation, but that one of its
+	// earlier start commands may still take effect. The broadcast is retried.
 	errLaunchesUnresolved = fmt.Errorf("%w: start command of the leader unresolved", ErrNotAcknowledged)
 )
 
@@ -32,26 +32,26 @@
 	SendCancellations(ctx context.Context, peer string, message *Message) (Ack, error)
 }
 
-// Broadcaster makes a cancellation known to every controller that must know of it before
-// the user is told. Its fields are set once, before its first use.
+// Broadcaster distributes a cancellation to the controllers that must have it before it is
+// acknowledged to the user. Its fields are set once, before its first use.
 type Broadcaster struct {
 	Controller    string // name of this controller
 	Cancellations *Set
 	Link          Link
 	LocalLeader   Leader
-	// InitialBackoff is the first pause before a leader is asked again whether its
-	// launches are resolved.
+	// InitialBackoff is the first delay before a leader with unresolved launches is asked
+	// again.
 	InitialBackoff time.Duration
 	// CurrentLeader reads the name of the current leader from the store.
 	CurrentLeader func(ctx context.Context) (string, error)
 }
 
-// Broadcast makes a committed cancellation known. When it returns nil the user may be
-// told: either all controllers know, or the current leader does. The leader is read from
-// the store after the commit, because any later leader finds the cancellation in the
-// store itself; it then also stops tasks on workers that no controller's answers reach.
-// Until ctx ends Broadcast waits for a leader to resolve what it was about to start. Any
-// error is an [ErrNotAcknowledged].
+// Broadcast distributes a committed cancellation. When it returns nil the cancellation may
+// be acknowledged to the user, since either all controllers or the current leader have it.
+// The leader is read from the store after the commit, because any later leader finds the
+// cancellation in the store; the leader also stops tasks on workers that receive no
+// answers from any controller. Until ctx ends, Broadcast waits for the leader to resolve
+// its pending launches. Every error wraps [ErrNotAcknowledged].
 func (b *Broadcaster) Broadcast(ctx context.Context, jobID string) error {
 	if !b.Cancellations.Add("", jobID) {
 		return fmt.Errorf("broadcast job %s: %w: cancellation set is full", jobID, ErrNotAcknowledged)
@@ -68,7 +68,8 @@
 	}
 }
 
-// broadcastOnce sends a cancellation to all peers and judges their answers.
+// broadcastOnce sends a cancellation to all peers and returns nil if their answers allow
+// its acknowledgement to the user.
 func (b *Broadcaster) broadcastOnce(ctx context.Context, jobID string) error {
 	isLeader := b.LocalLeader.ApplyCancellations()
 	if isLeader && !b.LocalLeader.LaunchesResolved(jobID) {
@@ -91,11 +92,11 @@
 	return fmt.Errorf("%w: current leader %s has not accepted it", ErrNotAcknowledged, leader)
 }
 
-// peerAnswers sums up what the peers answered to one cancellation.
+// peerAnswers summarizes the answers of the peers to one cancellation.
 type peerAnswers struct {
 	mu                 sync.Mutex // guards all below while answers arrive
 	allAccepted        bool
-	launchesUnresolved bool            // a leader knows, but has launches under way
+	launchesUnresolved bool            // a leader has the cancellation, but has pending launches
 	acceptedAsLeader   map[string]bool // by peer
 }
 
@@ -107,8 +108,8 @@
 	a.acceptedAsLeader[peer] = ack.Accepted && ack.IsLeader
 }
 
-// sendToAll sends a cancellation to all peers at once and waits for their answers. A peer
-// that cannot be reached counts as one that has not accepted.
+// sendToAll sends a cancellation to all peers concurrently and waits for their answers. A
+// peer that cannot be reached counts as not having accepted it.
 func (b *Broadcaster) sendToAll(ctx context.Context, jobID string) *peerAnswers {
 	result := &peerAnswers{allAccepted: true, acceptedAsLeader: make(map[string]bool)}
 	var wg sync.WaitGroup
@@ -116,7 +117,7 @@
 		wg.Go(func() {
 			ack, err := b.send(ctx, peer, &Message{JobIDs: []string{jobID}})
 			if errors.Is(err, ErrUnsupported) {
-				// Such a peer counts as having accepted: it is served as before these messages existed.
+				// A peer of such a version counts as having accepted, as before these messages existed.
 				ack = Ack{Accepted: true, IsLeader: true}
 			}
 			result.add(peer, ack)
@@ -126,8 +127,8 @@
 	return result
 }
 
-// send sends a message to a peer, and records which cancellations the peer has if it
-// accepted them.
+// send sends a message to a peer and, if the peer accepts it, records that the peer has
+// the cancellations.
 func (b *Broadcaster) send(ctx context.Context, peer string, message *Message) (Ack, error) {
 	message.From = b.Controller
 	ack, err := b.Link.SendCancellations(ctx, peer, message)
@@ -140,30 +141,31 @@
 	return ack, nil
 }
 
-// PeerConnected synchronizes with a peer on a new connection, ahead of any other message:
-// the process behind it may be a new one that knows nothing.
+// PeerConnected synchronizes with a peer on a new connection, ahead of any other message,
+// since the peer may have restarted with an empty set.
 func (b *Broadcaster) PeerConnected(ctx context.Context, peer string) {
 	b.Cancellations.forgetAcknowledgements(peer)
 	b.exchangeAll(ctx, peer)
 }
 
-// SyncPeer is called at regular intervals while a peer is connected. It sends the peer
-// what it lacks; a controller that is not synced itself asks for all that the peer knows.
+// SyncPeer is called at regular intervals while a peer is connected. It sends the
+// cancellations that the peer has not acknowledged. If this controller is not synced, it
+// exchanges entire sets with the peer instead.
 func (b *Broadcaster) SyncPeer(ctx context.Context, peer string) {
 	if !b.Cancellations.Synced() {
-		b.exchangeAll(ctx, peer) // the peer may be synced by now, above all if it is a new leader
+		b.exchangeAll(ctx, peer) // the peer may have become synced, for example as a new leader
 		return
 	}
 	jobIDs := b.Cancellations.unacknowledgedBy(peer)
 	if len(jobIDs) == 0 {
 		return
 	}
-	// What fails is sent again at the next interval, as the peer has not acknowledged it.
+	// If this fails, the cancellations stay unacknowledged and are sent at the next interval.
 	_, _ = b.send(ctx, peer, &Message{JobIDs: jobIDs})
 }
 
-// exchangeAll sends a peer all that this controller knows, and adds all that the peer
-// knows. SyncPeer repeats what fails.
+// exchangeAll sends a peer the entire set and adds the peer's set to it. SyncPeer retries a
+// failed exchange.
 func (b *Broadcaster) exchangeAll(ctx context.Context, peer string) {
 	message := &Message{JobIDs: b.Cancellations.JobIDs(), Full: true, Synced: b.Cancellations.Synced()}
 	ack, err := b.send(ctx, peer, message)
--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -7,8 +7,8 @@
 type Message struct {
 	From   string // name of the sending controller
 	JobIDs []string
-	// Full means that JobIDs is all that the sender knows, and that it asks for all that
-	// the receiver knows.
+	// Full means that JobIDs is the sender's entire set, and that the sender requests the
+	// receiver's entire set.
 	Full bool
 	// Synced means that the sender's set is synced, see [Set.Synced].
 	Synced bool
@@ -33,18 +33,19 @@
 
 // Ack answers a [Message]. The order in which Encode writes its fields is the wire format.
 type Ack struct {
-	// Accepted means that the receiver has the cancellations. It is false if its set is
-	// full or, where it leads, while a start of such a task may still take effect.
+	// Accepted means that the receiver has recorded the cancellations. It is false if its
+	// set is full or, on the leader, while an earlier start command may still start a task
+	// of these jobs.
 	Accepted bool
-	// IsLeader means that the receiver leads, and will see to it that the tasks stop.
+	// IsLeader means that the receiver is the leader and will stop the tasks.
 	IsLeader bool
 	// Synced means that the receiver's set is synced, see [Set.Synced].
 	Synced bool
-	// JobIDs is all that the receiver knows, in answer to a full message.
+	// JobIDs is the receiver's entire set, in answer to a full message.
 	JobIDs []string
 }
 
-// Encode returns the answer's binary form.
+// Encode returns the acknowledgement's binary form.
 func (a *Ack) Encode() []byte {
 	var e codec.Encoder
 	e.Bool(a.Accepted)
@@ -54,7 +55,7 @@
 	return e.B
 }
 
-// DecodeAck parses the binary form of an answer.
+// DecodeAck parses the binary form of an acknowledgement.
 func DecodeAck(body []byte) (ack Ack, err error) {
 	d := codec.Decoder{B: body}
 	ack = Ack{Accepted: d.Bool(), IsLeader: d.Bool(), Synced: d.Bool(), JobIDs: d.Strs()}
@@ -63,17 +64,17 @@
 
 // Leader is the leader's runtime on this controller.
 type Leader interface {
-	// ApplyCancellations cancels the jobs of the set in the leader's job table, and
-	// reports whether this controller leads and has done so.
+	// ApplyCancellations cancels the jobs of the set in the leader's job table. It reports
+	// whether this controller is the leader and has done so.
 	ApplyCancellations() bool
-	// LaunchesResolved reports whether no start command given earlier may still start a
-	// task of these jobs.
+	// LaunchesResolved reports whether no earlier start command can still start a task of
+	// these jobs.
 	LaunchesResolved(jobIDs ...string) bool
 }
 
-// Receive handles a peer's message. A leader for which a start of such a task may still
-// take effect answers with IsLeader alone: it has recorded the cancellations, but the
-// user must not be told yet.
+// Receive handles a peer's message. A leader whose earlier start commands may still start
+// a task of these jobs answers with IsLeader only: it has recorded the cancellations, but
+// they must not be acknowledged to the user yet.
 func (s *Set) Receive(message *Message, leader Leader) Ack {
 	ack := Ack{}
 	if message.Full && message.Synced {
--- a/internal/cancellation/set.go
+++ b/internal/cancellation/set.go
@@ -9,15 +9,15 @@
 	"rillflow/internal/wire"
 )
 
-// Set is the set of recently committed cancellations that this controller knows of. It
-// is safe for concurrent use.
+// Set holds the recently committed cancellations that have reached this controller. It is
+// safe for concurrent use.
 type Set struct {
 	options   Options
 	startedAt time.Time
 
 	mu       sync.Mutex // guards all below
 	entries  map[string]*entry
-	complete bool // a complete set was merged into this one
+	complete bool // a complete set has been merged into this one
 	prunedAt time.Time
 }
 
@@ -29,24 +29,28 @@
 	Capacity int
 	// Peers are the names of the other controllers.
 	Peers []string
-	// StoreUnavailable reports whether the key-value store has not answered for long.
+	// StoreUnavailable reports whether the key-value store has stopped answering this
+	// controller.
 	StoreUnavailable func() bool
-	// Now is the clock.
+	// Now returns the current time.
 	Now func() time.Time
 }
 
-// entry is one cancelled job.
+// entry is the cancellation of one job.
 type entry struct {
 	recordedAt     time.Time
-	acknowledgedBy map[string]bool // peers that are known to have this cancellation
+	acknowledgedBy map[string]bool // peers that have sent or acknowledged this cancellation
 }
 
 const (
-	// retentionFactor is how long a cancellation is kept, as a multiple of the stop deadline.
+	// retentionFactor is the time for which a cancellation is retained, as a multiple of the
+	// stop deadline.
 	retentionFactor = 2
-	// pruneIntervalFraction divides the stop deadline: the set is pruned no more often.
-	pruneIntervalFraction = 8
-	// operationsPerCancellation is what one cancellation takes of the store's write budget.
+	// pruneIntervalDivisor divides the stop deadline to give the minimum interval between
+	// two prunings of the set.
+	pruneIntervalDivisor = 8
+	// operationsPerCancellation is the number of store write operations that one
+	// cancellation takes.
 	operationsPerCancellation = 2
 )
 
@@ -55,23 +59,23 @@
 	return &Set{options: options, startedAt: options.Now(), entries: make(map[string]*entry)}
 }
 
-// Capacity returns how many jobs can be cancelled while a cancellation is kept, given the
-// store's budget of operations a second, which all controllers share.
+// Capacity returns how many jobs can be cancelled within the retention period, given the
+// store's limit of write operations per second, which all controllers share.
 func Capacity(writeRPS float64, stopDeadline time.Duration) int {
 	return int(writeRPS / operationsPerCancellation * retentionFactor * stopDeadline.Seconds())
 }
 
-// Add records jobs whose cancellation is committed and reports whether the set had room
-// for them. from is the peer that sent them, or "".
+// Add records jobs whose cancellation has been committed and reports whether the set had
+// room for them. from is the peer that sent them, or "" if no peer did.
 func (s *Set) Add(from string, jobIDs ...string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.addLocked(from, jobIDs)
 }
 
-// AddComplete adds everything that a synced peer knows, or, with from "", everything that
-// a new leader found in the store whose tasks may still run. The set is synced from then
-// on. It reports whether there was room.
+// AddComplete adds the entire set of a synced peer or, with from "", all cancelled jobs
+// that a new leader found in the store and whose tasks may still run. The set is synced
+// from then on. AddComplete reports whether there was room.
 func (s *Set) AddComplete(from string, jobIDs ...string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,38 +88,38 @@
 func (s *Set) addLocked(from string, jobIDs []string) bool {
 	s.pruneLocked()
 	for _, jobID := range jobIDs {
-		cancelled := s.entries[jobID]
-		if cancelled == nil {
+		cancellation := s.entries[jobID]
+		if cancellation == nil {
 			if len(s.entries) >= s.options.Capacity {
 				return false
 			}
-			cancelled = &entry{recordedAt: s.options.Now(), acknowledgedBy: make(map[string]bool)}
-			s.entries[jobID] = cancelled
+			cancellation = &entry{recordedAt: s.options.Now(), acknowledgedBy: make(map[string]bool)}
+			s.entries[jobID] = cancellation
 		}
 		if from != "" {
-			cancelled.acknowledgedBy[from] = true
+			cancellation.acknowledgedBy[from] = true
 		}
 	}
 	return true
 }
 
-// pruneLocked drops cancellations whose retention is over. None is dropped while the
-// store is unavailable: a delayed start command may still arrive, and only its entry here
-// would stop the task again. The caller holds s.mu.
+// pruneLocked removes cancellations whose retention period has expired. None is removed
+// while the store is unavailable: a delayed start command may still arrive, and only the
+// entry in this set would stop the task again. The caller holds s.mu.
 func (s *Set) pruneLocked() {
 	now := s.options.Now()
-	if now.Sub(s.prunedAt) < s.options.StopDeadline/pruneIntervalFraction || s.options.StoreUnavailable() {
+	if now.Sub(s.prunedAt) < s.options.StopDeadline/pruneIntervalDivisor || s.options.StoreUnavailable() {
 		return
 	}
 	s.prunedAt = now
-	for jobID, cancelled := range s.entries {
-		if now.Sub(cancelled.recordedAt) > retentionFactor*s.options.StopDeadline {
+	for jobID, cancellation := range s.entries {
+		if now.Sub(cancellation.recordedAt) > retentionFactor*s.options.StopDeadline {
 			delete(s.entries, jobID)
 		}
 	}
 }
 
-// JobIDs returns the jobs that are known to be cancelled, sorted.
+// JobIDs returns the cancelled jobs of the set, sorted.
 func (s *Set) JobIDs() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -128,19 +132,19 @@
 	return jobIDs
 }
 
-// Synced reports whether this controller knows every cancellation that was acknowledged
-// to a user and whose tasks may still run, other than those a leader has accepted
-// responsibility for. That is so once the process has run for longer than the stop
-// deadline, or has merged the set of a synced controller: a process that has just
-// started has lost what it was told before.
+// Synced reports whether the set holds every cancellation that was acknowledged to a user
+// and whose tasks may still run, except those that a leader has accepted responsibility
+// for. A process that has just started has lost the cancellations that it held before; it
+// is synced once it has run for longer than the stop deadline or has merged the set of a
+// synced controller.
 func (s *Set) Synced() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.complete || s.options.Now().Sub(s.startedAt) > s.options.StopDeadline
 }
 
-// AmendCommands returns the commands for a worker with a stop added for each task of a
-// cancelled job in its heartbeat, and without starts of such tasks.
+// AmendCommands returns the commands for a worker with a stop command added for each task
+// of a cancelled job in its heartbeat, and without start commands for such tasks.
 func (s *Set) AmendCommands(heartbeat *wire.Heartbeat, commands []wire.Command) []wire.Command {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -153,21 +157,21 @@
 		}
 		commands = append(commands, wire.Command{Action: wire.ActionStop, Task: task.Task, Attempt: task.Attempt})
 	}
-	// A start that was decided before the cancellation arrived must not take effect after it.
+	// A start command issued before the cancellation arrived must not take effect after it.
 	return slices.DeleteFunc(commands, func(command wire.Command) bool {
 		return command.Action == wire.ActionStart && s.coversTaskLocked(command.Task)
 	})
 }
 
-// containsStop reports whether the commands already stop a task's attempt.
+// containsStop reports whether the commands already stop this attempt of the task.
 func containsStop(commands []wire.Command, task wire.TaskStatus) bool {
 	return slices.ContainsFunc(commands, func(command wire.Command) bool {
 		return command.Action == wire.ActionStop && command.Task == task.Task && command.Attempt == task.Attempt
 	})
 }
 
-// coversTaskLocked reports whether a task belongs to a job that is known to be cancelled.
-// The caller holds s.mu.
+// coversTaskLocked reports whether a task belongs to a cancelled job of the set. The caller
+// holds s.mu.
 func (s *Set) coversTaskLocked(task string) bool {
 	jobID, _, _ := strings.Cut(task, "/")
 	return s.entries[jobID] != nil
--- a/internal/cancellation/set_test.go
+++ b/internal/cancellation/set_test.go
@@ -15,7 +15,7 @@
 
 const testStopDeadline = 40 * time.Second
 
-// clock is a time that only the test moves.
+// clock is a manually advanced clock.
 type clock struct{ now time.Time }
 
 func newTestSet(c *clock, storeUnavailable *bool, capacity int) *Set {
@@ -25,30 +25,32 @@
 	})
 }
 
-// A cancellation is kept while a task that it stops may still run or start, and is never evicted.
+// A cancellation is retained while a task of its job may still run or start, and is never
+// evicted to make room for another one.
 func TestSetRetention(t *testing.T) {
 	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
 	set := newTestSet(c, &storeUnavailable, 2)
 	if !set.Add("", "req-1", "req-2") || set.Add("", "req-3") || !set.Add("a", "req-2") {
-		t.Fatal("want room for two, and no eviction")
+		t.Fatal("a set of capacity 2 does not hold exactly the first two jobs")
 	}
 	c.now = c.now.Add(testStopDeadline + time.Second)
 	if set.Add("", "req-3") {
-		t.Error("dropped at the stop deadline: a delayed command may still start a task")
+		t.Error("entries removed at the stop deadline, although a delayed command may still start a task")
 	}
 	storeUnavailable = true
 	c.now = c.now.Add(10 * testStopDeadline)
 	if set.Add("", "req-3") {
-		t.Error("dropped during an outage of the store")
+		t.Error("entries removed while the store is unavailable")
 	}
 	storeUnavailable = false
 	c.now = c.now.Add(testStopDeadline)
 	if !set.Add("", "req-3") || slices.Contains(set.JobIDs(), "req-1") || !slices.Equal(set.JobIDs(), []string{"req-3"}) {
-		t.Errorf("kept for ever: %v", set.JobIDs())
+		t.Errorf("got %v after the retention period, want only req-3", set.JobIDs())
 	}
 }
 
-// Tasks of cancelled jobs are stopped once, and not started; others are left alone.
+// AmendCommands stops each running task of a cancelled job with one command, removes its
+// start commands, and leaves commands for other jobs unchanged.
 func TestAmendCommands(t *testing.T) {
 	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
 	set := newTestSet(c, &storeUnavailable, 8)
@@ -65,16 +67,17 @@
 		{Action: wire.ActionForget, Task: "req-1/2", Attempt: 1},
 	}
 	if got := set.AmendCommands(heartbeat, slices.Clone(given)); !slices.Equal(got, given) {
-		t.Errorf("%v, with nothing cancelled", got)
+		t.Errorf("got %v from an empty set, want the commands unchanged", got)
 	}
 	set.Add("", "req-1")
 	want := []wire.Command{given[0], given[2], given[3], {Action: wire.ActionStop, Task: "req-1/1", Attempt: 2}}
 	if got := set.AmendCommands(heartbeat, slices.Clone(given)); !slices.Equal(got, want) {
-		t.Errorf("%v, want %v", got, want)
+		t.Errorf("got %v, want %v", got, want)
 	}
 }
 
-// A process that has just started is synced only by a peer that is synced.
+// A controller that has just started becomes synced by the full message of a synced peer,
+// or once the stop deadline has passed.
 func TestSynced(t *testing.T) {
 	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
 	old := newTestSet(c, &storeUnavailable, 8)
@@ -83,18 +86,18 @@
 	young, next := newTestSet(c, &storeUnavailable, 8), newTestSet(c, &storeUnavailable, 8)
 	notLeading := fakeLeader{}
 	if young.Receive(&Message{From: "a", Full: true}, notLeading); young.Synced() {
-		t.Error("synced by a peer that is not")
+		t.Error("synced by a peer that is not synced itself")
 	}
 	if young.Receive(&Message{From: "a", JobIDs: []string{"req-2"}, Synced: true}, notLeading); young.Synced() {
 		t.Error("synced by a message that is not full")
 	}
 	ack := old.Receive(&Message{From: "b", Full: true}, notLeading)
 	if !ack.Synced || !slices.Equal(ack.JobIDs, []string{"req-1"}) {
-		t.Errorf("%+v", ack)
+		t.Errorf("got %+v from a synced peer, want Synced and req-1", ack)
 	}
 	next.AddComplete("a", ack.JobIDs...)
 	if ack = next.Receive(&Message{From: "b", Full: true}, notLeading); !next.Synced() || !ack.Synced {
-		t.Error("not synced by a peer that is")
+		t.Error("not synced by a synced peer")
 	}
 	c.now = c.now.Add(testStopDeadline + time.Second)
 	if !young.Synced() {
@@ -102,7 +105,8 @@
 	}
 }
 
-// What a peer acknowledged is forgotten with the connection: its process may have been replaced.
+// The acknowledgements of a peer are discarded when it reconnects, since it may have
+// restarted with an empty set.
 func TestReconnectedPeerIsUnacknowledged(t *testing.T) {
 	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
 	set := newTestSet(c, &storeUnavailable, 8)
@@ -110,56 +114,63 @@
 	set.Add("", "req-2")
 	set.acknowledge("a", []string{"req-2"})
 	if u := set.unacknowledgedBy("a"); len(u) != 0 {
-		t.Errorf("unacknowledged %v", u)
+		t.Errorf("got unacknowledged %v, want none", u)
 	}
 	set.forgetAcknowledgements("a")
 	if u := set.unacknowledgedBy("a"); !slices.Equal(u, []string{"req-1", "req-2"}) {
-		t.Errorf("unacknowledged %v", u)
+		t.Errorf("got unacknowledged %v after a reconnection, want req-1 and req-2", u)
 	}
 	if u := set.unacknowledgedBy("b"); len(u) != 2 {
-		t.Errorf("unacknowledged by the other peer: %v", u)
+		t.Errorf("got unacknowledged %v for the other peer, want both jobs", u)
 	}
 }
 
-// fakeLink answers for the peers.
+// fakeLink returns a fixed answer or error for each peer.
 type fakeLink map[string]struct {
 	Ack
 	err error
 }
 
-func (l fakeLink) SendCancellations(_ context.Context, p string, _ *Message) (Ack, error) {
-	return l[p].Ack, l[p].err
+func (l fakeLink) SendCancellations(_ context.Context, peer string, _ *Message) (Ack, error) {
+	return l[peer].Ack, l[peer].err
 }
 
-// A user may be told once all controllers know, or the current leader does.
+// A cancellation may be acknowledged to the user once all controllers or the current leader
+// have accepted it. The leader is read from the store only if a peer has not accepted.
 func TestBroadcast(t *testing.T) {
-	down, knows, leads, full := errors.New("down"), Ack{Accepted: true}, Ack{Accepted: true, IsLeader: true}, Ack{}
+	down, accepts, leads, full := errors.New("down"), Ack{Accepted: true}, Ack{Accepted: true, IsLeader: true}, Ack{}
 	type peers = fakeLink
 	for _, tc := range []struct {
-		name   string
-		self   bool // this controller leads
-		peers  peers
-		leader string // as the store has it; "": it refuses
-		ok     bool
-		reads  int
+		name             string
+		isLeader         bool // this controller is the leader
+		peers            peers
+		leader           string // according to the store; "": the read fails
+		wantAcknowledged bool
+		wantReads        int // of the leader
 	}{
-		{"all know", false, peers{"a": {knows, nil}, "b": {leads, nil}}, "", true, 0},
-		{"one is away, the leader knows", false, peers{"a": {Ack{}, down}, "b": {leads, nil}}, "b", true, 1},
-		{"one is away, this one leads", true, peers{"a": {Ack{}, down}, "b": {Ack{}, down}}, "me", true, 1},
-		{"the leader is away", false, peers{"a": {Ack{}, down}, "b": {knows, nil}}, "a", false, 1},
-		{"who knows led, and another does since", false, peers{"a": {Ack{}, down}, "b": {leads, nil}}, "a", false, 1},
-		{"the leader has yet to read its job table", false, peers{"a": {Ack{}, down}, "b": {knows, nil}}, "b", false, 1},
-		{"this one has", false, peers{"a": {Ack{}, down}, "b": {knows, nil}}, "me", false, 1},
-		{"nobody can tell who leads", false, peers{"a": {Ack{}, down}, "b": {leads, nil}}, "", false, 1},
-		{"the leader has no room", false, peers{"a": {knows, nil}, "b": {full, nil}}, "b", false, 1},
-		{"the leader does not support it", false, peers{"a": {Ack{}, down}, "b": {Ack{}, ErrUnsupported}}, "b", true, 1},
-		{"nor does any other", false, peers{"a": {Ack{}, ErrUnsupported}, "b": {Ack{}, ErrUnsupported}}, "", true, 0},
+		{"all peers accept", false, peers{"a": {accepts, nil}, "b": {leads, nil}}, "", true, 0},
+		{"a peer is down, the leader accepts", false, peers{"a": {Ack{}, down}, "b": {leads, nil}}, "b", true, 1},
+		{"all peers are down, this controller is the leader", true,
+			peers{"a": {Ack{}, down}, "b": {Ack{}, down}}, "me", true, 1},
+		{"the leader is down", false, peers{"a": {Ack{}, down}, "b": {accepts, nil}}, "a", false, 1},
+		{"the peer that accepted is no longer the leader", false,
+			peers{"a": {Ack{}, down}, "b": {leads, nil}}, "a", false, 1},
+		{"the leader has not read its job table yet", false,
+			peers{"a": {Ack{}, down}, "b": {accepts, nil}}, "b", false, 1},
+		{"this controller is the leader and has not read its job table yet", false,
+			peers{"a": {Ack{}, down}, "b": {accepts, nil}}, "me", false, 1},
+		{"the leader cannot be read", false, peers{"a": {Ack{}, down}, "b": {leads, nil}}, "", false, 1},
+		{"the leader's set is full", false, peers{"a": {accepts, nil}, "b": {full, nil}}, "b", false, 1},
+		{"the leader does not support the message", false,
+			peers{"a": {Ack{}, down}, "b": {Ack{}, ErrUnsupported}}, "b", true, 1},
+		{"no peer supports the message", false,
+			peers{"a": {Ack{}, ErrUnsupported}, "b": {Ack{}, ErrUnsupported}}, "", true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c, storeUnavailable, reads := &clock{time.Unix(1e9, 0)}, false, 0
 			set := newTestSet(c, &storeUnavailable, 8)
 			broadcaster := &Broadcaster{
-				Controller: "me", Cancellations: set, Link: tc.peers, LocalLeader: fakeLeader{t, set, tc.self, true},
+				Controller: "me", Cancellations: set, Link: tc.peers, LocalLeader: fakeLeader{t, set, tc.isLeader, true},
 				CurrentLeader: func(context.Context) (string, error) {
 					reads++
 					if tc.leader == "" {
@@ -169,19 +180,20 @@
 				},
 			}
 			err := broadcaster.Broadcast(t.Context(), "req-1")
-			if (err == nil) != tc.ok || err != nil && !errors.Is(err, ErrNotAcknowledged) || reads != tc.reads {
-				t.Errorf("%v, after %d reads", err, reads)
+			if (err == nil) != tc.wantAcknowledged || err != nil && !errors.Is(err, ErrNotAcknowledged) ||
+				reads != tc.wantReads {
+				t.Errorf("got error %v after %d reads of the leader", err, reads)
 			}
 			for name, peer := range tc.peers {
 				if got := !slices.Contains(set.unacknowledgedBy(name), "req-1"); got != (peer.err == nil && peer.Accepted) {
-					t.Errorf("%s counts as having acknowledged: %v", name, got)
+					t.Errorf("peer %s recorded as having acknowledged: got %v", name, got)
 				}
 			}
 		})
 	}
 }
 
-// fakeLeader is the leader runtime of this controller, which leads or not.
+// fakeLeader is the leader runtime of this controller with fixed answers.
 type fakeLeader struct {
 	t                *testing.T
 	set              *Set
@@ -191,111 +203,114 @@
 
 func (l fakeLeader) ApplyCancellations() bool {
 	if l.set != nil && !slices.Contains(l.set.JobIDs(), "req-1") {
-		l.t.Error("asked whether it leads before the cancellation was recorded")
+		l.t.Error("ApplyCancellations called before the cancellation was recorded")
 	}
 	return l.isLeader
 }
 
 func (l fakeLeader) LaunchesResolved(...string) bool { return l.launchesResolved }
 
-// resolvingLink leads to a leader whose launches are resolved once it was asked so often.
+// resolvingLink is a link to a leader whose launches are resolved after a number of
+// answers.
 type resolvingLink struct{ unresolvedAnswers atomic.Int64 }
 
-func (a *resolvingLink) SendCancellations(context.Context, string, *Message) (Ack, error) {
-	return Ack{Accepted: a.unresolvedAnswers.Add(-1) < 0, IsLeader: true}, nil
+func (l *resolvingLink) SendCancellations(context.Context, string, *Message) (Ack, error) {
+	return Ack{Accepted: l.unresolvedAnswers.Add(-1) < 0, IsLeader: true}, nil
 }
 
-// A broadcast waits for the leader's launches to be resolved, here or elsewhere, but no
-// longer than the user waits.
+// A broadcast waits until the launches of the leader, on this controller or a peer, are
+// resolved, but no longer than its context allows.
 func TestBroadcastWaitsForLaunches(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		times int64 // that the leader is asked before its launches are resolved
-		self  bool  // this controller leads, and its own launches are never resolved
-		ok    bool
+		name              string
+		unresolvedPerPeer int64 // answers of each peer before its launches are resolved
+		isLeader          bool  // this controller is the leader, and its launches are never resolved
+		wantAcknowledged  bool
 	}{
-		{"none is under way", 0, false, true},
-		{"stopped soon", 3, false, true},
-		{"not in the user's time", 1 << 30, false, false},
-		{"its own", 0, true, false},
+		{"no pending launches", 0, false, true},
+		{"resolved after three attempts", 3, false, true},
+		{"never resolved", 1 << 30, false, false},
+		{"launches of this controller never resolved", 0, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
 				set, leader := newTestSet(c, &storeUnavailable, 8), &resolvingLink{}
-				leader.unresolvedAnswers.Store(2 * tc.times) // there are two peers
+				leader.unresolvedAnswers.Store(2 * tc.unresolvedPerPeer) // there are two peers
 				broadcaster := &Broadcaster{
 					Controller: "me", Cancellations: set, Link: leader,
-					LocalLeader: fakeLeader{t, set, tc.self, !tc.self}, InitialBackoff: 10 * time.Millisecond,
+					LocalLeader: fakeLeader{t, set, tc.isLeader, !tc.isLeader}, InitialBackoff: 10 * time.Millisecond,
 					CurrentLeader: func(context.Context) (string, error) {
-						t.Error("the store is asked")
+						t.Error("the leader is read from the store")
 						return "a", nil
 					},
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 				defer cancel()
-				began := time.Now()
+				startedAt := time.Now()
 				err := broadcaster.Broadcast(ctx, "req-1")
-				if (err == nil) != tc.ok || err != nil && !errors.Is(err, ErrNotAcknowledged) {
+				if (err == nil) != tc.wantAcknowledged || err != nil && !errors.Is(err, ErrNotAcknowledged) {
 					t.Error(err)
 				}
-				if since := time.Since(began); tc.ok && since > time.Second || !tc.ok && since != 2*time.Second {
-					t.Errorf("after %v", since)
+				if since := time.Since(startedAt); tc.wantAcknowledged && since > time.Second ||
+					!tc.wantAcknowledged && since != 2*time.Second {
+					t.Errorf("Broadcast returned after %v", since)
 				}
 			})
 		})
 	}
 }
 
-// A leader whose launches are unresolved has recorded the cancellation nevertheless.
-func TestReceiveWhileLaunching(t *testing.T) {
+// A leader with unresolved launches records a cancellation although it does not accept it.
+func TestReceiveWithUnresolvedLaunches(t *testing.T) {
 	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
 	set := newTestSet(c, &storeUnavailable, 8)
 	ack := set.Receive(&Message{From: "a", JobIDs: []string{"req-1"}}, fakeLeader{isLeader: true})
 	if ack.Accepted || !ack.IsLeader {
-		t.Errorf("%+v", ack)
+		t.Errorf("got %+v, want IsLeader without Accepted", ack)
 	}
 	if !slices.Equal(set.JobIDs(), []string{"req-1"}) {
-		t.Error("not recorded")
+		t.Error("cancellation not recorded")
 	}
 	ack = set.Receive(&Message{From: "a", JobIDs: []string{"req-1"}, Full: true}, fakeLeader{isLeader: true})
 	if !ack.Accepted {
-		t.Error("a full message waits for launches")
+		t.Error("full message not accepted because of unresolved launches")
 	}
 }
 
-// Whatever decodes encodes to the same again.
+// Every message that decodes keeps its content when it is encoded and decoded again.
 func FuzzMessages(f *testing.F) {
-	n, a := Message{"me", []string{"req-1", ""}, true, false}, Ack{true, false, true, []string{"req-2"}}
-	f.Add(n.Encode())
-	f.Add(a.Encode())
+	message, ack := Message{"me", []string{"req-1", ""}, true, false}, Ack{true, false, true, []string{"req-2"}}
+	f.Add(message.Encode())
+	f.Add(ack.Encode())
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if n, err := DecodeMessage(b); err == nil {
-			if m, err := DecodeMessage(n.Encode()); err != nil || !reflect.DeepEqual(m, n) {
-				t.Errorf("%+v, %+v, %v", n, m, err)
+		if message, err := DecodeMessage(b); err == nil {
+			if again, err := DecodeMessage(message.Encode()); err != nil || !reflect.DeepEqual(again, message) {
+				t.Errorf("want %+v, got %+v, error %v", message, again, err)
 			}
 		}
-		if a, err := DecodeAck(b); err == nil {
-			if m, err := DecodeAck(a.Encode()); err != nil || !reflect.DeepEqual(m, a) {
-				t.Errorf("%+v, %+v, %v", a, m, err)
+		if ack, err := DecodeAck(b); err == nil {
+			if again, err := DecodeAck(ack.Encode()); err != nil || !reflect.DeepEqual(again, ack) {
+				t.Errorf("want %+v, got %+v, error %v", ack, again, err)
 			}
 		}
 	})
 }
 
-// remoteSet is a peer that answers with what it knows.
+// remoteSet is a link to a single peer with a set of its own.
 type remoteSet struct {
 	*Set
-	sent int
+	received int // messages
 }
 
-func (f *remoteSet) SendCancellations(_ context.Context, _ string, n *Message) (Ack, error) {
-	f.sent++
-	return f.Receive(n, fakeLeader{launchesResolved: true}), nil
+func (r *remoteSet) SendCancellations(_ context.Context, _ string, message *Message) (Ack, error) {
+	r.received++
+	return r.Receive(message, fakeLeader{launchesResolved: true}), nil
 }
 
-// On a new connection each sends the other all. After that a peer is sent only what it
-// lacks, and a controller that is not synced asks until it hears from one that is.
+// On a new connection two controllers exchange their entire sets. After that a synced
+// controller sends only cancellations that the peer lacks, and one that is not synced
+// repeats the exchange until a synced peer answers.
 func TestExchangeAll(t *testing.T) {
 	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
 	peer, local := &remoteSet{Set: newTestSet(c, &storeUnavailable, 8)}, newTestSet(c, &storeUnavailable, 8)
@@ -305,21 +320,21 @@
 	broadcaster.PeerConnected(t.Context(), "a")
 	for _, set := range []*Set{local, peer.Set} {
 		if !slices.Equal(set.JobIDs(), []string{"req-1", "req-2"}) || set.Synced() {
-			t.Errorf("knows %v, synced %v", set.JobIDs(), set.Synced())
+			t.Errorf("got jobs %v, synced %v, want req-1 and req-2, not synced", set.JobIDs(), set.Synced())
 		}
 	}
-	if broadcaster.SyncPeer(t.Context(), "a"); peer.sent != 2 || local.Synced() {
-		t.Errorf("asked %d times, synced %v", peer.sent, local.Synced())
+	if broadcaster.SyncPeer(t.Context(), "a"); peer.received != 2 || local.Synced() {
+		t.Errorf("got %d messages, synced %v, want 2, not synced", peer.received, local.Synced())
 	}
 	peer.AddComplete("", "req-3")
 	if broadcaster.SyncPeer(t.Context(), "a"); !local.Synced() || len(local.JobIDs()) != 3 {
-		t.Errorf("synced %v, knows %v", local.Synced(), local.JobIDs())
+		t.Errorf("got synced %v, jobs %v, want synced with 3 jobs", local.Synced(), local.JobIDs())
 	}
-	if broadcaster.SyncPeer(t.Context(), "a"); peer.sent != 3 {
-		t.Errorf("sent %d times without news", peer.sent)
+	if broadcaster.SyncPeer(t.Context(), "a"); peer.received != 3 {
+		t.Errorf("got %d messages, want 3: nothing is unacknowledged", peer.received)
 	}
 	local.Add("", "req-4")
-	if broadcaster.SyncPeer(t.Context(), "a"); peer.sent != 4 || !slices.Contains(peer.JobIDs(), "req-4") {
-		t.Errorf("sent %d times, the peer knows %v", peer.sent, peer.JobIDs())
+	if broadcaster.SyncPeer(t.Context(), "a"); peer.received != 4 || !slices.Contains(peer.JobIDs(), "req-4") {
+		t.Errorf("got %d messages, the peer has %v, want 4 messages and req-4", peer.received, peer.JobIDs())
 	}
 }
