--- a/internal/dataloss/detector.go
+++ b/internal/dataloss/detector.go
@@ -1,14 +1,14 @@
-// Package dataloss tells which incarnation of its data the key-value store holds, and
-// whether data may have been lost. Each incarnation has a key of its own under a name that
-// is never used twice. Whatever a controller writes compares that key, so what was sent to
-// an incarnation that is lost can never apply to the one that came after, though revisions
-// and mod revisions come again.
+// Package dataloss tracks which incarnation of its data the key-value store holds and
+// detects possible data loss. Each incarnation has a key of its own, whose name is never
+// reused. Every transaction of a controller compares that key, so that a request sent to a
+// lost incarnation can never apply to its successor, although the successor assigns the
+// same revisions and mod revisions again.
 //
-// The package owns the keys of incarnations and their recovery phase, and this controller's
-// suspicion. Package serve runs a Detector and passes it what peers and workers tell;
-// package election begins incarnations and moves them from phase to phase; package intake
-// decides users' requests under its fence. The package must not recover anything itself:
-// that is the leader's work.
+// The package owns the keys of the incarnations and of their recovery phase, and this
+// controller's suspicion of data loss. Package serve runs a Detector and passes it the
+// reports of peers and workers; package election creates incarnations and advances their
+// phase; package intake fences users' requests with it. The package must not recover any
+// data: the leader does.
 package dataloss
 
 import (
@@ -23,31 +23,32 @@
 	"rillflow/internal/wire"
 )
 
-// Parts of the poll wait that are waited between requests that failed.
+// Divisors of the poll wait that give the first and the longest delay between failed
+// requests.
 const (
 	backoffBaseDivisor  = 64
 	backoffLimitDivisor = 8
 )
 
-// Detector keeps to the present incarnation and suspects data loss. One mutex guards what it
-// knows; it is held for no request to the store.
+// Detector follows the current incarnation and suspects data loss. One mutex guards its
+// state; it is never held during a request to the store.
 type Detector struct {
 	store     *kvstore.Client
 	log       *slog.Logger
 	onSuspect func(reason string)
-	recheck   chan struct{} // holds an element while a reload is asked for
+	recheck   chan struct{} // holds an element while a reload is requested
 
-	mu          sync.Mutex // guards what follows
-	loaded      bool       // the store was asked at least once
-	currentAsOf time.Time  // responses to what was asked before are out of date
+	mu          sync.Mutex // guards all below
+	loaded      bool       // the keys have been read at least once
+	currentAsOf time.Time  // responses to earlier requests are out of date
 	current     IncarnationState
 	items       map[string]wire.KeyValue // the stored keys
 	suspicion   Suspicion
 }
 
-// NewDetector returns a Detector that suspects data loss once the store's revisions go back.
-// It calls onSuspect, unless nil, in a goroutine of its own, once for each incarnation whose
-// loss it suspects.
+// NewDetector returns a Detector that, among other signs, suspects data loss when the store's
+// revisions go back. It calls onSuspect, unless nil, in a goroutine of its own, once for
+// each incarnation whose loss it suspects.
 func NewDetector(store *kvstore.Client, onSuspect func(reason string), log *slog.Logger) *Detector {
 	d := &Detector{
 		store:     store,
@@ -57,14 +58,14 @@
 		items:     make(map[string]wire.KeyValue),
 	}
 	store.OnRollback(func(known, received uint64) {
-		// At once: the very response may name the incarnation that came after, which is
-		// not the one that is suspected.
+		// Suspect the current incarnation before the response is processed: it may already
+		// contain the next incarnation, which is not the suspected one.
 		d.Suspect(fmt.Sprintf(reasonRevisionsWentBack, known, received))
 	})
 	return d
 }
 
-// Run keeps to the present incarnation until ctx ends.
+// Run follows the current incarnation until ctx ends.
 func (d *Detector) Run(ctx context.Context, pollWait time.Duration) error {
 	go d.reloadOnRequest(ctx, pollWait)
 	return d.store.WatchPrefix(ctx, kvstore.Watcher{
@@ -77,8 +78,8 @@
 	})
 }
 
-// reloadOnRequest reads the incarnation anew whenever Recheck asks for it: keys that are
-// lost without a trace show in no watch.
+// reloadOnRequest reads the incarnation's keys again whenever Recheck requests it: a key
+// lost together with its history causes no watch event.
 func (d *Detector) reloadOnRequest(ctx context.Context, pollWait time.Duration) {
 	for attempt := 0; ctx.Err() == nil; {
 		select {
@@ -99,7 +100,8 @@
 	}
 }
 
-// Recheck has the incarnation read anew: a compare of its key failed.
+// Recheck requests that the incarnation's keys be read again, for example because a compare
+// of its key failed.
 func (d *Detector) Recheck() {
 	select {
 	case d.recheck <- struct{}{}:
@@ -107,9 +109,9 @@
 	}
 }
 
-// replaceAll takes in all that is stored, as it was asked for at a time. A response that was
-// on its way while this controller learned something later is out of date: it may tell of an
-// incarnation that has begun since as if it were gone.
+// replaceAll replaces the keys by the result of a list requested at askedAt. A response to a
+// request that is older than the current state is out of date and causes another read: it
+// may lack the key of an incarnation that has begun since.
 func (d *Detector) replaceAll(items []wire.KeyValue, askedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -126,7 +128,7 @@
 	d.reevaluateLocked()
 }
 
-// apply takes in changes of the stored keys.
+// apply applies watch events to the keys.
 func (d *Detector) apply(events []wire.Operation) {
 	if len(events) == 0 {
 		return
@@ -144,8 +146,8 @@
 	d.reevaluateLocked()
 }
 
-// IncarnationBegun notes an incarnation that this controller began itself, ahead of the
-// watch that will tell of it.
+// IncarnationBegun records an incarnation that this controller created itself, before the
+// watch reports it.
 func (d *Detector) IncarnationBegun(incarnation Incarnation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -154,7 +156,7 @@
 	}
 	create, err := incarnation.CreateOperation()
 	if err != nil {
-		return // what could not be encoded was not stored either
+		return // an incarnation that cannot be encoded has not been stored either
 	}
 	d.currentAsOf = time.Now()
 	clear(d.items)
@@ -163,16 +165,16 @@
 	d.reevaluateLocked()
 }
 
-// Current returns the incarnation as this controller knows it; the zero value if it knows of
-// none.
+// Current returns the current incarnation as last seen by this controller, or the zero value
+// if it has seen none.
 func (d *Detector) Current() IncarnationState {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.current
 }
 
-// reevaluateLocked tells from the stored keys which incarnation is the present one, and
-// whether data loss is to be suspected, or no longer. The mutex must be held.
+// reevaluateLocked determines the current incarnation from the stored keys, and raises or
+// clears the suspicion of data loss accordingly. The caller holds d.mu.
 func (d *Detector) reevaluateLocked() {
 	items := make([]wire.KeyValue, 0, len(d.items))
 	for _, item := range d.items {
@@ -180,7 +182,7 @@
 	}
 	previous, state := d.current, parseState(items)
 	if state.ID == "" && previous.ID != "" {
-		d.suspectLocked(reasonKeyGone) // d.current stays: it is what is suspected
+		d.suspectLocked(reasonKeyMissing) // d.current stays: it is the suspected incarnation
 		return
 	}
 	if state.ID != previous.ID || state.Phase != previous.Phase {
@@ -189,12 +191,12 @@
 	}
 	d.current = state
 	if previous.ID != "" && state.ID != previous.ID {
-		d.store.StartIncarnation() // what was watched in the last one is to be read anew
+		d.store.StartIncarnation() // watches must read the new incarnation from the beginning
 	}
 	switch {
 	case state.ID == previous.ID || state.ID == "":
 	case state.Epoch < previous.Epoch:
-		// The store went back behind a loss before this one.
+		// The store has gone back to the state before an earlier data loss.
 		d.suspectLocked(reasonEarlierIncarnation)
 		d.suspicion.IncarnationID = state.ID
 	case d.suspicion.Active && state.ID != d.suspicion.IncarnationID:
--- a/internal/dataloss/golden_test.go
+++ b/internal/dataloss/golden_test.go
@@ -10,7 +10,7 @@
 	"rillflow/internal/wire"
 )
 
-// The keys of an incarnation are stored as they are today.
+// The keys and values that store an incarnation must not change between versions.
 func TestGoldenStored(t *testing.T) {
 	var out strings.Builder
 	incarnation := Incarnation{ID: "ABC", Revision: 5, InitialPhase: PhaseProvisional, DataLost: true, Epoch: 7}
@@ -35,7 +35,7 @@
 			{Key: setPhase.Put, Value: setPhase.Value, ModRevision: 6},
 		})
 		if want := (IncarnationState{Incarnation: incarnation, Phase: phase}); !reflect.DeepEqual(got, want) {
-			t.Errorf("reads back as %+v", got)
+			t.Errorf("got %+v from the stored keys", got)
 		}
 	}
 	compare, _ := incarnation.Compare()
--- a/internal/dataloss/incarnation.go
+++ b/internal/dataloss/incarnation.go
@@ -9,76 +9,77 @@
 	"rillflow/internal/wire"
 )
 
-// Keys of the store. Versions before 0.5 neither write nor read them.
+// Keys in the store. Versions before 0.5 neither write nor read them.
 const (
 	keyPrefix         = "history/"
 	incarnationPrefix = "history/id/"
 	phaseKey          = "history/phase"
 )
 
-// ErrIncarnationReplaced says that the store no longer holds the incarnation that a
-// leadership or a request was decided under.
+// ErrIncarnationReplaced means that the store no longer holds the incarnation in which a
+// leader was elected or a request was decided.
 var ErrIncarnationReplaced = errors.New("dataloss: store incarnation replaced or lost")
 
-// Phase says how much of the truth an incarnation holds while lost data is recovered.
+// Phase is the progress of recovery in an incarnation, from which follows whether its data
+// can be taken as complete.
 type Phase string
 
-// The phases, which an incarnation passes through in this order. Their spelling is stored
+// Phases, in the order in which an incarnation passes through them. Their values are stored
 // and shown in /operator/status.
 const (
 	// PhaseProvisional is the first phase of an incarnation that began with an empty store
-	// and nobody who knew of an earlier one: not every controller and worker that might
-	// know has been heard, so what is not stored may have been lost.
+	// and no known predecessor. Controllers and workers that may know of a predecessor have
+	// not all reported yet, so a missing record may have been lost.
 	PhaseProvisional Phase = "open"
-	// PhaseRecovering means that lost data is being put together. No job is accepted, and
-	// nothing is said of jobs but results that are known.
+	// PhaseRecovering means that lost records are being reconstructed. No job is accepted,
+	// and status requests are answered only for known results.
 	PhaseRecovering Phase = "rebuild"
-	// PhaseRestoringResults means that every live job is stored again, and results of
-	// finished jobs are still being written.
+	// PhaseRestoringResults means that all live jobs are stored again, and that results of
+	// ended jobs are still being written.
 	PhaseRestoringResults Phase = "ends"
-	// PhaseComplete means that what is not stored never was.
+	// PhaseComplete means that a missing record never existed.
 	PhaseComplete Phase = "whole"
 )
 
-// Incarnation identifies one life of the store's data: from its beginning, empty or
+// Incarnation identifies one lifetime of the store's data, from its creation, empty or
 // recovered, until data is lost. It is stored under a key of its own, whose name is never
-// used twice.
+// reused.
 type Incarnation struct {
 	ID       string
 	Revision uint64 // mod revision of its key
 	// InitialPhase holds until another phase is stored.
 	InitialPhase Phase
-	// DataLost says that an earlier incarnation was lost, so that workers may run tasks of
-	// which nothing is stored.
+	// DataLost means that an earlier incarnation was lost, so that workers may run tasks
+	// without a stored record.
 	DataLost bool
-	// Epoch is that of the leader that began it. It tells a later incarnation from an
-	// earlier one that came back.
+	// Epoch is the epoch of the leader that created the incarnation. It distinguishes a
+	// later incarnation from an earlier one that has reappeared.
 	Epoch uint64
 }
 
-// incarnationRecord is what an incarnation's key holds.
+// incarnationRecord is the stored value of an incarnation's key.
 type incarnationRecord struct {
 	Phase    Phase  `json:"phase"`
 	DataLost bool   `json:"lost,omitempty"`
 	Epoch    uint64 `json:"epoch"`
 }
 
-// phaseRecord is what the phase key holds.
+// phaseRecord is the stored value of the phase key.
 type phaseRecord struct {
 	ID    string `json:"id"`
 	Phase Phase  `json:"phase"`
 }
 
-// key returns the key that the incarnation is stored under.
+// key returns the key under which the incarnation is stored.
 func (i Incarnation) key() string { return incarnationPrefix + i.ID }
 
-// Compare returns the condition that a write belongs to this incarnation. The zero
-// Incarnation has none, and false is returned.
+// Compare returns the compare that restricts a transaction to this incarnation, or false
+// for the zero Incarnation, which has none.
 func (i Incarnation) Compare() (wire.Compare, bool) {
 	return wire.Compare{Key: i.key(), ModRevision: i.Revision}, i.ID != ""
 }
 
-// CreateOperation returns the operation that begins this incarnation.
+// CreateOperation returns the operation that stores this incarnation's key.
 func (i Incarnation) CreateOperation() (wire.Operation, error) {
 	record, err := json.Marshal(incarnationRecord{Phase: i.InitialPhase, DataLost: i.DataLost, Epoch: i.Epoch})
 	if err != nil {
@@ -87,10 +88,10 @@
 	return wire.Operation{Put: i.key(), Value: record}, nil
 }
 
-// DeleteOperation returns the operation that ends this incarnation.
+// DeleteOperation returns the operation that deletes this incarnation's key.
 func (i Incarnation) DeleteOperation() wire.Operation { return wire.Operation{Delete: i.key()} }
 
-// PhaseOperation returns the operation that takes this incarnation to a phase.
+// PhaseOperation returns the operation that stores a phase of this incarnation.
 func (i Incarnation) PhaseOperation(phase Phase) (wire.Operation, error) {
 	record, err := json.Marshal(phaseRecord{ID: i.ID, Phase: phase})
 	if err != nil {
@@ -99,8 +100,8 @@
 	return wire.Operation{Put: phaseKey, Value: record}, nil
 }
 
-// CompareFailed reports whether the keys of failed compares contain that of an incarnation,
-// so that the store holds another one.
+// CompareFailed reports whether the keys of failed compares include an incarnation's key,
+// which means that the store no longer holds that incarnation.
 func CompareFailed(failed []string) bool {
 	for _, key := range failed {
 		if strings.HasPrefix(key, incarnationPrefix) {
--- a/internal/dataloss/incarnation_test.go
+++ b/internal/dataloss/incarnation_test.go
@@ -15,8 +15,8 @@
 	"rillflow/internal/wire"
 )
 
-// fakeStore is a key-value store that counts as the real one does, so that the same changes
-// give the same mod revisions in each of its incarnations.
+// fakeStore is a key-value store that assigns revisions as the real one does, so that the
+// same changes get the same mod revisions in each of its incarnations.
 type fakeStore struct {
 	mu           sync.Mutex
 	revision     uint64
@@ -30,7 +30,7 @@
 	s.revision, s.modRevisions = 1, map[string]uint64{}
 }
 
-// commit applies a transaction, unless compares fail, whose keys it then returns.
+// commit applies a transaction, or returns the keys of its failed compares.
 func (s *fakeStore) commit(txn wire.Txn) (revision uint64, failed []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,7 +71,7 @@
 	w.Write(body)
 }
 
-// newClient returns a client of a server that serves the store until the test ends.
+// newClient returns a client of the store, which is served until the test ends.
 func (s *fakeStore) newClient(t *testing.T) *kvstore.Client {
 	server := httptest.NewServer(s)
 	t.Cleanup(server.Close)
@@ -85,9 +85,9 @@
 	})
 }
 
-// A write of an incarnation that was lost does not apply to the next one though every mod
-// revision that it compares has come again, exactly. Without the incarnation's compare it
-// does.
+// A delayed write for a lost incarnation must not apply to the next one, even if that one
+// has assigned exactly the same mod revisions to all compared keys. Without the
+// incarnation's compare it does apply.
 func TestLateWriteFromLostIncarnation(t *testing.T) {
 	store := &fakeStore{}
 	client := store.newClient(t)
@@ -98,7 +98,8 @@
 		}
 		return revision, failed
 	}
-	// begin is a leader's start, one claim, and the finish that it is about to write.
+	// begin starts an incarnation and stores a leader and one claim. It returns the compares
+	// and the operation of a write that finishes the claimed task.
 	begin := func(id string) (compares []wire.Compare, late wire.Operation) {
 		store.reset()
 		incarnation := Incarnation{ID: id, InitialPhase: PhaseRecovering, Epoch: 2}
@@ -120,16 +121,16 @@
 	after, _ := begin("B")
 	for i, compare := range before {
 		if compare.ModRevision != after[i].ModRevision {
-			t.Fatalf("the mod revisions did not come again: %v, %v", before, after)
+			t.Fatalf("the two incarnations assigned different mod revisions: %v, %v", before, after)
 		}
 	}
 	if _, failed := commit(before, late); !CompareFailed(failed) {
-		t.Errorf("a write of the incarnation that was lost was applied: %v", failed)
+		t.Errorf("a write for the lost incarnation was applied, failed compares %v", failed)
 	}
 	unfenced := slices.DeleteFunc(before, func(compare wire.Compare) bool {
 		return strings.HasPrefix(compare.Key, incarnationPrefix)
 	})
 	if _, failed := commit(unfenced, late); len(failed) > 0 {
-		t.Errorf("the mod revisions do not come again in this test: %v", failed)
+		t.Errorf("the write without the incarnation's compare was not applied, failed compares %v", failed)
 	}
 }
--- a/internal/dataloss/state.go
+++ b/internal/dataloss/state.go
@@ -10,16 +10,15 @@
 	"rillflow/internal/wire"
 )
 
-// IncarnationState is the present incarnation as it is stored; the zero value if there is
-// none.
+// IncarnationState is the current incarnation as stored, or the zero value if there is none.
 type IncarnationState struct {
 	Incarnation
 	Phase Phase
-	// Superseded are earlier incarnations whose keys are still there.
+	// Superseded are earlier incarnations whose keys are still stored.
 	Superseded []Incarnation
 }
 
-// Read reads the present incarnation from the store.
+// Read reads the current incarnation from the store.
 func Read(ctx context.Context, store *kvstore.Client) (IncarnationState, error) {
 	items, _, err := store.List(ctx, keyPrefix)
 	if err != nil {
@@ -28,8 +27,8 @@
 	return parseState(items), nil
 }
 
-// parseState tells from the stored keys which incarnation is the present one: the one
-// stored last. Damaged records do not fail it, since they are signs of data loss themselves.
+// parseState determines the current incarnation from the stored keys: the one stored last.
+// Damaged records cause no error, since they are signs of data loss themselves.
 func parseState(items []wire.KeyValue) IncarnationState {
 	var state IncarnationState
 	var phase phaseRecord
@@ -57,7 +56,8 @@
 	return state
 }
 
-// parsePhase decodes the phase key; a damaged one is that of no incarnation.
+// parsePhase decodes the value of the phase key. A damaged value yields the zero record,
+// which belongs to no incarnation.
 func parsePhase(item wire.KeyValue) phaseRecord {
 	var record phaseRecord
 	if json.Unmarshal(item.Value, &record) != nil {
@@ -66,7 +66,8 @@
 	return record
 }
 
-// parseIncarnation decodes an incarnation's key, and returns false for other keys.
+// parseIncarnation decodes the key and value of an incarnation. It returns false for other
+// keys.
 func parseIncarnation(item wire.KeyValue) (Incarnation, bool) {
 	id, ok := strings.CutPrefix(item.Key, incarnationPrefix)
 	if !ok {
@@ -74,7 +75,7 @@
 	}
 	var record incarnationRecord
 	if json.Unmarshal(item.Value, &record) != nil {
-		// It is damaged and says nothing for sure: assume the worst.
+		// The record is damaged: assume that data was lost and is being recovered.
 		record = incarnationRecord{Phase: PhaseRecovering, DataLost: true}
 	}
 	return Incarnation{
--- a/internal/dataloss/state_test.go
+++ b/internal/dataloss/state_test.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/wire"
 )
 
-// keyValues returns stored keys from pairs of key and value, with rising mod revisions.
+// keyValues returns stored keys from pairs of key and value, with increasing mod revisions.
 func keyValues(pairs ...string) []wire.KeyValue {
 	var items []wire.KeyValue
 	for i := 0; i < len(pairs); i += 2 {
@@ -23,7 +23,7 @@
 	recovering = `{"phase":"rebuild","lost":true,"epoch":7}`
 )
 
-// What is stored tells which incarnation it is, and how much of the truth it holds.
+// The stored keys, some of them damaged, determine the current incarnation and its phase.
 func TestParseState(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -34,21 +34,21 @@
 		superseded int
 	}{
 		{"none", nil, "", "", false, 0},
-		{"as it began", keyValues("history/id/A", recovering), "A", PhaseRecovering, true, 0},
-		{"advanced", keyValues("history/id/A", recovering, "history/phase", `{"id":"A","phase":"ends"}`),
+		{"in its initial phase", keyValues("history/id/A", recovering), "A", PhaseRecovering, true, 0},
+		{"in a later phase", keyValues("history/id/A", recovering, "history/phase", `{"id":"A","phase":"ends"}`),
 			"A", PhaseRestoringResults, true, 0},
-		{"a phase of another", keyValues("history/id/B", recovering, "history/phase", `{"id":"A","phase":"whole"}`),
+		{"phase of another incarnation", keyValues("history/id/B", recovering, "history/phase", `{"id":"A","phase":"whole"}`),
 			"B", PhaseRecovering, true, 0},
-		{"two, the later one", keyValues("history/id/A", complete, "history/id/B", recovering),
+		{"two incarnations: the later one", keyValues("history/id/A", complete, "history/id/B", recovering),
 			"B", PhaseRecovering, true, 1},
-		{"damaged: nothing is sure", keyValues("history/id/A", `"rot"`), "A", PhaseRecovering, true, 0},
-		{"a damaged phase", keyValues("history/id/A", complete, "history/phase", `7`), "A", PhaseComplete, false, 0},
-		{"an unrelated key", keyValues("history/else", `1`), "", "", false, 0},
+		{"damaged incarnation record", keyValues("history/id/A", `"rot"`), "A", PhaseRecovering, true, 0},
+		{"damaged phase record", keyValues("history/id/A", complete, "history/phase", `7`), "A", PhaseComplete, false, 0},
+		{"unrelated key", keyValues("history/else", `1`), "", "", false, 0},
 	} {
 		state := parseState(tc.items)
 		if state.ID != tc.id || state.Phase != tc.phase ||
 			state.DataLost != tc.dataLost || len(state.Superseded) != tc.superseded {
-			t.Errorf("%s: %+v", tc.name, state)
+			t.Errorf("%s: got %+v", tc.name, state)
 		}
 	}
 }
--- a/internal/dataloss/suspicion.go
+++ b/internal/dataloss/suspicion.go
@@ -7,36 +7,36 @@
 	"rillflow/internal/wire"
 )
 
-// ErrDataLossSuspected says that the store may have lost data, so that nothing that it
-// holds, or does not hold, can be relied on yet. It wraps kvstore.ErrRefused: whoever waits
-// for a store that refuses requests waits for this as well.
+// ErrDataLossSuspected means that the store may have lost data, so that neither present nor
+// missing records can be relied on yet. It wraps kvstore.ErrRefused, so that callers that
+// retry while the store refuses requests also retry on this error.
 var ErrDataLossSuspected = fmt.Errorf("dataloss: store may have lost data: %w", kvstore.ErrRefused)
 
-// Reasons for which data loss is suspected. Peers are sent them and /operator/status shows
-// them, so their spelling stays.
+// Reasons for suspecting data loss. They are sent to peers and shown in /operator/status, so
+// their texts must not change.
 const (
 	reasonRevisionsWentBack  = "generations went back from %d to %d"
-	reasonKeyGone            = "the history's key is gone"
+	reasonKeyMissing         = "the history's key is gone"
 	reasonEarlierIncarnation = "an earlier history is back"
 )
 
-// Suspicion says whether an incarnation is suspected to be lost.
+// Suspicion is the state of a suspected loss of an incarnation.
 type Suspicion struct {
 	Active bool
-	// IncarnationID is the incarnation that is suspected, or was last; "" if it is not
-	// known which.
+	// IncarnationID is the incarnation that is or was last suspected, or "" if it is unknown.
 	IncarnationID string
-	Reason        string // "" if the suspicion is not active
+	Reason        string // "" unless Active
 }
 
-// Suspect notes that the present incarnation may be lost. Only the first reason counts.
+// Suspect records that the current incarnation may be lost. While a suspicion is active,
+// further reasons are ignored.
 func (d *Detector) Suspect(reason string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.suspectLocked(reason)
 }
 
-// suspectLocked is Suspect with the mutex held.
+// suspectLocked is Suspect for callers that hold d.mu.
 func (d *Detector) suspectLocked(reason string) {
 	if d.suspicion.Active {
 		return
@@ -48,17 +48,16 @@
 	}
 }
 
-// Suspicion returns whether an incarnation is suspected to be lost, which and why.
+// Suspicion returns the current suspicion of this controller.
 func (d *Detector) Suspicion() Suspicion {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.suspicion
 }
 
-// Fence returns what a user's request is decided under: the compares that its writes carry,
-// and the incarnation's phase. It fails with ErrDataLossSuspected. legacyLeader says that the
-// leader is of a version that knows nothing of incarnations: what it stores is taken as it
-// is.
+// Fence returns the compares that the writes of a user's request must carry, and the phase of
+// the current incarnation. It fails with ErrDataLossSuspected. legacyLeader means that the
+// leader runs a version without incarnations, whose data is taken as complete.
 func (d *Detector) Fence(legacyLeader bool) ([]wire.Compare, Phase, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,19 +73,19 @@
 	return []wire.Compare{compare}, d.current.Phase, nil
 }
 
-// ObservePeer takes in what a peer says: its suspicion, whose IncarnationID is the
-// incarnation that it goes by even if the suspicion is not active. A suspicion of the very
-// incarnation that this controller goes by is shared.
-func (d *Detector) ObservePeer(peer string, theirs Suspicion) {
+// ObservePeer processes a peer's suspicion, whose IncarnationID is the peer's current
+// incarnation even if the suspicion is not active. This controller adopts an active
+// suspicion of its own current incarnation.
+func (d *Detector) ObservePeer(peer string, peerSuspicion Suspicion) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case !d.loaded:
-	case theirs.IncarnationID != d.current.ID:
-		// One of the two is behind. The watch may not tell: it begins after a revision that
-		// the present incarnation had passed before this controller looked.
+	case peerSuspicion.IncarnationID != d.current.ID:
+		// Either controller may be out of date. The watch does not always report the change:
+		// it may have started at a later revision than that of the current incarnation's key.
 		d.Recheck()
-	case theirs.Active && !d.suspicion.Active:
-		d.suspectLocked(peer + ": " + theirs.Reason)
+	case peerSuspicion.Active && !d.suspicion.Active:
+		d.suspectLocked(peer + ": " + peerSuspicion.Reason)
 	}
 }
