--- a/internal/recovery/merge.go
+++ b/internal/recovery/merge.go
@@ -10,52 +10,53 @@
 	"rillflow/internal/wire"
 )
 
-// Value is a key with its value, and its mod revision if the store holds it.
+// Value is a key with its value and, if the store holds it, its mod revision.
 type Value struct {
 	Key         string
 	Data        []byte
 	ModRevision uint64
 }
 
-// Source is one account of what was stored.
+// Source is one copy of the stored records: the store itself, a replica or a snapshot.
 type Source struct {
 	Values    []Value
-	FromStore bool // it is what the store holds now: its mod revisions count
+	FromStore bool // these are the present contents of the store, with valid mod revisions
 }
 
-// Write is an operation that the store needs. Data nil deletes the key. ModRevision is
-// what the operation must be guarded by: that of the key now, 0 if there is no such key.
+// Write is an operation to be committed to the store. Data nil deletes the key. ModRevision
+// is the key's present mod revision, 0 if the key does not exist; the caller must guard the
+// operation with a compare of it.
 type Write struct {
 	Value
-	IsLive bool // it concerns a live job, and goes before ends
+	IsLive bool // it concerns a live job, and precedes the other writes
 }
 
-// Result is what was reconstructed.
+// Result holds the reconstructed records.
 type Result struct {
 	LiveJobs []Value           // records of the jobs that have not ended
-	Chunks   []Value           // of these jobs, and of cancelled ones that may have tasks somewhere
+	Chunks   []Value           // of the live jobs, and of cancelled ones that may have running tasks
 	Ends     map[string][]byte // by job
-	Writes   []Write           // that make the store hold all this, the most urgent first
-	// Damaged are the keys whose value could not be read in any source.
+	Writes   []Write           // that bring the store to this state, the most urgent first
+	// Damaged are the keys whose value could not be decoded in any source.
 	Damaged []string
-	// OrphanedJobs are the jobs of which there are claims, but no record anywhere.
+	// OrphanedJobs are the jobs with claims but without a record in any source.
 	OrphanedJobs []string
-	// Recovered counts what the store did not hold.
+	// Recovered counts the records that the store did not hold.
 	Recovered Counts
 }
 
-// Counts counts jobs, ended jobs and claims.
+// Counts holds numbers of jobs, ended jobs and claims.
 type Counts struct{ Jobs, Ends, Claims int }
 
-// Merge reconstructs records from sources. Where sources hold different ends of a job the
-// first decides, so that the source of what users were told must come first. No value is
-// written with more than maxValueBytes. Every chunk written carries the writer's mark, and
-// its next attempt is above attemptBase, so that no attempt number of the lost part is
-// given out again.
+// Merge reconstructs the records from all sources. If sources hold different ends of a job,
+// the first source prevails; the one with the ends reported to users must therefore come
+// first. No written value exceeds maxValueBytes. Every written chunk names the writer, and
+// its next attempt is above attemptBase, so that no attempt number of the lost records is
+// assigned again.
 func Merge(sources []Source, writer string, attemptBase uint64, maxValueBytes int) (Result, error) {
 	m := merger{
 		writer: writer, attemptBase: attemptBase, maxValueBytes: maxValueBytes,
-		jobs:       make(map[string]*account),
+		jobs:       make(map[string]*jobEvidence),
 		stored:     make(map[string]Value),
 		unreadable: make(map[string]bool),
 		readable:   make(map[string]bool),
@@ -77,51 +78,51 @@
 	attemptBase   uint64
 	maxValueBytes int
 
-	jobs       map[string]*account // by job
-	stored     map[string]Value    // what the store holds, by key
-	unreadable map[string]bool     // keys with a value that could not be read
-	readable   map[string]bool     // keys with a value that could be read, or is not needed
+	jobs       map[string]*jobEvidence // by job
+	stored     map[string]Value        // contents of the store, by key
+	unreadable map[string]bool         // keys with a value that could not be decoded in some source
+	readable   map[string]bool         // keys with a value that was decoded from some source or is not needed
 	result     Result
 }
 
-// account is all that the sources tell of one job.
-type account struct {
+// jobEvidence combines the records of one job from all sources.
+type jobEvidence struct {
 	recordData  []byte
 	record      *ledger.JobRecord
 	endData     []byte
 	end         *ledger.EndRecord
-	tasks       map[int]taskAccount // by index
-	lastAttempt uint64              // given out, of any chunk
+	tasks       map[int]taskEvidence // by index
+	lastAttempt uint64               // the highest attempt number assigned in any chunk
 	auditBlock  uint64
 }
 
-// taskAccount is all that the sources tell of one task.
-type taskAccount struct {
+// taskEvidence combines the records of one task from all sources.
+type taskEvidence struct {
 	done  bool
 	claim *ledger.ClaimRecord
 }
 
-// chunkSize returns how many tasks share a chunk of the job, or 0 if nothing tells.
-func (a *account) chunkSize() int {
+// chunkSize returns the number of tasks per chunk of the job, or 0 if it is unknown.
+func (e *jobEvidence) chunkSize() int {
 	switch {
-	case a.record != nil:
-		return a.record.ChunkSize()
-	case a.end != nil && a.end.ChunkTasks > 0:
-		return a.end.ChunkTasks
+	case e.record != nil:
+		return e.record.ChunkSize()
+	case e.end != nil && e.end.ChunkTasks > 0:
+		return e.end.ChunkTasks
 	}
 	return 0
 }
 
-func (m *merger) accountOf(jobID string) *account {
+func (m *merger) evidenceOf(jobID string) *jobEvidence {
 	job := m.jobs[jobID]
 	if job == nil {
-		job = &account{tasks: make(map[int]taskAccount)}
+		job = &jobEvidence{tasks: make(map[int]taskEvidence)}
 		m.jobs[jobID] = job
 	}
 	return job
 }
 
-// addRecords takes in the jobs and ends of a source.
+// addRecords adds the job and end records of a source.
 func (m *merger) addRecords(source Source) {
 	for _, value := range source.Values {
 		if source.FromStore {
@@ -141,7 +142,7 @@
 		m.unreadable[value.Key] = true
 		return
 	}
-	if job := m.accountOf(jobID); job.record == nil {
+	if job := m.evidenceOf(jobID); job.record == nil {
 		job.record, job.recordData = &record, value.Data
 	}
 }
@@ -153,14 +154,14 @@
 		m.unreadable[value.Key] = true
 		return
 	}
-	if job := m.accountOf(jobID); job.end == nil {
+	if job := m.evidenceOf(jobID); job.end == nil {
 		job.end, job.endData = &end, value.Data
 	}
 }
 
-// addChunks takes in the claims and finished tasks of a source. How a source lays tasks
-// out in chunks is told by that source's own job record first: a job may have been laid
-// out twice.
+// addChunks adds the claims and finished tasks of a source. The chunk size of a job is taken
+// from the same source's job record, if it has one: sources may hold chunks of the same job
+// with different sizes.
 func (m *merger) addChunks(source Source) {
 	sizes := chunkSizes(source)
 	for _, value := range source.Values {
@@ -173,20 +174,20 @@
 			m.unreadable[value.Key] = true
 			continue
 		}
-		job := m.accountOf(jobID)
+		job := m.evidenceOf(jobID)
 		size := sizes[jobID]
 		if size == 0 {
 			size = job.chunkSize()
 		}
 		if size == 0 {
-			continue // nothing tells which tasks these are: the workers' heartbeats will
+			continue // the task indexes are unknown; the workers' heartbeats will report the tasks
 		}
 		job.addChunk(chunk, number*size)
 	}
 }
 
-// chunkSizes returns how many tasks share a chunk, for each job of which a source has the
-// record.
+// chunkSizes returns the number of tasks per chunk for each job that a source has a record
+// of.
 func chunkSizes(source Source) map[string]int {
 	sizes := make(map[string]int)
 	for _, value := range source.Values {
@@ -199,33 +200,33 @@
 	return sizes
 }
 
-// addChunk takes in a chunk whose first task has a given index. Of two claims of a task
-// the one with the later attempt counts.
-func (a *account) addChunk(chunk ledger.ChunkRecord, first int) {
-	a.lastAttempt = max(a.lastAttempt, chunk.LastAttempt)
-	a.auditBlock = max(a.auditBlock, chunk.AuditBlock)
+// addChunk adds a chunk whose first task has the index firstIndex. Of two claims of a task
+// the one with the later attempt prevails.
+func (e *jobEvidence) addChunk(chunk ledger.ChunkRecord, firstIndex int) {
+	e.lastAttempt = max(e.lastAttempt, chunk.LastAttempt)
+	e.auditBlock = max(e.auditBlock, chunk.AuditBlock)
 	for i := range chunk.Done {
-		task := a.tasks[first+i]
+		task := e.tasks[firstIndex+i]
 		task.done = true
-		a.tasks[first+i] = task
+		e.tasks[firstIndex+i] = task
 	}
 	for i, claim := range chunk.Claims {
-		task := a.tasks[first+i]
+		task := e.tasks[firstIndex+i]
 		if task.claim == nil || claim.Attempt > task.claim.Attempt {
 			task.claim = &claim
 		}
-		a.tasks[first+i] = task
+		e.tasks[firstIndex+i] = task
 	}
 }
 
-// chunks lays the job's tasks out in chunks of a size, by number.
-func (a *account) chunks(size int) map[int]ledger.ChunkRecord {
+// chunks returns the job's tasks as chunk records of the given size, by chunk number.
+func (e *jobEvidence) chunks(size int) map[int]ledger.ChunkRecord {
 	chunks := make(map[int]ledger.ChunkRecord)
-	for index, task := range a.tasks {
+	for index, task := range e.tasks {
 		chunk, ok := chunks[index/size]
 		if !ok {
 			chunk = ledger.ChunkRecord{
-				LastAttempt: a.lastAttempt, AuditBlock: a.auditBlock,
+				LastAttempt: e.lastAttempt, AuditBlock: e.auditBlock,
 				Done: make(map[int]bool), Claims: make(map[int]ledger.ClaimRecord),
 			}
 			chunks[index/size] = chunk
@@ -240,10 +241,11 @@
 	return chunks
 }
 
-// sameTasks reports whether a stored chunk says all that is known of its tasks.
+// sameTasks reports whether a stored chunk has the same finished tasks and claims as the
+// merged one.
 func sameTasks(stored, merged ledger.ChunkRecord) bool {
 	return maps.Equal(stored.Done, merged.Done) && maps.Equal(stored.Claims, merged.Claims)
 }
 
-// sortedJobs returns the jobs that any source tells of.
+// sortedJobs returns the IDs of all jobs found in any source, sorted.
 func (m *merger) sortedJobs() []string { return slices.Sorted(maps.Keys(m.jobs)) }
--- a/internal/recovery/merge_test.go
+++ b/internal/recovery/merge_test.go
@@ -41,7 +41,7 @@
 	return ledger.ClaimRecord{Worker: worker, Incarnation: 1, Attempt: attempt, Zone: "a"}
 }
 
-// newSource makes a source of keys and values, one after the other.
+// newSource returns a source made of alternating keys and values.
 func newSource(fromStore bool, keysAndValues ...any) Source {
 	source := Source{FromStore: fromStore}
 	for i := 0; i < len(keysAndValues); i += 2 {
@@ -63,7 +63,7 @@
 func inStore(keysAndValues ...any) Source   { return newSource(true, keysAndValues...) }
 func inReplica(keysAndValues ...any) Source { return newSource(false, keysAndValues...) }
 
-// What each source proves, and which of two prevails.
+// What a record from each source proves, and which of two conflicting records prevails.
 func TestMerge(t *testing.T) {
 	const (
 		done      = `{"phase":"done","tasks":2}`
@@ -75,33 +75,33 @@
 		name    string
 		sources []Source
 		live    bool
-		end     string // its phase
+		end     string // phase of the end record; "": none
 		claims  string // of the chunk, as task#attempt@worker
-		done    int    // tasks
-		writes  string // keys, in order; -key for one that is deleted
+		done    int    // number of finished tasks
+		writes  string // written keys, in order; -key for a deleted one
 		damaged string
 		orphans string
 	}{
-		{"all is there", []Source{
+		{"nothing is lost", []Source{
 			inStore("j/r", record, "c/r/0", chunk(3, nil, claims{0: claimOn("a", 3)})),
 		}, true, "", "0#3@a", 0, "", "", ""},
-		{"all is lost", []Source{
+		{"the store is empty", []Source{
 			inReplica("j/r", record, "c/r/0", chunk(3, nil, claims{0: claimOn("a", 3)})),
 		}, true, "", "0#3@a", 0, "j/r c/r/0", "", ""},
 		{"an end prevails over a live record", []Source{
 			inReplica("d/r", done), inStore("j/r", record),
 		}, false, "done", "", 0, "d/r -j/r", "", ""},
-		{"the end told first stays", []Source{
+		{"the end of the first source prevails", []Source{
 			inReplica("d/r", cancelled), inStore("d/r", done),
 		}, false, "withdrawn", "", 0, "d/r", "", ""},
-		{"a cancellation does not say that its tasks have stopped", []Source{
+		{"the claims of a cancelled job are kept", []Source{
 			inReplica("d/r", cancelled, "c/r/0", chunk(1, nil, claims{2: claimOn("a", 1)})),
 		}, false, "withdrawn", "2#1@a", 0, "c/r/0 d/r", "", ""},
-		{"the later attempt prevails", []Source{
+		{"the later attempt prevails, from a replica", []Source{
 			inReplica("j/r", record, "c/r/0", chunk(2, nil, claims{0: claimOn("b", 2)})),
 			inStore("j/r", record, "c/r/0", chunk(1, nil, claims{0: claimOn("a", 1)})),
 		}, true, "", "0#2@b", 0, "c/r/0", "", ""},
-		{"whichever source has it", []Source{
+		{"the later attempt prevails, from the store", []Source{
 			inReplica("j/r", record, "c/r/0", chunk(1, nil, claims{0: claimOn("a", 1)})),
 			inStore("j/r", record, "c/r/0", chunk(2, nil, claims{0: claimOn("b", 2)})),
 		}, true, "", "0#2@b", 0, "", "", ""},
@@ -109,30 +109,30 @@
 			inReplica("j/r", record, "c/r/0", chunk(2, []int{0}, nil)),
 			inStore("j/r", record, "c/r/0", chunk(5, nil, claims{0: claimOn("a", 5)})),
 		}, true, "", "", 1, "c/r/0", "", ""},
-		{"what either source knows", []Source{
+		{"finished tasks and claims of both sources are merged", []Source{
 			inReplica("j/r", record, "c/r/0", chunk(2, []int{1}, nil)),
 			inStore("j/r", record, "c/r/0", chunk(1, []int{2}, claims{0: claimOn("a", 1)})),
 		}, true, "", "0#1@a", 2, "c/r/0", "", ""},
-		{"a damaged record, known elsewhere", []Source{
+		{"damaged job record, intact in a replica", []Source{
 			inReplica("j/r", record), inStore("j/r", damaged),
 		}, true, "", "", 0, "j/r", "", ""},
-		{"a damaged record, known nowhere", []Source{
+		{"damaged job record in the only source", []Source{
 			inStore("j/r", damaged),
 		}, false, "", "", 0, "", "j/r", ""},
-		{"a record under another name", []Source{
+		{"job record under the key of another job", []Source{
 			inStore("j/x", record),
 		}, false, "", "", 0, "", "j/x", ""},
-		{"a damaged end is no end", []Source{
+		{"a damaged end record does not end the job", []Source{
 			inStore("j/r", record, "d/r", `{"phase":"half"}`),
 		}, true, "", "", 0, "", "d/r", ""},
-		{"a damaged chunk, known elsewhere", []Source{
+		{"damaged chunk, intact in a replica", []Source{
 			inReplica("j/r", record, "c/r/0", chunk(1, nil, claims{0: claimOn("a", 1)})),
 			inStore("j/r", record, "c/r/0", damaged),
 		}, true, "", "0#1@a", 0, "c/r/0", "", ""},
-		{"a damaged chunk, known nowhere", []Source{
+		{"damaged chunk in the only source", []Source{
 			inStore("j/r", record, "c/r/0", damaged),
 		}, true, "", "", 0, "", "c/r/0", ""},
-		{"a damaged chunk of a job that is done", []Source{
+		{"damaged chunk of a finished job", []Source{
 			inStore("d/r", done, "c/r/0", damaged),
 		}, false, "done", "", 0, "", "", ""},
 		{"claims without a job", []Source{
@@ -162,7 +162,7 @@
 					claimed += fmt.Sprintf("%d#%d@%s", i, claim.Attempt, claim.Worker)
 				}
 				if slices.Contains(writes, value.Key) && chunk.LastAttempt < testAttemptBase {
-					t.Errorf("attempts go on from %d", chunk.LastAttempt)
+					t.Errorf("last attempt of a written chunk is %d, below the attempt base", chunk.LastAttempt)
 				}
 			}
 			live := len(result.LiveJobs) == 1
@@ -176,7 +176,7 @@
 	}
 }
 
-// writtenKeys returns the keys of a result's writes, in order; -key for one that is deleted.
+// writtenKeys returns the keys of a result's writes, in order; -key for a deleted one.
 func writtenKeys(result Result) []string {
 	var keys []string
 	for _, write := range result.Writes {
--- a/internal/recovery/result.go
+++ b/internal/recovery/result.go
@@ -10,7 +10,7 @@
 	"rillflow/internal/wire"
 )
 
-// buildResult decides what becomes of each job.
+// buildResult adds each job to the result as ended, live or orphaned.
 func (m *merger) buildResult() error {
 	for _, jobID := range m.sortedJobs() {
 		job := m.jobs[jobID]
@@ -35,9 +35,9 @@
 	return nil
 }
 
-// addEnd adds an ended job. If the store holds it as a live one, its end is as urgent as
-// live jobs are.
-func (m *merger) addEnd(jobID string, job *account) {
+// addEnd adds an ended job. If the store still holds it as a live one, the writes of its end
+// are as urgent as those of live jobs.
+func (m *merger) addEnd(jobID string, job *jobEvidence) {
 	m.result.Ends[jobID] = job.endData
 	liveKey, endedKey := ledger.LiveKey(jobID), ledger.EndedKey(jobID)
 	live, isLive := m.stored[liveKey]
@@ -51,7 +51,7 @@
 }
 
 // addLiveJob adds a job that has not ended.
-func (m *merger) addLiveJob(jobID string, job *account) {
+func (m *merger) addLiveJob(jobID string, job *jobEvidence) {
 	key := ledger.LiveKey(jobID)
 	stored, ok := m.stored[key]
 	record := Value{key, job.recordData, stored.ModRevision}
@@ -62,11 +62,11 @@
 	m.result.LiveJobs = append(m.result.LiveJobs, record)
 }
 
-// addJobChunks adds a job's chunks as they are to be stored.
-func (m *merger) addJobChunks(jobID string, job *account) error {
+// addJobChunks adds the chunks that the store should hold of a job.
+func (m *merger) addJobChunks(jobID string, job *jobEvidence) error {
 	size := job.chunkSize()
 	if size == 0 || job.end != nil && job.end.Phase == wire.PhaseDone {
-		return nil // the chunks of a job that is done are left to garbage collection
+		return nil // garbage collection removes the chunks of a finished job
 	}
 	chunks := job.chunks(size)
 	for _, number := range slices.Sorted(maps.Keys(chunks)) {
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// findDamaged lists the keys that could be read in no source. A chunk does not count if
-// it was reconstructed, or its job has ended.
+// findDamaged lists the keys whose value could not be decoded in any source. A chunk does
+// not count if it was reconstructed or if its job has ended.
 func (m *merger) findDamaged() {
 	for _, chunk := range m.result.Chunks {
 		m.readable[chunk.Key] = true
@@ -113,8 +113,8 @@
 	slices.Sort(m.result.Damaged)
 }
 
-// deleteOrphanedChunks deletes claims without a job, which serve nobody: workers report
-// the tasks that they have.
+// deleteOrphanedChunks deletes claims without a job record. They are not needed: workers
+// report the tasks that they run.
 func (m *merger) deleteOrphanedChunks() {
 	for key, value := range m.stored {
 		if jobID, _, ok := ledger.ParseChunkKey(key); ok && slices.Contains(m.result.OrphanedJobs, jobID) {
--- a/internal/recovery/simulation_test.go
+++ b/internal/recovery/simulation_test.go
@@ -16,17 +16,17 @@
 	"rillflow/internal/wire"
 )
 
-// groundTruth is what really happened, with what the store held after each step.
+// groundTruth is the simulated history of jobs, with the store's contents after each step.
 type groundTruth struct {
-	ended  map[string]string
+	ended  map[string]string             // phase of the end, by job
 	done   map[string]bool               // tasks
-	latest map[string]ledger.ClaimRecord // by task: the last claim, if it stands
-	states []map[string][]byte           // stored after each step
+	latest map[string]ledger.ClaimRecord // present claim, by task
+	states []map[string][]byte           // contents of the store after each step
 	jobs   []string
 }
 
-// simulation runs jobs by the job table itself, so that what is stored is what a leader
-// stores.
+// simulation runs jobs with the real job table, so that the store's contents are those that
+// a leader writes.
 type simulation struct {
 	t        *rapid.T
 	truth    *groundTruth
@@ -59,7 +59,7 @@
 	return s.truth
 }
 
-// drawJob returns a job that is not cancelled, or nil if a new one is due.
+// drawJob returns a job that is not cancelled, or nil to submit a new one.
 func (s *simulation) drawJob() *ledger.Job {
 	if len(s.truth.jobs) == 0 || rapid.IntRange(0, 4).Draw(s.t, "new") == 0 {
 		return nil
@@ -83,22 +83,22 @@
 	s.truth.jobs = append(s.truth.jobs, jobID)
 }
 
-// advance cancels a job, claims a task of it, or ends a claim.
+// advance cancels a job, claims one of its tasks, or frees or finishes a claim.
 func (s *simulation) advance(job *ledger.Job, worker string) {
-	held := s.table.ClaimsOfJob(job)
-	switch do := rapid.IntRange(0, 9).Draw(s.t, "do"); {
-	case do == 0:
+	jobClaims := s.table.ClaimsOfJob(job)
+	switch action := rapid.IntRange(0, 9).Draw(s.t, "do"); {
+	case action == 0:
 		s.cancel(job)
-	case do < 6 && job.WaitingTasks() > 0:
+	case action < 6 && job.WaitingTasks() > 0:
 		claim, err := s.table.Claim(job, worker, 1, "a")
 		if err != nil {
 			s.t.Fatal(err)
 		}
 		s.truth.latest[claim.Task().String()] = claim.ClaimRecord
-	case len(held) > 0:
-		claim := held[0]
+	case len(jobClaims) > 0:
+		claim := jobClaims[0]
 		delete(s.truth.latest, claim.Task().String())
-		if do >= 8 {
+		if action >= 8 {
 			s.table.Free(claim, s.now)
 			return
 		}
@@ -122,7 +122,7 @@
 	s.table.Cancel(job.ID)
 }
 
-// commit stores all that the table has to write.
+// commit stores all pending writes of the table.
 func (s *simulation) commit() {
 	limits := ledger.BatchLimits{MaxOperations: 16, MaxBytes: 1 << 20, MaxValueBytes: testMaxValueBytes}
 	for {
@@ -154,7 +154,7 @@
 	return source
 }
 
-// applyWrites commits the first n writes, guarded as they are.
+// applyWrites commits the first n writes and checks the mod revisions that guard them.
 func applyWrites(t *rapid.T, store map[string][]byte, result Result, n int) map[string][]byte {
 	revisions := map[string]uint64{}
 	for _, value := range sourceOf(store, true).Values {
@@ -163,7 +163,8 @@
 	after := maps.Clone(store)
 	for _, write := range result.Writes[:n] {
 		if revisions[write.Key] != write.ModRevision {
-			t.Fatalf("%s is guarded by %d, is %d", write.Key, write.ModRevision, revisions[write.Key])
+			t.Fatalf("write of %s is guarded by mod revision %d, the key has %d",
+				write.Key, write.ModRevision, revisions[write.Key])
 		}
 		if write.Data == nil {
 			delete(after, write.Key)
@@ -174,7 +175,8 @@
 	return after
 }
 
-// drawDamagedStore returns the store as it was at some step, with keys lost or damaged.
+// drawDamagedStore returns the store's contents after a random step, with some keys lost or
+// damaged.
 func drawDamagedStore(t *rapid.T, truth *groundTruth) map[string][]byte {
 	store := maps.Clone(truth.states[rapid.IntRange(0, len(truth.states)-1).Draw(t, "back to")])
 	if !rapid.Bool().Draw(t, "holes") {
@@ -191,9 +193,9 @@
 	return store
 }
 
-// From one full replica, whatever the store has lost or gone back to and however old the
-// other replicas are, all that matters comes back. It comes back the same from a recovery
-// that was interrupted after any of its writes. What is complete needs no writes.
+// One up-to-date replica is enough to recover all jobs, ends and claims, whatever the store
+// has lost or rolled back and however old the other replica is. The same holds after a
+// recovery that was interrupted after any of its writes. A complete store needs no writes.
 func TestMergeRecoversEverything(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := simulateHistory(t)
@@ -220,7 +222,7 @@
 		}
 		checkAgainstTruth(t, truth, again)
 		for _, write := range again.Writes {
-			t.Fatalf("%s is written though nothing is lost", write.Key)
+			t.Fatalf("%s is written although nothing is lost", write.Key)
 		}
 		for n := range result.Writes {
 			recoverFrom(applyWrites(t, store, result, n))
@@ -228,10 +230,10 @@
 	})
 }
 
-// checkAgainstTruth checks that a result holds all that happened.
+// checkAgainstTruth checks that a result matches the simulated history.
 func checkAgainstTruth(t *rapid.T, truth *groundTruth, result Result) {
 	if len(result.OrphanedJobs) > 0 {
-		t.Fatalf("orphaned jobs %v", result.OrphanedJobs)
+		t.Fatalf("got orphaned jobs %v, want none", result.OrphanedJobs)
 	}
 	checkJobs(t, truth, result)
 	checkTasks(t, truth, result)
@@ -245,14 +247,14 @@
 	for _, jobID := range truth.jobs {
 		if truth.ended[jobID] == "" {
 			if !live[jobID] || result.Ends[jobID] != nil {
-				t.Fatalf("%s is not live", jobID)
+				t.Fatalf("%s is not live, want live without an end", jobID)
 			}
 			continue
 		}
 		var end ledger.EndRecord
 		err := json.Unmarshal(result.Ends[jobID], &end)
 		if err != nil || end.Phase != truth.ended[jobID] || live[jobID] {
-			t.Fatalf("%s ended as %q, not %q; live: %v", jobID, truth.ended[jobID], end.Phase, live[jobID])
+			t.Fatalf("%s: want end %q, got %q, live %v", jobID, truth.ended[jobID], end.Phase, live[jobID])
 		}
 	}
 }
@@ -274,7 +276,7 @@
 	}
 	for task := range truth.done {
 		if id, _ := ledger.ParseTask(task); truth.ended[id.JobID] == "" && !done[task] {
-			t.Fatalf("%s was done", task)
+			t.Fatalf("%s is not done, want done", task)
 		}
 	}
 	for task, want := range truth.latest {
@@ -283,7 +285,7 @@
 			continue
 		}
 		if got, ok := claimed[task]; !ok || got.Attempt != want.Attempt || got.Worker != want.Worker {
-			t.Fatalf("%s is claimed as %v, not %v", task, got, want)
+			t.Fatalf("%s: got claim %v, want %v", task, got, want)
 		}
 	}
 }
