--- a/internal/replica/apply.go
+++ b/internal/replica/apply.go
@@ -9,8 +9,9 @@
 	"rillflow/internal/wire"
 )
 
-// Apply takes in operations that the leader knows to be committed. revision is the one up
-// to which it has watched the jobs, or 0 if the operations say nothing of that.
+// Apply applies committed operations to the leader's replica. revision is the store revision
+// up to which the leader has watched the jobs, or 0 if the operations do not come from that
+// watch.
 func (r *Replica) Apply(revision uint64, operations ...wire.Operation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,23 +34,23 @@
 	}
 	r.tree = txn.Commit()
 	r.pruneOwnWritesLocked()
-	if n := len(r.recent); n > maxRecent {
-		r.recent = append([]sequencedEntry(nil), r.recent[n-maxRecent/2:]...)
+	if count := len(r.recent); count > maxRecentChanges {
+		r.recent = append([]sequencedEntry(nil), r.recent[count-maxRecentChanges/2:]...)
 	}
 }
 
-// applyLocked applies one entry and reports whether it changed anything. The caller holds
+// applyLocked applies one entry and reports whether it changed the tree. The caller holds
 // r.mu.
 func (r *Replica) applyLocked(txn *iradix.Txn[[]byte], entry Entry) bool {
 	if entry.Data == nil {
-		old, had := txn.Delete([]byte(entry.Key))
-		if had {
+		old, existed := txn.Delete([]byte(entry.Key))
+		if existed {
 			r.bytes -= len(entry.Key) + len(old)
 		}
-		return had
+		return existed
 	}
 	if strings.HasPrefix(entry.Key, ledger.EndedPrefix) {
-		if _, had := txn.Get([]byte(entry.Key)); had {
+		if _, exists := txn.Get([]byte(entry.Key)); exists {
 			return false // the end of a job is final
 		}
 		if r.bytes > r.maxBytesForEnds {
@@ -57,23 +58,23 @@
 			return false
 		}
 	}
-	old, had := txn.Insert([]byte(entry.Key), entry.Data)
-	if had && string(old) == string(entry.Data) {
+	old, existed := txn.Insert([]byte(entry.Key), entry.Data)
+	if existed && string(old) == string(entry.Data) {
 		return false
 	}
-	if had {
+	if existed {
 		r.bytes -= len(entry.Key) + len(old)
 	}
 	r.bytes += len(entry.Key) + len(entry.Data)
 	return true
 }
 
-// RecordOwnWrites remembers what this controller committed itself at a revision: if the
-// store loses it before the leader replicates it, no other controller knows of it.
+// RecordOwnWrites records operations that this controller committed itself at a revision. If
+// the store loses them before the leader replicates them, no other controller has a copy.
 func (r *Replica) RecordOwnWrites(revision uint64, operations ...wire.Operation) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if len(r.ownWrites) >= maxRecent {
+	if len(r.ownWrites) >= maxRecentChanges {
 		return
 	}
 	for _, operation := range operations {
@@ -84,9 +85,9 @@
 	}
 }
 
-// pruneOwnWritesLocked drops own writes that the leader knows of by now: those that it
-// replicated, and those of live jobs up to the revision that it has watched. The leader
-// does not watch ended jobs. The caller holds r.mu.
+// pruneOwnWritesLocked drops the own writes that the leader has seen: those that it has
+// replicated, and those of live jobs and claims up to the revision that it has watched. The
+// leader does not watch ended jobs. The caller holds r.mu.
 func (r *Replica) pruneOwnWritesLocked() {
 	for key, write := range r.ownWrites {
 		_, replicated := r.tree.Get([]byte(key))
--- a/internal/replica/collect.go
+++ b/internal/replica/collect.go
@@ -8,11 +8,12 @@
 	iradix "github.com/hashicorp/go-immutable-radix/v2"
 )
 
-// nextSourceMark stands in a page's After for the beginning of the next source.
-const nextSourceMark = "\x00"
+// nextSourceMarker is the value of a page's After if the next page begins the next source.
+const nextSourceMarker = "\x00"
 
-// Collect asks controllers for all that they remember, and returns it as trees. missing
-// names those that did not tell everything: what they told before counts nevertheless.
+// Collect fetches all records that the controllers hold and returns them as trees. missing
+// names the controllers whose records could not be fetched completely; the pages received
+// from them are included in the trees.
 func Collect(ctx context.Context, peers Peers, controllers []string) (trees []*Tree, missing []string) {
 	type answer struct {
 		controller string
@@ -36,8 +37,8 @@
 	return trees, missing
 }
 
-// collectFrom asks one controller for all that it remembers. With an error it returns
-// what it got before.
+// collectFrom fetches all records of one controller, page by page. On an error it also
+// returns the records received before it.
 func collectFrom(ctx context.Context, peers Peers, controller string) (trees []*Tree, err error) {
 	txn := iradix.New[[]byte]().Txn()
 	for request := (PageRequest{}); ; {
@@ -57,11 +58,12 @@
 			trees = append(trees, txn.Commit())
 			txn = iradix.New[[]byte]().Txn()
 		}
-		request = PageRequest{After: strings.TrimPrefix(page.After, nextSourceMark), Source: page.Source}
+		request = PageRequest{After: strings.TrimPrefix(page.After, nextSourceMarker), Source: page.Source}
 	}
 }
 
-// ReadPage returns a page of what this controller remembers, for a peer that collects.
+// ReadPage returns a page of the records that this controller holds, for a peer that collects
+// them.
 func (r *Replica) ReadPage(request PageRequest) Page {
 	sources := r.Sources()
 	page := Page{Source: request.Source}
@@ -71,13 +73,13 @@
 	page.Entries, page.After = readPage(sources[request.Source], request.After)
 	if page.After == "" && request.Source+1 < len(sources) {
 		page.Source++
-		page.After = nextSourceMark
+		page.After = nextSourceMarker
 	}
 	return page
 }
 
-// readPage returns the entries after a key until a message is full, and the key after
-// which the next page begins, or "" if there is none.
+// readPage returns the entries after a key, up to the size of a page, and the key after which
+// the next page begins, or "" if there are no more entries.
 func readPage(tree *Tree, after string) (entries []Entry, next string) {
 	iterator := tree.Root().Iterator()
 	iterator.SeekLowerBound([]byte(after))
@@ -90,7 +92,7 @@
 			continue
 		}
 		entries = append(entries, Entry{string(key), value})
-		if size += len(key) + len(value); size > pageBytes {
+		if size += len(key) + len(value); size > maxPageBytes {
 			return entries, string(key)
 		}
 	}
--- a/internal/replica/messages.go
+++ b/internal/replica/messages.go
@@ -4,36 +4,37 @@
 
 // The order in which these messages write their fields is the wire format.
 
-// pageBytes limits the keys and values of a message. A frame of the link holds more.
-const pageBytes = 192 << 10
+// maxPageBytes limits the keys and values of a message. A frame of the link can hold more.
+const maxPageBytes = 192 << 10
 
-// Push is what the leader sends a follower: the changes since what it has, or a page of a
-// full replica.
+// Push is a message of the leader to a follower: the changes after the follower's position,
+// or a page of a full replica.
 type Push struct {
 	Head
-	Full  bool // a page of a full replica
-	First bool // the first page
-	Last  bool // the last page
-	// From is the sequence number that the changes follow. With a page of a full replica
-	// it is the replica's own.
+	Full  bool // it is a page of a full replica
+	First bool // it is the first page
+	Last  bool // it is the last page
+	// From is the sequence number after which the changes apply. For a page of a full
+	// replica it is the sequence number of the replica itself.
 	From    uint64
 	Entries []Entry
 }
 
-// Ack is a follower's answer: what it has now. The leader sends a full replica if that
-// comes from another leader, or is behind the changes that the leader still keeps.
+// Ack is a follower's answer: the position of its replica. The leader sends a full replica if
+// the follower's replica comes from another leader, or lacks changes that the leader no
+// longer keeps.
 type Ack struct{ Head }
 
-// PageRequest asks a controller for a page of what it remembers.
+// PageRequest asks a controller for a page of the records that it holds.
 type PageRequest struct {
 	After  string // key after which the page begins
 	Source int    // index in [Replica.Sources]
 }
 
-// Page is a part of what a controller remembers, and where the next page begins.
+// Page is a part of the records that a controller holds, and the start of the next page.
 type Page struct {
 	Entries []Entry
-	After   string // "": this is the last page
+	After   string // key after which the next page begins; "": this is the last page
 	Source  int    // of the next page
 }
 
@@ -94,14 +95,14 @@
 	return push, d.Done()
 }
 
-// Encode returns the binary form of an answer.
+// Encode returns the binary form of an acknowledgement.
 func (a *Ack) Encode() []byte {
 	var e codec.Encoder
 	a.Head.encode(&e)
 	return e.B
 }
 
-// DecodeAck parses the binary form of an answer.
+// DecodeAck parses the binary form of an acknowledgement.
 func DecodeAck(body []byte) (ack Ack, err error) {
 	d := codec.Decoder{B: body}
 	ack = Ack{decodeHead(&d)}
--- a/internal/replica/receive.go
+++ b/internal/replica/receive.go
@@ -8,13 +8,14 @@
 	"rillflow/internal/ledger"
 )
 
-// incomingTree is a full replica of which not all pages have arrived.
+// incomingTree is a full replica being received page by page.
 type incomingTree struct {
 	head Head
 	txn  *iradix.Txn[[]byte]
 }
 
-// Receive takes in what the leader sends. A leader of an earlier epoch is not followed.
+// Receive applies a push of the leader and returns the resulting position. A push of a leader
+// with an earlier epoch is ignored.
 func (r *Replica) Receive(push *Push) Ack {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -28,14 +29,14 @@
 	return Ack{r.head}
 }
 
-// receivePageLocked takes in a page of a full replica, which takes effect with its last
-// page. The caller holds r.mu.
+// receivePageLocked adds a page to the incoming replica, which replaces the current one when
+// its last page arrives. The caller holds r.mu.
 func (r *Replica) receivePageLocked(push *Push) {
 	if push.First {
 		r.incoming = &incomingTree{head: push.Head, txn: iradix.New[[]byte]().Txn()}
 	}
 	if r.incoming == nil || r.incoming.head != push.Head {
-		r.incoming = nil // an earlier page was lost, or the leader has begun anew
+		r.incoming = nil // an earlier page was lost, or the leader has restarted the transfer
 		return
 	}
 	for _, entry := range push.Entries {
@@ -45,17 +46,17 @@
 		return
 	}
 	if push.Incarnation == r.head.Incarnation {
-		r.retainEndsLocked(r.incoming.txn)
+		r.mergeEndsLocked(r.incoming.txn)
 	}
-	r.setAsideLocked(push.Incarnation)
-	r.leading, r.head, r.lastPush = false, push.Head, time.Now()
+	r.retainAsPreviousLocked(push.Incarnation)
+	r.leading, r.head, r.lastPushAt = false, push.Head, time.Now()
 	r.replaceTreeLocked(r.incoming.txn.Commit())
 	r.recent, r.incoming = nil, nil
 	r.pruneOwnWritesLocked()
 }
 
-// receiveChangesLocked takes in changes that follow what the replica has. The caller
-// holds r.mu.
+// receiveChangesLocked applies changes that directly follow the replica's position. The
+// caller holds r.mu.
 func (r *Replica) receiveChangesLocked(push *Push) {
 	txn := r.tree.Txn()
 	for _, entry := range push.Entries {
@@ -63,13 +64,13 @@
 	}
 	r.tree = txn.Commit()
 	r.head.Seq, r.head.Revision = push.Seq, max(r.head.Revision, push.Revision)
-	r.lastPush = time.Now()
+	r.lastPushAt = time.Now()
 	r.pruneOwnWritesLocked()
 }
 
-// retainEndsLocked adds the ended jobs that are known here to a full replica of the same
-// incarnation: its leader may have started with fewer. The caller holds r.mu.
-func (r *Replica) retainEndsLocked(txn *iradix.Txn[[]byte]) {
+// mergeEndsLocked adds this replica's ended jobs to a full replica of the same incarnation,
+// whose leader may have started with fewer of them. The caller holds r.mu.
+func (r *Replica) mergeEndsLocked(txn *iradix.Txn[[]byte]) {
 	r.tree.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool {
 		if _, ok := txn.Get(key); !ok {
 			txn.Insert(key, value)
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,15 +1,16 @@
-// Package replica keeps, in the memory of each controller, a replica of what the
-// key-value store holds of jobs, claims and ended jobs. The leader feeds its own replica
-// from what it reads and commits, and replicates it to the other controllers. Should the
-// store lose data, the replicas are what package recovery reconstructs it from.
+// Package replica keeps an in-memory replica of the key-value store's records of jobs,
+// claims and ended jobs on each controller. The leader updates its own replica from its
+// reads and commits, and replicates it to the other controllers. If the store loses data,
+// package recovery reconstructs it from the replicas.
 //
-// A [Replica] owns the present tree, the tree of an earlier store incarnation while
-// recovery from it is incomplete, and the writes of this controller that the leader has
-// yet to replicate, all under one lock. The leader's runtime calls [Replica.StartLeading],
+// A [Replica] owns the current tree, the tree of an earlier store incarnation until
+// recovery from it is complete, and the writes of this controller that the leader has not
+// replicated yet, all under one lock. The leader's runtime calls [Replica.StartLeading],
 // [Replica.Apply], [Replica.Replicate] and [Collect]; the links to other controllers call
 // [Replica.Receive] and [Replica.ReadPage]; the job API and the snapshots read.
 //
-// It must not decide what is true when replicas differ, and it never writes to the store.
+// The package must not resolve differences between replicas, and it never writes to the
+// store.
 package replica
 
 import (
@@ -22,8 +23,8 @@
 	"rillflow/internal/ledger"
 )
 
-// Tree is what a replica holds at one moment: values by key. It never changes, so that it
-// can be read while the replica moves on.
+// Tree is the immutable contents of a replica at one point in time, as values by key. It can
+// be read while the replica is updated.
 type Tree = iradix.Tree[[]byte]
 
 // Entry is a key with its stored value.
@@ -32,22 +33,24 @@
 	Data []byte // nil: the key was deleted
 }
 
-// Head tells which store incarnation a replica belongs to, and how far it has come.
+// Head is the position of a replica: its store incarnation, the leader that it follows, and
+// the changes that it contains.
 type Head struct {
 	Incarnation string `json:"History"`
-	Epoch       uint64 `json:"Epoch"` // of the leader that it comes from
-	Seq         uint64 `json:"Seq"`   // changes of that leader's replica that it contains
-	Revision    uint64 `json:"Gen"`   // of the store, up to which the leader had watched the jobs
+	Epoch       uint64 `json:"Epoch"` // of the leader that it was replicated from
+	Seq         uint64 `json:"Seq"`   // sequence number of the last change by that leader
+	Revision    uint64 `json:"Gen"`   // store revision up to which the leader had watched the jobs
 	Keys        int    `json:"Keys"`
 }
 
-// maxRecent limits the recent changes kept for followers to catch up, and the own writes.
-const maxRecent = 8192
+// maxRecentChanges limits the number of recent changes that are kept so that followers can
+// catch up, and the number of own writes.
+const maxRecentChanges = 8192
 
-// replicatedPrefixes are the prefixes of the keys that replicas hold.
+// replicatedPrefixes are the prefixes of the replicated keys.
 var replicatedPrefixes = [...]string{ledger.LivePrefix, ledger.ChunkPrefix, ledger.EndedPrefix}
 
-// IsReplicated reports whether replicas hold a key.
+// IsReplicated reports whether a key belongs to the replicated keys.
 func IsReplicated(key string) bool {
 	for _, prefix := range replicatedPrefixes {
 		if strings.HasPrefix(key, prefix) {
@@ -57,13 +60,13 @@
 	return false
 }
 
-// sequencedEntry is one of the recent changes.
+// sequencedEntry is a recent change with its sequence number.
 type sequencedEntry struct {
 	seq uint64
 	Entry
 }
 
-// ownWrite is what this controller wrote to the store itself.
+// ownWrite is a value that this controller committed to the store itself.
 type ownWrite struct {
 	data     []byte
 	revision uint64
@@ -79,17 +82,17 @@
 	bytes       int // of keys and values in tree
 	droppedEnds int // ended jobs for which there was no room
 	recent      []sequencedEntry
-	leading     bool          // this controller feeds the replica
-	incoming    *incomingTree // a full replica of which not all pages have arrived
-	lastPush    time.Time     // by the leader, taken into this replica
+	leading     bool          // this controller leads and updates the replica itself
+	incoming    *incomingTree // a full replica being received page by page; nil if none
+	lastPushAt  time.Time     // when the last push of the leader was applied
 
-	previous            *Tree  // of an earlier incarnation, until the present one is complete
-	completeIncarnation string // the last one that was known to be complete
+	previous            *Tree  // of earlier incarnations, until the current one is complete
+	completeIncarnation string // the last incarnation that became complete
 	ownWrites           map[string]ownWrite
 }
 
-// New returns an empty replica. It accepts no more ended jobs once it takes more than
-// maxBytesForEnds. Live jobs and claims are always kept: intake limits their amount.
+// New returns an empty replica. It drops further ended jobs while its size exceeds
+// maxBytesForEnds. Live jobs and claims are always stored, since intake limits their number.
 func New(maxBytesForEnds int) *Replica {
 	return &Replica{
 		maxBytesForEnds: maxBytesForEnds,
@@ -98,7 +101,7 @@
 	}
 }
 
-// Head returns how far the replica has come.
+// Head returns the position of the replica.
 func (r *Replica) Head() Head {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,22 +110,22 @@
 	return head
 }
 
-// Usage returns the size of the replica, and how many ended jobs it had no room for.
+// Usage returns the size of the replica and the number of ended jobs dropped for lack of room.
 func (r *Replica) Usage() (keys, bytes, droppedEnds int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tree.Len(), r.bytes, r.droppedEnds
 }
 
-// Tree returns what the replica holds now, without this controller's own writes.
+// Tree returns the current tree, without this controller's own writes, and its position.
 func (r *Replica) Tree() (*Tree, Head) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tree, r.head
 }
 
-// Sources returns all that this controller remembers, the present incarnation first: the
-// replica with the own writes, and the tree of an earlier incarnation if there is one.
+// Sources returns all records that this controller holds: first the current tree with the
+// own writes, then the tree of earlier incarnations if there is one.
 func (r *Replica) Sources() []*Tree {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -141,15 +144,15 @@
 	return sources
 }
 
-// Empty reports whether this controller remembers nothing.
+// Empty reports whether this controller holds no records at all.
 func (r *Replica) Empty() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.tree.Len() == 0 && r.previous == nil && len(r.ownWrites) == 0
 }
 
-// Get returns the value of a key, from the own writes, the present tree or the earlier
-// one.
+// Get returns the value of a key from the own writes, the current tree or the previous tree,
+// in this order.
 func (r *Replica) Get(key string) ([]byte, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -165,7 +168,7 @@
 	return nil, false
 }
 
-// KnowsJob reports whether a job was ever accepted, as far as this controller remembers.
+// KnowsJob reports whether this controller holds a record of a live or ended job.
 func (r *Replica) KnowsJob(jobID string) bool {
 	if _, ok := r.Get(ledger.LiveKey(jobID)); ok {
 		return true
@@ -174,9 +177,9 @@
 	return ok
 }
 
-// HeardLeaderWithin reports whether the leader updated this replica within a duration.
+// HeardLeaderWithin reports whether a push of the leader was applied within the last duration.
 func (r *Replica) HeardLeaderWithin(duration time.Duration) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return !r.lastPush.IsZero() && time.Since(r.lastPush) < duration
+	return !r.lastPushAt.IsZero() && time.Since(r.lastPushAt) < duration
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -13,22 +13,22 @@
 
 func put(key, value string) wire.Operation { return wire.Operation{Put: key, Value: []byte(value)} }
 
-// show returns what a tree holds, as text.
-func show(tree *Tree) string {
+// formatTree returns the keys and values of a tree as text.
+func formatTree(tree *Tree) string {
 	text := ""
 	tree.Root().Walk(func(key, value []byte) bool { text += string(key) + "=" + string(value) + " "; return false })
 	return text
 }
 
-// lossyPeer is a link to one follower that loses messages, or their answers, and sends all
-// through the binary form.
+// lossyPeer is a link to one follower that may lose messages or their answers. It encodes and
+// decodes every message.
 type lossyPeer struct {
-	t    *rapid.T
-	to   *Replica
-	lose func() int // 0: neither, 1: the message, 2: the answer
+	t        *rapid.T
+	follower *Replica
+	lose     func() int // 0: nothing is lost, 1: the message, 2: the answer
 }
 
-var errLost = errors.New("lost")
+var errLost = errors.New("message lost")
 
 func (l *lossyPeer) Followers() []string { return []string{"f"} }
 
@@ -41,7 +41,7 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	ack := l.to.Receive(&push)
+	ack := l.follower.Receive(&push)
 	if lost == 2 {
 		return Ack{}, errLost
 	}
@@ -53,16 +53,16 @@
 	if err != nil {
 		l.t.Fatal(err)
 	}
-	page := l.to.ReadPage(request)
+	page := l.follower.ReadPage(request)
 	return DecodePage(page.Encode())
 }
 
-// pushOnce sends a follower what it lacks, as Replicate does at a tick with news.
+// pushOnce sends a follower what it lacks, as Replicate does at a tick with changes.
 func pushOnce(leader *Replica, peer *lossyPeer, acknowledged *Head) {
-	push, full := leader.nextPush(*acknowledged)
+	push, needsFull := leader.nextPush(*acknowledged)
 	var ack Ack
 	var err error
-	if full {
+	if needsFull {
 		ack, err = leader.pushFull(context.Background(), peer, "f")
 	} else {
 		ack, err = peer.Push(context.Background(), "f", &push)
@@ -72,19 +72,19 @@
 	}
 }
 
-// A follower holds what the leader held at some moment, and after two messages that come
-// through, what it holds. The end of a job that was replicated once is never forgotten,
-// whatever leader of the same incarnation comes.
+// Whatever messages are lost, a follower's tree equals a present or past tree of the leader,
+// and the present one after two delivered pushes. The replicated end of a job is never lost,
+// also when another leader of the same incarnation starts.
 func TestFollowerReplica(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := New(1<<20), New(1<<20)
 		leader.StartLeading("h", 1, 1, New(0).tree)
-		peer := &lossyPeer{t: t, to: follower, lose: func() int { return rapid.IntRange(0, 3).Draw(t, "lose") }}
+		peer := &lossyPeer{t: t, follower: follower, lose: func() int { return rapid.IntRange(0, 3).Draw(t, "lose") }}
 		var acknowledged Head
-		moments := map[string]bool{"": true}
+		leaderTrees := map[string]bool{"": true}
 		ends := map[string]bool{}
-		record := func() { tree, _ := leader.Tree(); moments[show(tree)] = true }
-		record()
+		recordTree := func() { tree, _ := leader.Tree(); leaderTrees[formatTree(tree)] = true }
+		recordTree()
 		epoch := uint64(1)
 		for i := range rapid.IntRange(1, 60).Draw(t, "steps") {
 			key := fmt.Sprint(rapid.IntRange(0, 5).Draw(t, "key"))
@@ -101,91 +101,92 @@
 			default:
 				pushOnce(leader, peer, &acknowledged)
 			}
-			record()
-			if tree, _ := follower.Tree(); !moments[show(tree)] {
-				t.Fatalf("the follower holds %s", show(tree))
+			recordTree()
+			if tree, _ := follower.Tree(); !leaderTrees[formatTree(tree)] {
+				t.Fatalf("the follower holds %s, which the leader never held", formatTree(tree))
 			}
 		}
 		peer.lose = func() int { return 0 }
 		pushOnce(leader, peer, &acknowledged)
 		pushOnce(leader, peer, &acknowledged)
 		want, _ := leader.Tree()
-		if got, _ := follower.Tree(); show(got) != show(want) {
-			t.Fatalf("got %s, want %s", show(got), show(want))
+		if got, _ := follower.Tree(); formatTree(got) != formatTree(want) {
+			t.Fatalf("got %s, want %s", formatTree(got), formatTree(want))
 		}
 		for key := range ends {
 			if _, ok := follower.Get(key); !ok {
-				t.Fatalf("%s is not known", key)
+				t.Fatalf("the follower lacks the end %s", key)
 			}
 		}
 	})
 }
 
-// What a controller remembers beside the leader's replica: its own writes until the leader
-// replicates them, and an earlier incarnation until the present one is complete.
-func TestReplicaMemory(t *testing.T) {
+// A controller keeps its own writes until the leader has replicated them, and the tree of an
+// earlier incarnation until the current one is complete.
+func TestOwnWritesAndPreviousIncarnation(t *testing.T) {
 	leader, replica := New(1<<20), New(1<<20)
 	leader.StartLeading("h1", 1, 1, New(0).tree)
-	peer := &lossyPeer{to: replica, lose: func() int { return 0 }}
+	peer := &lossyPeer{follower: replica, lose: func() int { return 0 }}
 	var acknowledged Head
 	pushOnce(leader, peer, &acknowledged)
 	replica.RecordOwnWrites(5, put("j/a", "1"))
 	replica.RecordOwnWrites(6, put("d/b", "end"), wire.Operation{Delete: "j/b"})
 	if !replica.KnowsJob("a") || !replica.KnowsJob("b") || replica.KnowsJob("x") {
-		t.Error("own writes are not known")
+		t.Error("KnowsJob does not report exactly the own writes")
 	}
 	leader.Apply(5, put("j/a", "1"))
 	leader.Apply(9)
 	pushOnce(leader, peer, &acknowledged)
 	if len(replica.ownWrites) != 1 || !replica.KnowsJob("b") {
-		t.Errorf("own writes after the job was replicated, but not the end: %v", replica.ownWrites)
+		t.Errorf("got own writes %v, want only the end, which is not replicated yet",
+			replica.ownWrites)
 	}
 	leader.Apply(9, put("d/b", "other"))
 	pushOnce(leader, peer, &acknowledged)
 	if len(replica.ownWrites) != 0 {
-		t.Errorf("replicated ends are kept as own writes: %v", replica.ownWrites)
+		t.Errorf("got own writes %v after the end was replicated, want none", replica.ownWrites)
 	}
 	leader.Apply(10, put("d/b", "third"))
 	if v, _ := leader.Get("d/b"); string(v) != "other" {
-		t.Errorf("an end became %s", v)
+		t.Errorf("got end %s, want the first one kept", v)
 	}
-	// The next leader of the same incarnation has just started, and knows of no end yet.
+	// The next leader of the same incarnation starts without any ended jobs.
 	next := New(1 << 20)
 	next.StartLeading("h1", 2, 10, New(0).tree)
 	acknowledged = Head{}
 	pushOnce(next, peer, &acknowledged)
 	if v, ok := replica.Get("d/b"); !ok || string(v) != "other" {
-		t.Errorf("an end that was replicated is forgotten: %s", v)
+		t.Errorf("got end %s after a change of leaders, want the replicated one", v)
 	}
-	// Another leader begins another incarnation, with less.
+	// Another leader starts another incarnation with an empty tree.
 	later := New(1 << 20)
 	later.StartLeading("h2", 3, 1, New(0).tree)
 	acknowledged = Head{}
 	pushOnce(later, peer, &acknowledged)
 	if !replica.KnowsJob("b") || replica.Head().Incarnation != "h2" || len(replica.Sources()) != 2 {
-		t.Error("the earlier incarnation is forgotten before this one is complete")
+		t.Error("the earlier incarnation is dropped before the current one is complete")
 	}
 	trees, missing := Collect(t.Context(), peer, []string{"f"})
 	if len(missing) != 0 || len(trees) != 2 {
-		t.Fatalf("%d sources, missing %v", len(trees), missing)
+		t.Fatalf("got %d sources, missing %v, want 2 and none", len(trees), missing)
 	}
 	if _, ok := trees[1].Get([]byte("d/b")); !ok {
-		t.Error("a peer is not told of the earlier incarnation")
+		t.Error("the earlier incarnation is missing from the collected trees")
 	}
-	// An earlier leader is not followed any more.
+	// Pushes of an earlier leader are ignored.
 	leader.Apply(12, put("j/late", "1"))
 	acknowledged = Head{}
 	pushOnce(leader, peer, &acknowledged)
 	if replica.KnowsJob("late") {
-		t.Error("a leader that was replaced is followed")
+		t.Error("a push of an earlier leader was applied")
 	}
 	replica.MarkComplete("h2")
 	if replica.KnowsJob("b") || len(replica.Sources()) != 1 {
-		t.Error("the earlier incarnation is kept for ever")
+		t.Error("the earlier incarnation is kept although the current one is complete")
 	}
 }
 
-// Ended jobs are limited in bytes, live jobs are not.
+// Ended jobs are dropped above the limit on bytes, live jobs are not.
 func TestEndsAreBounded(t *testing.T) {
 	replica := New(100)
 	for i := range 50 {
@@ -193,11 +194,12 @@
 	}
 	keys, bytes, dropped := replica.Usage()
 	if keys-50 > 20 || dropped == 0 || !replica.KnowsJob("49") {
-		t.Errorf("%d keys, %d bytes, %d dropped", keys, bytes, dropped)
+		t.Errorf("got %d keys, %d bytes, %d ended jobs dropped, want all live jobs and some ends dropped",
+			keys, bytes, dropped)
 	}
 }
 
-// A large replica is sent in pages, and arrives whole.
+// A large replica is sent in several pages and arrives complete, both pushed and collected.
 func TestFullReplicaInPages(t *testing.T) {
 	leader, follower := New(1<<30), New(1<<30)
 	big := string(make([]byte, 40<<10))
@@ -206,16 +208,17 @@
 		leader.Apply(1, put(fmt.Sprintf("j/%02d", i), big))
 	}
 	pushes := 0
-	peer := &lossyPeer{to: follower, lose: func() int { pushes++; return 0 }}
+	peer := &lossyPeer{follower: follower, lose: func() int { pushes++; return 0 }}
 	var acknowledged Head
 	pushOnce(leader, peer, &acknowledged)
 	trees, missing := Collect(t.Context(), peer, []string{"f"})
 	if tree, _ := follower.Tree(); pushes < 4 || tree.Len() != 30 || len(missing) != 0 || trees[0].Len() != 30 {
-		t.Errorf("%d messages, %d keys, missing %v", pushes, tree.Len(), missing)
+		t.Errorf("got %d messages, %d keys, missing %v, want several messages, 30 keys, none missing",
+			pushes, tree.Len(), missing)
 	}
 }
 
-// No payload, however malformed, does more than fail.
+// Decoding and processing malformed messages must not panic.
 func FuzzMessages(f *testing.F) {
 	push := Push{
 		Head: Head{Incarnation: "h", Epoch: 1, Seq: 2},
--- a/internal/replica/replicate.go
+++ b/internal/replica/replicate.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// maxIdleTicks is after how many ticks without news a follower is sent an empty push: a
-// follower that hears nothing cannot tell whether it misses something.
+// maxIdleTicks is the number of ticks without changes after which a follower is sent an empty
+// push: without any push it cannot tell whether it lacks changes.
 const maxIdleTicks = 6
 
 // Peers are the other controllers.
 type Peers interface {
-	// Followers returns the peers to which the replica can be sent now.
+	// Followers returns the peers that can receive the replica now.
 	Followers() []string
 	// Push sends a part of the replica and returns the follower's answer.
 	Push(ctx context.Context, controller string, push *Push) (Ack, error)
-	// FetchPage asks a peer for a page of what it remembers.
+	// FetchPage fetches a page of the records that a peer holds.
 	FetchPage(ctx context.Context, controller string, request PageRequest) (Page, error)
 }
 
-// follower is what the leader knows of a controller that it replicates to.
+// follower is the replication state of one controller that the leader replicates to.
 type follower struct {
 	controller       string
-	acknowledged     Head // zero: not known
+	acknowledged     Head // position of its replica; zero: unknown
 	everAcknowledged bool
 	idleTicks        int
 }
 
-// Replicate sends this controller's replica to a follower until ctx ends. It sends changes
-// at each interval, if there are any.
+// Replicate replicates this controller's replica to a follower until ctx ends. At each
+// interval it sends the changes since the last one, if there are any.
 func (r *Replica) Replicate(ctx context.Context, peers Peers, controller string, interval time.Duration) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -42,11 +42,11 @@
 	}
 }
 
-// replicateOnce sends a follower what it lacks.
+// replicateOnce sends a follower the changes that it lacks, or a full replica.
 func (r *Replica) replicateOnce(ctx context.Context, peers Peers, f *follower) {
 	push, needsFull := r.nextPush(f.acknowledged)
 	if f.acknowledged.Epoch > push.Epoch {
-		// It follows a later leader. Should that one's term be over, the next answer says so.
+		// It follows a later leader. The next answer shows if that has changed.
 		f.acknowledged = Head{}
 		return
 	}
@@ -55,31 +55,31 @@
 	switch {
 	case needsFull:
 		ack, err = r.pushFull(ctx, peers, f.controller)
-	case f.skipsTick(&push):
+	case f.shouldSkipTick(&push):
 		return
 	default:
 		ack, err = peers.Push(ctx, f.controller, &push)
 	}
 	if err != nil {
-		f.acknowledged = Head{} // what the follower has is not known
+		f.acknowledged = Head{} // the follower's position is unknown
 		return
 	}
 	f.acknowledged, f.everAcknowledged = ack.Head, true
 }
 
-// skipsTick reports whether there is no need to send a push at this tick.
-func (f *follower) skipsTick(push *Push) bool {
+// shouldSkipTick reports whether no push needs to be sent at this tick.
+func (f *follower) shouldSkipTick(push *Push) bool {
 	f.idleTicks++
-	nothingNew := len(push.Entries) == 0 && push.Revision == f.acknowledged.Revision
-	if f.everAcknowledged && nothingNew && f.idleTicks < maxIdleTicks {
+	unchanged := len(push.Entries) == 0 && push.Revision == f.acknowledged.Revision
+	if f.everAcknowledged && unchanged && f.idleTicks < maxIdleTicks {
 		return true
 	}
 	f.idleTicks = 0
 	return false
 }
 
-// nextPush returns the changes that a follower lacks. needsFull means that they are no
-// longer kept, or do not lead there, so that it needs a full replica.
+// nextPush returns the changes that a follower lacks. needsFull means that the follower needs
+// a full replica, because the changes are no longer kept or its replica has diverged.
 func (r *Replica) nextPush(acknowledged Head) (push Push, needsFull bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -96,14 +96,14 @@
 	for _, change := range r.recent[len(r.recent)-int(missing):] {
 		push.Entries = append(push.Entries, change.Entry)
 		push.Seq = change.seq
-		if size += len(change.Key) + len(change.Data); size > pageBytes {
+		if size += len(change.Key) + len(change.Data); size > maxPageBytes {
 			break
 		}
 	}
 	return push, false
 }
 
-// pushFull sends a full replica, page by page.
+// pushFull sends a full replica to a follower, page by page.
 func (r *Replica) pushFull(ctx context.Context, peers Peers, controller string) (Ack, error) {
 	tree, head := r.Tree()
 	push := Push{Head: head, Full: true, First: true, From: head.Seq}
--- a/internal/replica/scan.go
+++ b/internal/replica/scan.go
@@ -16,8 +16,8 @@
 // epochKey is the key under which the store holds the latest epoch.
 const epochKey = "epoch"
 
-// ReadStore reads all that replicas hold from the store, as it was at one revision:
-// changes made while it reads are taken from the watch.
+// ReadStore reads all replicated keys from the store, consistently at one revision: changes
+// made during the reads are taken from a watch.
 func ReadStore(ctx context.Context, store *kvstore.Client) (*Tree, Head, error) {
 	incarnation, err := dataloss.Read(ctx, store)
 	if err != nil {
@@ -28,26 +28,26 @@
 		return nil, Head{}, err
 	}
 	scan := storeScan{store: store, txn: iradix.New[[]byte]().Txn(), revisions: make(map[string]uint64)}
-	listedAt := make([]uint64, len(replicatedPrefixes))
+	listRevisions := make([]uint64, len(replicatedPrefixes))
 	for i, prefix := range replicatedPrefixes {
-		if listedAt[i], err = scan.list(ctx, prefix); err != nil {
+		if listRevisions[i], err = scan.list(ctx, prefix); err != nil {
 			return nil, Head{}, err
 		}
 	}
-	// A watch's answer holds all changes up to the revision that it names, so that every
-	// prefix can be brought to the revision of the last list or beyond it.
-	last := slices.Max(listedAt)
-	scan.dropAfter(last)
+	// The answer to a watch contains all changes up to its revision, so every prefix can be
+	// brought to the revision of the last list.
+	lastRevision := slices.Max(listRevisions)
+	scan.dropAfter(lastRevision)
 	for i, prefix := range replicatedPrefixes {
-		if err := scan.replay(ctx, prefix, listedAt[i], last); err != nil {
+		if err := scan.replay(ctx, prefix, listRevisions[i], lastRevision); err != nil {
 			return nil, Head{}, err
 		}
 	}
 	tree := scan.txn.Commit()
-	return tree, Head{Incarnation: incarnation.ID, Epoch: epoch, Revision: last, Keys: tree.Len()}, nil
+	return tree, Head{Incarnation: incarnation.ID, Epoch: epoch, Revision: lastRevision, Keys: tree.Len()}, nil
 }
 
-// readEpoch returns the latest epoch, or 0 if there has been none.
+// readEpoch returns the latest epoch, or 0 if none is stored.
 func readEpoch(ctx context.Context, store *kvstore.Client) (uint64, error) {
 	item, err := store.Get(ctx, epochKey)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -65,14 +65,14 @@
 	return record.Epoch, nil
 }
 
-// storeScan is a reading of the store under way.
+// storeScan is a scan of the store in progress.
 type storeScan struct {
 	store     *kvstore.Client
 	txn       *iradix.Txn[[]byte]
-	revisions map[string]uint64 // of the last change to each key seen
+	revisions map[string]uint64 // of the last change seen, by key
 }
 
-// list reads the keys under a prefix and returns the revision of the answer.
+// list reads the keys under a prefix and returns the revision of the list.
 func (s *storeScan) list(ctx context.Context, prefix string) (uint64, error) {
 	items, revision, err := s.store.List(ctx, prefix)
 	if err != nil {
@@ -85,26 +85,27 @@
 	return revision, nil
 }
 
-// dropAfter removes what is newer than a revision, such as a job that ended while the
-// ended jobs were listed.
-func (s *storeScan) dropAfter(last uint64) {
+// dropAfter removes keys changed after lastRevision, such as the end of a job that ended while
+// the ended jobs were listed.
+func (s *storeScan) dropAfter(lastRevision uint64) {
 	for key, revision := range s.revisions {
-		if revision > last {
+		if revision > lastRevision {
 			s.txn.Delete([]byte(key))
 		}
 	}
 }
 
-// replay brings a prefix from the revision of its list to a later one.
-func (s *storeScan) replay(ctx context.Context, prefix string, listedAt, last uint64) error {
-	for at := listedAt; at < last; {
-		response, err := s.store.Watch(ctx, prefix, at, 0)
+// replay brings the keys under a prefix from listRevision, the revision of their list, to
+// lastRevision.
+func (s *storeScan) replay(ctx context.Context, prefix string, listRevision, lastRevision uint64) error {
+	for revision := listRevision; revision < lastRevision; {
+		response, err := s.store.Watch(ctx, prefix, revision, 0)
 		if err != nil {
 			return fmt.Errorf("watch %s: %w", prefix, err)
 		}
 		for _, event := range response.Events {
 			key := event.Put + event.Delete
-			if event.ModRevision > last || event.ModRevision <= s.revisions[key] {
+			if event.ModRevision > lastRevision || event.ModRevision <= s.revisions[key] {
 				continue
 			}
 			s.revisions[key] = event.ModRevision
@@ -114,10 +115,10 @@
 				s.txn.Delete([]byte(key))
 			}
 		}
-		if response.Revision <= at {
-			return nil // no change under this prefix since
+		if response.Revision <= revision {
+			return nil // no later change under this prefix
 		}
-		at = response.Revision
+		revision = response.Revision
 	}
 	return nil
 }
