--- a/internal/shard/eligibility.go
+++ b/internal/shard/eligibility.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// storeRefusesAfter is for how long the store has not answered when it counts as refusing
-// a controller.
-func (o *Owner) storeRefusesAfter() time.Duration { return 5 * o.config.HeartbeatInterval() / 4 }
+// storeRefusalTimeout returns the time without an answer from the store after which the store
+// counts as refusing a controller.
+func (o *Owner) storeRefusalTimeout() time.Duration { return 5 * o.config.HeartbeatInterval() / 4 }
 
-// EligibleOwners returns the controllers that may own a shard, given the present owners:
+// EligibleOwners returns the controllers that may own a shard, given the current owners:
 // this one, and the connected peers that are neither isolated from workers nor refused by
-// a store that serves others. A peer that comes back waits a little, so that workers do
-// not move to and fro.
+// a store that serves others. A peer that reconnects becomes eligible after a delay, so
+// that an unstable connection does not move workers back and forth.
 func (o *Owner) EligibleOwners(current []string) []string {
 	eligible := []string{o.config.Name}
 	for name, status := range o.links.Peers() {
 		stable := len(current) == 0 || slices.Contains(current, name) ||
 			o.now().Sub(status.LiveSince) > 2*o.config.HeartbeatInterval()
-		served := status.StoreSilence < o.storeRefusesAfter() || o.sinceStoreAnswer() > o.config.HeartbeatInterval()/2
+		served := status.StoreSilence < o.storeRefusalTimeout() || o.sinceStoreAnswer() > o.config.HeartbeatInterval()/2
 		if status.Live && stable && !status.Reachability.Isolated && served {
 			eligible = append(eligible, name)
 		}
@@ -27,19 +27,20 @@
 	return eligible
 }
 
-// StoreRefuses reports whether the store has not answered this controller for long.
-func (o *Owner) StoreRefuses() bool { return o.sinceStoreAnswer() >= o.storeRefusesAfter() }
+// StoreRefuses reports whether the store has not answered this controller for longer than
+// the refusal timeout.
+func (o *Owner) StoreRefuses() bool { return o.sinceStoreAnswer() >= o.storeRefusalTimeout() }
 
 // StoreServesPeerOnly reports whether the store refuses this controller while it serves a
-// connected peer, and names such a peer. When all are refused it is an outage of the
-// store instead, which must be waited out.
+// connected peer, and returns the name of such a peer. If the store refuses all
+// controllers, it has an outage instead, and the controllers must wait for its end.
 func (o *Owner) StoreServesPeerOnly() (peerName string, ok bool) {
 	if !o.StoreRefuses() {
 		return "", false
 	}
 	for name, status := range o.links.Peers() {
-		// Every controller asks the store at least twice in a heartbeat interval, so that
-		// one that is served shows a fresh answer before long, and no other can.
+		// Every controller sends the store at least two requests per heartbeat interval, so
+		// only one that is served has a recent answer.
 		if status.Live && status.StoreSilence < o.config.HeartbeatInterval()/3 {
 			return name, true
 		}
@@ -48,10 +49,10 @@
 }
 
 // isStoreOutage reports whether the store refuses all controllers, as far as this one can
-// know.
+// tell.
 func (o *Owner) isStoreOutage() bool {
-	_, onlyHere := o.StoreServesPeerOnly()
-	return o.StoreRefuses() && !onlyHere
+	_, peerServed := o.StoreServesPeerOnly()
+	return o.StoreRefuses() && !peerServed
 }
 
 // HasLivePeer reports whether any peer is connected.
--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -11,9 +11,9 @@
 	"rillflow/internal/wire"
 )
 
-// leaderTimeoutFraction divides the heartbeat interval: a leader on another controller is
-// given that long to answer.
-const leaderTimeoutFraction = 3
+// leaderTimeoutDivisor divides the heartbeat interval to give the timeout of a heartbeat that
+// is forwarded to a leader on another controller.
+const leaderTimeoutDivisor = 3
 
 // Leader is the leader's runtime on this controller.
 type Leader interface {
@@ -22,11 +22,11 @@
 
 var _ Leader = (*leader.Runner)(nil)
 
-// NotOwnerError means that this controller may not answer a worker.
+// NotOwnerError means that this controller must not answer a worker.
 type NotOwnerError struct {
 	Worker         string
-	RedirectTarget string // the controller that may, if it is known
-	Err            error  // why the leader did not answer, if it was asked
+	RedirectTarget string // the controller that may answer it; "" if unknown
+	Err            error  // why the leader did not answer; nil if it was not asked
 }
 
 func (e *NotOwnerError) Error() string {
@@ -40,12 +40,12 @@
 	return text
 }
 
-// Unwrap returns why the leader did not answer, if it was asked.
+// Unwrap returns the reason why the leader did not answer, or nil if it was not asked.
 func (e *NotOwnerError) Unwrap() error { return e.Err }
 
-// Heartbeat answers a worker's heartbeat. Its error is a [*NotOwnerError] if this
-// controller may not. Whoever made the answer, tasks of jobs that are known here to be
-// cancelled are stopped: a leader whom the store refuses may not know of them.
+// Heartbeat answers a worker's heartbeat. Its error is a [*NotOwnerError] if this controller
+// must not answer. Whoever made the answer, it stops the tasks of jobs in this controller's
+// cancellation set: a leader that the store refuses may not know of those cancellations.
 func (o *Owner) Heartbeat(
 	ctx context.Context, heartbeat *wire.Heartbeat, localLeader Leader,
 ) (wire.CommandBatch, error) {
@@ -56,26 +56,26 @@
 	return batch, err
 }
 
-// respond has the leader answer a heartbeat, or answers it under the present epoch while
-// nobody can lead.
+// respond forwards a heartbeat to the leader. If no leader answers, it may extend the leases
+// of the worker's tasks under the current epoch, without commands.
 func (o *Owner) respond(
 	ctx context.Context, heartbeat *wire.Heartbeat, localLeader Leader,
 ) (wire.CommandBatch, error) {
 	shardMap := o.shardMap()
 	if heartbeat.Epoch > shardMap.Epoch {
-		// The worker has seen a later shard map. It would drop this answer, and keep coming
-		// here until its lease expires.
+		// The worker has seen a later shard map. It would drop this answer and keep sending
+		// heartbeats here until its lease expires.
 		return wire.CommandBatch{}, &NotOwnerError{Worker: heartbeat.Worker}
 	}
 	owner := shardMap.Owner(heartbeat.Worker)
 	if owner != o.config.Name && !o.substitutesFor(shardMap, owner, heartbeat.Zone) {
 		return wire.CommandBatch{}, &NotOwnerError{Worker: heartbeat.Worker, RedirectTarget: owner}
 	}
-	batch, asked, err := o.askLeader(ctx, shardMap.Leader, heartbeat, localLeader)
+	batch, leaderReached, err := o.askLeader(ctx, shardMap.Leader, heartbeat, localLeader)
 	if err == nil {
 		return batch, nil
 	}
-	if ctx.Err() != nil || !o.mayExtend(asked) {
+	if ctx.Err() != nil || !o.mayExtendLeases(leaderReached) {
 		return wire.CommandBatch{}, &NotOwnerError{Worker: heartbeat.Worker, Err: err}
 	}
 	if current := o.shardMap(); current.Epoch != shardMap.Epoch {
@@ -85,15 +85,16 @@
 	return wire.CommandBatch{Epoch: shardMap.Epoch, Commands: []wire.Command{}}, nil
 }
 
-// askLeader has the leader answer a heartbeat. asked is false if it could not be reached.
+// askLeader returns the leader's answer to a heartbeat. reached is false if the leader could
+// not be reached.
 func (o *Owner) askLeader(
 	ctx context.Context, controller string, heartbeat *wire.Heartbeat, localLeader Leader,
-) (batch wire.CommandBatch, asked bool, err error) {
+) (batch wire.CommandBatch, reached bool, err error) {
 	if controller == o.config.Name {
 		batch, _, err = localLeader.Heartbeat(ctx, heartbeat)
 		return batch, true, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, o.config.HeartbeatInterval()/leaderTimeoutFraction)
+	ctx, cancel := context.WithTimeout(ctx, o.config.HeartbeatInterval()/leaderTimeoutDivisor)
 	defer cancel()
 	answer, err := o.links.ForwardHeartbeat(ctx, controller, heartbeat)
 	if err != nil {
@@ -108,24 +109,25 @@
 	return answer.Commands, true, nil
 }
 
-// mayExtend reports whether this controller may let tasks run on under the present epoch
-// though no leader answered: the leader cannot be reached; or it stepped down, or has not
-// read the job table yet, and the store refuses all controllers, so that nobody can lead
-// before that is over. A leader that hears the worker itself has a map without this
-// controller, and its epoch shows in the worker's next heartbeat. During an outage of the
-// store a controller must also know all cancellations that users were told of.
-func (o *Owner) mayExtend(asked bool) bool {
-	if asked && !o.isStoreOutage() {
+// mayExtendLeases reports whether this controller may let tasks continue under the current
+// epoch without an answer from the leader. It may if the leader cannot be reached. It also
+// may if the leader has stepped down or has not read the job table yet while the store
+// refuses all controllers, so that no controller can lead before the outage ends. If a
+// leader answers the worker directly, its shard map does not list this controller, and the
+// worker's next heartbeat shows the later epoch. While the store refuses it, a controller
+// must also have all cancellations that were acknowledged to users.
+func (o *Owner) mayExtendLeases(leaderReached bool) bool {
+	if leaderReached && !o.isStoreOutage() {
 		return false
 	}
 	return !o.StoreRefuses() || o.cancellations.Synced()
 }
 
-// substitutesFor reports whether this controller answers a worker of its own zone in
-// place of the shard owner: the store refuses this controller, so that no new shard map
-// can reach it, and the owner is out of reach. The worker's tasks then run on for as long
-// as the zone is cut off. That needs a map that lists this controller and whose leader
-// allows for it: such a leader takes no lease in this zone for expired meanwhile.
+// substitutesFor reports whether this controller answers a worker of its own zone in place
+// of the shard owner. It does if the store refuses this controller, so that no new shard map
+// can reach it, and the owner is unreachable. The worker's tasks then continue for as long
+// as the zone is partitioned. The shard map must list this controller and have ZoneFallback
+// set, since a leader that sets it does not regard leases in this zone as expired meanwhile.
 func (o *Owner) substitutesFor(shardMap election.ShardMap, owner, zone string) bool {
 	return shardMap.ZoneFallback && zone != "" && zone == o.config.Zone &&
 		slices.Contains(shardMap.Owners, o.config.Name) &&
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -9,57 +9,56 @@
 	"rillflow/internal/settings"
 )
 
-// Durations in heartbeat intervals, and a number of workers, by which a controller finds
-// that it is isolated from workers.
+// Thresholds for detecting that a controller is isolated from workers. Durations are in
+// heartbeat intervals.
 const (
-	isolatedAfter     = 1.75 // silence of workers that used to report here
-	peerReachedWithin = 0.5  // a peer that heard a worker so lately is reached by workers
-	peersReachedLapse = 2.5  // after peers heard no worker for so long the measurement restarts
-	minWorkers        = 4    // fewer may well be silent at the same time
+	isolatedAfterIntervals     = 1.75 // duration of the silence of workers that used to report here
+	peerReachedWithinIntervals = 0.5  // maximum age of a peer's last heartbeat from a worker
+	peersReachedLapseIntervals = 2.5  // gap without heartbeats at peers that restarts the measurement
+	minReportingWorkers        = 4    // fewer may be silent at the same time by chance
 )
 
-// maxIsolationDoublings limits how often the time for which a controller counts as
-// isolated is doubled.
+// maxIsolationDoublings limits how often the duration of an isolation is doubled.
 const maxIsolationDoublings = 4
 
-// isolationDetector tells whether workers reach this controller. Its lock is held while
-// the links are asked about the peers.
+// isolationDetector detects whether workers fail to reach this controller. Its lock is held
+// during calls of PeerLinks.Peers.
 type isolationDetector struct {
 	config *settings.Settings
 
 	mu               sync.Mutex
-	lastRequest      time.Time // of any worker, whatever the answer
-	windowStart      time.Time // windows are a lease long
-	requests         int       // in this window
-	previousRequests int       // in the window before
+	lastRequest      time.Time // of any worker, answered or not
+	windowStart      time.Time // each window lasts a worker lease
+	requests         int       // in the current window
+	previousRequests int       // in the previous window
 
-	ownerSince    time.Time // zero: this controller owns no shard
-	isolatedUntil time.Time
-	timesIsolated int // in a row
+	ownerSince            time.Time // zero: this controller owns no shard
+	isolatedUntil         time.Time
+	consecutiveIsolations int // in a row
 
-	peersReachedAt    time.Time // when a peer was last found to have just heard a worker
-	peersReachedSince time.Time // since when that has been so without a lapse
+	peersReachedAt    time.Time // when a peer last had a recent heartbeat of a worker
+	peersReachedSince time.Time // start of the period in which that has held without a lapse
 }
 
 // RecordRequest records that a worker reached this controller.
 func (o *Owner) RecordRequest() { o.isolation.recordRequest(o.now()) }
 
-// WorkerReachability returns how well workers reach this controller, for the peers. It counts as
-// isolated when the workers that used to report here are silent though workers reach a
-// peer, and stays so for a lease, twice as long each time: an isolated owner loses its
-// shard well before its workers' leases expire, and then cannot find out whether it would
-// hear them again.
+// WorkerReachability returns whether workers reach this controller, for its peers. The
+// controller counts as isolated if the workers that used to report to it are silent while
+// workers reach a peer. It stays isolated for a worker lease, and twice as long each
+// consecutive time: an isolated owner loses its shard well before its workers' leases
+// expire, and then cannot detect whether they could reach it again.
 func (o *Owner) WorkerReachability() peer.Reachability {
 	now := o.now()
 	isOwner := slices.Contains(o.shardMap().Owners, o.config.Name)
 	return o.isolation.reachability(now, isOwner, o.links)
 }
 
-// IsIsolated reports whether this controller is cut off from workers that reach others.
+// IsIsolated reports whether workers that reach other controllers do not reach this one.
 func (o *Owner) IsIsolated() bool { return o.WorkerReachability().Isolated }
 
-// PeersHearNoWorkers reports whether peers are connected and none of them has been hearing
-// workers either. Where all workers are cut off, this controller is not at fault.
+// PeersHearNoWorkers reports whether peers are connected and none of them receives
+// heartbeats of workers. All workers are then cut off, and this controller is not at fault.
 func (o *Owner) PeersHearNoWorkers() bool {
 	connected := false
 	for _, status := range o.links.Peers() {
@@ -93,14 +92,14 @@
 	}
 	interval, lease := float64(d.config.HeartbeatInterval()), d.config.WorkerLease()
 	silentFor := min(now.Sub(d.lastRequest), now.Sub(d.ownerSince))
-	silentAlone := reached && float64(min(silentFor, reachedFor)) > isolatedAfter*interval
+	onlyHereSilent := reached && float64(min(silentFor, reachedFor)) > isolatedAfterIntervals*interval
 	switch {
 	case now.Before(d.isolatedUntil):
-	case isOwner && silentAlone && (d.hasEnoughWorkersLocked() || d.timesIsolated > 0):
-		d.isolatedUntil = now.Add(lease << min(d.timesIsolated, maxIsolationDoublings))
-		d.timesIsolated++
+	case isOwner && onlyHereSilent && (d.hasEnoughWorkersLocked() || d.consecutiveIsolations > 0):
+		d.isolatedUntil = now.Add(lease << min(d.consecutiveIsolations, maxIsolationDoublings))
+		d.consecutiveIsolations++
 	case isOwner && float64(silentFor) < interval && now.Sub(d.ownerSince) > lease:
-		d.timesIsolated = 0
+		d.consecutiveIsolations = 0
 	}
 	age := now.Sub(d.lastRequest)
 	if d.lastRequest.IsZero() {
@@ -109,35 +108,36 @@
 	return peer.Reachability{SinceHeartbeat: age, Isolated: now.Before(d.isolatedUntil)}
 }
 
-// hasEnoughWorkersLocked reports whether so many workers report here that their common
-// silence tells something. The caller holds d.mu.
+// hasEnoughWorkersLocked reports whether enough workers report here for their simultaneous
+// silence to be significant. The caller holds d.mu.
 func (d *isolationDetector) hasEnoughWorkersLocked() bool {
 	heartbeatsPerLease := float64(d.config.WorkerLease()) / float64(d.config.HeartbeatInterval())
-	return float64(max(d.requests, d.previousRequests)) >= minWorkers*heartbeatsPerLease
+	return float64(max(d.requests, d.previousRequests)) >= minReportingWorkers*heartbeatsPerLease
 }
 
-// workersReachPeers reports whether workers have been reaching peers for long enough to
-// tell this controller apart from them.
+// workersReachPeers reports whether workers have been reaching peers for as long as silence
+// must last here before it counts as isolation.
 func (d *isolationDetector) workersReachPeers(clock func() time.Time, links PeerLinks) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	reached, reachedFor := d.peersReachedLocked(clock(), links)
-	return reached && float64(reachedFor) >= isolatedAfter*float64(d.config.HeartbeatInterval())
+	return reached && float64(reachedFor) >= isolatedAfterIntervals*float64(d.config.HeartbeatInterval())
 }
 
-// peersReachedLocked reports whether a peer has just heard a worker, and for how long that
-// has been so: when all controllers were cut off, workers reach one of them again a little
-// before the next, which is not isolated for that. The caller holds d.mu.
+// peersReachedLocked reports whether a peer has a recent heartbeat of a worker, and for how
+// long that has held. The duration matters when a cut of all controllers ends: workers reach
+// one of them slightly before the others, which are not isolated in between. The caller
+// holds d.mu.
 func (d *isolationDetector) peersReachedLocked(
 	now time.Time, links PeerLinks,
 ) (reached bool, reachedFor time.Duration) {
 	interval := float64(d.config.HeartbeatInterval())
 	for _, status := range links.Peers() {
-		justHeard := float64(status.Reachability.SinceHeartbeat) < peerReachedWithin*interval
-		reached = reached || status.Live && status.ReachabilityKnown && justHeard
+		heardRecently := float64(status.Reachability.SinceHeartbeat) < peerReachedWithinIntervals*interval
+		reached = reached || status.Live && status.ReachabilityKnown && heardRecently
 	}
 	if reached {
-		if float64(now.Sub(d.peersReachedAt)) > peersReachedLapse*interval {
+		if float64(now.Sub(d.peersReachedAt)) > peersReachedLapseIntervals*interval {
 			d.peersReachedSince = now
 		}
 		d.peersReachedAt = now
--- a/internal/shard/owner.go
+++ b/internal/shard/owner.go
@@ -1,15 +1,16 @@
-// Package shard is the work of a shard owner. The leader assigns each worker to the shard
-// of one controller by the shard map. That controller answers the worker's heartbeats,
-// learns from its finished tasks, and picks tasks when the leader offers free capacity of
-// the shard.
+// Package shard implements the shard owner. The shard map of the leader assigns each worker
+// to the shard of one controller. That controller answers the worker's heartbeats, records
+// the run times of its finished tasks, and picks tasks when the leader offers free capacity
+// of the shard.
 //
-// An [Owner] owns the placement table of its shard and the detector that tells whether
-// this controller is isolated from its workers, each under a lock of its own; both live
-// in memory only. The server calls it for each heartbeat, and the leader's runtime for
-// the state of the peers and of the key-value store as seen from here.
+// An [Owner] owns the placement table of its shard and the detector of isolation from its
+// workers, each with a lock of its own; both exist in memory only. The server calls it for
+// each heartbeat; the leader's runtime queries it for the state of the peers and of the
+// key-value store as seen by this controller.
 //
-// It must not start a task or renew a lease by its own decision, but for one case: while
-// nobody can lead it lets running tasks continue under the present epoch.
+// The package must not start a task or renew a lease by its own decision, with one
+// exception: while no controller can lead, it lets running tasks continue under the current
+// epoch.
 package shard
 
 import (
@@ -27,15 +28,15 @@
 
 // PeerLinks are the links to the other controllers.
 type PeerLinks interface {
-	// ForwardHeartbeat has the leader, on another controller, answer a heartbeat.
+	// ForwardHeartbeat forwards a heartbeat to the leader on another controller.
 	ForwardHeartbeat(ctx context.Context, controller string, heartbeat *wire.Heartbeat) (peer.HeartbeatAnswer, error)
-	// Pick has another shard owner pick tasks for free capacity of its shard.
+	// Pick requests another shard owner's picks for free capacity of its shard.
 	Pick(ctx context.Context, controller string, offer *placement.Offer) ([]placement.Pick, error)
-	// Peers returns what is known of each peer, by name.
+	// Peers returns the status of each peer, by name.
 	Peers() map[string]peer.Status
 }
 
-// Owner answers for this controller's shard. It is safe for concurrent use.
+// Owner is the shard owner of this controller. It is safe for concurrent use.
 type Owner struct {
 	config           *settings.Settings
 	shardMap         func() election.ShardMap
@@ -49,12 +50,12 @@
 
 	mu       sync.Mutex // guards table and finishes
 	table    *placement.Table
-	finishes int // learned so far
+	finishes int // recorded so far
 }
 
 // New returns the owner of this controller's shard. shardMap returns the latest shard map
-// known here, sinceStoreAnswer how long the key-value store has not answered this
-// controller. Call SetPeerLinks before any other method.
+// that this controller has, sinceStoreAnswer the time since the key-value store last
+// answered it. SetPeerLinks must be called before any other method.
 func New(
 	config *settings.Settings,
 	shardMap func() election.ShardMap,
@@ -78,5 +79,6 @@
 	}
 }
 
-// SetPeerLinks sets the links to the peers, which in turn need the owner that they serve.
+// SetPeerLinks sets the links to the peers. New does not take them because creating the links
+// requires the owner.
 func (o *Owner) SetPeerLinks(links PeerLinks) { o.links = links }
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -30,12 +30,12 @@
 }
 
 func (l *fakeLinks) Pick(context.Context, string, *placement.Offer) ([]placement.Pick, error) {
-	return nil, errors.New("not asked for")
+	return nil, errors.New("unexpected call of Pick")
 }
 
 func (l *fakeLinks) Peers() map[string]peer.Status { return l.peers }
 
-// fakeLeader is the leader runtime of this controller.
+// fakeLeader is the leader runtime of this controller. It answers with epoch 7.
 type fakeLeader struct{ err error }
 
 func (l fakeLeader) Heartbeat(context.Context, *wire.Heartbeat) (wire.CommandBatch, []agent.RuntimeSample, error) {
@@ -62,69 +62,70 @@
 	return owner
 }
 
-// A heartbeat is answered by the leader, through the owner of the worker's shard alone.
+// A heartbeat is answered by the leader, and only through the owner of the worker's shard.
 func TestHeartbeat(t *testing.T) {
-	mine := election.ShardMap{Epoch: 7, Leader: "me", Owners: []string{"me"}}
-	theirs := election.ShardMap{Epoch: 7, Leader: "me", Owners: []string{"other"}}
-	remote := election.ShardMap{Epoch: 7, Leader: "boss", Owners: []string{"me"}}
-	passedOn := peer.HeartbeatAnswer{OK: true, Commands: wire.CommandBatch{Epoch: 9}}
+	ownShard := election.ShardMap{Epoch: 7, Leader: "me", Owners: []string{"me"}}
+	othersShard := election.ShardMap{Epoch: 7, Leader: "me", Owners: []string{"other"}}
+	remoteLeader := election.ShardMap{Epoch: 7, Leader: "boss", Owners: []string{"me"}}
+	forwarded := peer.HeartbeatAnswer{OK: true, Commands: wire.CommandBatch{Epoch: 9}}
 	for _, tc := range []struct {
-		name     string
-		shardMap election.ShardMap
-		seen     uint64 // the worker's epoch
-		links    fakeLinks
-		leader   fakeLeader
-		epoch    uint64 // of the answer; 0: refused
-		redirect string
+		name         string
+		shardMap     election.ShardMap
+		workerEpoch  uint64
+		links        fakeLinks
+		leader       fakeLeader
+		wantEpoch    uint64 // of the answer; 0: refused
+		wantRedirect string
 	}{
-		{"the leader's own worker", mine, 7, fakeLinks{}, fakeLeader{}, 7, ""},
-		{"the term is over", mine, 7, fakeLinks{}, fakeLeader{errors.New("no")}, 0, ""},
-		{"another's worker", theirs, 7, fakeLinks{}, fakeLeader{}, 0, "other"},
-		{"no map yet", election.ShardMap{}, 0, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"a worker that knows more", mine, 8, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"passed on", remote, 7, fakeLinks{answer: passedOn}, fakeLeader{}, 9, ""},
-		{"the leader may not answer", remote, 7, fakeLinks{}, fakeLeader{}, 0, ""},
-		{"the leader cannot be asked: the tasks run on", remote, 7, fakeLinks{err: peer.ErrDown}, fakeLeader{}, 7, ""},
+		{"local leader", ownShard, 7, fakeLinks{}, fakeLeader{}, 7, ""},
+		{"local leader has stepped down", ownShard, 7, fakeLinks{}, fakeLeader{errors.New("not leading")}, 0, ""},
+		{"worker of another shard", othersShard, 7, fakeLinks{}, fakeLeader{}, 0, "other"},
+		{"no shard map", election.ShardMap{}, 0, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"worker with a later epoch", ownShard, 8, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"forwarded to a remote leader", remoteLeader, 7, fakeLinks{answer: forwarded}, fakeLeader{}, 9, ""},
+		{"remote leader has stepped down", remoteLeader, 7, fakeLinks{}, fakeLeader{}, 0, ""},
+		{"remote leader is unreachable: leases extended", remoteLeader, 7,
+			fakeLinks{err: peer.ErrDown}, fakeLeader{}, 7, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			owner := newTestOwner(t, tc.shardMap, 0, &tc.links)
-			batch, err := owner.Heartbeat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: tc.seen}, tc.leader)
-			if batch.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
-				t.Errorf("epoch %d, %v", batch.Epoch, err)
+			batch, err := owner.Heartbeat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: tc.workerEpoch}, tc.leader)
+			if batch.Epoch != tc.wantEpoch || (err == nil) != (tc.wantEpoch > 0) {
+				t.Errorf("got epoch %d, error %v", batch.Epoch, err)
 			}
 			var notOwner *NotOwnerError
-			if err != nil && (!errors.As(err, &notOwner) || notOwner.RedirectTarget != tc.redirect) {
-				t.Errorf("sent to %v, want %q", err, tc.redirect)
+			if err != nil && (!errors.As(err, &notOwner) || notOwner.RedirectTarget != tc.wantRedirect) {
+				t.Errorf("got error %v, want redirect target %q", err, tc.wantRedirect)
 			}
 			if len(batch.Commands) > 0 {
-				t.Error("commands that nobody gave")
+				t.Error("the answer contains commands, want none")
 			}
 		})
 	}
 }
 
-// In an outage of the store tasks run on though nobody can lead. But a controller that has
-// lost the cancellations that users were told of, or that is refused alone, answers nothing
-// by itself.
+// During an outage of the store a controller extends leases although no controller can lead.
+// It must not if it has lost acknowledged cancellations by a restart, or if the store
+// refuses only this controller.
 func TestHeartbeatDuringStoreOutage(t *testing.T) {
-	no, refused := errors.New("no"), peer.Status{Live: true}
-	served := map[string]peer.Status{"boss": {Live: true, Ping: peer.Ping{StoreSilence: 0}}}
+	errNotLeading, refused := errors.New("not leading"), peer.Status{Live: true}
+	servedPeers := map[string]peer.Status{"boss": {Live: true, Ping: peer.Ping{StoreSilence: 0}}}
 	refused.StoreSilence = time.Minute
-	down := map[string]peer.Status{"boss": refused}
+	refusedPeers := map[string]peer.Status{"boss": refused}
 	for _, tc := range []struct {
-		name   string
-		leader string
-		synced bool // its cancellations are
-		links  fakeLinks
-		epoch  uint64 // of the answer; 0: refused
+		name      string
+		leader    string
+		synced    bool // the cancellation set is synced
+		links     fakeLinks
+		wantEpoch uint64 // of the answer; 0: refused
 	}{
-		{"the leader stepped down", "boss", true, fakeLinks{peers: down}, 7},
-		{"this controller led, and stepped down", "me", true, fakeLinks{peers: down}, 7},
-		{"the leader is out of reach", "boss", true, fakeLinks{err: peer.ErrDown}, 7},
-		{"refused alone", "boss", true, fakeLinks{peers: served}, 0},
-		{"refused alone, and led", "me", true, fakeLinks{peers: served}, 0},
-		{"just started, the leader stepped down", "boss", false, fakeLinks{peers: down}, 0},
-		{"just started, the leader is out of reach", "boss", false, fakeLinks{err: peer.ErrDown}, 0},
+		{"remote leader has stepped down", "boss", true, fakeLinks{peers: refusedPeers}, 7},
+		{"local leader has stepped down", "me", true, fakeLinks{peers: refusedPeers}, 7},
+		{"remote leader is unreachable", "boss", true, fakeLinks{err: peer.ErrDown}, 7},
+		{"store serves the remote leader", "boss", true, fakeLinks{peers: servedPeers}, 0},
+		{"store serves a peer, local leader has stepped down", "me", true, fakeLinks{peers: servedPeers}, 0},
+		{"just started, remote leader has stepped down", "boss", false, fakeLinks{peers: refusedPeers}, 0},
+		{"just started, remote leader is unreachable", "boss", false, fakeLinks{err: peer.ErrDown}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			shardMap := election.ShardMap{Epoch: 7, Leader: tc.leader, Owners: []string{"me"}}
@@ -137,50 +138,52 @@
 				{Task: "req-1/0", Attempt: 2, Phase: wire.TaskRunning},
 				{Task: "req-2/0", Attempt: 1, Phase: wire.TaskRunning},
 			}}
-			batch, err := owner.Heartbeat(t.Context(), heartbeat, fakeLeader{no})
-			if batch.Epoch != tc.epoch || (err == nil) != (tc.epoch > 0) {
-				t.Fatalf("epoch %d, %v", batch.Epoch, err)
+			batch, err := owner.Heartbeat(t.Context(), heartbeat, fakeLeader{errNotLeading})
+			if batch.Epoch != tc.wantEpoch || (err == nil) != (tc.wantEpoch > 0) {
+				t.Fatalf("got epoch %d, error %v", batch.Epoch, err)
 			}
 			want := []wire.Command{{Action: wire.ActionStop, Task: "req-1/0", Attempt: 2}}
 			if err == nil && !slices.Equal(batch.Commands, want) {
-				t.Errorf("commands %v, want %v", batch.Commands, want)
+				t.Errorf("got commands %v, want %v", batch.Commands, want)
 			}
 		})
 	}
 }
 
-// A controller that the store refuses alone hands its shard over. If all are refused they
-// wait.
+// A peer refused by a store that serves this controller is not eligible to own a shard, and
+// a controller detects that it is itself the refused one. In an outage of the store all
+// connected controllers stay eligible.
 func TestEligibleOwners(t *testing.T) {
-	// a is the one peer, with the time since the store answered it and since it is live.
-	a := func(age, since time.Duration, live bool) map[string]peer.Status {
-		status := peer.Status{Ping: peer.Ping{StoreSilence: age}, Live: live, LiveSince: testTime.Add(-since)}
+	// peerA returns a single peer a.
+	peerA := func(storeSilence, liveFor time.Duration, live bool) map[string]peer.Status {
+		status := peer.Status{Ping: peer.Ping{StoreSilence: storeSilence}, Live: live, LiveSince: testTime.Add(-liveFor)}
 		return map[string]peer.Status{"a": status}
 	}
 	both, alone := []string{"a", "me"}, []string{"me"}
 	for _, tc := range []struct {
-		name     string
-		stale    time.Duration // since the store answered
-		peers    map[string]peer.Status
-		current  []string
-		eligible []string
-		peerOnly bool // the store serves the peer only
+		name             string
+		sinceStoreAnswer time.Duration
+		peers            map[string]peer.Status
+		current          []string
+		wantEligible     []string
+		wantPeerOnly     bool // the store serves the peer only
 	}{
-		{"all is well", 0, a(0, time.Hour, true), both, both, false},
-		{"a peer is refused", 0, a(9*time.Second, time.Hour, true), both, alone, false},
-		{"only this controller is", 9 * time.Second, a(0, time.Hour, true), both, both, true},
-		{"all are: an outage", 9 * time.Second, a(9*time.Second, time.Hour, true), both, both, false},
-		{"refused, and the peer is gone", 9 * time.Second, a(0, time.Hour, false), both, alone, false},
-		{"a peer that just came waits", 0, a(0, time.Second, true), alone, alone, false},
-		{"but not for a first map", 0, a(0, time.Second, true), nil, both, false},
+		{"store serves all controllers", 0, peerA(0, time.Hour, true), both, both, false},
+		{"store refuses the peer", 0, peerA(9*time.Second, time.Hour, true), both, alone, false},
+		{"store refuses this controller", 9 * time.Second, peerA(0, time.Hour, true), both, both, true},
+		{"store outage", 9 * time.Second, peerA(9*time.Second, time.Hour, true), both, both, false},
+		{"store refuses this controller, peer disconnected", 9 * time.Second,
+			peerA(0, time.Hour, false), both, alone, false},
+		{"peer has just connected", 0, peerA(0, time.Second, true), alone, alone, false},
+		{"peer has just connected, no current owners", 0, peerA(0, time.Second, true), nil, both, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			owner := newTestOwner(t, election.ShardMap{}, tc.stale, &fakeLinks{peers: tc.peers})
-			if got := owner.EligibleOwners(tc.current); !slices.Equal(got, tc.eligible) {
-				t.Errorf("eligible %v, want %v", got, tc.eligible)
+			owner := newTestOwner(t, election.ShardMap{}, tc.sinceStoreAnswer, &fakeLinks{peers: tc.peers})
+			if got := owner.EligibleOwners(tc.current); !slices.Equal(got, tc.wantEligible) {
+				t.Errorf("got eligible %v, want %v", got, tc.wantEligible)
 			}
-			if _, peerOnly := owner.StoreServesPeerOnly(); peerOnly != tc.peerOnly {
-				t.Errorf("the store serves the peer only: %v", peerOnly)
+			if _, peerOnly := owner.StoreServesPeerOnly(); peerOnly != tc.wantPeerOnly {
+				t.Errorf("StoreServesPeerOnly: got %v", peerOnly)
 			}
 		})
 	}
--- a/internal/shard/pick.go
+++ b/internal/shard/pick.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/placement"
 )
 
-// finishesPerTrim is how many finished tasks are learned between two trims of the table.
+// finishesPerTrim is the number of finished tasks between two trims of the placement table.
 const finishesPerTrim = 256
 
 // Learn adds the run time of a finished task to the shard's placement table.
@@ -21,7 +21,7 @@
 	}
 }
 
-// Pick has the owner of a shard pick tasks for offered capacity: this controller or a peer.
+// Pick returns the picks of a shard's owner, this controller or a peer, for offered capacity.
 func (o *Owner) Pick(ctx context.Context, controller string, offer placement.Offer) ([]placement.Pick, error) {
 	if controller == o.config.Name {
 		return o.PickLocal(offer), nil
@@ -36,7 +36,7 @@
 	return o.table.Choose(offer, o.tuning, o.now())
 }
 
-// Rates returns what the placement table has learned, for the status page.
+// Rates returns the service rates learned by the placement table, for the status page.
 func (o *Owner) Rates() []placement.RateRow {
 	o.mu.Lock()
 	defer o.mu.Unlock()
