--- a/internal/failuredetector/detector.go
+++ b/internal/failuredetector/detector.go
@@ -1,34 +1,34 @@
-// Package failuredetector decides what the silence of workers is attributed to. A worker
-// that is silent alone has most likely failed. When most of a zone, most of what one
-// controller answers, or everything is silent at once, the network is cut instead, and
-// the tasks there run on.
+// Package failuredetector attributes the silence of workers to a fault. A single silent
+// worker has most likely failed. If most workers of a zone, most workers of one shard
+// owner, or all workers are silent at once, the network is partitioned instead, and their
+// tasks continue to run.
 //
 // A [Detector] owns the record of present and recent outages. The leader's runtime calls
 // it under its own lock, with the observations and the time of each round. The package
-// reads no clock, does no I/O, and must not decide what follows from a fault: the leader
+// reads no clock, does no I/O, and must not decide how to react to a fault: the leader
 // does.
 package failuredetector
 
 import "time"
 
-// Observation is what the leader knows of one worker that was up when last heard from.
+// Observation describes one worker that was up when the leader last heard from it.
 type Observation struct {
 	Zone       string
 	ShardOwner string        // the controller that answers its heartbeats
 	Spot       bool          // it is a spot instance
-	SilentFor  time.Duration // since anything came from it, or could have come
+	SilentFor  time.Duration // since anything was, or could have been, received from it
 }
 
-// Fault is what a worker's silence is attributed to.
+// Fault is the cause that a worker's silence is attributed to.
 type Fault int
 
 // Faults, from the narrowest to the widest.
 const (
-	FaultWorker      Fault = iota // the worker itself
+	FaultWorker      Fault = iota // the worker itself has failed
 	FaultSpotReclaim              // the cloud reclaims the spot instances of its zone
-	FaultShardOwner               // the controller that answers it hears no workers
-	FaultZone                     // its zone is cut off
-	FaultObserver                 // this controller hears no workers at all
+	FaultShardOwner               // its shard owner receives no heartbeats
+	FaultZone                     // its zone is partitioned
+	FaultObserver                 // this controller receives no heartbeats from any worker
 )
 
 // String returns the fault's name in log messages.
@@ -36,7 +36,7 @@
 	return [...]string{"worker", "spot_reclaim", "shard_owner", "zone", "observer"}[f]
 }
 
-// Outage is a group of workers that is silent, or was until lately.
+// Outage is the present or recent silence of a group of workers.
 type Outage struct {
 	Fault  Fault
 	Name   string // of the zone or controller
@@ -45,8 +45,8 @@
 }
 
 // Detector records which groups of workers are silent, since when, and until when their
-// silence is excused: the workers of a group that recovers are heard again one after the
-// other, and the last of them must not be taken for failed on that account. It is not
+// silence is excused. When a group recovers, its workers' heartbeats resume one after the
+// other, and the last of them must not be regarded as failed in the meantime. It is not
 // safe for concurrent use.
 type Detector struct {
 	suspectAfter  time.Duration
@@ -67,8 +67,8 @@
 	active       bool
 }
 
-// New returns a detector without outages. A worker is suspected when silent for longer
-// than suspectAfter, which must exceed one late heartbeat. A group that is heard again
+// New returns a detector without outages. A worker is suspected when it has been silent for
+// longer than suspectAfter, which must allow for one late heartbeat. A group that recovers
 // stays excused for recoveryGrace.
 func New(suspectAfter, recoveryGrace time.Duration) *Detector {
 	return &Detector{suspectAfter: suspectAfter, recoveryGrace: recoveryGrace, outages: make(map[groupKey]*outageState)}
@@ -88,7 +88,7 @@
 	d.update(counts.suspectedGroups(), now)
 }
 
-// update begins, extends and ends outages.
+// update starts, extends and ends outages according to the suspected groups.
 func (d *Detector) update(suspected map[groupKey]bool, now time.Time) {
 	for key := range suspected {
 		outage := d.outages[key]
@@ -109,8 +109,8 @@
 	}
 }
 
-// FaultOf returns the widest fault that explains a worker's silence, and since when its
-// group is silent. The time is zero for [FaultWorker].
+// FaultOf returns the widest fault that explains a worker's silence, and the start of its
+// group's outage. The time is zero for [FaultWorker].
 func (d *Detector) FaultOf(observation Observation) (Fault, time.Time) {
 	for _, key := range []groupKey{
 		{fault: FaultObserver},
@@ -128,7 +128,7 @@
 	return FaultWorker, time.Time{}
 }
 
-// Outages lists the present and recent outages, in no particular order.
+// Outages returns the present and recent outages, in no particular order.
 func (d *Detector) Outages() []Outage {
 	var outages []Outage
 	for key, outage := range d.outages {
--- a/internal/failuredetector/groups.go
+++ b/internal/failuredetector/groups.go
@@ -1,7 +1,7 @@
 package failuredetector
 
-// minSuspected is how many workers of a group must be silent before the group is
-// suspected rather than each of them. Groups with fewer workers up say nothing.
+// minSuspected is the minimum number of suspected workers for which a group is suspected as a
+// whole. A group with fewer workers up is not conclusive.
 const minSuspected = 3
 
 // groupCount counts the workers of a group.
@@ -15,12 +15,12 @@
 	return c != nil && c.suspected >= minSuspected && 2*c.suspected > c.up
 }
 
-// mostlyHeard reports whether the group is large enough to tell, and is not suspected.
+// mostlyHeard reports whether the group is large enough to be conclusive, and not suspected.
 func (c *groupCount) mostlyHeard() bool {
 	return c != nil && c.up >= minSuspected && !c.mostlySuspected()
 }
 
-// groupCounts counts the workers of one round by each kind of group.
+// groupCounts holds the counts of all groups in one round.
 type groupCounts struct {
 	zones       map[string]*groupCount
 	onDemand    map[string]*groupCount // the on-demand workers, by zone
@@ -60,8 +60,8 @@
 	}
 }
 
-// suspectedGroups returns the groups that are suspected as a whole. This controller
-// itself is suspected if a zone is, and no group is heard.
+// suspectedGroups returns the groups that are suspected as a whole. This controller's own
+// connection is suspected if a zone is suspected and no group is mostly heard.
 func (g *groupCounts) suspectedGroups() map[groupKey]bool {
 	suspected := make(map[groupKey]bool)
 	zoneSuspected, anyHeard := false, false
@@ -90,8 +90,8 @@
 	return suspected
 }
 
-// isSpotReclaim reports whether a zone's spot workers are silent while its on-demand
-// workers are heard: a network cut would silence both.
+// isSpotReclaim reports whether a zone's spot workers are silent while its on-demand workers
+// are heard. A network partition would silence both.
 func (g *groupCounts) isSpotReclaim(zone string) bool {
 	return g.onDemand[zone].mostlyHeard() && g.spot[zone].mostlySuspected()
 }
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// choice is a candidate with what it would take next.
+// choice is a candidate with the job whose task it would take next.
 type choice struct {
 	candidate *Candidate
 	job       *WaitingJob // nil: nothing fits
 	pick      Pick
-	stale     bool // another candidate took a task since, so the job may no longer fit
+	stale     bool // a task has been placed since, so the job may no longer fit
 }
 
-// chooser is one run of Table.Choose.
+// chooser is the state of one call of Table.Choose.
 type chooser struct {
 	table   *Table
 	queues  []Queue
@@ -22,8 +22,9 @@
 	choices []choice
 }
 
-// Choose lets each candidate pick by the rule, the best-suited one first, until nothing
-// waiting fits, and returns the picks in that order. It uses the offer up as it goes.
+// Choose lets the candidates pick tasks, the best pick first, until no waiting task fits, and
+// returns the picks in that order. It modifies the offer: each pick takes a task from its
+// queue and capacity from its candidate.
 func (t *Table) Choose(offer Offer, tuning Tuning, now time.Time) []Pick {
 	run := &chooser{
 		table: t, queues: offer.Queues, tuning: tuning, now: now,
@@ -52,21 +53,22 @@
 	return picks
 }
 
-// best is the choice whose pick goes first, or nil if no candidate can take anything.
+// best returns the choice whose pick goes first, or nil if no candidate can take a task.
 func (run *chooser) best() *choice {
 	var best *choice
 	for i := range run.choices {
-		if c := &run.choices[i]; c.job != nil && (best == nil || c.pick.Before(best.pick) < 0) {
-			best = c
+		if current := &run.choices[i]; current.job != nil && (best == nil || current.pick.Before(best.pick) < 0) {
+			best = current
 		}
 	}
 	return best
 }
 
-// choose finds what a candidate takes next: of each queue the first job that fits bids.
-func (run *chooser) choose(c *choice) {
-	c.job, c.stale = nil, false
-	candidate := c.candidate
+// choose selects the job that a candidate takes a task of next, among the first fitting job of
+// each queue.
+func (run *chooser) choose(next *choice) {
+	next.job, next.stale = nil, false
+	candidate := next.candidate
 	var heads []QueueHead
 	var jobs []*WaitingJob
 	for i := range run.queues {
@@ -87,9 +89,9 @@
 	if selected < 0 {
 		return
 	}
-	c.job = jobs[selected]
-	c.pick = Pick{
-		Worker: candidate.Worker, JobID: c.job.JobID, Tier: heads[selected].Tier,
-		Weight: heads[selected].Weight, Cost: c.job.cost(candidate, run.tuning),
+	next.job = jobs[selected]
+	next.pick = Pick{
+		Worker: candidate.Worker, JobID: next.job.JobID, Tier: heads[selected].Tier,
+		Weight: heads[selected].Weight, Cost: next.job.cost(candidate, run.tuning),
 	}
 }
--- a/internal/placement/offer.go
+++ b/internal/placement/offer.go
@@ -6,9 +6,8 @@
 	"time"
 )
 
-// Offer is the free capacity of one shard's workers together with the queues of waiting
-// jobs. The leader makes it, since its job table knows what is free; the shard's owner
-// picks.
+// Offer describes the free capacity of one shard's workers and the queues of waiting jobs. The
+// leader makes it from its job table; the shard's owner answers with picks.
 type Offer struct {
 	Candidates []Candidate
 	Queues     []Queue
@@ -25,12 +24,12 @@
 	PullGBPerSecond      float64  // the rate at which the worker pulls images
 	Images               []string // present
 	PullingImages        []string // being pulled
-	PullingGB            float64  // left to pull of those
-	ReservedFor          string   // the job that the capacity is kept for until it fits
-	ReservedTier         int      // the tier of that job; jobs of a lower tier may still take it
+	PullingGB            float64  // remaining size of the images being pulled
+	ReservedFor          string   // ID of the job that the free capacity is reserved for; "": none
+	ReservedTier         int      // tier of that job; jobs of a lower tier may still take the capacity
 }
 
-// Queue holds the waiting jobs of one type, in the order in which their tasks go.
+// Queue holds the waiting jobs of one type, in the order in which their tasks are placed.
 type Queue struct {
 	Type       string
 	Unfinished int // unfinished tasks of the type, waiting and running
@@ -40,7 +39,7 @@
 // WaitingJob is a job with tasks that wait to be placed.
 type WaitingJob struct {
 	JobID                string
-	Tasks                int // that wait and may be claimed now
+	Tasks                int // number of waiting tasks that may be claimed now
 	Tier                 int
 	Age                  time.Duration
 	CPUs, GPUs, MemoryGB float64 // of one task
@@ -49,33 +48,33 @@
 	Service              bool
 	AllowSpot            bool
 	InstanceTypes        []string       // allowed; empty: any
-	ZoneSlots            map[string]int // how many tasks each zone may take; nil: any number
-	ExcludedWorkers      []string       // workers on which it failed
-	StartWithinSeconds   float64        // how soon its users want it started; 0: no objective
-	WarmZones            []string       // zones in which a worker has its image and free capacity
+	ZoneSlots            map[string]int // number of further tasks allowed in each zone; nil: no limit
+	ExcludedWorkers      []string       // workers on which the job has failed
+	StartWithinSeconds   float64        // time within which users want it started; 0: no objective
+	WarmZones            []string       // zones with a worker that has the image and free capacity
 }
 
-// Pick is one worker's choice of a job, a bid until the leader confirms it.
+// Pick is one worker's choice of a job. It is a bid until the leader confirms it.
 type Pick struct {
 	Worker string
 	JobID  string
 	Tier   int
-	Cost   float64 // how badly worker and job suit each other
-	Weight float64 // the rule's product
+	Cost   float64 // of the placement, see WaitingJob.cost
+	Weight float64 // see Table.Weight
 }
 
-// Before orders the picks of all workers: by tier, then by cost, then by the rule's
-// product, greatest first.
-func (p Pick) Before(q Pick) int {
+// Before orders the picks of all workers: by tier, then by cost, then by weight, greatest
+// first.
+func (p Pick) Before(other Pick) int {
 	return cmp.Or(
-		cmp.Compare(p.Tier, q.Tier), cmp.Compare(p.Cost, q.Cost), -cmp.Compare(p.Weight, q.Weight),
+		cmp.Compare(p.Tier, other.Tier), cmp.Compare(p.Cost, other.Cost), -cmp.Compare(p.Weight, other.Weight),
 	)
 }
 
-// roundingTolerance forgives the rounding of sums of decimal amounts.
+// roundingTolerance is the accepted rounding error in sums of resource amounts.
 const roundingTolerance = 1e-6
 
-// fits reports whether a task of the job fits the candidate's free capacity and may go there.
+// fits reports whether a task of the job fits the candidate's free capacity and may run on it.
 func (job *WaitingJob) fits(candidate *Candidate) bool {
 	return job.Tasks > 0 &&
 		job.CPUs <= candidate.CPUs+roundingTolerance &&
@@ -88,8 +87,8 @@
 		(candidate.ReservedFor == "" || candidate.ReservedFor == job.JobID || job.Tier < candidate.ReservedTier)
 }
 
-// place takes one task of the job off the queue and its resources off the candidate, whose
-// worker will pull the image if it lacks it.
+// place subtracts one task from the job and the task's resources from the candidate. If the
+// worker lacks the image, place adds it to the images being pulled.
 func (candidate *Candidate) place(job *WaitingJob) {
 	job.Tasks--
 	if job.ZoneSlots != nil {
--- a/internal/placement/rule.go
+++ b/internal/placement/rule.go
@@ -2,20 +2,20 @@
 
 import "time"
 
-// QueueHead is the first job of a job type's queue that fits a worker: what the type bids
-// for that worker's free capacity.
+// QueueHead describes the first job of a job type's queue that fits a worker. The heads of all
+// queues compete for the worker's free capacity.
 type QueueHead struct {
 	Type     string
-	Tier     int           // lower goes first: guaranteed quota before borrowed, then priority
-	Age      time.Duration // how long the job has waited
-	Weight   float64       // the rule's product
+	Tier     int           // a lower one goes first: guaranteed quota before borrowed, then priority
+	Age      time.Duration // time that the job has waited
+	Weight   float64       // see Table.Weight
 	HasImage bool          // the worker has the job's image
 }
 
-// SelectQueue returns the index of the head that goes first, or -1 if there is none: the
-// lowest tier; within it those past the aging threshold, longest waiting first; otherwise
-// the greatest weight, where an image on the worker decides among weights within the
-// nearTie fraction of the greatest.
+// SelectQueue returns the index of the head that goes first, or -1 if there is none. The
+// lowest tier goes first. Within it, heads past the aging threshold go first, the longest
+// waiting one before the others. Otherwise the greatest weight goes first, but among weights
+// within the nearTie fraction of the greatest a head with its image on the worker does.
 func SelectQueue(heads []QueueHead, agingThreshold time.Duration, nearTie float64) int {
 	best := -1
 	for i, head := range heads {
@@ -36,8 +36,8 @@
 	return best
 }
 
-// precedes orders heads by tier, age past the threshold, and weight; the name decides a
-// tie so that a decision repeats.
+// precedes reports whether head a goes before head b: by tier, then by age past the threshold,
+// then by weight. The type's name breaks ties, so that decisions are reproducible.
 func precedes(a, b QueueHead, agingThreshold time.Duration) bool {
 	if a.Tier != b.Tier {
 		return a.Tier < b.Tier
--- a/internal/placement/rule_test.go
+++ b/internal/placement/rule_test.go
@@ -12,16 +12,18 @@
 		heads []QueueHead
 		want  int
 	}{
-		{"nothing", nil, -1},
-		{"greatest product", []QueueHead{{Type: "a", Weight: 1}, {Type: "b", Weight: 2}}, 1},
-		{"equal products: by name, so that it repeats", []QueueHead{{Type: "b", Weight: 1}, {Type: "a", Weight: 1}}, 1},
-		{"tier before product", []QueueHead{{Type: "a", Tier: 1, Weight: 9}, {Type: "b", Tier: 0, Weight: 1}}, 1},
-		{"aged first", []QueueHead{{Type: "a", Weight: 9}, {Type: "b", Weight: 1, Age: aged}}, 1},
-		{"oldest of the aged", []QueueHead{{Type: "a", Weight: 9, Age: aged}, {Type: "b", Age: 2 * aged}}, 1},
-		{"age does not lift a tier", []QueueHead{{Type: "a", Tier: 1, Age: 9 * aged}, {Type: "b"}}, 1},
+		{"no heads", nil, -1},
+		{"greatest weight", []QueueHead{{Type: "a", Weight: 1}, {Type: "b", Weight: 2}}, 1},
+		{"equal weights: by name", []QueueHead{{Type: "b", Weight: 1}, {Type: "a", Weight: 1}}, 1},
+		{"tier before weight", []QueueHead{{Type: "a", Tier: 1, Weight: 9}, {Type: "b", Tier: 0, Weight: 1}}, 1},
+		{"past the aging threshold first", []QueueHead{{Type: "a", Weight: 9}, {Type: "b", Weight: 1, Age: aged}}, 1},
+		{"longest waiting of the aged first",
+			[]QueueHead{{Type: "a", Weight: 9, Age: aged}, {Type: "b", Age: 2 * aged}}, 1},
+		{"age does not override the tier", []QueueHead{{Type: "a", Tier: 1, Age: 9 * aged}, {Type: "b"}}, 1},
 		{"image breaks a near tie", []QueueHead{{Type: "a", Weight: 10}, {Type: "b", Weight: 9.5, HasImage: true}}, 1},
-		{"image does not outweigh the rule", []QueueHead{{Type: "a", Weight: 10}, {Type: "b", Weight: 8, HasImage: true}}, 0},
-		{"image does not cross tiers",
+		{"image does not decide beyond a near tie",
+			[]QueueHead{{Type: "a", Weight: 10}, {Type: "b", Weight: 8, HasImage: true}}, 0},
+		{"image does not override the tier",
 			[]QueueHead{{Type: "a", Weight: 10}, {Type: "b", Tier: 1, Weight: 10, HasImage: true}}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -15,7 +15,7 @@
 	isolatedAfterIntervals     = 1.75 // duration of the silence of workers that used to report here
 	peerReachedWithinIntervals = 0.5  // maximum age of a peer's last heartbeat from a worker
 	peersReachedLapseIntervals = 2.5  // gap without heartbeats at peers that restarts the measurement
-	minReportingWorkers        = 4    // fewer may be silent at the same time by chance
+	minReportingWorkers        = 4    // fewer may well be silent at the same time
 )
 
 // maxIsolationDoublings limits how often the duration of an isolation is doubled.
@@ -34,7 +34,7 @@
 
 	ownerSince            time.Time // zero: this controller owns no shard
 	isolatedUntil         time.Time
-	consecutiveIsolations int // in a row
+	consecutiveIsolations int
 
 	peersReachedAt    time.Time // when a peer last had a recent heartbeat of a worker
 	peersReachedSince time.Time // start of the period in which that has held without a lapse
--- a/internal/shard/pick.go
+++ b/internal/shard/pick.go
@@ -15,7 +15,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	arm := placement.Arm{JobType: sample.JobType, InstanceType: sample.InstanceType}
-	o.table.Finish(arm, sample.Duration, o.now())
+	o.table.RecordFinish(arm, sample.Duration, o.now())
 	if o.finishes++; o.finishes%finishesPerTrim == 0 {
 		o.table.Trim(o.now())
 	}
