--- a/internal/failuredetector/detector_test.go
+++ b/internal/failuredetector/detector_test.go
@@ -128,8 +128,11 @@
 		detector.Observe(workers, testTime)
 		for _, worker := range workers {
 			fault, _ := detector.FaultOf(worker)
-			faultGroup := map[Fault]string{FaultZone: "zone " + worker.Zone, FaultShardOwner: "owner " + worker.ShardOwner}[fault]
-			if fault >= FaultShardOwner && (suspected[faultGroup] < minSuspected || 2*suspected[faultGroup] <= up[faultGroup]) {
+			faultGroup := map[Fault]string{
+				FaultZone: "zone " + worker.Zone, FaultShardOwner: "owner " + worker.ShardOwner,
+			}[fault]
+			if fault >= FaultShardOwner &&
+				(suspected[faultGroup] < minSuspected || 2*suspected[faultGroup] <= up[faultGroup]) {
 				t.Fatalf("got fault %v with only %d of %d workers silent", fault, suspected[faultGroup], up[faultGroup])
 			}
 			// In a mostly silent zone a worker is at fault only if spot instances are being
