--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -137,7 +137,7 @@
 		cpus += max(0, instanceType.CPUs-used.CPUs)
 		gpus += max(0, instanceType.GPUs-used.GPUs)
 	}
-	o.jobs.Reserve(cpus, gpus)
+	o.jobs.SetReserved(cpus, gpus)
 }
 
 // hasOrphan tells whether a worker has an orphaned task that has not exited.
--- a/internal/ledger/quota.go
+++ b/internal/ledger/quota.go
@@ -91,6 +91,6 @@
 // guaranteed quota.
 func (t *Table) WithinGuaranteedQuota(job *Job) bool { return t.quotas.fitsGuarantee(job) }
 
-// Reserve sets the CPUs and GPUs that count against every team's limit because they are used by
+// SetReserved sets the CPUs and GPUs that count against every team's limit because they are used by
 // tasks whose job record was lost, so that their team is unknown. It replaces the earlier amounts.
-func (t *Table) Reserve(cpus, gpus float64) { t.quotas.reserved = Usage{cpus, gpus} }
+func (t *Table) SetReserved(cpus, gpus float64) { t.quotas.reserved = Usage{cpus, gpus} }
--- a/internal/ledger/quota_test.go
+++ b/internal/ledger/quota_test.go
@@ -17,7 +17,7 @@
 		t.Fatalf("without a reservation: headroom of %d, want 4; gang may be claimed: %v, want true",
 			table.QuotaHeadroom(array), table.CanClaimGang(gang))
 	}
-	table.Reserve(3, 0)
+	table.SetReserved(3, 0)
 	if table.QuotaHeadroom(array) != 1 || table.QuotaHeadroom(gang) != 0 {
 		t.Errorf("headroom of %d and %d, want 1 and 0", table.QuotaHeadroom(array), table.QuotaHeadroom(gang))
 	}
@@ -28,7 +28,7 @@
 	if err := table.CheckClaim(array, "a"); err != nil {
 		t.Errorf("claim of the array: got error %v, want none", err)
 	}
-	table.Reserve(0, 0)
+	table.SetReserved(0, 0)
 	if table.QuotaHeadroom(array) != 4 {
 		t.Errorf("after the reservation was removed: headroom of %d, want 4", table.QuotaHeadroom(array))
 	}
