--- a/internal/leader/antientropy.go
+++ b/internal/leader/antientropy.go
@@ -173,7 +173,7 @@
 
 // chunkRemovable tells whether the job of a chunk of claims is over, so that the chunk may go.
 func (s *scrubber) chunkRemovable(key string) bool {
-	jobID, _ := ledger.JobOfChunkKey(key)
+	jobID, _ := ledger.JobIDOfChunkKey(key)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	job := s.jobs.Job(jobID)
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -97,7 +97,7 @@
 	live, endings := state.liveJobs(), make(map[string][]byte)
 	var unknown []string
 	for _, item := range state.chunks {
-		jobID, ok := ledger.JobOfChunkKey(item.Key)
+		jobID, ok := ledger.JobIDOfChunkKey(item.Key)
 		if _, seen := endings[jobID]; !ok || live[jobID] || seen {
 			continue
 		}
@@ -161,7 +161,7 @@
 		}
 	}
 	for _, item := range state.chunks {
-		jobID, _ := ledger.JobOfChunkKey(item.Key)
+		jobID, _ := ledger.JobIDOfChunkKey(item.Key)
 		if end := state.endings[jobID]; end != nil && l.jobs.Job(jobID) == nil {
 			if err := l.jobs.AddEndedJob(jobID, end); err != nil {
 				return err
@@ -174,7 +174,7 @@
 // addClaims adds claims to the table. Callers hold mu.
 func (l *loader) addClaims(chunks []wire.KeyValue) error {
 	for _, item := range chunks {
-		if jobID, _ := ledger.JobOfChunkKey(item.Key); l.jobs.Job(jobID) == nil {
+		if jobID, _ := ledger.JobIDOfChunkKey(item.Key); l.jobs.Job(jobID) == nil {
 			l.log.Error("claims without job", "key", item.Key)
 			continue
 		}
--- a/internal/leader/loadcheck.go
+++ b/internal/leader/loadcheck.go
@@ -55,7 +55,7 @@
 		stored[item.Key] = true
 	}
 	tree.Root().WalkPrefix([]byte(ledger.ChunkPrefix), func(chunk, _ []byte) bool {
-		if jobID, ok := ledger.JobOfChunkKey(string(chunk)); ok && live[jobID] && !stored[string(chunk)] {
+		if jobID, ok := ledger.JobIDOfChunkKey(string(chunk)); ok && live[jobID] && !stored[string(chunk)] {
 			key, lost = string(chunk), true
 		}
 		return lost
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, key := range keys {
-		ref, ok := ledger.JobOfChunkKey(key)
+		ref, ok := ledger.JobIDOfChunkKey(key)
 		if !ok || !strings.HasPrefix(key, ledger.ChunkPrefix) {
 			continue
 		}
--- a/internal/ledger/keys.go
+++ b/internal/ledger/keys.go
@@ -34,8 +34,8 @@
 	return jobID, index, ok && err == nil && index >= 0
 }
 
-// JobOfChunkKey returns the ID of the job that a chunk's key belongs to.
-func JobOfChunkKey(key string) (string, bool) {
+// JobIDOfChunkKey returns the ID of the job that a chunk's key belongs to.
+func JobIDOfChunkKey(key string) (string, bool) {
 	jobID, _, ok := ParseChunkKey(key)
 	return jobID, ok
 }
