--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -51,11 +51,11 @@
 	d.mu.Unlock()
 	age := d.now().Sub(pending.Since)
 	deadline := settings.Seconds(d.settings.Facts.Workers.CancelSeconds)
-	if !ok || age < deadline/2 || pending.Job == d.lastOverdue {
+	if !ok || age < deadline/2 || pending.JobID == d.lastOverdue {
 		return
 	}
-	d.lastOverdue = pending.Job
-	d.log.Warn("dependent not cancelled yet", "job", pending.Job, "cause", pending.Cause, "age_s", age.Seconds())
+	d.lastOverdue = pending.JobID
+	d.log.Warn("dependent not cancelled yet", "job", pending.JobID, "cause", pending.Cause, "age_s", age.Seconds())
 }
 
 // lookUpEndings finds out how dependencies ended that the table does not know. A round that the
--- a/internal/ledger/dependencies.go
+++ b/internal/ledger/dependencies.go
@@ -178,7 +178,7 @@
 
 // PendingCancellation is a job that is to be cancelled because one that it depends on was.
 type PendingCancellation struct {
-	Job   string
+	JobID string
 	Cause string    // the cancelled job that it depends on
 	Since time.Time // when the cause was cancelled or the job was submitted, whichever is later
 }
@@ -188,7 +188,7 @@
 func (t *Table) OldestPendingCancellation() (oldest PendingCancellation, ok bool) {
 	for _, job := range t.dependencies.toCancel {
 		if !job.Cancelled && (!ok || job.cancelPendingSince.Before(oldest.Since)) {
-			oldest = PendingCancellation{Job: job.ID, Cause: job.cancelledUpstream, Since: job.cancelPendingSince}
+			oldest = PendingCancellation{JobID: job.ID, Cause: job.cancelledUpstream, Since: job.cancelPendingSince}
 			ok = true
 		}
 	}
--- a/internal/ledger/dependencies_test.go
+++ b/internal/ledger/dependencies_test.go
@@ -247,12 +247,12 @@
 		table.Cancel(jobID)
 	}
 	for _, want := range []PendingCancellation{
-		{Job: "req-4", Cause: "req-3", Since: now}, {Job: "req-2", Cause: "req-1", Since: now.Add(time.Minute)},
+		{JobID: "req-4", Cause: "req-3", Since: now}, {JobID: "req-2", Cause: "req-1", Since: now.Add(time.Minute)},
 	} {
 		if pending, ok := table.OldestPendingCancellation(); !ok || pending != want {
 			t.Errorf("got %+v, want %+v", pending, want)
 		}
-		table.Cancel(want.Job)
+		table.Cancel(want.JobID)
 	}
 	if pending, ok := table.OldestPendingCancellation(); ok {
 		t.Errorf("got %+v with all cancellations propagated, want none", pending)
