--- a/internal/leader/offer.go
+++ b/internal/leader/offer.go
@@ -195,7 +195,7 @@
 		})
 	}
 	wg.Wait()
-	slices.SortStableFunc(all, placement.Pick.Before)
+	slices.SortStableFunc(all, placement.Pick.Compare)
 	return all
 }
 
--- a/internal/placement/choose.go
+++ b/internal/placement/choose.go
@@ -57,7 +57,7 @@
 func (run *chooser) best() *choice {
 	var best *choice
 	for i := range run.choices {
-		if current := &run.choices[i]; current.job != nil && (best == nil || current.pick.Before(best.pick) < 0) {
+		if current := &run.choices[i]; current.job != nil && (best == nil || current.pick.Compare(best.pick) < 0) {
 			best = current
 		}
 	}
--- a/internal/placement/offer.go
+++ b/internal/placement/offer.go
@@ -63,9 +63,9 @@
 	Weight float64 // see Table.Weight
 }
 
-// Before orders the picks of all workers: by tier, then by cost, then by weight, greatest
+// Compare orders the picks of all workers: by tier, then by cost, then by weight, greatest
 // first.
-func (p Pick) Before(other Pick) int {
+func (p Pick) Compare(other Pick) int {
 	return cmp.Or(
 		cmp.Compare(p.Tier, other.Tier), cmp.Compare(p.Cost, other.Cost), -cmp.Compare(p.Weight, other.Weight),
 	)
