--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -123,7 +123,7 @@
 
 // A controller keeps its own writes until the leader has replicated them, and the tree of an
 // earlier incarnation until the current one is complete.
-func TestReplicaMemory(t *testing.T) {
+func TestOwnWritesAndPreviousIncarnation(t *testing.T) {
 	leader, replica := New(1<<20), New(1<<20)
 	leader.StartLeading("h1", 1, 1, New(0).tree)
 	peer := &lossyPeer{follower: replica, lose: func() int { return 0 }}
