--- a/internal/leader/antientropy.go
+++ b/internal/leader/antientropy.go
@@ -17,12 +17,12 @@
 	"rillflow/internal/wire"
 )
 
-// scrubber looks for keys that the store has lost without a trace: it walks the keys that this
-// controller's replica has, and reads a few at a time from the store.
+// scrubber detects keys that the store has lost silently: page by page, it compares the keys in
+// the store with those of this controller's replica.
 //
 // Serve runs its loop, runAntiEntropy, and nobody else calls it. Its only state is the loop's
-// cursor. It takes mu for a look at a job, and must not hold it during a request to the store.
-// It writes nothing to the store: it ends the term if data is lost, and the next one recovers it.
+// cursor. It takes mu to look up a job, and must not hold it during a request to the store. It
+// writes nothing to the store: if data is lost it ends the term, and the next term recovers it.
 type scrubber struct {
 	*termScope
 	recovery    *dataRecovery
@@ -31,32 +31,32 @@
 
 // Pace of the scrubber.
 const (
-	keysPerHeartbeat       = 200 // looked at in a heartbeat interval
-	firstRoundAcceleration = 5   // times as many keys at once in the first look at the end records
-	maxSuspectsPerPage     = 8   // keys of a page that are looked up again
+	keysPerHeartbeat       = 200 // keys compared in a heartbeat interval
+	firstRoundAcceleration = 5   // factor on the page size in the first pass over the end records
+	maxSuspectsPerPage     = 8   // missing keys of a page that are looked up again
 )
 
-// scrubPrefixes are walked in this order, over and over. End records come first: those of
-// before this term are known to nobody else if the leader has just begun.
+// scrubPrefixes are scanned in this order, repeatedly. End records come first: those of earlier
+// terms may be missing from all replicas when a leader has just started, and the scan adds them.
 var scrubPrefixes = []string{ledger.EndedPrefix, ledger.LivePrefix, ledger.ChunkPrefix}
 
-// scrubCursor is how far the scrubber has come.
+// scrubCursor is the position and the pace of the scrubber.
 type scrubCursor struct {
-	prefix   int    // index in scrubPrefixes
-	after    string // the last key looked at under it; "": none
-	interval time.Duration
-	keys     int // to be looked at in an interval
+	prefix   int           // index in scrubPrefixes
+	after    string        // the last key compared under the prefix; "" if none
+	interval time.Duration // between two pages
+	keys     int           // page size
 }
 
-// scrubPage is a range of keys as the store has them.
+// scrubPage is a range of keys and values as read from the store.
 type scrubPage struct {
 	prefix string
-	after  string // the range begins behind this key
-	last   string // its last key; "": it goes to the end of the prefix
+	after  string // exclusive start of the range
+	last   string // inclusive end of the range; "" if it extends to the end of the prefix
 	items  []wire.KeyValue
 }
 
-// runAntiEntropy compares one page of keys after the other.
+// runAntiEntropy compares the store with the replica, one page of keys at a time.
 func (s *scrubber) runAntiEntropy(ctx context.Context) error {
 	cursor := scrubCursor{interval: s.settings.HeartbeatInterval() / 8, keys: firstRoundAcceleration * keysPerHeartbeat}
 	for retry.Sleep(ctx, cursor.interval) {
@@ -81,7 +81,7 @@
 	return ctx.Err()
 }
 
-// addEndings adds end records of earlier terms to the replica.
+// addEndings adds the end records that the replica lacks, those of earlier terms.
 func (s *scrubber) addEndings(items []wire.KeyValue) {
 	var ops []wire.Operation
 	for _, item := range items {
@@ -92,8 +92,8 @@
 	s.replica.Apply(0, ops...)
 }
 
-// checkPage ends the term if a value of a page cannot be read, or a key is lost: the replica had
-// it before the page was read, still has it, and the page has not.
+// checkPage ends the term if a value of a page is damaged or a key is lost: the replica had the
+// key before the page was read and still has it, but the page lacks it.
 func (s *scrubber) checkPage(ctx context.Context, before *replica.Tree, page scrubPage) error {
 	if page.prefix != ledger.EndedPrefix {
 		for _, item := range page.items {
@@ -115,13 +115,13 @@
 	return nil
 }
 
-// isDamaged tells whether a value is not what the replica has, and no JSON.
+// isDamaged reports whether a value differs from the replica's and is not valid JSON.
 func (s *scrubber) isDamaged(item wire.KeyValue) bool {
 	known, ok := s.replica.Get(item.Key)
 	return ok && string(known) != string(item.Value) && !json.Valid(item.Value)
 }
 
-// missingKeys returns the keys of a tree that belong in a page and are not there.
+// missingKeys returns the keys of a tree that are within the range of a page but not in it.
 func (p *scrubPage) missingKeys(tree *replica.Tree) []string {
 	present := make(map[string]bool, len(p.items))
 	for _, item := range p.items {
@@ -138,18 +138,18 @@
 	return missing
 }
 
-// covers tells whether a key behind the beginning of a page belongs in it.
+// covers reports whether a key after the start of a page is within its range.
 func (p *scrubPage) covers(key string) bool {
 	return strings.HasPrefix(key, p.prefix) && (p.last == "" || key <= p.last)
 }
 
-// isLost tells whether a key that was missing in a page is surely lost: not just deleted, nor
-// yet to be stored again. A store that does not answer proves nothing.
+// isLost reports whether a key missing from a page is certainly lost: neither just deleted nor
+// still to be restored by the recovery. If the store does not answer, nothing is proven.
 func (s *scrubber) isLost(ctx context.Context, prefix, key string) (bool, error) {
 	if prefix == ledger.EndedPrefix && s.endingPending(key) || !s.isAbsent(ctx, key) {
 		return false, nil
 	}
-	// Deleted by somebody meanwhile, and the replica is yet to be told?
+	// The key may have been deleted meanwhile: leave the watch time to update the replica.
 	if !retry.Sleep(ctx, s.settings.HeartbeatInterval()/4) {
 		return false, ctx.Err()
 	}
@@ -165,13 +165,14 @@
 	return errors.Is(err, kvstore.ErrNotFound), nil
 }
 
-// isAbsent tells whether the store says that it has no such key.
+// isAbsent reports whether the store answers that the key does not exist.
 func (s *scrubber) isAbsent(ctx context.Context, key string) bool {
 	_, err := s.store.Get(ctx, key)
 	return errors.Is(err, kvstore.ErrNotFound)
 }
 
-// chunkRemovable tells whether the job of a chunk of claims is over, so that the chunk may go.
+// chunkRemovable reports whether a chunk of claims may have been deleted: its job is unknown,
+// cancelled or finished.
 func (s *scrubber) chunkRemovable(key string) bool {
 	jobID, _ := ledger.JobOfChunkKey(key)
 	s.mu.Lock()
@@ -180,7 +181,7 @@
 	return job == nil || job.Cancelled || job.Finished
 }
 
-// endingPending tells whether an end record is yet to be stored again.
+// endingPending reports whether the recovery has yet to restore an end record.
 func (s *scrubber) endingPending(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/leader/antientropy_test.go
+++ b/internal/leader/antientropy_test.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// Only keys of the page's own range are missed: behind its beginning, up to its last key, and
+// Only keys within the page's range count as missing: after its start, up to its last key and
 // under its prefix.
 func TestMissingKeysOfPage(t *testing.T) {
 	tree := iradix.New[[]byte]().Txn()
@@ -27,15 +27,15 @@
 		page scrubPage
 		want []string
 	}{
-		{"all there", scrubPage{prefix: "d/", items: items("d/1", "d/2", "d/3", "d/4")}, nil},
+		{"all present", scrubPage{prefix: "d/", items: items("d/1", "d/2", "d/3", "d/4")}, nil},
 		{"to the end of the prefix", scrubPage{prefix: "d/", items: items("d/2")}, []string{"d/1", "d/3", "d/4"}},
 		{"up to its last key", scrubPage{prefix: "d/", last: "d/3", items: items("d/3")}, []string{"d/1", "d/2"}},
-		{"behind its beginning", scrubPage{prefix: "d/", after: "d/2"}, []string{"d/3", "d/4"}},
-		{"nothing under the prefix", scrubPage{prefix: "e/"}, nil},
+		{"after its start", scrubPage{prefix: "d/", after: "d/2"}, []string{"d/3", "d/4"}},
+		{"no keys under the prefix", scrubPage{prefix: "e/"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if got := tc.page.missingKeys(tree.Commit()); !slices.Equal(got, tc.want) {
-				t.Errorf("missing %q, want %q", got, tc.want)
+				t.Errorf("got missing keys %q, want %q", got, tc.want)
 			}
 		})
 	}
--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -17,30 +17,30 @@
 type auditedBatch struct {
 	*ledger.Batch
 	blocks      []*audit.Block
-	queued      int             // entries of the queue that the blocks tell of
-	dropped     int             // dropped entries that they tell of
-	pendingKeys []string        // of the pending entries that they take in
-	jobs        []*ledger.Job   // whose acceptance they tell of
-	claims      []*ledger.Claim // that they tell of
+	queued      int             // number of queue entries that the blocks contain
+	dropped     int             // number of dropped entries that the blocks report
+	pendingKeys []string        // of the pending entries that the blocks contain
+	jobs        []*ledger.Job   // whose acceptance the blocks record
+	claims      []*ledger.Claim // that the blocks record
 }
 
-// blockContext is what the blocks of a batch have in common.
+// blockContext holds what all blocks of a batch share.
 type blockContext struct {
 	epoch  uint64
 	now    time.Time
 	limits txnLimits
 }
 
-// limitBatch bounds a batch so that there is room for the block that records it: an operation,
-// and as many claims as the value of a block holds.
+// limitBatch reduces the limits of a batch so that the block that records it fits: it takes one
+// operation, and its value holds a limited number of claims.
 func (a *auditWriter) limitBatch(limits *ledger.BatchLimits) {
 	limits.MaxOperations = max(limits.MaxOperations-1, minBatchOps)
 	limits.AuditBlock = a.head.Seq + 1
 	limits.MaxClaims = (limits.MaxValueBytes - blockOverhead) / bytesPerClaim
 }
 
-// attach adds to a batch the blocks that record it, what is queued and what is pending.
-// Callers hold the slot and mu.
+// attach adds to a batch the blocks that record its decisions, the queued entries and the pending
+// entries of other controllers. Callers hold the slot and mu.
 func (a *auditWriter) attach(batch *auditedBatch, common blockContext) error {
 	if a == nil {
 		return nil
@@ -51,7 +51,7 @@
 	}
 	for key, pending := range a.pending {
 		if len(batch.Operations)+2 > common.limits.operations {
-			break // one to delete the pending entry, one for its block
+			break // one operation to delete the pending entry, one for its block
 		}
 		if len(entries) > 0 && audit.Size(entries)+audit.Size(pending.entries) > common.limits.valueBytes/2 {
 			break
@@ -64,8 +64,8 @@
 	return a.sealBlocks(batch, entries, common)
 }
 
-// queuedEntries returns the entries of the queue that go out with a batch, and notes them as
-// in flight.
+// queuedEntries returns the entries of the queue that are written with a batch, and marks them
+// as in flight.
 func (a *auditWriter) queuedEntries(batch *auditedBatch, now time.Time) []audit.Entry {
 	batch.queued = min(len(a.queue), maxEntriesPerBatch)
 	a.inFlight = batch.queued
@@ -77,8 +77,8 @@
 	return entries
 }
 
-// decisionEntries returns the entries that tell what a batch decides of one job, and marks the
-// job and its claims as told.
+// decisionEntries returns the entries that record a batch's decision on one job, and marks the
+// job and its claims as audited.
 func (a *auditWriter) decisionEntries(batch *auditedBatch, decision ledger.Decision, now time.Time) []audit.Entry {
 	var entries []audit.Entry
 	job := decision.Job
@@ -102,8 +102,8 @@
 	return entries
 }
 
-// attachCancellations adds to a batch that cancels jobs for a dependency that was cancelled
-// the blocks that record it. Callers hold the slot and mu.
+// attachCancellations adds blocks to a batch that cancels jobs because a dependency was
+// cancelled; the blocks record these cancellations. Callers hold the slot and mu.
 func (a *auditWriter) attachCancellations(batch *auditedBatch, jobs []*ledger.Job, common blockContext) error {
 	if a == nil {
 		return nil
@@ -120,13 +120,13 @@
 	return a.sealBlocks(batch, entries, common)
 }
 
-// sealBlocks adds the blocks of the given entries to a batch.
+// sealBlocks seals entries in blocks, and adds the writes of these blocks to a batch.
 func (a *auditWriter) sealBlocks(batch *auditedBatch, entries []audit.Entry, common blockContext) error {
 	head := a.head
 	for _, blockEntries := range audit.Split(entries, common.limits.valueBytes-blockOverhead-len(a.controller)) {
 		if len(batch.Operations) >= common.limits.operations {
-			// One operation more would have the whole transaction refused. It takes
-			// worker names of hundreds of bytes to come here.
+			// With one more operation the store would refuse the whole transaction. This is
+			// only reached with worker names of hundreds of bytes.
 			a.dropped += len(blockEntries)
 			continue
 		}
@@ -143,7 +143,8 @@
 	return nil
 }
 
-// batchCommitted notes that a batch was applied. Callers hold the slot and mu.
+// batchCommitted updates head, queue and pending entries after a batch was applied. Callers hold
+// the slot and mu.
 func (a *auditWriter) batchCommitted(batch *auditedBatch, now time.Time) {
 	if a == nil {
 		return
@@ -163,7 +164,8 @@
 	}
 }
 
-// batchFailed notes that a batch was surely not applied. Callers hold the slot and mu.
+// batchFailed reverts the state after a batch that was certainly not applied: the jobs and claims
+// are unaudited again, and its queued entries stay. Callers hold the slot and mu.
 func (a *auditWriter) batchFailed(batch *auditedBatch) {
 	if a == nil {
 		return
@@ -178,7 +180,7 @@
 	}
 }
 
-// retract takes back what was queued about a claim that was never made.
+// retract removes queued entries about a claim that was never committed.
 func (a *auditWriter) retract(claim *ledger.Claim) {
 	isOfClaim := func(task audit.Task) bool { return task.Index == claim.Index && task.Attempt == claim.Attempt }
 	a.queue = slices.DeleteFunc(a.queue, func(entry audit.Entry) bool {
@@ -191,8 +193,8 @@
 	}
 }
 
-// readOutcome finds out whether the first block of a batch is the one that the store has under
-// its number: nobody else can have sealed it.
+// readOutcome reads whether a batch was applied: it was if the store has the first block of the
+// batch under its number, for nobody else can have sealed that block.
 func (b *auditedBatch) readOutcome(ctx context.Context, store *kvstore.Client) (txnOutcome, error) {
 	item, err := store.Get(ctx, audit.BlockKey(b.blocks[0].Seq))
 	if errors.Is(err, kvstore.ErrNotFound) {
--- a/internal/leader/auditcollector.go
+++ b/internal/leader/auditcollector.go
@@ -9,9 +9,9 @@
 	"rillflow/internal/wire"
 )
 
-// auditCollector hands the audit writer the entries that other controllers leave in the store.
-// Serve runs its loop. It has no state of its own, and writes nothing: the audit writer deletes
-// an entry in the transaction that appends it.
+// auditCollector passes the pending audit entries that other controllers write to the store on to
+// the audit writer. Serve runs its loop, watchPendingAudit. It has no state of its own, and writes
+// nothing: the audit writer deletes a pending entry in the transaction that appends it.
 type auditCollector struct {
 	*termScope
 }
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -16,50 +16,49 @@
 	"rillflow/internal/wire"
 )
 
-// auditWriter appends to the audit log: it turns what the leader decides into blocks that are
-// committed with the transactions. Where no audit log is kept it is nil, and its methods do
-// nothing.
+// auditWriter appends to the audit log: it records the leader's decisions in blocks that are
+// committed with its transactions. If no audit log is kept it is nil, and its methods do nothing.
 //
-// What the store decides (claims, ends, cancellations) is recorded in the very transaction
-// that decides it. What happens elsewhere (stops, releases, proofs that a task is gone) is
-// queued, and goes out with the next transaction or in one of its own soon after. The queue
-// goes first: a task is never claimed again before the log tells why it was free.
+// Decisions that take effect by a transaction (claims, ends, cancellations) are recorded in that
+// transaction. Other events (stops, releases, freed claims) are queued, and are written with the
+// next transaction or soon after in one of their own. Queued entries precede the others in a
+// block, so a task is never claimed again before the log records why it was free.
 //
-// The components of a term queue entries. The claim writer and the dependencies write blocks,
-// one of them at a time: whoever holds the slot, from acquire to release, owns head and
-// lastKey and may have a transaction in flight. The other state is guarded by mu, which may be
-// taken while the slot is held, never the other way round. Of the store auditWriter itself only
-// reads the newest block, when the term begins.
+// All components of a term queue entries. The claim writer and the propagator write blocks, one
+// of them at a time: the holder of the slot, from acquire to release, owns head and lastKey and
+// may have a transaction in flight. The other state is guarded by mu, which may be taken while
+// the slot is held, never the other way round. The auditWriter itself reads only the newest block
+// from the store, when the term begins.
 type auditWriter struct {
 	keys       *keyring.Ring
-	controller string // its name, for the blocks it writes
+	controller string // name of this controller, for the blocks that it writes
 	log        *slog.Logger
 
-	slot    chan struct{} // has one token
+	slot    chan struct{} // holds a token while no block is being written
 	head    audit.Head    // the newest block
-	lastKey uint32        // the number of the key that it is sealed under
+	lastKey uint32        // number of the key that the newest block is sealed with
 
 	queue       []audit.Entry
-	inFlight    int                     // leading entries of the queue in a transaction in flight
-	queuedSince time.Time               // of the queue's first entry
-	dropped     int                     // entries that there was no room for
-	pending     map[string]pendingEntry // by key
+	inFlight    int                     // number of leading queue entries in a transaction in flight
+	queuedSince time.Time               // when the queue's first entry was queued
+	dropped     int                     // number of entries dropped and not reported yet
+	pending     map[string]pendingEntry // by key in the store
 }
 
-// pendingEntry is what another controller left in the store for the leader to append.
+// pendingEntry holds entries that another controller wrote to the store for the leader to append.
 type pendingEntry struct {
 	revision uint64
 	entries  []audit.Entry
 }
 
-// Bounds of what waits to be written. While the store is away for long the queue fills up; then
-// an entry tells how many are missing.
+// Bounds of queued entries and blocks. During a long outage of the store the queue fills up; an
+// entry then reports how many entries were dropped.
 const (
 	maxQueuedEntries   = 4096
-	maxEntriesPerBatch = 512 // of the queue, in one transaction
-	maxTasksPerEntry   = 64  // that queued entries are merged to
-	bytesPerClaim      = 24  // of a value, at most
-	blockOverhead      = 256 // bytes of a block beside its entries
+	maxEntriesPerBatch = 512 // queued entries in one transaction
+	maxTasksPerEntry   = 64  // limit on merging queued entries
+	bytesPerClaim      = 24  // upper bound of a claim's share of a block's value
+	blockOverhead      = 256 // bytes of a block besides its entries
 )
 
 func newAuditWriter(keys *keyring.Ring, controller string, log *slog.Logger) *auditWriter {
@@ -71,9 +70,9 @@
 	return a
 }
 
-// acquire waits for the slot in which blocks may be written, and returns false if ctx ended
-// first. The slot is held for the length of a request to the store, so that one can give up
-// waiting: hence no mutex.
+// acquire waits for the slot that allows writing blocks, and returns false if ctx ended first. The
+// slot is a channel, not a mutex, because it is held during requests to the store and waiting for
+// it must be cancellable.
 func (a *auditWriter) acquire(ctx context.Context) bool {
 	if a == nil {
 		return true
@@ -92,7 +91,7 @@
 	}
 }
 
-// open finds the newest block, however long that takes.
+// open reads the newest block from the store, and retries until the store answers.
 func (a *auditWriter) open(ctx context.Context, reader *storeReader) error {
 	if a == nil {
 		return nil
@@ -103,7 +102,7 @@
 	defer a.release()
 	item, err := reader.first(ctx, audit.BlockPrefix)
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return nil // the log begins
+		return nil // the log is empty
 	}
 	if err != nil {
 		return err
@@ -111,8 +110,8 @@
 	return a.resume(item)
 }
 
-// resume goes on after the newest block in the store. One that was tampered with is not
-// mended: the chain goes on behind it, and the fault shows when the chain is verified.
+// resume continues the chain after the newest block in the store. A block that was tampered with
+// is not repaired: the chain continues after it, and verifying the chain reveals the fault.
 func (a *auditWriter) resume(item wire.KeyValue) error {
 	sequence, ok := audit.BlockSeq(item.Key)
 	if !ok {
@@ -129,7 +128,8 @@
 	return nil
 }
 
-// keyOfBlock returns the number of the key that a block is sealed under, if it is valid.
+// keyOfBlock returns the number of the key that a block is sealed with. The error is that of an
+// invalid block.
 func (a *auditWriter) keyOfBlock(raw []byte) (uint32, error) {
 	block, err := audit.Open(raw)
 	if err != nil {
@@ -160,8 +160,8 @@
 	a.queue = append(a.queue, entry)
 }
 
-// mergeWithLast adds the tasks of an entry to the last one in the queue if both tell the same
-// of the same job, and it is not in flight.
+// mergeWithLast adds the tasks of an entry to the last entry in the queue if both agree in all but
+// time and tasks and the last one is not in flight. It reports whether it did.
 func (a *auditWriter) mergeWithLast(entry audit.Entry) bool {
 	queued := len(a.queue)
 	if queued <= a.inFlight || len(entry.Tasks) == 0 {
@@ -177,8 +177,7 @@
 	return true
 }
 
-// enqueueTask queues an entry about a claim, if the log tells of the claim. Callers
-// hold mu.
+// enqueueTask queues an entry about a claim, if the claim is recorded in the log. Callers hold mu.
 func (a *auditWriter) enqueueTask(now time.Time, action audit.Action, claim *ledger.Claim, reason, beneficiary string) {
 	if a == nil || !claim.Audited {
 		return
@@ -192,19 +191,20 @@
 	return audit.Task{Index: claim.Index, Attempt: claim.Attempt, Worker: claim.Worker}
 }
 
-// isDue tells whether what is queued is to be written though nothing else is.
+// isDue reports whether queued or pending entries are to be written even if nothing else is:
+// pending ones at once, queued ones after wait.
 func (a *auditWriter) isDue(now time.Time, wait time.Duration) bool {
 	return a != nil && (len(a.queue) > 0 && now.Sub(a.queuedSince) >= wait || len(a.pending) > 0)
 }
 
-// needsOwnBatch tells whether the queue would take most of a block, so that it had better go
-// out by itself first.
+// needsOwnBatch reports whether the queue would fill at least half of a block, so that it should
+// be written in a batch of its own first.
 func (a *auditWriter) needsOwnBatch(maxValueBytes int) bool {
 	return a != nil && len(a.queue) > 0 &&
 		(len(a.queue) >= maxEntriesPerBatch/2 || audit.Size(a.queue) > maxValueBytes/2)
 }
 
-// takePending takes in a pending entry that another controller wrote. Callers hold mu.
+// takePending adds a pending entry that another controller wrote. Callers hold mu.
 func (a *auditWriter) takePending(key string, data json.RawMessage, revision uint64) {
 	pending, err := audit.ReadPending(a.keys, key, data)
 	if err != nil {
@@ -216,8 +216,8 @@
 	a.pending[key] = pendingEntry{revision, pending.Entries}
 }
 
-// dropPending tells whether a compare that failed was of a pending entry, which then is no
-// more. Callers hold mu.
+// dropPending handles a failed compare: if the key is that of a pending entry, the entry was
+// appended by an earlier leader and is removed. It reports whether it is. Callers hold mu.
 func (a *auditWriter) dropPending(key string) bool {
 	if a == nil || !strings.HasPrefix(key, audit.PendingPrefix) {
 		return false
--- a/internal/leader/auditwriter_test.go
+++ b/internal/leader/auditwriter_test.go
@@ -13,7 +13,7 @@
 	"rillflow/internal/wire"
 )
 
-// newTestAuditWriter makes an audit writer with a key.
+// newTestAuditWriter returns an audit writer with one sealing key.
 func newTestAuditWriter(t *testing.T) *auditWriter {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "ring")
@@ -27,12 +27,12 @@
 	return newAuditWriter(keys, "n", slog.New(slog.DiscardHandler))
 }
 
-// taskEntry is an entry about one task of a job.
+// taskEntry returns an entry about one task of a job.
 func taskEntry(jobID string, index int, reason string) audit.Entry {
 	return audit.Entry{Action: audit.Freed, Subject: jobID, Reason: reason, Tasks: []audit.Task{{Index: index, Attempt: 1, Worker: "h0"}}}
 }
 
-// What is told of the tasks of a job together is one entry, unless that is in flight or full.
+// Consecutive entries about tasks of one job are merged, unless the last one is in flight or full.
 func TestAuditQueueMerges(t *testing.T) {
 	writer := newTestAuditWriter(t)
 	writer.enqueue(now, taskEntry("req-1", 0, "halted"))
@@ -40,29 +40,31 @@
 	writer.enqueue(now, taskEntry("req-1", 2, "failed"))
 	writer.enqueue(now, taskEntry("req-2", 0, "failed"))
 	if len(writer.queue) != 3 || len(writer.queue[0].Tasks) != 2 {
-		t.Fatalf("queue %+v", writer.queue)
+		t.Fatalf("got queue %+v, want 3 entries, the first with 2 tasks", writer.queue)
 	}
 	writer.inFlight = 3
 	writer.enqueue(now, taskEntry("req-2", 1, "failed"))
 	if len(writer.queue) != 4 {
-		t.Error("merged with an entry in flight")
+		t.Error("entry was merged with one in flight")
 	}
 	for i := range maxTasksPerEntry {
 		writer.enqueue(now, taskEntry("req-2", 2+i, "failed"))
 	}
 	if len(writer.queue) != 5 || len(writer.queue[3].Tasks) != maxTasksPerEntry {
-		t.Errorf("%d entries, the last but one of %d tasks", len(writer.queue), len(writer.queue[3].Tasks))
+		t.Errorf("got %d entries, the fourth with %d tasks; want 5 entries, the fourth with %d tasks",
+			len(writer.queue), len(writer.queue[3].Tasks), maxTasksPerEntry)
 	}
 }
 
-// A full queue counts what it drops, and the next batch that takes all of it tells how much.
+// A full queue counts the entries that it drops, and the batch that empties the queue records the
+// count.
 func TestAuditQueueIsBounded(t *testing.T) {
 	writer := newTestAuditWriter(t)
 	for range maxQueuedEntries + 7 {
 		writer.enqueue(now, audit.Entry{Action: audit.Released, Subject: "h0"})
 	}
 	if len(writer.queue) != maxQueuedEntries || writer.dropped != 7 {
-		t.Fatalf("%d entries, %d dropped", len(writer.queue), writer.dropped)
+		t.Fatalf("got %d entries, %d dropped; want %d, 7", len(writer.queue), writer.dropped, maxQueuedEntries)
 	}
 	common := blockContext{epoch: 3, now: now, limits: txnLimits{operations: 16, valueBytes: 16 << 10}}
 	for batches := 1; ; batches++ {
@@ -71,23 +73,25 @@
 			t.Fatal(err)
 		}
 		if len(batch.blocks) == 0 || batch.queued != maxEntriesPerBatch {
-			t.Fatalf("batch %d: %d blocks of %d entries", batches, len(batch.blocks), batch.queued)
+			t.Fatalf("batch %d: got %d blocks with %d queued entries, want at least one block with %d",
+				batches, len(batch.blocks), batch.queued, maxEntriesPerBatch)
 		}
 		writer.batchCommitted(batch, now)
 		if len(writer.queue) > 0 && writer.dropped != 7 || batches > maxQueuedEntries/maxEntriesPerBatch {
-			t.Fatalf("batch %d: %d entries left, %d dropped", batches, len(writer.queue), writer.dropped)
+			t.Fatalf("batch %d: got %d entries left, %d dropped; want 7 dropped and at most %d batches",
+				batches, len(writer.queue), writer.dropped, maxQueuedEntries/maxEntriesPerBatch)
 		}
 		if len(writer.queue) == 0 {
 			break
 		}
 	}
 	if writer.dropped != 0 || writer.head.Seq == 0 {
-		t.Errorf("%d dropped are not told, head %v", writer.dropped, writer.head)
+		t.Errorf("got %d dropped entries unreported, head %v; want none, and a block written", writer.dropped, writer.head)
 	}
 }
 
-// Of a batch that was not applied nothing is told: its claims are told with the next, and what
-// befell them meanwhile is not. What is queued of others stays.
+// A batch that was not applied leaves no trace in the log: its jobs and claims are unaudited again,
+// and queued entries about these claims are removed. Entries about other jobs stay queued.
 func TestAuditBatchFails(t *testing.T) {
 	leader := newTestTerm(t)
 	leader.auditLog = newTestAuditWriter(t)
@@ -104,15 +108,17 @@
 		t.Fatal(err)
 	}
 	if !job.Audited || !claim.Audited || len(batch.blocks) != 1 {
-		t.Fatalf("told of the job: %v, of the claim: %v, in %d blocks", job.Audited, claim.Audited, len(batch.blocks))
+		t.Fatalf("got job audited %v, claim audited %v, %d blocks; want true, true, 1",
+			job.Audited, claim.Audited, len(batch.blocks))
 	}
 	leader.auditLog.enqueueTask(now, audit.Freed, claim, "halted", "")
 	leader.auditLog.enqueue(now, taskEntry("req-2", 0, "halted"))
 	leader.auditLog.batchFailed(batch)
 	if job.Audited || claim.Audited || leader.auditLog.head.Seq != 0 {
-		t.Errorf("told of the job: %v, of the claim: %v, head %v", job.Audited, claim.Audited, leader.auditLog.head)
+		t.Errorf("got job audited %v, claim audited %v, head %v; want false, false, an empty head",
+			job.Audited, claim.Audited, leader.auditLog.head)
 	}
 	if queue := leader.auditLog.queue; len(queue) != 1 || queue[0].Subject != "req-2" {
-		t.Errorf("queue %+v", queue)
+		t.Errorf("got queue %+v, want only the entry of req-2", queue)
 	}
 }
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -7,21 +7,21 @@
 	"rillflow/internal/settings"
 )
 
-// cancellations applies cancelled jobs to the cluster state, and finds workers that may keep a
-// cancelled task for too long.
+// cancellations applies the cancellation of jobs to the cluster state, and finds workers that may
+// run a cancelled task past its deadline.
 //
-// The cancellation messages of peers reach it through the Runner; the failure monitor, the job
-// watcher, the claim writer and the dependencies call it too. All hold mu. It has no state of
-// its own, and writes nothing to the store: a job is cancelled by the transaction that moves
-// its record from the live keys.
+// The Runner calls it for cancellation messages of peers; the failure monitor, the job watcher,
+// the claim writer and the propagator call it too. All hold mu. It has no state of its own, and
+// writes nothing to the store: a job is cancelled by the transaction that moves its record out of
+// the live keys.
 type cancellations struct {
 	*termScope
 	autoscaler *autoscaler
 }
 
-// ApplyCancellations has the term take in the cancellations that this controller knows of, and
-// tells whether it leads and did: its workers are told at once, also while the store, which
-// would tell it otherwise, refuses it.
+// ApplyCancellations applies the cancellations that this controller has received to the current
+// term, and reports whether it leads and did so. Workers are then sent stop commands at once, even
+// while the store, whose watch also reports cancellations, refuses this controller.
 func (r *Runner) ApplyCancellations() bool {
 	term := r.current.Load()
 	if term == nil {
@@ -41,10 +41,11 @@
 	return true
 }
 
-// LaunchesResolved tells whether no start command that this leader gave may still start a task
-// of the given jobs once they are cancelled, as far as that can be known soon. A worker that
-// has not said what became of a start command by the time at which it is suspected is released,
-// or is cut off, and its user is told then.
+// LaunchesResolved reports whether no start command sent by this leader can still start a task of
+// the given cancelled jobs; the cancellation is acknowledged to the user only then. A start command
+// counts as unresolved no longer than the failure timeout, after which a worker that has not
+// reported its outcome is suspected: it is then either released or cut off by a partition, and the
+// user gets the acknowledgement.
 func (r *Runner) LaunchesResolved(jobIDs ...string) bool {
 	term := r.current.Load()
 	if term == nil {
@@ -72,18 +73,19 @@
 	return true
 }
 
-// applyCancellations takes in the cancellations that this controller knows of.
+// applyCancellations cancels the jobs of all cancellations that this controller has received.
 func (c *cancellations) applyCancellations() {
 	for _, jobID := range c.recentCancellations.JobIDs() {
-		// Of a job about to be done nothing is left to stop, and its last write fails.
+		// A job whose tasks have all finished has nothing left to stop. If it was cancelled,
+		// the transaction that writes its end fails.
 		if job := c.jobs.Job(jobID); job != nil && !job.Finished {
 			c.cancelJob(jobID)
 		}
 	}
 }
 
-// cancelJob notes that a job left the live keys other than by being done. Its claims stay until
-// their tasks are surely gone.
+// cancelJob marks a job as cancelled: it left the live keys without being done. Its claims stay
+// until their tasks are proven to be gone.
 func (c *cancellations) cancelJob(jobID string) {
 	job := c.jobs.Job(jobID)
 	if job == nil || job.Cancelled {
@@ -109,9 +111,9 @@
 	c.dependenciesChanged()
 }
 
-// cancelledJobs returns the cancelled jobs of which there are claims left. Just after a new
-// leader has read them, they are all jobs whose tasks may still be there: a claim goes only
-// once its task surely has.
+// cancelledJobs returns the cancelled jobs that still have claims. Just after a new leader has
+// loaded the claims, these are all cancelled jobs whose tasks may still run: a claim is deleted
+// only once its task is proven to be gone.
 func (c *cancellations) cancelledJobs() []string {
 	var jobIDs []string
 	for jobID, job := range c.jobs.Jobs() {
@@ -122,12 +124,13 @@
 	return jobIDs
 }
 
-// hasOverdueTask tells whether a cancelled task might still be on a worker when it must be
-// gone. The worker may be cut off with a controller that knows of no cancellation, or not hear
-// what it is told, or a start command whose outcome is unknown may still be on its way to it:
-// then only the release of the instance ends the task for sure.
+// hasOverdueTask reports whether a cancelled task may still be on a worker at its deadline. The
+// worker may be in a partition with a controller that does not know of the cancellation, commands
+// may not reach it, or a start command of unknown outcome may still be in flight to it: in these
+// cases only the release of the instance is certain to end the task.
 func (c *cancellations) hasOverdueTask(worker *agent.Worker, now time.Time) bool {
-	// The time of a cancellation may be by another controller's clock: both may be off.
+	// The time of a cancellation may come from another controller's clock, and both clocks may
+	// be off.
 	clockErrors := 2 * c.settings.ClockError()
 	grace := settings.Seconds(c.settings.Facts.Workers.CancelSeconds) - 2*c.settings.HeartbeatInterval() - clockErrors
 	for _, claim := range c.jobs.ClaimsOnWorker(worker.Name) {
@@ -138,8 +141,8 @@
 	return false
 }
 
-// overdueWorkers returns the workers that must be released for a cancelled task, and those of
-// them whose release was not answered.
+// overdueWorkers returns the workers that must be released because of an overdue cancelled task,
+// including those whose release was requested but not confirmed.
 func (c *cancellations) overdueWorkers(now time.Time) []string {
 	var names []string
 	for _, worker := range c.workersByName {
--- a/internal/leader/cancellations_test.go
+++ b/internal/leader/cancellations_test.go
@@ -10,20 +10,21 @@
 	"rillflow/internal/wire"
 )
 
-// A worker on which a cancelled task may still be when it must be gone is released, heard or
-// not, by whoever led last; what the store has not told is known from cancellation messages.
+// A worker that may still have a cancelled task at its deadline is released, whether or not its
+// heartbeats arrive and although the store has not reported the cancellation: the leader knows of
+// it from a cancellation message alone.
 func TestOverdueWorkers(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		since   time.Duration // the cancellation
-		ended   bool          // the task was seen to end
+		since   time.Duration // time since the cancellation
+		ended   bool          // the worker reported the end of the task
 		silent  bool
 		overdue bool
 	}{
 		{"just now", 10 * time.Second, false, false, false},
-		{"about to be late, and silent", 45 * time.Second, false, true, true},
-		{"about to be late, though heard", 45 * time.Second, false, false, true},
-		{"seen to end", 45 * time.Second, true, false, false},
+		{"overdue, worker silent", 45 * time.Second, false, true, true},
+		{"overdue, worker sends heartbeats", 45 * time.Second, false, false, true},
+		{"task end reported", 45 * time.Second, true, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -40,7 +41,8 @@
 			leader.recentCancellations.Add("", "req-1", "req-unknown")
 			leader.cancellations.applyCancellations()
 			if !job.Cancelled || leader.jobs.Job("req-2").Cancelled {
-				t.Fatal("not cancelled by the message")
+				t.Fatalf("got req-1 cancelled %v, req-2 cancelled %v; want true, false",
+					job.Cancelled, leader.jobs.Job("req-2").Cancelled)
 			}
 			if tc.ended {
 				stopped := wire.TaskStatus{
@@ -58,10 +60,11 @@
 			leader.workers["h1"].LastHeartbeat = at
 			overdue := slices.Contains(leader.cancellations.overdueWorkers(at), "h0")
 			if overdue != tc.overdue || slices.Contains(leader.cancellations.overdueWorkers(at), "h1") {
-				t.Errorf("overdue %v", leader.cancellations.overdueWorkers(at))
+				t.Errorf("got overdue workers %v, want h0 overdue: %v, h1 never",
+					leader.cancellations.overdueWorkers(at), tc.overdue)
 			}
 			if tc.overdue && !slices.Contains(leader.failures.faultyWorkers(at), "h0") {
-				t.Error("not released by a leader whose lease is held")
+				t.Error("overdue worker is not among the faulty workers")
 			}
 		})
 	}
--- a/internal/leader/claimcommit.go
+++ b/internal/leader/claimcommit.go
@@ -11,14 +11,14 @@
 	"rillflow/internal/wire"
 )
 
-// txnOutcome is what became of a transaction whose answer was lost.
+// txnOutcome is the outcome of a transaction whose response was lost.
 type txnOutcome struct {
 	applied  bool
-	revision uint64 // at which it was applied; 0: not known
+	revision uint64 // at which it was applied; 0 if unknown
 }
 
-// commitBatch commits a batch and sees it through until its outcome is known. A nil error
-// means that the table was told of it; kvstore.ErrRefused, that the batch is to be made again.
+// commitBatch commits a batch, and retries until its outcome is known. On success it has updated
+// the job table. The error is kvstore.ErrRefused if the batch must be built again.
 func (w *claimWriter) commitBatch(ctx context.Context, batch *auditedBatch) error {
 	if len(batch.Operations) == 0 {
 		w.batchCommitted(batch, 0)
@@ -37,7 +37,7 @@
 		case err == nil:
 			outcome, err := w.readOutcome(ctx, batch)
 			switch {
-			case err != nil: // asked again with the next attempt
+			case err != nil: // read again after the next attempt
 			case outcome.applied:
 				w.batchCommitted(batch, outcome.revision)
 				return nil
@@ -45,9 +45,9 @@
 				return w.compareFailed(ctx, batch, failed)
 			}
 		case errors.Is(err, kvstore.ErrRefused) && !uncertain, errors.Is(err, kvstore.ErrTooLarge):
-			// What is too large is never to be sent again as it is, not even to learn whether
-			// it was applied before the limits fell: the batch made instead has the same
-			// compares and tells.
+			// A transaction over the limits is never sent again unchanged, not even to find out
+			// whether it was applied before the limits were lowered: the batch built in its
+			// place has the same compares, and their result shows that.
 			w.batchFailed(batch)
 			return err
 		case errors.Is(err, kvstore.ErrOutcomeUnknown):
@@ -59,8 +59,8 @@
 	}
 }
 
-// readOutcome finds out whether it was this very batch, sent before, that made its own
-// compares fail. Audit blocks and chunks of claims name their writer.
+// readOutcome reads whether an earlier attempt at this batch was applied and made the compares of
+// the later one fail. Audit blocks and chunks of claims identify their writer.
 func (w *claimWriter) readOutcome(ctx context.Context, batch *auditedBatch) (txnOutcome, error) {
 	if len(batch.blocks) > 0 {
 		return batch.readOutcome(ctx, w.store)
@@ -68,7 +68,7 @@
 	for _, op := range batch.Operations {
 		key := op.Put + op.Delete
 		if strings.HasPrefix(key, ledger.LivePrefix) {
-			continue // a cancellation deletes it too
+			continue // a cancellation deletes live keys too, so they prove nothing
 		}
 		item, err := w.store.Get(ctx, key)
 		missing := errors.Is(err, kvstore.ErrNotFound)
@@ -76,7 +76,7 @@
 		case err != nil && !missing:
 			return txnOutcome{}, err
 		case op.Delete != "" && missing:
-			continue // this leader alone deletes chunks: applied, at a revision that is not known
+			continue // only this leader deletes chunks: applied, at an unknown revision
 		case missing, op.Delete != "", !writtenBy(batch, key, item.Value):
 			return txnOutcome{}, nil
 		}
@@ -85,8 +85,8 @@
 	return txnOutcome{applied: true}, nil
 }
 
-// writtenBy tells whether a stored value is the one that a batch puts: the leader alone
-// stores that a job was done.
+// writtenBy reports whether a stored value is the one that a batch put. Chunks carry the name of
+// their writer; an end record with phase done is written by the leader only.
 func writtenBy(batch *auditedBatch, key string, value []byte) bool {
 	if !strings.HasPrefix(key, ledger.EndedPrefix) {
 		return ledger.WriterOf(value) == batch.Writer
@@ -95,9 +95,9 @@
 	return json.Unmarshal(value, &end) == nil && end.Phase == wire.PhaseDone
 }
 
-// compareFailed deals with a batch that was not applied, for compares that failed: leadership
-// may be lost, jobs may have been cancelled, pending audit entries been written by an earlier
-// leader. Everything else shows that the store lost data.
+// compareFailed handles a batch that was not applied because compares failed: leadership may be
+// lost, jobs may have been cancelled, or an earlier leader may have appended pending audit entries.
+// Any other failed compare means that the store lost data.
 func (w *claimWriter) compareFailed(ctx context.Context, batch *auditedBatch, failed []string) error {
 	if err := w.leadership.CheckCompares(failed); err != nil {
 		return err
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// batchFailed tells the table and the audit log that a batch was surely not applied.
+// batchFailed reverts the job table and the audit log after a batch that was certainly not applied.
 func (w *claimWriter) batchFailed(batch *auditedBatch) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -137,8 +137,8 @@
 	w.auditLog.batchFailed(batch)
 }
 
-// batchCommitted tells everybody concerned that a batch was applied: the table, the audit log,
-// the replica, the senders of workers with new claims, and the scheduler.
+// batchCommitted updates the job table, the audit log and the replica after a batch was applied,
+// and wakes the command loops of workers with new claims and the scheduler.
 func (w *claimWriter) batchCommitted(batch *auditedBatch, revision uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/leader/claimwriter.go
+++ b/internal/leader/claimwriter.go
@@ -10,12 +10,12 @@
 )
 
 // claimWriter writes the changes of the job table to the store: claims, finished tasks and
-// ends of jobs, in one batch after the other, each with the audit blocks that record it.
+// ends of jobs, one batch at a time, each with the audit blocks that record it.
 //
-// Serve runs its loop, runClaimWriter; everybody else only wakes it by writeSignal. Its own
-// state is guarded by mu. It holds the slot of the audit log from the making of a batch until
-// the outcome is known, and must not hold mu during a request to the store: the table is told
-// of an outcome only once that is sure.
+// Serve runs its loop, runClaimWriter; other components only wake it by writeSignal. Its own
+// state is guarded by mu. It holds the slot of the audit log from building a batch until the
+// outcome is known, and must not hold mu during a request to the store. The job table is updated
+// only once the outcome is certain.
 type claimWriter struct {
 	*termScope
 	cancellations *cancellations
@@ -23,25 +23,25 @@
 	storeReader   *storeReader
 
 	lastNonUrgentTurn time.Time // when non-urgent changes were last written, or could have been
-	backlogLoggedAt   time.Time // when it was last looked whether ends wait for long
+	backlogLoggedAt   time.Time // when logBacklog last checked the backlog
 }
 
-// minBatchOps is the least number of operations in a batch: the end of a job takes three.
+// minBatchOps is the smallest limit on the operations of a batch: the end of a job takes three.
 const minBatchOps = 3
 
-// Shares of the write budget that batches leave to others. Urgent changes leave some to
-// submissions and cancellations. Non-urgent ones leave most of it, so that the end of a job,
-// for which a dependent may wait, is written at once.
+// Fractions of the write budget that batches leave to other writes. Urgent changes leave some to
+// submissions and cancellations. Non-urgent ones leave most of it, so that the end of a job, which
+// a dependent may be waiting for, can be written at once.
 const (
 	urgentWriteReserve = 0.25
 	idleWriteReserve   = 0.6
 )
 
-// errNothingToWrite: neither the job table nor the audit log has anything to write now.
+// errNothingToWrite means that neither the job table nor the audit log has anything to write now.
 var errNothingToWrite = errors.New("leader: nothing to write")
 
-// runClaimWriter writes what the job table decided, whenever writeSignal says that there is
-// something. One batch is in flight at a time.
+// runClaimWriter writes the pending changes of the job table whenever writeSignal is notified. One
+// batch is in flight at a time.
 func (w *claimWriter) runClaimWriter(ctx context.Context) error {
 	for {
 		select {
@@ -58,7 +58,7 @@
 	}
 }
 
-// writeAll writes batches until nothing is left to write.
+// writeAll writes batches until there is nothing left to write.
 func (w *claimWriter) writeAll(ctx context.Context) error {
 	for attempt := 0; ; {
 		err := w.writeNext(ctx)
@@ -83,9 +83,9 @@
 	}
 }
 
-// writeNext makes and commits the next batch. It returns errNothingToWrite or a
-// *budgetExhaustedError if there is none to make now, kvstore.ErrRefused if the batch is to
-// be made again.
+// writeNext builds and commits the next batch. It returns errNothingToWrite or a
+// *budgetExhaustedError if no batch can be built now, kvstore.ErrRefused if the batch must be
+// built again.
 func (w *claimWriter) writeNext(ctx context.Context) error {
 	if !w.auditLog.acquire(ctx) {
 		return ctx.Err()
@@ -98,8 +98,8 @@
 	return w.commitBatch(ctx, batch)
 }
 
-// nextAuditedBatch makes the next batch that the write budget has room for, with the audit
-// blocks that record it. Its errors are those of writeNext.
+// nextAuditedBatch builds the next batch that fits the write budget, with the audit blocks that
+// record it. Its errors are those of writeNext.
 func (w *claimWriter) nextAuditedBatch() (*auditedBatch, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -119,8 +119,8 @@
 	if err != nil {
 		return nil, err
 	}
-	// Plain finishes need no entry: what is queued waits for company until it is due,
-	// for every block is an operation of the budget.
+	// Finished tasks alone need no audit entry. Every block costs an operation of the write
+	// budget, so without decisions to record, queued entries wait until they are due.
 	if auditOnly || len(audited.Operations) > 0 && (len(audited.Decisions()) > 0 || auditDue) {
 		if err := w.auditLog.attach(audited, blockContext{w.leadership.Epoch(), now, limits}); err != nil {
 			return nil, err
@@ -129,15 +129,15 @@
 	return audited, nil
 }
 
-// nextBatch makes the next batch of the job table's changes. Where urgent changes never cease
-// the others have their turn after a delay: finished tasks would have to run again if their
-// workers were lost, and what is left of finished jobs would add up.
+// nextBatch builds the next batch of changes of the job table. If there are always urgent changes,
+// the others are written after a delay all the same: unwritten finished tasks would have to run
+// again if their workers were lost, and the chunks of ended jobs would pile up in the store.
 func (w *claimWriter) nextBatch(store txnLimits, now time.Time) (*ledger.Batch, error) {
 	reserve, urgent := idleWriteReserve, w.jobs.HasUrgentWrites()
 	if urgent {
 		reserve = urgentWriteReserve
 	} else {
-		w.lastNonUrgentTurn = now // whatever there is takes its turn
+		w.lastNonUrgentTurn = now // this batch may hold all changes
 	}
 	allowance, err := w.writeAllowance(minBatchOps, reserve)
 	if err != nil {
@@ -164,20 +164,20 @@
 	return nil, errNothingToWrite
 }
 
-// maxDeferredCleanup is how many chunks of ended jobs may be left stored while ends wait: a new
-// leader reads them all.
+// maxDeferredCleanup bounds the chunks of ended jobs that stay stored while job ends wait: a new
+// leader has to read them all.
 const maxDeferredCleanup = 4096
 
-// defersCleanup reports whether deletions of what is left of ended jobs are to wait, for ends
-// have waited for long: users and dependents wait for those, and nobody for the rest.
+// defersCleanup reports whether deleting the chunks of ended jobs is to be deferred because job
+// ends have been waiting for too long: users and dependents wait for ends, nobody for deletions.
 func (w *claimWriter) defersCleanup() bool {
 	backlog := w.writeBacklog()
 	return backlog.OldestEndAge > w.maxWriteDelay() && backlog.Cleanup < maxDeferredCleanup
 }
 
-// nonUrgentDelay is how long changes that nothing waits for are put off for more urgent ones:
-// longer where ends wait, for a finish written later takes more tasks with it, or none at all
-// where the job's end comes first.
+// nonUrgentDelay is how long non-urgent changes are deferred while there are urgent ones. It is
+// longer while job ends wait: a later write covers more finished tasks, and is not needed at all if
+// the end of the job is written first.
 func (w *claimWriter) nonUrgentDelay(endsWait bool) time.Duration {
 	if endsWait {
 		return w.settings.WorkerLease() / 4
@@ -185,15 +185,15 @@
 	return w.maxWriteDelay()
 }
 
-// maxWriteDelay is how long an end may wait before cleanup is deferred for it, changes that
-// nothing waits for are put off, and queued audit entries wait for a batch to go with.
+// maxWriteDelay is how long job ends may wait before cleanup is deferred, how long non-urgent
+// changes are deferred, and how long queued audit entries wait for a batch to be written with.
 func (w *claimWriter) maxWriteDelay() time.Duration { return w.settings.HeartbeatInterval() / 2 }
 
-// coalesceDelay is how long non-urgent changes are collected before they are written.
+// coalesceDelay is how long non-urgent changes are collected before they are written together.
 func (w *claimWriter) coalesceDelay() time.Duration { return w.settings.HeartbeatInterval() / 16 }
 
-// awaitWriteBudget waits for the write budget, or for something more urgent to write. It
-// returns false if ctx ended.
+// awaitWriteBudget waits until the write budget may have room or there are new changes, which may
+// be more urgent. It returns false if ctx ended.
 func (w *claimWriter) awaitWriteBudget(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -206,9 +206,9 @@
 	return true
 }
 
-// coalesceWrites waits a moment while nothing urgent is to be written: nobody waits for the
-// rest, and the tasks that take the freed capacity are often of the same jobs, so that one
-// operation holds both.
+// coalesceWrites waits for coalesceDelay unless there are urgent changes: nobody waits for the
+// others, and the tasks placed on the freed capacity often belong to the same jobs, so that one
+// operation writes both.
 func (w *claimWriter) coalesceWrites(ctx context.Context) error {
 	timer := time.NewTimer(w.coalesceDelay())
 	defer timer.Stop()
--- a/internal/leader/claimwriter_test.go
+++ b/internal/leader/claimwriter_test.go
@@ -12,7 +12,7 @@
 	"rillflow/internal/wire"
 )
 
-// While there are always urgent changes to write, the others still have their turn.
+// Guards against non-urgent changes that are never written because there are always urgent ones.
 func TestIdleWritesHaveTheirTurn(t *testing.T) {
 	leader := newTestTerm(t)
 	leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 1}}
@@ -41,29 +41,29 @@
 	}
 	commit()
 	leader.jobs.Finish(finished)
-	first := 0
+	firstRound := 0 // in which the finish is written
 	for i := range 20 {
 		urgent := leader.addTestJob(fmt.Sprint("req-1", i), wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 0.1})
 		claim(urgent)
 		at = at.Add(leader.settings.HeartbeatInterval() / 8)
-		if refs := commit(); refs[0] == "req-1" {
-			first = i
+		if jobIDs := commit(); jobIDs[0] == "req-1" {
+			firstRound = i
 			break
 		}
 	}
-	if first == 0 {
-		t.Error("a finish is never written, or before what is urgent")
+	if firstRound == 0 {
+		t.Error("the finished task was written in round 0, before urgent changes, or not within 20 rounds")
 	}
 }
 
-// Guards against ends that wait behind deletions, and against deletions that are put off for ever.
+// Guards against job ends that wait behind deletions, and against deletions deferred forever.
 func TestCleanupIsDeferredWhileEndsWait(t *testing.T) {
 	leader := newTestTerm(t)
 	at := now
 	leader.now = func() time.Time { return at }
 	limits := ledger.BatchLimits{MaxOperations: 1 << 20, MaxBytes: 1 << 30, MaxValueBytes: 16 << 10, DeferCleanup: true}
 	commit := func() { leader.jobs.BatchCommitted(leader.jobs.NextBatch(limits, at), 5) }
-	const chunkTasks = 8 // of jobs in these tests
+	const chunkTasks = 8 // tasks per chunk of the jobs that addTestJob adds
 	finish := func(id string, chunks int) {
 		job := leader.addTestJob(id, wire.Job{Kind: wire.KindArray, TaskCount: chunks * chunkTasks, CPUs: 1e-6})
 		for range chunks * chunkTasks {
@@ -77,22 +77,22 @@
 		}
 	}
 	for _, tc := range []struct {
-		left int // chunks of ended jobs
+		left int // chunks of ended jobs still stored
 		want bool
 	}{{1, true}, {maxDeferredCleanup - 2, true}, {maxDeferredCleanup, false}} {
 		finish(fmt.Sprint("req-", tc.left), tc.left-leader.jobs.WriteBacklog().Cleanup)
 		commit()
-		waits := fmt.Sprint("req-waits-", tc.left)
-		finish(waits, 1)
+		waiting := fmt.Sprint("req-waits-", tc.left)
+		finish(waiting, 1)
 		leader.jobs.BatchFailed(leader.jobs.NextBatch(limits, at))
 		if leader.claimWriter.defersCleanup() {
-			t.Error("cleanup is deferred for an end that has just come")
+			t.Errorf("with %d chunks left: cleanup is deferred for a job that has just ended", tc.left)
 		}
 		at = at.Add(leader.claimWriter.maxWriteDelay() + time.Millisecond)
 		if got := leader.claimWriter.defersCleanup(); got != tc.want {
-			t.Errorf("with %d chunks left cleanup is deferred: %v, want %v", tc.left, got, tc.want)
+			t.Errorf("with %d chunks left: got cleanup deferred %v, want %v", tc.left, got, tc.want)
 		}
-		leader.jobs.Cancel(waits)
+		leader.jobs.Cancel(waiting)
 		at = at.Add(time.Second)
 	}
 }
--- a/internal/leader/clusterstate.go
+++ b/internal/leader/clusterstate.go
@@ -12,25 +12,25 @@
 	"rillflow/internal/wire"
 )
 
-// clusterState is what the leader knows of the cluster: the job table and the workers.
+// clusterState is the leader's view of the cluster: the job table and the workers.
 //
 // One lock guards it, and with it the state of all components of a term. A decision reads
-// jobs, claims, workers and quotas together and must find them unchanged when it enters its
-// claim in the table: with a lock each, a claim could be made on a worker whose release was
-// decided in between, or a task be freed on a proof that no longer holds. The lock is never
-// held during a request to the store, the cloud or a worker.
+// jobs, claims, workers and quotas together, and none may change before its claim is entered in
+// the table: with separate locks, a claim could be made on a worker whose release was decided in
+// between, or a task be freed on a proof that no longer holds. The lock is never held during a
+// request to the store, the cloud or a worker.
 //
 // Methods are called with mu held.
 type clusterState struct {
 	mu            sync.Mutex
 	jobs          *ledger.Table
 	workers       map[string]*agent.Worker
-	workersByName []*agent.Worker          // in order, so that decisions repeat
-	released      map[string]time.Time     // when an instance was released; zero until that is answered
-	instances     map[string]wire.Instance // as the cloud lists them
+	workersByName []*agent.Worker          // sorted, so that decisions are deterministic
+	released      map[string]time.Time     // when an instance was released; zero until the cloud confirmed it
+	instances     map[string]wire.Instance // latest list from the cloud, by name
 }
 
-// addWorker adds a worker that is not there yet.
+// addWorker adds a worker, which must not be present yet.
 func (c *clusterState) addWorker(worker *agent.Worker) {
 	c.workers[worker.Name] = worker
 	i, _ := slices.BinarySearchFunc(c.workersByName, worker.Name, compareName)
@@ -52,7 +52,7 @@
 func (c *clusterState) addJob(key string, data []byte, modRevision uint64) error {
 	record, err := ledger.DecodeJobRecord(data)
 	if err != nil {
-		return fmt.Errorf("%s: %w", key, err) // the text is kept as the reason of a suspected data loss
+		return fmt.Errorf("%s: %w", key, err) // shown as the reason of a suspected data loss
 	}
 	c.jobs.AddJob(key[len(ledger.LivePrefix):], record, modRevision)
 	return nil
--- a/internal/leader/commander.go
+++ b/internal/leader/commander.go
@@ -10,33 +10,33 @@
 	"rillflow/internal/wire"
 )
 
-// Bounds of what the commander does at once.
+// Limits of the commander.
 const (
-	maxPolls           = 16 // workers that one round begins to poll
-	maxCommandAttempts = 8  // from which on the pause between attempts grows no more
+	maxPolls           = 16 // polls started in one round
+	maxCommandAttempts = 8  // number of attempts after which the back-off grows no more
 )
 
 // commander sends commands to workers directly, between their heartbeats, and polls workers
 // that have not reported to this leader.
 //
-// The registry starts a command loop for each worker; the failure monitor polls. Worker
-// fields are read and written under mu, which is never held while a worker is asked. The
-// commander decides nothing: what a worker is to do follows from the claims.
+// The registry starts a command loop for each worker; the failure monitor starts the polls.
+// Worker fields are read and written under mu, which is never held during a request to a worker.
+// The commander makes no decisions: the commands for a worker follow from its claims.
 type commander struct {
 	*termScope
 	registry   *workerRegistry
 	heartbeats *heartbeatReconciler
 }
 
-// directCommand is one batch of commands for a worker, with what was known of the worker when
-// it was made.
+// directCommand is a batch of commands for a worker, with the worker's state at the time when the
+// batch was made.
 type directCommand struct {
 	address     string
 	batch       wire.CommandBatch
-	heardBefore time.Time // the worker's last heartbeat
+	heardBefore time.Time // of the worker's last heartbeat
 }
 
-// runCommands commands one worker directly whenever it is woken, so that nothing waits
+// runCommands sends a worker its commands whenever it is woken, so that they don't have to wait
 // for the worker's next heartbeat. It ends once the worker is removed.
 func (c *commander) runCommands(ctx context.Context, worker *agent.Worker) error {
 	for attempt := 0; ; {
@@ -58,7 +58,7 @@
 			attempt = 0
 			continue
 		}
-		// A worker that does not take commands gets them with its next heartbeat.
+		// The worker also gets its commands in the response to its next heartbeat.
 		c.log.Debug("direct command failed", "worker", worker.Name, "refused", refused, "err", err)
 		if unheard {
 			retry.Backoff(ctx, attempt, c.settings.HeartbeatInterval()/8, c.settings.HeartbeatInterval())
@@ -67,8 +67,8 @@
 	}
 }
 
-// nextCommand makes the command that is due to a worker, or returns nil if there is none or
-// the worker cannot be reached. It also tells whether the worker is still registered.
+// nextCommand returns the commands that are due for a worker, or nil if there are none or the
+// worker's address is unknown. It also reports whether the worker is still registered.
 func (c *commander) nextCommand(worker *agent.Worker) (command *directCommand, registered bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,9 +90,9 @@
 	return &directCommand{address: worker.Address, batch: batch, heardBefore: worker.LastHeartbeat}, true
 }
 
-// commandAnswered takes in the answer to a direct command, and tells whether no heartbeat of
-// the worker came meanwhile. A command whose fate is unknown may be executed until the worker
-// has seen a higher epoch.
+// commandAnswered handles the response to a direct command or its error, and reports whether the
+// worker has sent no heartbeat since the command was made. A command of unknown outcome may still
+// be executed until the worker has seen a higher epoch.
 func (c *commander) commandAnswered(
 	worker *agent.Worker, command *directCommand, heartbeat *wire.Heartbeat, err error,
 ) (unheard bool) {
@@ -108,9 +108,9 @@
 	return worker.LastHeartbeat.Equal(command.heardBefore)
 }
 
-// workersToPoll returns the workers that are up but have not reported to this leader yet, stay
-// with a controller that no longer owns them, or are late with a heartbeat. It marks them as
-// polled. Callers hold mu.
+// workersToPoll returns up to maxPolls workers that are running but whose heartbeat is overdue:
+// they have not reported to this leader yet, still report to a controller that no longer owns
+// them, or are late. It marks them as being polled. Callers hold mu.
 func (c *commander) workersToPoll(now time.Time) []*agent.Worker {
 	var pollable []*agent.Worker
 	for _, instance := range c.instances {
@@ -131,8 +131,8 @@
 	return pollable
 }
 
-// pollWorker asks a worker for its status and shows it this leader's epoch, so that it turns
-// from whoever still answers it.
+// pollWorker requests a worker's status. If the worker has not seen this leader's epoch, it then
+// sends the epoch, so that the worker leaves the controller that still answers its heartbeats.
 func (c *commander) pollWorker(ctx context.Context, worker *agent.Worker) {
 	c.mu.Lock()
 	address := worker.Address
--- a/internal/leader/commandlog.go
+++ b/internal/leader/commandlog.go
@@ -8,7 +8,7 @@
 	"rillflow/internal/wire"
 )
 
-// logCommands logs what a worker is told and why it may be. Callers hold mu.
+// logCommands logs the commands for a worker, with the reason of each. Callers hold mu.
 func (s *termScope) logCommands(worker *agent.Worker, batch wire.CommandBatch) {
 	if len(batch.Commands) == 0 || !s.log.Enabled(s.ctx, slog.LevelDebug) {
 		return
@@ -21,7 +21,8 @@
 	}
 }
 
-// commandReason says why a command is given for a task with a claim; nil: no claim is for it.
+// commandReason returns why a command is given for a task. claim is the claim of the task on the
+// worker, nil if there is none.
 func commandReason(command wire.Command, claim *ledger.Claim) string {
 	switch {
 	case claim == nil || claim.Attempt != command.Attempt:
--- a/internal/leader/dataloss.go
+++ b/internal/leader/dataloss.go
@@ -6,13 +6,13 @@
 	"rillflow/internal/dataloss"
 )
 
-// foreignWriteError says that a key which only the leader writes was written by another.
+// foreignWriteError reports that a key that only the leader writes was written by another process.
 type foreignWriteError struct{ key string }
 
 // Error implements error.
 func (e *foreignWriteError) Error() string { return e.key + " was written by another" }
 
-// missingEndError says that a job is neither live nor has an end record.
+// missingEndError reports that a job has neither a live record nor an end record.
 type missingEndError struct{ jobID string }
 
 // Error implements error.
@@ -20,14 +20,15 @@
 	return fmt.Sprintf("job %s is gone without an end", e.jobID)
 }
 
-// suspectDataLoss notes that what the store holds contradicts itself or what is known, and
-// returns the error that ends the term: the next one recovers the data.
+// suspectDataLoss records a suspicion of data loss: the contents of the store contradict each
+// other or this controller's state. It returns the error that ends the term; the next term
+// recovers the data.
 func (e *environment) suspectDataLoss(cause error) error {
 	e.dataLoss.Suspect(cause.Error())
 	return fmt.Errorf("%w: %w", dataloss.ErrIncarnationReplaced, cause)
 }
 
-// dataLossSuspected tells whether data may have been lost, so that no worker is commanded.
+// dataLossSuspected reports whether data may have been lost. While it does, no commands are sent.
 func (e *environment) dataLossSuspected() bool {
 	if e.dataLoss == nil {
 		return false
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -15,26 +15,26 @@
 	"rillflow/internal/wire"
 )
 
-// dependencies looks after jobs that wait for others: it finds out how dependencies ended, and
-// tells what priority and deadline a job inherits from its dependents.
+// dependencies handles jobs that depend on others: it looks up how dependencies ended, and computes
+// the priority and the deadlines that a job inherits from its dependents.
 //
-// Serve runs its loop, runLookUps; the claim writer tells it of jobs that became ready and the
-// scheduler asks it for priorities, both with mu held. The job table holds the graph. It must not
+// Serve runs its loop, runLookUps; the claim writer reports jobs that became ready to it and the
+// scheduler gets priorities from it, both with mu held. The job table holds the graph. It must not
 // hold mu during a request to the store.
 type dependencies struct {
 	*termScope
 
-	// Only the loop uses what follows.
-	lastLookUp  string          // the dependency that was looked up last, but for repetitions
-	refused     map[string]bool // dependencies whose look-up the store refused in the last round
-	lastOverdue string          // the job that was last logged as overdue
+	// The fields below are used by the loop only.
+	lastLookUp  string          // the last dependency looked up in order, retries excluded
+	refused     map[string]bool // dependencies whose look-up is to be retried: the store refused it
+	lastOverdue string          // the dependent last logged as overdue for cancellation
 }
 
-// maxConcurrentLookups bounds the reads of end records in flight at once.
+// maxConcurrentLookups bounds the reads of end records in flight.
 const maxConcurrentLookups = 8
 
-// runLookUps looks up how dependencies ended that are no longer live. It begins with what the
-// store has, so that a new leader goes on where the last one stopped.
+// runLookUps looks up how dependencies ended that are not live in the job table, among them those
+// that ended under an earlier leader.
 func (d *dependencies) runLookUps(ctx context.Context) error {
 	return d.repeat(ctx, d.dependencySignal, func() error {
 		d.warnOverdueCancellation()
@@ -43,8 +43,8 @@
 	})
 }
 
-// warnOverdueCancellation logs, once a job, that a dependent of a cancelled job is still to be
-// cancelled though half of the time for it is over.
+// warnOverdueCancellation logs, once per job, that a dependent of a cancelled job has not been
+// cancelled although half of the time allowed for it has passed.
 func (d *dependencies) warnOverdueCancellation() {
 	d.mu.Lock()
 	pending, ok := d.jobs.OldestPendingCancellation()
@@ -58,39 +58,40 @@
 	d.log.Warn("dependent not cancelled yet", "job", pending.Job, "cause", pending.Cause, "age_s", age.Seconds())
 }
 
-// lookUpEndings finds out how dependencies ended that the table does not know. A round that the
-// store refuses is left; the next one begins with what was refused, and goes on with the
-// dependency after.
+// lookUpEndings looks up how dependencies ended that are not in the job table. A round stops once
+// the store refuses a request; the next round retries the refused look-ups first, and continues
+// after the last dependency looked up.
 func (d *dependencies) lookUpEndings(ctx context.Context) {
 	d.mu.Lock()
 	unresolved := d.jobs.UnresolvedDependencies()
 	d.mu.Unlock()
 	isRefused := func(jobID string) bool { return d.refused[jobID] }
-	again := slices.DeleteFunc(slices.Clone(unresolved), func(jobID string) bool { return !isRefused(jobID) })
+	retries := slices.DeleteFunc(slices.Clone(unresolved), func(jobID string) bool { return !isRefused(jobID) })
 	others := slices.DeleteFunc(startAfter(unresolved, d.lastLookUp), isRefused)
-	lookUps := d.lookUp(ctx, slices.Concat(again, others))
+	lookUps := d.lookUp(ctx, slices.Concat(retries, others))
 	d.refused = make(map[string]bool)
-	for i, jobID := range again {
-		d.refused[jobID] = i >= len(lookUps) // it was not reached
+	for i, jobID := range retries {
+		d.refused[jobID] = i >= len(lookUps) // not reached in this round
 	}
 	for i, lookUp := range lookUps {
 		d.refused[lookUp.jobID] = lookUp.err != nil
-		if i >= len(again) {
+		if i >= len(retries) {
 			d.lastLookUp = lookUp.jobID
 		}
 	}
 }
 
-// dependencyLookUp is what became of the look-up of a dependency.
+// dependencyLookUp is the result of looking up one dependency.
 type dependencyLookUp struct {
 	jobID string
-	err   error // of a store that did not answer
+	err   error // of the request to the store
 }
 
-// lookUp looks up dependencies, a few at a time, until the store refuses one: others need the
-// budget too. It returns the look-ups made, the first ones.
+// lookUp looks up dependencies, up to maxConcurrentLookups at a time, until the store refuses a
+// request: the request budget is shared with other components. It returns the look-ups made, which
+// are those of a prefix of jobIDs.
 func (d *dependencies) lookUp(ctx context.Context, jobIDs []string) []dependencyLookUp {
-	lookUps := make([]dependencyLookUp, 0, len(jobIDs)) // never grows: elements stay where they are
+	lookUps := make([]dependencyLookUp, 0, len(jobIDs)) // never reallocated: goroutines hold pointers to elements
 	slots := make(chan struct{}, maxConcurrentLookups)
 	var wg sync.WaitGroup
 	var refused atomic.Bool
@@ -100,10 +101,10 @@
 			break
 		}
 		lookUps = append(lookUps, dependencyLookUp{jobID: jobID})
-		made := &lookUps[len(lookUps)-1]
+		lookUp := &lookUps[len(lookUps)-1]
 		wg.Go(func() {
 			defer func() { <-slots }()
-			if made.err = d.lookUpEnding(ctx, made.jobID); made.err != nil {
+			if lookUp.err = d.lookUpEnding(ctx, lookUp.jobID); lookUp.err != nil {
 				refused.Store(true)
 			}
 		})
@@ -112,7 +113,7 @@
 	return lookUps
 }
 
-// startAfter returns sorted names in a circle that begins with the first one after another.
+// startAfter rotates sorted names so that they begin with the first one after last.
 func startAfter(sorted []string, last string) []string {
 	first, found := slices.BinarySearch(sorted, last)
 	if found {
@@ -121,12 +122,12 @@
 	return slices.Concat(sorted[first:], sorted[:first])
 }
 
-// lookUpEnding resolves a dependency if it has ended. It returns the error of a store that did
-// not answer.
+// lookUpEnding resolves a dependency if it has ended. The error is that of the request to the
+// store.
 func (d *dependencies) lookUpEnding(ctx context.Context, jobID string) error {
 	item, err := d.store.Get(ctx, ledger.EndedKey(jobID))
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return nil // it is live, and the watch has yet to tell
+		return nil // the job is live, and the watch has not reported it yet
 	}
 	if err != nil {
 		return err
@@ -134,7 +135,7 @@
 	var end ledger.EndRecord
 	if err := json.Unmarshal(item.Value, &end); err != nil {
 		d.log.Error("end record invalid", "job", jobID, "err", err)
-		return nil // nothing that a later read would change
+		return nil // reading it again would not help
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// jobsReady notes jobs that have no unmet dependency any more. Callers hold mu.
+// jobsReady logs jobs whose last dependency was met, and wakes the scheduler. Callers hold mu.
 func (d *dependencies) jobsReady(jobs []*ledger.Job) {
 	for _, job := range jobs {
 		waited := job.ReadyAt.Sub(job.ArrivedAt)
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -8,14 +8,16 @@
 	"rillflow/internal/wire"
 )
 
-// maxPendingSamples bounds the run times kept for the owner of a worker's shard.
+// maxPendingSamples bounds the run times of a worker that are kept for its shard owner.
 const maxPendingSamples = 64
 
-// heartbeatReconciler compares what workers report with the claims of the job table: it notes
-// starts and ends of tasks, and frees a claim once a report proves that its task is gone.
+// heartbeatReconciler compares the tasks that workers report with the claims of the job table: it
+// records starts and ends of tasks, and frees a claim once a report proves that its task neither
+// runs nor can still be started.
 //
-// Runner.Heartbeat calls it for reports, the commander for answers to commands and polls; all
-// hold mu. It must not renew a lease: only Runner.Heartbeat answers a heartbeat.
+// Runner.Heartbeat calls it for heartbeats, the commander for responses to commands and polls.
+// Its methods, answer excepted, are called with mu held. It must not renew a lease: only
+// Runner.Heartbeat answers a heartbeat.
 type heartbeatReconciler struct {
 	*termScope
 	registry  *workerRegistry
@@ -28,8 +30,8 @@
 	latencies     *latencies
 }
 
-// answer takes in a heartbeat, and returns the commands for its worker and the run times that
-// the owner of the worker's shard has yet to learn. The answer may renew the worker's lease.
+// answer processes a heartbeat, and returns the commands for its worker and the run times that
+// the owner of the worker's shard has not received yet. The response may renew the worker's lease.
 func (h *heartbeatReconciler) answer(
 	heartbeat *wire.Heartbeat,
 ) (wire.CommandBatch, []agent.RuntimeSample, error) {
@@ -37,8 +39,8 @@
 	defer h.mu.Unlock()
 	epoch := h.leadership.Epoch()
 	if heartbeat.Epoch > epoch || h.ctx.Err() != nil {
-		// The worker knows a later leader. A 200 would be dropped and hold
-		// the worker here while its lease runs out.
+		// The worker has seen a later leader. It would discard a 200 and stay with this
+		// controller while its lease expires.
 		return wire.CommandBatch{}, nil, ErrNotLeading
 	}
 	worker := h.applyHeartbeat(heartbeat)
@@ -50,8 +52,8 @@
 		h.log.Info("worker up", "worker", worker.Name, "instance_type", worker.InstanceType, "zone", worker.Zone,
 			"since_requested_s", now.Sub(worker.RequestedAt).Seconds())
 	}
-	// Whatever is answered may renew the lease. But a heartbeat that comes after newer ones,
-	// a late copy perhaps, tells nothing of how the worker is by now.
+	// Any response may renew the lease. But a heartbeat received after newer ones, such as a
+	// delayed duplicate, does not prove that the worker is alive now.
 	worker.LastAnswered = now
 	commands := wire.CommandBatch{Epoch: epoch, Commands: []wire.Command{}}
 	if worker.Incarnation == heartbeat.Incarnation && worker.Sequence == heartbeat.Sequence {
@@ -68,8 +70,9 @@
 	return commands, samples, nil
 }
 
-// applyHeartbeat takes in what a worker says, if it is news. It returns nil for an instance
-// that was released: a late message from the past.
+// applyHeartbeat updates the state of a worker from a heartbeat, unless it is out of date. It
+// returns nil for a heartbeat without a worker name or of a released instance, which must be a
+// delayed message.
 func (h *heartbeatReconciler) applyHeartbeat(heartbeat *wire.Heartbeat) *agent.Worker {
 	if releasedAt := h.released[heartbeat.Worker]; !releasedAt.IsZero() || heartbeat.Worker == "" {
 		return nil
@@ -79,7 +82,7 @@
 		return worker
 	}
 	now := h.now()
-	becameUsable := worker.HasUnclaimedTask || !h.scheduler.acceptsTasks(worker, now) // it may be of use from now on
+	becameUsable := worker.HasUnclaimedTask || !h.scheduler.acceptsTasks(worker, now) // the heartbeat may make it usable
 	usedBefore := h.jobs.UsedOnWorker(worker.Name)
 	h.updateWorker(worker, heartbeat, now)
 	h.reconcileTasks(worker, heartbeat, now)
@@ -87,15 +90,15 @@
 	if !h.jobs.NothingToWrite() {
 		notify(h.writeSignal)
 	}
-	// Most heartbeats free no capacity: a scheduling pass for each would be for nothing.
+	// Most heartbeats free no capacity, so a scheduling pass for each would be wasted.
 	if becameUsable || usedBefore != h.jobs.UsedOnWorker(worker.Name) {
 		notify(h.scheduleSignal)
 	}
 	return worker
 }
 
-// updateWorker takes in what a heartbeat says of the worker itself. With a new incarnation
-// all tasks of the earlier ones are gone.
+// updateWorker updates the worker's own state from a heartbeat. A new incarnation has none of the
+// tasks of earlier ones, so their claims are freed.
 func (h *heartbeatReconciler) updateWorker(worker *agent.Worker, heartbeat *wire.Heartbeat, now time.Time) {
 	worker.Address, worker.InstanceType, worker.Spot = heartbeat.Address, heartbeat.InstanceType, heartbeat.Spot
 	h.registry.setZone(worker, heartbeat.Zone)
@@ -115,7 +118,7 @@
 	}
 	worker.Incarnation = heartbeat.Incarnation
 	worker.Tasks = make(map[ledger.Task]agent.TaskStatus)
-	worker.UnresolvedEpoch = 0 // commands carry the incarnation: none of the old ones is executed now
+	worker.UnresolvedEpoch = 0 // commands carry the incarnation: the worker executes none of an earlier one
 	for _, claim := range h.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Incarnation < heartbeat.Incarnation {
 			h.dropImageFetch(claim, worker)
@@ -124,7 +127,8 @@
 	}
 }
 
-// idleSince is since when a worker has had neither tasks nor claims; zero if it has some.
+// idleSince returns the time since which a worker has had neither tasks nor claims, zero if it
+// has any.
 func idleSince(worker *agent.Worker, claims int, now time.Time) time.Time {
 	if claims > 0 || len(worker.Tasks) > 0 {
 		return time.Time{}
@@ -135,7 +139,7 @@
 	return worker.IdleSince
 }
 
-// reconcileTasks compares the tasks that a worker reports with its claims.
+// reconcileTasks updates the claims of a worker from the tasks that it reports.
 func (h *heartbeatReconciler) reconcileTasks(worker *agent.Worker, heartbeat *wire.Heartbeat, now time.Time) {
 	claims := h.jobs.ClaimsOnWorker(worker.Name)
 	seen := make(map[ledger.Task]agent.TaskStatus, len(heartbeat.Tasks))
@@ -149,7 +153,7 @@
 		current := h.taskStatus(worker, task, reported, now)
 		claim := claims[task]
 		if earlier, duplicate := seen[task]; duplicate && claim != nil && earlier.Attempt == claim.Attempt {
-			continue // of two attempts on the worker the claimed one counts
+			continue // of two attempts on the worker, the claimed one counts
 		}
 		seen[task] = current
 		if claim != nil && claim.Attempt == reported.Attempt && !claim.Finished {
@@ -166,7 +170,7 @@
 	h.freeUnstarted(worker, claims, seen)
 }
 
-// taskStatus is a reported task with since when it is in its phase.
+// taskStatus converts a reported task, and sets since when it has been in its phase.
 func (h *heartbeatReconciler) taskStatus(
 	worker *agent.Worker, task ledger.Task, reported wire.TaskStatus, now time.Time,
 ) agent.TaskStatus {
@@ -181,7 +185,7 @@
 	return current
 }
 
-// reconcileClaim notes that the task of a claim runs or has ended.
+// reconcileClaim records that the task of a claim is running or has ended.
 func (h *heartbeatReconciler) reconcileClaim(
 	claim *ledger.Claim, worker *agent.Worker, reported wire.TaskStatus, now time.Time,
 ) {
@@ -196,9 +200,9 @@
 	}
 }
 
-// freeUnstarted frees the claims of tasks that are not wanted any more and that the worker
-// does not have. Such a task is gone once no start command can reach the worker any more: the
-// worker has seen a higher epoch than any start command carried.
+// freeUnstarted frees the claims whose tasks are no longer wanted and are not on the worker. Such
+// a claim is freed only once no start command can reach the worker any more: none is in flight,
+// and the worker has seen a higher epoch than any start command carried.
 func (h *heartbeatReconciler) freeUnstarted(
 	worker *agent.Worker, claims map[ledger.Task]*ledger.Claim, seen map[ledger.Task]agent.TaskStatus,
 ) {
@@ -210,13 +214,13 @@
 	}
 }
 
-// notWanted tells whether a claim is to be freed as soon as its task is known to be gone.
+// notWanted reports whether a claim is to be freed once it is proven that its task does not run.
 func notWanted(claim *ledger.Claim) bool {
 	return claim.Job.Cancelled || claim.Stopping || claim.Unconfirmed
 }
 
-// requestFencing asks for a higher epoch when a worker waits for one: to forget what an
-// unresolved command could start again, or to prove that a task never started.
+// requestFencing requests a higher epoch if a worker has to see one: to forget ended tasks that a
+// command of unknown outcome could start again, or to prove that a task was never started.
 func (h *heartbeatReconciler) requestFencing(worker *agent.Worker) {
 	needed := worker.UnresolvedEpoch != 0 && len(worker.Tasks) > 0
 	for task, claim := range h.jobs.ClaimsOnWorker(worker.Name) {
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -1,9 +1,9 @@
 package leader
 
-// statusView shows the state of a term to operators and users.
+// statusView reports the state of a term to operators and users.
 //
-// The Runner calls it, with mu held, for the status page and for the counts of jobs. It has no
-// state of its own and must not change any.
+// The Runner calls it, with mu held, for the status page and for the task counts of jobs. It has
+// no state of its own and must not modify any.
 type statusView struct {
 	*termScope
 	heartbeats *heartbeatReconciler
@@ -13,30 +13,30 @@
 	orphans    *orphanTracker
 }
 
-// TaskCounts are a job's tasks for display.
+// TaskCounts are the numbers of done and running tasks of a job, for display.
 type TaskCounts struct{ Done, Running int }
 
-// Status is the leader's part of the status page.
+// Status is the leader's section of the status page.
 type Status struct {
 	Epoch    uint64           `json:"epoch"`
 	Jobs     int              `json:"jobs"`
 	Claims   int              `json:"claims"`
 	Workers  []WorkerStatus   `json:"hosts"`
 	Queues   []QueueStatus    `json:"queues"`
-	Blocked  []BlockedJob     `json:"waiting,omitempty"` // the first of the jobs that wait for others
+	Blocked  []BlockedJob     `json:"waiting,omitempty"` // jobs with unmet dependencies, at most maxBlockedJobs
 	Start    map[string]int64 `json:"start_ms"`          // latency from ready to running, by percentile
 	Recovery *RecoveryStatus  `json:"rebuilt,omitempty"`
 }
 
-// RecoveryStatus tells of data that the store lost, and what became of it.
+// RecoveryStatus describes the data that the store lost and the progress of its recovery.
 type RecoveryStatus struct {
-	Jobs           int      `json:"Jobs"` // that the store did not hold
+	Jobs           int      `json:"Jobs"` // recovered live jobs that the store did not hold
 	Ends           int      `json:"Ends"`
 	Claims         int      `json:"Claims"`
-	Writes         int      `json:"Writes"` // that store them again
+	Writes         int      `json:"Writes"` // needed to restore the recovered data
 	Written        int      `json:"Written"`
 	DurableS       float64  `json:"durable_s"` // from the start of the term until all live data was stored
-	PlacingS       float64  `json:"placing_s"` // until tasks were placed again
+	PlacingS       float64  `json:"placing_s"` // from the start of the term until placement resumed
 	Unreported     []string `json:"unheard,omitempty"`
 	MissingPeers   []string `json:"missing_peers,omitempty"`
 	DamagedKeys    []string `json:"damaged_keys,omitempty"`
@@ -44,38 +44,38 @@
 	OrphanedJobs   []string `json:"known_only_from_machines,omitempty"`
 }
 
-// BlockedJob is a job that waits for others.
+// BlockedJob is a job with unmet dependencies.
 type BlockedJob struct {
 	Job     string   `json:"job"`
 	Class   string   `json:"class"`
 	WaitsOn []string `json:"waits_on"`
 }
 
-// maxBlockedJobs bounds the blocked jobs in a status.
+// maxBlockedJobs bounds the number of blocked jobs in a Status.
 const maxBlockedJobs = 256
 
-// WorkerStatus is one worker.
+// WorkerStatus describes one worker.
 type WorkerStatus struct {
 	Name         string  `json:"name"`
 	InstanceType string  `json:"flavor"`
 	Zone         string  `json:"zone"`
 	Spot         bool    `json:"loaners"`
 	Claims       int     `json:"claims"`
-	SilentS      float64 `json:"silent_s"` // since its last heartbeat; -1: never heard
+	SilentS      float64 `json:"silent_s"` // since its last heartbeat; -1 if there was none
 	Quarantined  bool    `json:"bad,omitempty"`
 }
 
-// QueueStatus is the queue of one type of jobs.
+// QueueStatus describes the queue of one job type.
 type QueueStatus struct {
 	Type       string `json:"type"`
 	Unfinished int    `json:"unfinished"`
 	Waiting    int    `json:"waiting"`
 }
 
-// TaskCounts tells a job's counts, if this controller leads and knows the job.
+// TaskCounts returns the task counts of a job, if this controller leads and knows the job.
 //
-// The error is ErrNotLeading if another controller may know, ErrWorkersUnreported if workers
-// that have not reported yet may.
+// The error is ErrNotLeading if another controller may know the job, ErrWorkersUnreported if a
+// worker that has not reported yet may have tasks of it.
 func (r *Runner) TaskCounts(jobID string) (counts TaskCounts, known bool, err error) {
 	term := r.current.Load()
 	if term == nil {
@@ -104,7 +104,7 @@
 	return counts, true, nil
 }
 
-// Status is a snapshot of the term, or nil if this controller does not lead.
+// Status returns a snapshot of the term, or nil if this controller does not lead.
 func (r *Runner) Status() *Status {
 	term := r.current.Load()
 	if term == nil {
@@ -135,7 +135,7 @@
 	return status
 }
 
-// queues shows the queues, in no particular order.
+// queues returns the status of all queues, in no particular order.
 func (v *statusView) queues() []QueueStatus {
 	byType := map[string]*QueueStatus{}
 	for _, job := range v.jobs.Jobs() {
@@ -153,7 +153,7 @@
 	return queues
 }
 
-// blockedJobs shows the first of the jobs that wait for others.
+// blockedJobs returns the first maxBlockedJobs jobs that have unmet dependencies.
 func (v *statusView) blockedJobs() []BlockedJob {
 	var blocked []BlockedJob
 	jobs := v.jobs.BlockedJobs()
@@ -163,7 +163,7 @@
 	return blocked
 }
 
-// startLatencies shows percentiles of the latency from ready to running.
+// startLatencies returns percentiles of the latency from ready to running, in milliseconds.
 func (v *statusView) startLatencies() map[string]int64 {
 	start := v.heartbeats.latencies.start
 	return map[string]int64{
@@ -171,7 +171,7 @@
 	}
 }
 
-// recoveryStatus shows what was lost, or nil if nothing was.
+// recoveryStatus describes the loss and recovery of data, or returns nil if none was lost.
 func (v *statusView) recoveryStatus() *RecoveryStatus {
 	progress := v.recovery.progress
 	if progress == nil && len(v.orphans.orphanedJobs) == 0 {
--- a/internal/leader/storelimits.go
+++ b/internal/leader/storelimits.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// maxTxnBytes is the store's limit on a transaction, less what its compares take.
+// maxTxnBytes bounds the values of a transaction: the store's limit less room for the compares.
 const maxTxnBytes = 40 << 10
 
-// txnLimits are what the store takes in one transaction. They may fall while a term lasts.
+// txnLimits are the store's limits on one transaction. They may be lowered during a term.
 type txnLimits struct {
 	operations int
 	valueBytes int // of one value
@@ -18,7 +18,8 @@
 	return txnLimits{operations: s.settings.Facts.Store.Lowest().TxnOps, valueBytes: s.store.MaxValueBytes()}
 }
 
-// budgetExhaustedError says that the write budget has no room for another transaction yet.
+// budgetExhaustedError reports that the write budget has no room for another transaction until
+// wait has passed.
 type budgetExhaustedError struct{ wait time.Duration }
 
 // Error implements error.
@@ -26,9 +27,9 @@
 	return fmt.Sprintf("leader: write budget exhausted for %v", e.wait)
 }
 
-// writeAllowance tells how many operations a transaction may take of the write budget, at
-// least minimum, such that the share reserve of the budget is left to others. Where there is
-// no room the error is a *budgetExhaustedError.
+// writeAllowance returns how many operations of the write budget a transaction may use, at
+// least minimum, while the fraction reserve of the budget is left to other writers. The error is
+// a *budgetExhaustedError if the budget has no room for minimum operations.
 func (s *termScope) writeAllowance(minimum int, reserve float64) (int, error) {
 	allowance, wait := s.store.BulkWriteAllowance(minimum, reserve)
 	if wait > 0 {
--- a/internal/leader/storereader.go
+++ b/internal/leader/storereader.go
@@ -11,14 +11,14 @@
 	"rillflow/internal/wire"
 )
 
-// storeReader asks the store until it answers, however long that takes: for reads without which
-// a term cannot go on. The loader, the recovery, the job watcher, the claim writer and the
-// scrubber call it, none with mu held. It has no state of its own.
+// storeReader retries reads that a term cannot continue without until the store answers, however
+// long that takes. The loader, the recovery, the job watcher, the claim writer and the scrubber
+// call it, none with mu held. It has no state of its own.
 type storeReader struct {
 	*termScope
 }
 
-// retry makes a request until its error is final or ctx ends, and returns that error.
+// retry repeats a request until its error is final or ctx ends, and returns that error.
 func (r *storeReader) retry(ctx context.Context, isFinal func(error) bool, request func() error) error {
 	for attempt := 0; ; attempt++ {
 		if err := request(); isFinal(err) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// listAll reads all keys under a prefix, and the revision at which they were read.
+// listAll reads all keys under a prefix, and returns them with the revision of the read.
 func (r *storeReader) listAll(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
 	succeeded := func(err error) bool { return err == nil }
 	err = r.retry(ctx, succeeded, func() error {
@@ -52,7 +52,7 @@
 	return item.Value, err
 }
 
-// readOne reads one key, or learns that there is none.
+// readOne reads one key. The error is kvstore.ErrNotFound if the key does not exist.
 func (r *storeReader) readOne(ctx context.Context, read func() (wire.KeyValue, error)) (item wire.KeyValue, err error) {
 	answered := func(err error) bool { return err == nil || errors.Is(err, kvstore.ErrNotFound) }
 	err = r.retry(ctx, answered, func() error {
@@ -63,12 +63,12 @@
 	return item, err
 }
 
-// endingsPageSize is how many end records are read with one request.
+// endingsPageSize is the maximum number of end records read with one request.
 const endingsPageSize = 1000
 
-// readEndings reads the end records of several jobs, in requests of which each tells of all jobs in a
-// range of IDs: as few as the jobs, or as the pages of all end records. It leaves out jobs that
-// have none.
+// readEndings reads the end records of several jobs. Each request reads a page of consecutive
+// end records, so there are no more requests than jobs, and not many more than pages of all end
+// records. Jobs without an end record are left out of the result.
 func (r *storeReader) readEndings(ctx context.Context, jobIDs []string) (map[string][]byte, error) {
 	wanted := slices.Sorted(slices.Values(jobIDs))
 	endings := make(map[string][]byte, len(wanted))
@@ -92,10 +92,10 @@
 	return endings, nil
 }
 
-// endingsFrom reads a page of end records, from that of a job on.
+// endingsFrom reads a page of end records that begins with the given job's, or the next one.
 func (r *storeReader) endingsFrom(ctx context.Context, jobID string) (page []wire.KeyValue, err error) {
 	key := []byte(ledger.EndedKey(jobID))
-	key[len(key)-1]-- // no ID lies between: they end with digits
+	key[len(key)-1]-- // pages begin after a key; IDs end with digits, so none sorts between the two
 	succeeded := func(err error) bool { return err == nil }
 	err = r.retry(ctx, succeeded, func() error {
 		var err error
@@ -105,8 +105,9 @@
 	return page, err
 }
 
-// requireEnding reads the end record of a job whose live key is deleted. A job leaves its live
-// key only with an end record: that of one without it was lost.
+// requireEnding reads the end record of a job whose live key is deleted. The transaction that
+// deletes a live key writes the end record, so a missing one was lost: the error then ends the
+// term.
 func (r *storeReader) requireEnding(ctx context.Context, jobID string) ([]byte, error) {
 	end, err := r.readEnding(ctx, jobID)
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -115,7 +116,7 @@
 	return end, err
 }
 
-// endingOps are the operations by which a job ended.
+// endingOps returns the operations of the transaction that ended a job.
 func endingOps(jobID string, end []byte) []wire.Operation {
 	return []wire.Operation{{Put: ledger.EndedKey(jobID), Value: end}, {Delete: ledger.LiveKey(jobID)}}
 }
--- a/internal/leader/taskevents.go
+++ b/internal/leader/taskevents.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// taskStarted notes that a task runs: its worker has the image.
+// taskStarted records that a task is running, and so that its worker has pulled the image.
 func (h *heartbeatReconciler) taskStarted(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
 	cacheGB := 0.0
 	if instanceType := h.instanceTypes.InstanceTypes()[worker.InstanceType]; instanceType != nil {
@@ -21,8 +21,8 @@
 		"wait_s", now.Sub(claim.Job.WaitingSince).Seconds())
 }
 
-// dropImageFetch notes that a task went before it ran; with the last that waited for
-// its image the fetch goes too.
+// dropImageFetch handles a task that ended before it ran: if no other task on the worker needs
+// its image, the worker abandons the pull.
 func (h *heartbeatReconciler) dropImageFetch(claim *ledger.Claim, worker *agent.Worker) {
 	for _, other := range h.jobs.ClaimsOnWorker(worker.Name) {
 		if other != claim && other.Job.Spec.Image == claim.Job.Spec.Image {
@@ -32,8 +32,8 @@
 	worker.RecordPullAbandoned(claim.Job.Spec.Image)
 }
 
-// taskEnded deals with a claimed task that its worker reports as ended: it finishes the task,
-// or frees the claim so that the task starts again.
+// taskEnded handles a claimed task that its worker reports as ended: it finishes the task, or
+// frees the claim so that the task is started again.
 func (h *heartbeatReconciler) taskEnded(claim *ledger.Claim, worker *agent.Worker, cause string, now time.Time) {
 	job := claim.Job
 	if claim.RunningSince.IsZero() {
@@ -65,8 +65,8 @@
 	}
 }
 
-// stopRestOfGang stops the other tasks of a gang of which one ended: they cannot go on
-// without it, and start again together.
+// stopRestOfGang stops the other tasks of a gang after one of them ended: they cannot continue
+// without it, and all are started again together.
 func (h *heartbeatReconciler) stopRestOfGang(ended *ledger.Claim, now time.Time) {
 	for _, other := range h.jobs.ClaimsOfJob(ended.Job) {
 		if other == ended || other.Finished {
@@ -80,8 +80,8 @@
 	}
 }
 
-// taskDone finishes a task that has done its work. A task of a service is never done: it
-// starts again.
+// taskDone finishes a task that exited successfully. A task of a service is never done: its
+// claim is freed so that it is started again.
 func (h *heartbeatReconciler) taskDone(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
 	job := claim.Job
 	if job.Spec.Kind == wire.KindService {
@@ -90,15 +90,15 @@
 	}
 	worker.FailedJobs = nil
 	job.ConsecutiveFailures = 0
-	// Only tasks that were seen running teach: a result that was kept
-	// from an earlier attempt comes back at once and says nothing.
+	// Only tasks that were seen running are measured: a result kept from an earlier attempt is
+	// reported at once, which says nothing about the run time.
 	if !claim.RunningSince.IsZero() {
 		h.learnRunTime(claim, worker, now)
 	}
 	h.jobs.Finish(claim)
 }
 
-// learnRunTime notes how long a task ran, for its job and for the owner of the worker's shard.
+// learnRunTime records how long a task ran, for its job and for the owner of the worker's shard.
 func (h *heartbeatReconciler) learnRunTime(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
 	job, ran := claim.Job, now.Sub(claim.RunningSince)
 	job.RunSeconds.Sum += ran.Seconds()
--- a/internal/leader/writebacklog.go
+++ b/internal/leader/writebacklog.go
@@ -6,13 +6,13 @@
 	"rillflow/internal/ledger"
 )
 
-// WriteBacklog is what waits to be written to the store.
+// WriteBacklog counts the changes that wait to be written to the store.
 type WriteBacklog struct {
 	ledger.WriteBacklog
-	OldestEndAge time.Duration // of the end of a job that waits longest; 0: none does
+	OldestEndAge time.Duration // of the job end that has waited longest; 0 if none waits
 }
 
-// WriteBacklog returns what waits to be written, nothing if this controller does not lead.
+// WriteBacklog returns the write backlog of the term, a zero one if this controller does not lead.
 func (r *Runner) WriteBacklog() WriteBacklog {
 	term := r.current.Load()
 	if term == nil {
@@ -23,7 +23,7 @@
 	return term.writeBacklog()
 }
 
-// writeBacklog is called with mu held.
+// writeBacklog returns the write backlog. Callers hold mu.
 func (s *termScope) writeBacklog() WriteBacklog {
 	backlog := WriteBacklog{WriteBacklog: s.jobs.WriteBacklog()}
 	if !backlog.OldestEnd.IsZero() {
@@ -32,7 +32,8 @@
 	return backlog
 }
 
-// logBacklog says now and then that ends of jobs wait for long to be written. Callers hold mu.
+// logBacklog warns if the end of a job has waited for at least a heartbeat interval to be
+// written, at most once in a quarter of the worker lease. Callers hold mu.
 func (w *claimWriter) logBacklog() {
 	now := w.now()
 	if now.Sub(w.backlogLoggedAt) < w.settings.WorkerLease()/4 {
@@ -43,6 +44,6 @@
 	if backlog.OldestEndAge < w.settings.HeartbeatInterval() {
 		return
 	}
-	w.log.Warn("ends of jobs wait to be written", "oldest_s", backlog.OldestEndAge.Seconds(),
+	w.log.Warn("job ends are waiting to be written to the store", "oldest_s", backlog.OldestEndAge.Seconds(),
 		"ends", backlog.Ends, "claims", backlog.Claims, "finishes", backlog.Finishes, "cleanup", backlog.Cleanup)
 }
