--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -14,12 +14,12 @@
 	"rillflow/internal/wire"
 )
 
-// The last job of a chain of dependencies passes its priority and its deadline, less the steps
-// between, on to all that it depends on, however late it comes, and takes them back when it is
+// All direct and indirect dependencies of a job inherit its priority and its deadline, the latter
+// reduced by the steps in between, even if the job is added last. They lose both when the job is
 // cancelled.
 func TestInheritedPriorityAndDeadline(t *testing.T) {
 	leader := newTestTerm(t)
-	due := func(jobID string) float64 {
+	dueSeconds := func(jobID string) float64 {
 		at := leader.dependencies.inherited(leader.jobs.Job(jobID)).Deadlines[2]
 		if at.IsZero() {
 			return 0
@@ -35,8 +35,9 @@
 				wantPriority = priorityLevel("urgent")
 			}
 			priority := leader.dependencies.effectivePriority(leader.jobs.Job(jobID))
-			if got := due(jobID); got != wantDue || priority != wantPriority {
-				t.Errorf("%s: %s is due in %v, priority %d; want %v, %d", when, jobID, got, priority, wantDue, wantPriority)
+			if got := dueSeconds(jobID); got != wantDue || priority != wantPriority {
+				t.Errorf("%s: %s: got due in %v s, priority %d; want %v s, %d",
+					when, jobID, got, priority, wantDue, wantPriority)
 			}
 		}
 	}
@@ -56,7 +57,8 @@
 		ExpectedSeconds: 4, DeadlineSeconds: 200, DependsOn: []string{"req-4"},
 	}
 	leader.addTestJob("req-5", last)
-	// 1.5 deadlines; a step takes 1.5 times its expectation and half a heartbeat interval.
+	// The objective allows 1.5 times the deadline; a step takes 1.5 times its expected run time and
+	// half a heartbeat interval.
 	d5 := 300.0
 	d4 := d5 - 1.5*4 - 1.5
 	d2 := d4 - 1.5*8 - 1.5
@@ -65,15 +67,15 @@
 	sooner := last
 	sooner.DeadlineSeconds, sooner.DependsOn = 40, []string{"req-2"}
 	leader.addTestJob("req-6", sooner)
-	check("with one that is due sooner", 60-1.5*4-1.5-1.5*20-1.5, 60-1.5*4-1.5, d2, d4)
+	check("with one that is due earlier", 60-1.5*4-1.5-1.5*20-1.5, 60-1.5*4-1.5, d2, d4)
 	leader.jobs.Cancel("req-6")
-	check("that one cancelled", d1, d2, d2, d4)
+	check("the earlier one cancelled", d1, d2, d2, d4)
 	leader.jobs.Cancel("req-5")
-	check("all cancelled", 0, 0, 0, 0)
+	check("both cancelled", 0, 0, 0, 0)
 }
 
-// A job of inherited priority goes before others within its own team's guaranteed quota; beyond
-// that it takes nothing from those within theirs.
+// A job with an inherited priority precedes others while it is within its team's guaranteed quota;
+// beyond that it does not precede jobs of other teams that are within theirs.
 func TestInheritedPriorityRespectsQuota(t *testing.T) {
 	leader := newTestTerm(t)
 	spec := wire.Job{Team: "u", Kind: wire.KindArray, Priority: "idle", TaskCount: 9, CPUs: 2, ExpectedSeconds: 9}
@@ -84,16 +86,17 @@
 		Team: "u", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"},
 	})
 	if leader.scheduler.ranking.tier(chain) >= leader.scheduler.ranking.tier(other) {
-		t.Error("the chain does not go first within its guaranteed quota")
+		t.Error("within its guaranteed quota, the job with the inherited priority is not first")
 	}
 	leader.runTestTask(t, chain, "h0", time.Second)
 	leader.runTestTask(t, chain, "h0", time.Second) // 4 of 4 guaranteed CPUs
 	if leader.scheduler.ranking.tier(chain) <= leader.scheduler.ranking.tier(other) {
-		t.Error("beyond its guaranteed quota the chain goes before one within its own")
+		t.Error("beyond its guaranteed quota, the job precedes one that is within its own")
 	}
 }
 
-// A job that waits for others is in no queue, has nothing scaled out and counts nowhere.
+// A job with unmet dependencies is in no queue, adds nothing to the demand for instances, and
+// counts towards no objective.
 func TestBlockedJobIsNotQueued(t *testing.T) {
 	leader := newTestTerm(t)
 	leader.settings.Operator.Fleet.CostSaving = "always"
@@ -103,22 +106,22 @@
 		DependsOn: []string{"req-1"},
 	})
 	if queues := leader.scheduler.waitingQueues(now); len(queues) != 1 || queues[0].unfinished != 1 {
-		t.Errorf("%d queues, %+v", len(queues), queues)
+		t.Errorf("got %d queues %+v, want one with 1 unfinished task", len(queues), queues)
 	}
 	if demand := leader.autoscaler.demand(nil, now); demand.OnDemandCores != 1 || demand.SpotCores != 0 {
-		t.Errorf("demand %+v", demand)
+		t.Errorf("got demand %+v, want 1 on-demand core and no spot cores", demand)
 	}
 	readyAt := now.Add(time.Minute)
 	leader.jobs.ResolveDependency("req-1", true, readyAt)
 	if queues := leader.scheduler.waitingQueues(readyAt); queues[0].unfinished != 51 {
-		t.Errorf("%d unfinished once ready", queues[0].unfinished)
+		t.Errorf("once ready: got %d unfinished tasks, want 51", queues[0].unfinished)
 	}
 	if due := leader.scheduler.ranking.objectiveDeadline(0, leader.jobs.Job("req-2")); !due.IsZero() {
-		t.Errorf("due by %v", due)
+		t.Errorf("got deadline %v, want none", due)
 	}
 }
 
-// Objectives other than a deadline count from when the job could start.
+// Objectives other than a deadline are measured from the time at which the job became ready.
 func TestObjectivesCountFromReady(t *testing.T) {
 	leader := newTestTerm(t)
 	job := leader.addTestJob("req-2", wire.Job{
@@ -127,33 +130,34 @@
 	readyAt := now.Add(5 * time.Minute)
 	leader.jobs.ResolveDependency("req-1", true, readyAt)
 	if due := leader.scheduler.ranking.objectiveDeadline(0, job); !due.Equal(readyAt.Add(time.Minute)) {
-		t.Errorf("due %v after it was ready", due.Sub(readyAt))
+		t.Errorf("got due %v after the job was ready, want 1m", due.Sub(readyAt))
 	}
 	if slack := leader.scheduler.ranking.deadlineSlack(job, readyAt.Add(10*time.Second)); slack.missed != 0 {
-		t.Errorf("late by %d stages", slack.missed)
+		t.Errorf("got %d missed objectives, want 0", slack.missed)
 	}
 }
 
-// Work that a deadline depends on is kept off spot instances while others have capacity to spare.
+// Tasks that a deadline depends on are not placed on spot instances while on-demand instances have
+// enough spare capacity.
 func TestDeadlineWorkAvoidsSpot(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		tasks        int
-		offered      int  // at once
-		due          bool // a dependent has a deadline
-		price        bool // there is an objective on the price
+		offered      int  // tasks offered at a time
+		hasDeadline  bool // a dependent has a deadline
+		hasPrice     bool // there is an objective on the price
 		onDemandOnly bool
 	}{
-		{"room to spare", 8, 8, true, false, true},
-		{"half the room", 9, 8, true, false, true},
-		{"too little to be worth it", 64, 64, true, false, false},
-		{"nobody waits by a deadline", 8, 8, false, false, false},
-		{"users pay by the machine", 8, 8, true, true, false},
+		{"enough spare capacity", 8, 8, true, false, true},
+		{"half of the capacity offered", 9, 8, true, false, true},
+		{"too little spare capacity", 64, 64, true, false, false},
+		{"no deadline", 8, 8, false, false, false},
+		{"price objective", 8, 8, true, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			leader.workers["h0"].Spot, leader.workers["h1"].Spot = true, true // 16 cores are on demand
-			if tc.price {
+			leader.workers["h0"].Spot, leader.workers["h1"].Spot = true, true // leaves 16 on-demand cores
+			if tc.hasPrice {
 				facts := &leader.settings.Facts
 				facts.Objectives = append(facts.Objectives, settings.Objective{Kind: "price"})
 			}
@@ -164,7 +168,7 @@
 			last := wire.Job{
 				Class: "d", Kind: wire.KindArray, Priority: "urgent", TaskCount: 1, CPUs: 1, DependsOn: []string{"req-1"},
 			}
-			if tc.due {
+			if tc.hasDeadline {
 				last.DeadlineSeconds = 100
 			}
 			leader.addTestJob("req-2", last)
@@ -172,19 +176,21 @@
 			offered := leader.scheduler.offers.describeJob(job, index, now)
 			more := tc.offered < tc.tasks
 			if offered.AllowSpot == tc.onDemandOnly || offered.Tasks != tc.offered || index.moreWaiting != more {
-				t.Errorf("%d tasks, spot allowed: %v, more: %v", offered.Tasks, offered.AllowSpot, index.moreWaiting)
+				t.Errorf("got %d tasks, spot allowed %v, more waiting %v; want %d, %v, %v",
+					offered.Tasks, offered.AllowSpot, index.moreWaiting, tc.offered, !tc.onDemandOnly, more)
 			}
 		})
 	}
 }
 
-// Whatever a guest submits and depends on, and whatever others depend on of it: none of its jobs
-// goes above the priority that it may have, and no job of another team goes higher for its sake.
+// Whatever jobs a guest submits, and whatever depends on them: none of the guest's jobs gets a
+// higher priority than the guest may use, and none of them raises the priority of another team's
+// jobs.
 func TestGuestCannotRaisePriority(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		leader := newTestTerm(t)
 		jobs := drawGuestJobs(rt, leader)
-		// best is the highest priority that curators ask for of what depends on a job, or of it.
+		// best is the highest priority requested for a job itself or by curators for its dependents.
 		best := make([]int, len(jobs))
 		for i := len(jobs) - 1; i >= 0; i-- {
 			best[i] = priorityLevel(jobs[i].job.Spec.Priority)
@@ -197,10 +203,10 @@
 		for i, drawn := range jobs {
 			got := leader.dependencies.effectivePriority(drawn.job)
 			if drawn.ofGuest && got < priorityLevel("standard") {
-				rt.Fatalf("%s, a guest's, goes by %s", drawn.job.ID, priorityName(got))
+				rt.Fatalf("guest's job %s has priority %s, want at most standard", drawn.job.ID, priorityName(got))
 			}
 			if drawn.job.Spec.Team == "t" && got < best[i] {
-				rt.Fatalf("%s goes by %s for a guest's sake, not %s",
+				rt.Fatalf("%s has priority %s, inherited from a guest's job; want at most %s",
 					drawn.job.ID, priorityName(got), priorityName(best[i]))
 			}
 		}
@@ -214,8 +220,8 @@
 	dependsOn []int
 }
 
-// drawGuestJobs has a guest and a curator submit jobs that depend on earlier ones, as far as the
-// rules allow.
+// drawGuestJobs adds jobs of a guest and a curator that depend on earlier ones, and leaves out
+// those that the rules deny.
 func drawGuestJobs(rt *rapid.T, leader *leaderTerm) []drawnJob {
 	rules := rights.Rules{Allow: []rights.Rule{
 		{Who: "role:guest", Actions: "submit need", MaxPriority: "standard"},
@@ -225,20 +231,22 @@
 	curator := rights.Identity{Name: "ana", Kind: rights.Person, Teams: []string{"t"}, Roles: []string{"curator"}}
 	var jobs []drawnJob
 	for i := range rapid.IntRange(2, 12).Draw(rt, "jobs") {
-		who := &curator
+		submitter := &curator
 		if rapid.Bool().Draw(rt, "guest") {
-			who = &guest
+			submitter = &guest
 		}
 		spec := wire.Job{
 			Team: rapid.SampledFrom([]string{"t", "u"}).Draw(rt, "owner"), Kind: wire.KindArray, TaskCount: 1, CPUs: 1,
 			Priority: priorityName(rapid.IntRange(0, 3).Draw(rt, "rank")),
 		}
-		decision := rules.Decide(who, rights.Request{Action: rights.Submit, Team: spec.Team, Priority: spec.Priority})
-		drawn := drawnJob{ofGuest: who == &guest}
+		decision := rules.Decide(submitter, rights.Request{
+			Action: rights.Submit, Team: spec.Team, Priority: spec.Priority,
+		})
+		drawn := drawnJob{ofGuest: submitter == &guest}
 		for n, earlier := range jobs {
 			if rapid.Bool().Draw(rt, "need") {
-				need := rights.Request{Action: rights.DependOn, Team: earlier.job.Spec.Team}
-				decision.Allowed = decision.Allowed && rules.Decide(who, need).Allowed
+				dependOn := rights.Request{Action: rights.DependOn, Team: earlier.job.Spec.Team}
+				decision.Allowed = decision.Allowed && rules.Decide(submitter, dependOn).Allowed
 				spec.DependsOn = append(spec.DependsOn, earlier.job.ID)
 				drawn.dependsOn = append(drawn.dependsOn, n)
 			}
@@ -253,7 +261,7 @@
 	return jobs
 }
 
-// A job inherits no higher priority than whoever submitted it may have.
+// A job inherits no higher priority than its submitter may use.
 func TestInheritedPriorityIsCapped(t *testing.T) {
 	for _, tc := range []struct{ maxPriority, want string }{
 		{"", "production"}, {"production", "production"}, {"standard", "standard"}, {"idle", "idle"},
@@ -266,16 +274,16 @@
 		})
 		job.Origin = &ledger.Origin{MaxPriority: tc.maxPriority}
 		if got := priorityName(leader.dependencies.effectivePriority(job)); got != tc.want {
-			t.Errorf("at most %q: goes by %s, want %s", tc.maxPriority, got, tc.want)
+			t.Errorf("maximum %q: got priority %s, want %s", tc.maxPriority, got, tc.want)
 		}
 		if got := priorityName(leader.dependencies.effectivePriority(uncapped)); got != "production" {
-			t.Errorf("a job without a bound goes by %s", got)
+			t.Errorf("job without a maximum: got priority %s, want production", got)
 		}
 	}
 }
 
-// A job's times count from when the leader saw it come, whatever the clock of the controller that
-// accepted it said; of a job that was there before, from what is stored.
+// The times of a job count from its arrival by the leader's clock, whatever the clock of the
+// controller that accepted it. Those of a job loaded from the store count from the stored time.
 func TestClocksApart(t *testing.T) {
 	for _, clockError := range []time.Duration{-time.Second, time.Second} {
 		leader := newTestTerm(t)
@@ -286,13 +294,14 @@
 			SubmittedMS: now.Add(clockError).UnixMilli(), ChunkTasks: 8,
 		}, 1)
 		if due := leader.dependencies.inherited(job).Deadlines[2]; !due.Equal(now.Add(clockError + 30*time.Second)) {
-			t.Errorf("clock off by %v, there before: due %v", clockError, due.Sub(now))
+			t.Errorf("clock off by %v, job loaded: got due in %v, want %v", clockError, due.Sub(now), clockError+30*time.Second)
 		}
 		job.Inherited = nil
 		job.MarkArrived(now)
 		due := leader.dependencies.inherited(job).Deadlines[2]
 		if !due.Equal(now.Add(30*time.Second)) || !job.ReadyAt.Equal(now) || !job.WaitingSince.Equal(now) {
-			t.Errorf("clock off by %v, seen to come: due %v, ready %v", clockError, due.Sub(now), job.ReadyAt.Sub(now))
+			t.Errorf("clock off by %v, arrival seen: got due in %v, ready in %v; want 30s, 0s",
+				clockError, due.Sub(now), job.ReadyAt.Sub(now))
 		}
 	}
 }
--- a/internal/leader/fakes_test.go
+++ b/internal/leader/fakes_test.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/wire"
 )
 
-// fakeLeadership stands in for a leadership that nobody contests.
+// fakeLeadership is an uncontested leadership with a fixed shard map.
 type fakeLeadership struct{ shards election.ShardMap }
 
 func (f *fakeLeadership) Epoch() uint64 { return f.shards.Epoch }
@@ -41,7 +41,7 @@
 
 func (f *fakeLeadership) RaiseEpoch(context.Context, []string) error { return nil }
 
-// idleOwners learns nothing and picks nothing.
+// idleOwners implements Shards and does nothing.
 type idleOwners struct{}
 
 func (idleOwners) Learn(agent.RuntimeSample) {}
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -10,10 +10,9 @@
 	"rillflow/internal/wire"
 )
 
-// What a heartbeat proves of a cancelled task that it does not name, where messages may come
-// late or twice: nothing if it is older than the last one, or of an earlier incarnation of the
-// worker, or while a start command sent earlier may yet arrive. Freed too soon, the task runs
-// beside another or past its end.
+// Guards against freeing a cancelled task too early, which then runs beside another one or past its
+// deadline. A heartbeat that lacks the task proves nothing if it is a duplicate or older than the
+// latest one, or while a start command sent earlier may still arrive.
 func TestHeartbeatWithoutTask(t *testing.T) {
 	commandInFlight := func(worker *agent.Worker, _ *ledger.Claim) { worker.CommandInFlight = true }
 	startedUnder := func(epoch uint64) func(*agent.Worker, *ledger.Claim) {
@@ -25,12 +24,12 @@
 		change   func(worker *agent.Worker, claim *ledger.Claim)
 		freed    bool
 	}{
-		{"news, and no start command can arrive any more", 11, nil, true},
-		{"a late copy", 9, nil, false},
-		{"the last one once more", 10, nil, false},
-		{"a command is in flight", 11, commandInFlight, false},
-		{"it was started under the epoch that the worker shows", 11, startedUnder(7), false},
-		{"it was started under a later one", 11, startedUnder(8), false},
+		{"newer, no start command can arrive", 11, nil, true},
+		{"older than the latest", 9, nil, false},
+		{"duplicate of the latest", 10, nil, false},
+		{"command in flight", 11, commandInFlight, false},
+		{"start command of the epoch that the worker has seen", 11, startedUnder(7), false},
+		{"start command of a later epoch", 11, startedUnder(8), false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -48,23 +47,23 @@
 				Worker: "h0", InstanceType: "m", Zone: worker.Zone, Incarnation: 1, Sequence: tc.sequence, Epoch: 7,
 			})
 			if freed := len(leader.jobs.ClaimsOnWorker("h0")) == 0; freed != tc.freed {
-				t.Errorf("freed: %v", freed)
+				t.Errorf("got freed %v, want %v", freed, tc.freed)
 			}
 		})
 	}
 }
 
-// A heartbeat that comes after newer ones, a late copy perhaps, is answered, for the answer may
-// renew the lease; but it tells nothing of how the worker is by now. Taken for a sign of life it
-// kept a dead worker's tasks waiting for as long as copies came.
+// Guards against delayed copies of heartbeats that keep a dead worker's tasks from being restarted.
+// A heartbeat received after newer ones is answered, and the response may renew the lease, but it
+// does not prove that the worker is alive.
 func TestLateHeartbeatIsNoSignOfLife(t *testing.T) {
 	for _, tc := range []struct {
 		name                  string
 		incarnation, sequence uint64
-		heard                 bool
+		heard                 bool // it counts as a sign of life
 	}{
-		{"news", 2, 11, true},
-		{"a late copy", 2, 9, false},
+		{"newer", 2, 11, true},
+		{"older than the latest", 2, 9, false},
 		{"of an earlier incarnation", 1, 40, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -87,16 +86,17 @@
 			heard := worker.LastHeartbeat.Equal(now) && leader.heartbeats.lastHeartbeat.Equal(now) &&
 				worker.LastUpdate.Equal(now)
 			if renewed := leader.leaseRenewed(worker, now); heard != tc.heard || heard != renewed {
-				t.Errorf("heard %v, updated %v, renewed %v", worker.LastHeartbeat, worker.LastUpdate, renewed)
+				t.Errorf("got last heartbeat %v, last update %v, lease renewed %v; want counted as alive: %v",
+					worker.LastHeartbeat, worker.LastUpdate, renewed, tc.heard)
 			}
 			if !worker.LastAnswered.Equal(now) {
-				t.Error("the answer is not counted: it may have renewed the lease")
+				t.Errorf("got last answered %v, want %v: the response may have renewed the lease", worker.LastAnswered, now)
 			}
 		})
 	}
 }
 
-// sampleCounter counts the run times that shard owners are told of.
+// sampleCounter counts the run times passed to Learn.
 type sampleCounter struct {
 	idleOwners
 	samples *int
@@ -104,14 +104,14 @@
 
 func (c sampleCounter) Learn(agent.RuntimeSample) { *c.samples++ }
 
-// A result that was kept from an earlier attempt comes back at once: the task is done, and
-// nothing is learned of how long it runs.
+// A result kept from an earlier attempt is reported at once: the task is done, but its run time is
+// not recorded.
 func TestCheckpointedResultIsNotMeasured(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		ran     bool // it was seen running
+		ran     bool // the task was seen running
 		samples int
-	}{{"seen running", true, 1}, {"kept", false, 0}} {
+	}{{"seen running", true, 1}, {"kept result", false, 0}} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader, samples := newTestTerm(t), 0
 			leader.heartbeats.latencies, leader.shards = newLatencies(), sampleCounter{samples: &samples}
@@ -128,7 +128,8 @@
 				Worker: "h0", InstanceType: "m", Zone: "a", Incarnation: 1, Sequence: 1, Tasks: []wire.TaskStatus{done},
 			})
 			if samples != tc.samples || job.RunSeconds.Count != tc.samples || job.DoneTasks() != 1 {
-				t.Errorf("learned %d, %d; %d done", samples, job.RunSeconds.Count, job.DoneTasks())
+				t.Errorf("got %d samples for the shard owner, %d for the job, %d tasks done; want %d, %d, 1",
+					samples, job.RunSeconds.Count, job.DoneTasks(), tc.samples, tc.samples)
 			}
 		})
 	}
--- a/internal/leader/jobwatcher.go
+++ b/internal/leader/jobwatcher.go
@@ -9,9 +9,9 @@
 	"rillflow/internal/wire"
 )
 
-// jobWatcher takes in jobs as they are committed to the store: new ones, and those that left
-// the live keys. Its loop, watchJobs, changes the job table under mu, then the replica. It
-// must not take a job for finished: only the claim writer's own commit does that.
+// jobWatcher watches the live keys and applies their changes: new jobs, and jobs that left the live
+// keys. Serve runs its loop, watchJobs, which changes the job table under mu, then the replica. It
+// must not mark a job as done: only the claim writer does, after its own commit.
 type jobWatcher struct {
 	*termScope
 	cancellations *cancellations
@@ -19,12 +19,12 @@
 	storeReader   *storeReader
 }
 
-// watchJobs follows the live jobs from a revision on.
+// watchJobs watches the live jobs from a revision on.
 func (w *jobWatcher) watchJobs(ctx context.Context, revision uint64) error {
 	for attempt := 0; ctx.Err() == nil; {
 		events, err := w.store.Watch(ctx, ledger.LivePrefix, revision, w.settings.WorkerLease()/2)
 		if errors.Is(err, kvstore.ErrCompacted) {
-			return err // a new term reads everything afresh
+			return err // the next term reads the full state again
 		}
 		if err != nil {
 			w.backOffRead(ctx, attempt)
@@ -48,9 +48,9 @@
 	return ctx.Err()
 }
 
-// applyEvents takes changes of live keys into the job table. It returns those that add jobs,
-// for the replica, and the jobs whose end the replica lacks. An error is a record that cannot
-// be read.
+// applyEvents applies changes of live keys to the job table. It returns those that add jobs,
+// for the replica, and the jobs whose end the replica lacks. The error is that of an invalid
+// record.
 func (w *jobWatcher) applyEvents(events []wire.Operation) (added []wire.Operation, endedJobs []string, err error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -62,8 +62,8 @@
 			added = append(added, event)
 			continue
 		}
-		// A job about to be done goes from the live keys by this
-		// leader's own write; were it cancelled, that write fails.
+		// A finished job leaves the live keys by this leader's own transaction. Had it been
+		// cancelled first, that transaction would fail and handle the cancellation.
 		jobID := event.Delete[len(ledger.LivePrefix):]
 		if w.endUnreplicated(jobID) {
 			endedJobs = append(endedJobs, jobID)
@@ -75,7 +75,7 @@
 	return added, endedJobs, nil
 }
 
-// jobAdded takes in a live job, which may be known: from the load, or as an orphan.
+// jobAdded adds a live job, which may already be known: from loading, or as an orphan.
 func (w *jobWatcher) jobAdded(event wire.Operation) error {
 	jobID := event.Put[len(ledger.LivePrefix):]
 	known := w.jobs.Job(jobID) != nil
@@ -89,9 +89,9 @@
 	return nil
 }
 
-// readEndings reads how jobs ended, and returns what the replica is to be told of them. Most
-// were cancelled by their users. But a leader that was cut off may hear so of what the next
-// one finished.
+// readEndings reads the end records of jobs, and returns the operations that apply them to the
+// replica. Most of the jobs were cancelled by their users, but a leader that was cut off may also
+// see jobs that its successor finished.
 func (w *jobWatcher) readEndings(ctx context.Context, jobIDs []string) ([]wire.Operation, error) {
 	var endings []wire.Operation
 	for _, jobID := range jobIDs {
@@ -104,17 +104,17 @@
 	return endings, nil
 }
 
-// endUnreplicated tells whether a job left the live keys other than by this leader's own
-// write, and the replica lacks its end. That the job table has it cancelled says nothing of
-// that: a cancellation may have come ahead of the watch.
+// endUnreplicated reports whether a job left the live keys other than by this leader's own
+// transaction, and the replica lacks its end. A job cancelled in the job table may still be one of
+// them: a cancellation message may have arrived before the watch event.
 func (w *jobWatcher) endUnreplicated(jobID string) bool {
-	tree, _ := w.replica.Tree() // not what this controller took in itself, which the others lack
+	tree, _ := w.replica.Tree() // without this controller's own writes, which other replicas lack
 	if _, ok := tree.Get([]byte(ledger.EndedKey(jobID))); ok {
 		return false
 	}
 	if job := w.jobs.Job(jobID); job != nil {
 		return !job.Finished
 	}
-	_, live := tree.Get([]byte(ledger.LiveKey(jobID))) // the job table forgot it with its last claim
+	_, live := tree.Get([]byte(ledger.LiveKey(jobID))) // the job table drops a cancelled job with its last claim
 	return live
 }
--- a/internal/leader/latencies.go
+++ b/internal/leader/latencies.go
@@ -8,16 +8,16 @@
 	"rillflow/internal/ledger"
 )
 
-// latencies are how long things took in a term, in milliseconds. The heartbeat reconciler
-// records, the status reads; both hold mu.
+// latencies are histograms of latencies in a term, in milliseconds. The heartbeat reconciler
+// records them, the status view reads them; both hold mu.
 type latencies struct {
-	start *hdrhistogram.Histogram // of a task: from ready to running
+	start *hdrhistogram.Histogram // of a task, from ready to running
 }
 
-// Bounds of what is recorded.
+// Range and precision of the recorded latencies.
 const (
 	maxLatency         = time.Hour
-	latencyDigits      = 2 // significant ones
+	latencyDigits      = 2 // significant decimal digits
 	minLatencyRecorded = 1 // millisecond
 )
 
@@ -25,8 +25,8 @@
 	return &latencies{start: hdrhistogram.New(minLatencyRecorded, maxLatency.Milliseconds(), latencyDigits)}
 }
 
-// recordStart records how long a task waited to run.
+// recordStart records the latency from a task's job being ready to the task running.
 func (l *latencies) recordStart(claim *ledger.Claim, now time.Time) {
-	// Only a value out of range is refused; such a wait is of no use here.
+	// Values out of range are refused; they are not needed here.
 	_ = l.start.RecordValue(now.Sub(claim.Job.ReadyAt).Milliseconds())
 }
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -14,12 +14,12 @@
 	"rillflow/internal/wire"
 )
 
-// loader fills the job table and the replica when a term begins: with what the store holds or,
-// where it lost data, with what was put together from all sources.
+// loader fills the job table and the replica when a term begins: with the contents of the store
+// or, if the store lost data, with the data merged from all sources.
 //
 // The term calls load once, before any loop of its own runs and before heartbeats are answered. The
-// loader reads without mu and takes it to fill the table. It writes nothing to the store: what
-// is to be stored again is left to the recovery, whose progress the loader sets.
+// loader reads without mu and takes it to fill the table. It writes nothing to the store: lost
+// data is written back by the recovery, whose progress the loader sets.
 type loader struct {
 	*termScope
 	recovery    *dataRecovery
@@ -27,17 +27,17 @@
 	storeReader *storeReader
 }
 
-// loadedState is what a term begins with.
+// loadedState is the stored or recovered state that a term begins with.
 type loadedState struct {
 	revision  uint64            // at which the live jobs were read
-	jobs      []wire.KeyValue   // live jobs
-	chunks    []wire.KeyValue   // claims
+	jobs      []wire.KeyValue   // records of live jobs
+	chunks    []wire.KeyValue   // chunks of claims
 	endings   map[string][]byte // end records that the replica may lack, by job
-	recovered map[string][]byte // recovered end records by job; nil: none were to be recovered
+	recovered map[string][]byte // recovered end records by job; nil if no recovery was needed
 }
 
-// load reads the jobs and claims, and recovers them where data was lost. It returns the
-// revision from which the jobs are to be watched.
+// load reads the jobs and claims, and recovers them if data was lost. It returns the revision from
+// which the jobs are to be watched.
 func (l *loader) load(ctx context.Context) (uint64, error) {
 	state, err := l.readStored(ctx)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return state, nil
 }
 
-// liveJobs returns the names of the live jobs.
+// liveJobs returns the IDs of the live jobs.
 func (s *loadedState) liveJobs() map[string]bool {
 	live := make(map[string]bool, len(s.jobs))
 	for _, item := range s.jobs {
@@ -90,9 +90,9 @@
 }
 
 // endingsOfOrphanedClaims returns the end records of jobs that have claims but no live record.
-// Each was done or cancelled, and the tasks of a cancelled one may still run and count. A job
-// that has neither record was lost: no claim is made before its job is stored, and none at all
-// while a new leader reads.
+// Each was done or cancelled, and the tasks of a cancelled one may still run and use resources. A
+// job with neither record was lost: no claim is made before its job is stored, and none at all
+// while a new leader loads.
 func (l *loader) endingsOfOrphanedClaims(ctx context.Context, state *loadedState) (map[string][]byte, error) {
 	live, endings := state.liveJobs(), make(map[string][]byte)
 	var unknown []string
@@ -119,7 +119,7 @@
 	return endings, nil
 }
 
-// toItems makes recovered values of what the store would have answered.
+// toItems converts recovered values to the form in which the store returns keys and values.
 func toItems(values []recovery.Value) []wire.KeyValue {
 	items := make([]wire.KeyValue, len(values))
 	for i, value := range values {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// addJobs adds to the table the live jobs, and ended ones that have claims. Callers hold mu.
+// addJobs adds the live jobs, and ended ones that have claims, to the job table. Callers hold mu.
 func (l *loader) addJobs(state *loadedState) error {
 	for _, item := range state.jobs {
 		if err := l.addJob(item.Key, item.Value, item.ModRevision); err != nil {
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// addClaims adds claims to the table. Callers hold mu.
+// addClaims adds claims to the job table. Callers hold mu.
 func (l *loader) addClaims(chunks []wire.KeyValue) error {
 	for _, item := range chunks {
 		if jobID, _ := ledger.JobOfChunkKey(item.Key); l.jobs.Job(jobID) == nil {
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// replicaTree is what the replicas are to hold: what was loaded, and the end records that are
-// known.
+// replicaTree returns the tree that the replicas are to hold: the loaded state, and the end records
+// that this controller's replica already has.
 func (l *loader) replicaTree(incarnation dataloss.IncarnationState, state *loadedState) *replica.Tree {
 	txn := iradix.New[[]byte]().Txn()
 	if known, head := l.replica.Tree(); head.Incarnation == incarnation.ID && state.recovered == nil {
--- a/internal/leader/load_test.go
+++ b/internal/leader/load_test.go
@@ -24,13 +24,13 @@
 	"rillflow/internal/wire"
 )
 
-// The store's bounds on a page of a list.
+// The store's limits on a page of a list.
 const (
 	pageItems = 1000
 	pageBytes = 512 << 10
 )
 
-// fakeStore answers lists of what is stored, and counts them.
+// fakeStore is a store that only answers range reads, and counts requests and bytes.
 type fakeStore struct {
 	keys     []string
 	data     map[string][]byte
@@ -67,7 +67,7 @@
 	tasksPerWorker = 8
 )
 
-// fill stores jobs of so many tasks in all, each claimed.
+// fill stores jobs with the given number of tasks in total, all of them claimed.
 func (s *fakeStore) fill(b *testing.B, tasks int, teams []settings.Team) {
 	table := ledger.New("w", teams)
 	for n := range (tasks + tasksPerJob - 1) / tasksPerJob {
@@ -101,8 +101,9 @@
 	s.keys = slices.Sorted(maps.Keys(s.data))
 }
 
-// BenchmarkTakeover is a new leader's load: reading, decoding and entering the claims of arrays of
-// 45 tasks, 8 on a worker. It reports what it asks of the store.
+// BenchmarkTakeover measures how a new leader loads its state: it reads and decodes the claims of
+// array jobs of 45 tasks, 8 on a worker, and adds them to the job table. It reports requests to
+// the store and bytes read.
 func BenchmarkTakeover(b *testing.B) {
 	for _, tasks := range []int{500, 5000, 50000} {
 		b.Run(fmt.Sprint(tasks), func(b *testing.B) { benchmarkTakeover(b, tasks) })
@@ -138,14 +139,15 @@
 		}
 		cancel()
 		if workers := len(leader.jobs.ClaimedWorkers()); workers != wantWorkers && workers != wantWorkers+1 {
-			b.Fatalf("%d workers", workers)
+			b.Fatalf("got %d claimed workers, want %d or %d", workers, wantWorkers, wantWorkers+1)
 		}
 	}
 	b.ReportMetric(float64(store.requests)/float64(b.N), "requests/op")
 	b.ReportMetric(float64(store.bytes)/float64(b.N)/1024, "KB/op")
 }
 
-// Guards against takeovers that last for a read a job, where many ended jobs have chunks left.
+// Guards against takeovers that take one read per ended job with chunks left, and there may be
+// many of these.
 func TestEndingsAreReadInPages(t *testing.T) {
 	const ended, pages = 2500, 3
 	store := &fakeStore{data: make(map[string][]byte)}
@@ -173,21 +175,21 @@
 		{"none", nil, 0, 0},
 		{"one", all[1234:1235], 1, 1},
 		{"the first and the last", []string{all[0], all[ended-1]}, 2, 2},
-		{"one that has none", []string{"req-000001"}, 0, 1},
-		{"one behind all", []string{"req-999999"}, 0, 1},
+		{"one without a record", []string{"req-000001"}, 0, 1},
+		{"one after all records", []string{"req-999999"}, 0, 1},
 		{"all", all, ended, pages},
-		{"all, and some that have none", append([]string{"req-000001", "req-999999"}, all...), ended, pages + 1},
+		{"all, and some without a record", append([]string{"req-000001", "req-999999"}, all...), ended, pages + 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			store.requests = 0
 			endings, err := reader.readEndings(t.Context(), tc.jobs)
 			if err != nil || len(endings) != tc.found || store.requests != tc.requests {
-				t.Errorf("%d end records by %d requests: %v, want %d by %d",
+				t.Errorf("got %d end records in %d requests, error %v; want %d in %d",
 					len(endings), store.requests, err, tc.found, tc.requests)
 			}
 			for jobID, end := range endings {
 				if string(end) != string(store.data[ledger.EndedKey(jobID)]) {
-					t.Errorf("%s has the end record %s", jobID, end)
+					t.Errorf("%s: got end record %s, want %s", jobID, end, store.data[ledger.EndedKey(jobID)])
 				}
 			}
 		})
--- a/internal/leader/loadcheck.go
+++ b/internal/leader/loadcheck.go
@@ -8,13 +8,13 @@
 	"rillflow/internal/replica"
 )
 
-// maxEndingLookups bounds the end records that are read in one go.
+// maxEndingLookups bounds the end records that are looked up in a row.
 const maxEndingLookups = 64
 
-// compareWithReplica holds what was read against what this controller's replica has of the same
-// incarnation. A key that nobody can have deleted and that is not there is proof of a loss. It
-// costs a few reads where the replica is behind, and returns the end records that it lacks, by
-// job.
+// compareWithReplica compares the loaded state with this controller's replica of the same
+// incarnation. A key of the replica that is not in the store and that nobody can have deleted
+// proves a data loss. If the replica is behind, the check takes a few reads; it returns the end
+// records that the replica lacks, by job.
 func (l *loader) compareWithReplica(ctx context.Context, state *loadedState) (map[string][]byte, error) {
 	endings := make(map[string][]byte)
 	tree, head := l.replica.Tree()
@@ -35,7 +35,8 @@
 	return endings, nil
 }
 
-// jobsNotLive returns jobs that are live in the replica and not in the store, the first of them.
+// jobsNotLive returns the first maxEndingLookups jobs that are live in the replica but not in the
+// store.
 func jobsNotLive(tree *replica.Tree, live map[string]bool) []string {
 	var jobIDs []string
 	tree.Root().WalkPrefix([]byte(ledger.LivePrefix), func(key, _ []byte) bool {
@@ -47,8 +48,8 @@
 	return jobIDs
 }
 
-// lostChunk returns a chunk of claims that the replica has and the store has not, though its
-// job is live: chunks are deleted only once their job is over.
+// lostChunk returns a chunk of claims that the replica has but the store lacks although its job is
+// live: chunks are deleted only once their job has ended.
 func (s *loadedState) lostChunk(tree *replica.Tree, live map[string]bool) (key string, lost bool) {
 	stored := make(map[string]bool, len(s.chunks))
 	for _, item := range s.chunks {
--- a/internal/leader/mergesources.go
+++ b/internal/leader/mergesources.go
@@ -12,8 +12,8 @@
 	"rillflow/internal/wire"
 )
 
-// mergeSources puts together what the store still holds and what all replicas remember, and
-// leaves to the recovery what is to be stored again.
+// mergeSources merges the remaining contents of the store with those of all replicas, and passes
+// the writes that restore the lost data to the recovery.
 func (l *loader) mergeSources(ctx context.Context, phase dataloss.Phase, state *loadedState) (recovery.Result, error) {
 	stored, err := l.storeSource(ctx, state)
 	if err != nil {
@@ -38,14 +38,14 @@
 	return merged, nil
 }
 
-// remembersAllLaunches tells whether this controller led when the data was lost, so that its
-// replica has every claim that a start command may have been given for.
+// remembersAllLaunches reports whether this controller led when the data was lost, so that its
+// replica has every claim for which a start command may have been sent.
 func (l *loader) remembersAllLaunches() bool {
 	head, previous := l.replica.Head(), l.leadership.PreviousMap()
 	return previous.Leader == l.settings.Name && head.Epoch > 0 && l.replica.HoldsAllLaunches()
 }
 
-// storeSource returns what the store still holds.
+// storeSource returns the remaining contents of the store.
 func (l *loader) storeSource(ctx context.Context, state *loadedState) (recovery.Source, error) {
 	ended, _, err := l.storeReader.listAll(ctx, ledger.EndedPrefix)
 	if err != nil {
@@ -61,8 +61,9 @@
 	return source, nil
 }
 
-// replicaSources returns what this controller and its peers remember, and the peers that could
-// not be asked. Unless the recovery is full only end records count: all else is stored again.
+// replicaSources returns the contents of the replicas of this controller and its peers, and the
+// peers that could not be read. Unless the recovery is full, they hold only end records: all other
+// data is stored again already.
 func (l *loader) replicaSources(ctx context.Context, full bool) (sources []recovery.Source, missingPeers []string) {
 	collectCtx, cancel := context.WithTimeout(ctx, l.settings.HeartbeatInterval())
 	trees, missingPeers := replica.Collect(collectCtx, l.replicaPeers, l.replicaPeers.Followers())
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -14,13 +14,13 @@
 	"rillflow/internal/wire"
 )
 
-// orphanTracker keeps the tasks of jobs of which no record is left: they were accepted in a
-// part of the data that was lost. The tasks run on until the user submits the job again, and
+// orphanTracker tracks orphans: tasks on workers whose job has no record left, because the record
+// was in the lost part of the data. They keep running until the user submits the job again, and
 // they are adopted, or cancels it.
 //
 // Serve runs its loop, resolveOrphans. The heartbeat reconciler asks it whether a task is an
-// orphan, the job watcher has it adopt the tasks of a job that came, the status counts them; all
-// hold mu, which guards its state. It must not have a task stopped that may be of a job that was
+// orphan, the job watcher has it adopt the tasks of a new job, the status view counts them; all
+// hold mu, which guards its state. It must not let a task be stopped whose job may have been
 // accepted, and must not hold mu during a request to the store.
 type orphanTracker struct {
 	*termScope
@@ -29,20 +29,20 @@
 	orphanedJobs map[string]*orphanedJob
 }
 
-// orphanedJob is a job of which nothing is known but that workers have tasks of it.
+// orphanedJob is a job that is known only from tasks that workers report.
 type orphanedJob struct {
-	ended bool // it has an end record: what is left of it may go
+	ended bool // the job has an end record, so its tasks may be ended
 }
 
-// maxOrphanedJobs bounds the orphaned jobs that are tracked. The tasks of more are kept on
-// their workers all the same.
+// maxOrphanedJobs bounds the orphaned jobs that are tracked. The tasks of any others are left
+// running too.
 const maxOrphanedJobs = 4096
 
-// isOrphan tells whether a task on a worker is of a job that may have been lost, so that it is
-// to be left alone. Callers hold mu.
+// isOrphan reports whether a task on a worker belongs to a job whose record may have been lost, so
+// that it must be left running. Callers hold mu.
 func (o *orphanTracker) isOrphan(task ledger.Task) bool {
 	incarnation := o.leadership.Incarnation()
-	// An incarnation that has just begun may be a loss that is yet to show.
+	// A provisional incarnation may have begun by a data loss that is not detected yet.
 	mayBeLost := incarnation.DataLost || incarnation.Phase == dataloss.PhaseProvisional
 	if !mayBeLost || o.jobs.Job(task.JobID) != nil {
 		return false
@@ -55,7 +55,7 @@
 	return orphan == nil || !orphan.ended
 }
 
-// resolveOrphans finds out which orphaned jobs have ended.
+// resolveOrphans looks up which orphaned jobs have ended.
 func (o *orphanTracker) resolveOrphans(ctx context.Context) error {
 	for retry.Sleep(ctx, o.settings.HeartbeatInterval()/2) {
 		o.mu.Lock()
@@ -65,7 +65,7 @@
 		for _, jobID := range unresolved[:min(len(unresolved), maxEndingLookups)] {
 			ended, err := o.hasEnded(ctx, jobID)
 			if err != nil {
-				break // the store refuses: the rest is for the next round
+				break // the store refused the request: continue in the next round
 			}
 			if ended {
 				o.letGo(jobID)
@@ -75,8 +75,8 @@
 	return ctx.Err()
 }
 
-// unresolvedJobs returns the orphaned jobs that have no end record as far as is known, in
-// order. Callers hold mu.
+// unresolvedJobs returns the orphaned jobs for which no end record has been found, sorted. Callers
+// hold mu.
 func (o *orphanTracker) unresolvedJobs() []string {
 	var jobIDs []string
 	for jobID, orphan := range o.orphanedJobs {
@@ -88,8 +88,8 @@
 	return jobIDs
 }
 
-// hasEnded tells whether a job has an end record, in the store or in the replica, whose end
-// records may still have to be stored again.
+// hasEnded reports whether a job has an end record in the store or in the replica, which may hold
+// end records that the recovery has not written back yet.
 func (o *orphanTracker) hasEnded(ctx context.Context, jobID string) (bool, error) {
 	_, err := o.store.Get(ctx, ledger.EndedKey(jobID))
 	if errors.Is(err, kvstore.ErrNotFound) {
@@ -99,11 +99,11 @@
 	return err == nil, err
 }
 
-// letGo has the workers end the tasks of a job that has ended.
+// letGo lets the tasks of a job that has ended be stopped on their workers.
 func (o *orphanTracker) letGo(jobID string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if orphan := o.orphanedJobs[jobID]; orphan != nil { // else it was submitted again meanwhile
+	if orphan := o.orphanedJobs[jobID]; orphan != nil { // nil if the job was submitted again meanwhile
 		orphan.ended = true
 	}
 	o.eachTaskOf(jobID, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
@@ -113,7 +113,7 @@
 	})
 }
 
-// eachTaskOf visits the tasks of a job on all workers. Callers hold mu.
+// eachTaskOf calls visit for the tasks of a job on all workers. Callers hold mu.
 func (o *orphanTracker) eachTaskOf(jobID string, visit func(*agent.Worker, ledger.Task, agent.TaskStatus)) {
 	for _, worker := range o.workersByName {
 		for task, status := range worker.Tasks {
@@ -124,8 +124,9 @@
 	}
 }
 
-// reserveForOrphans counts what orphaned tasks may use against every team's quota limit: all
-// that their workers have beside what is claimed. Callers hold mu.
+// reserveForOrphans counts the resources that orphaned tasks may use against every team's quota
+// limit: the teams are unknown, and on each worker with orphans the tasks may use all that is not
+// claimed. Callers hold mu.
 func (o *orphanTracker) reserveForOrphans() {
 	var cpus, gpus float64
 	for _, worker := range o.workersByName {
@@ -140,7 +141,7 @@
 	o.jobs.Reserve(cpus, gpus)
 }
 
-// hasOrphan tells whether a worker has an orphaned task that has not exited.
+// hasOrphan reports whether a worker has an orphaned task that has not exited.
 func hasOrphan(worker *agent.Worker) bool {
 	for _, status := range worker.Tasks {
 		if status.Orphaned && status.Phase != wire.TaskExited {
@@ -150,8 +151,8 @@
 	return false
 }
 
-// adoptOrphans claims the tasks of a job that was submitted again, where workers have them.
-// Callers hold mu.
+// adoptOrphans claims the orphaned tasks of a job that was submitted again for the workers that
+// have them. Callers hold mu.
 func (o *orphanTracker) adoptOrphans(jobID string) {
 	if o.orphanedJobs[jobID] == nil {
 		return
@@ -172,13 +173,13 @@
 	o.reserveForOrphans()
 }
 
-// adoptOrphan claims one task for the worker that has it, and tells whether it could. Callers
-// hold mu.
+// adoptOrphan claims one task for the worker that has it, and reports whether it did. Callers hold
+// mu.
 func (o *orphanTracker) adoptOrphan(
 	worker *agent.Worker, task ledger.Task, status agent.TaskStatus, now time.Time,
 ) bool {
 	if status.Phase == wire.TaskExited && status.EndCause != wire.ExitDone {
-		return false // it starts again like any other
+		return false // the task has to run again
 	}
 	claim := o.adoptClaim(o.jobs.Job(task.JobID), task.Index, worker, status.Attempt)
 	if claim == nil {
@@ -193,8 +194,8 @@
 	return true
 }
 
-// runningOrphans counts the running tasks of an orphaned job. tracked tells whether the job is
-// one. Callers hold mu.
+// runningOrphans counts the running tasks of an orphaned job. tracked reports whether the job is
+// an orphaned one that has not ended. Callers hold mu.
 func (o *orphanTracker) runningOrphans(jobID string) (running int, tracked bool) {
 	orphan := o.orphanedJobs[jobID]
 	if orphan == nil || orphan.ended {
--- a/internal/leader/propagator.go
+++ b/internal/leader/propagator.go
@@ -16,24 +16,25 @@
 
 // propagator cancels the dependents of cancelled jobs.
 //
-// Serve runs its loop, runPropagation, apart from the look-ups of dependencies, which may take
-// long. The job table holds what is to be cancelled. It holds the slot of the audit log while a
-// batch is in flight, and must not hold mu during a request to the store.
+// Serve runs its loop, runPropagation, separately from the look-ups of dependencies, which may
+// take long. The job table holds the jobs to cancel. The loop holds the slot of the audit log
+// while a batch is in flight, and must not hold mu during a request to the store.
 type propagator struct {
 	*termScope
 	cancellations *cancellations
 
-	// Only the loop uses it: how often in a row the store refused a batch for its rate.
+	// rateRefusals counts the batches in a row that the store refused for its rate limit. Only the
+	// loop uses it.
 	rateRefusals int
 }
 
-// runPropagation cancels dependents whenever there are any to cancel.
+// runPropagation cancels dependents of cancelled jobs as they appear.
 func (p *propagator) runPropagation(ctx context.Context) error {
 	return p.repeat(ctx, p.propagationSignal, func() error { return p.propagateCancellations(ctx) })
 }
 
-// OldestPendingCancellation is the age of the oldest cancellation that has not reached all
-// dependents; 0 if there is none, or this controller does not lead.
+// OldestPendingCancellation returns the age of the oldest cancellation that has not reached all
+// dependents, 0 if there is none or this controller does not lead.
 func (r *Runner) OldestPendingCancellation() time.Duration {
 	term := r.current.Load()
 	if term == nil {
@@ -47,8 +48,8 @@
 	return 0
 }
 
-// propagateCancellations cancels the dependents of cancelled jobs, a few in each transaction.
-// None of them has ever had a claim, for none was ready.
+// propagateCancellations cancels the dependents of cancelled jobs, a few per transaction. None of
+// them has ever had a claim, since none was ready.
 func (p *propagator) propagateCancellations(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := p.cancelNextDependents(ctx)
@@ -62,7 +63,7 @@
 	return ctx.Err()
 }
 
-// dependentsBatch cancels jobs whose dependency was cancelled.
+// dependentsBatch is a batch that cancels jobs whose dependency was cancelled.
 type dependentsBatch struct {
 	*auditedBatch
 	cancelled []*ledger.Job
@@ -86,7 +87,7 @@
 	for attempt := 0; ; attempt++ {
 		_, failed, err := p.store.Commit(ctx, txn)
 		if err == nil && len(failed) > 0 && len(batch.blocks) > 0 {
-			// Was it this very transaction, sent before, that made the compares fail?
+			// An earlier attempt at this transaction may have made the compares fail.
 			var outcome txnOutcome
 			if outcome, err = batch.readOutcome(ctx, p.store); outcome.applied {
 				failed = nil
@@ -98,20 +99,20 @@
 		}
 		rateLimited := errors.Is(err, kvstore.ErrRateLimited) && !uncertain
 		if rateLimited || errors.Is(err, kvstore.ErrTooLarge) {
-			return p.refused(ctx, batch, rateLimited) // made again, for the limits in force
+			return p.refused(ctx, batch, rateLimited) // built again for the current limits
 		}
 		uncertain = uncertain || errors.Is(err, kvstore.ErrOutcomeUnknown)
-		// Where its outcome is unknown, the same is asked for again: a job that
-		// was cancelled by it fails its compare then, which is as good.
+		// A transaction of unknown outcome is sent again unchanged: if it was applied, the
+		// compares of its jobs now fail, which shows that they are cancelled.
 		if !p.backOffWrite(ctx, attempt) {
 			return ctx.Err()
 		}
 	}
 }
 
-// refused takes in that a batch was surely not applied. One that was too much for the store's rate
-// is made again with fewer jobs: while the store is busy it may never have room for many
-// operations at once, though it takes a few at any time.
+// refused handles a batch that was certainly not applied. After a refusal for the rate limit it
+// backs off, and the next batch has fewer jobs: a busy store may never have room for many
+// operations at once, although it accepts a few at any time.
 func (p *propagator) refused(ctx context.Context, batch *dependentsBatch, rateLimited bool) error {
 	p.mu.Lock()
 	p.auditLog.batchFailed(batch.auditedBatch)
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// nextDependents makes the batch that cancels the next few dependents, or returns
+// nextDependents builds the batch that cancels the next few dependents, or returns
 // errNothingToWrite. Callers hold mu.
 func (p *propagator) nextDependents() (*dependentsBatch, error) {
 	now, limits := p.now(), p.txnLimits()
@@ -158,8 +159,8 @@
 	return &dependentsBatch{batch, jobs}, nil
 }
 
-// dependentsCancelled takes in a batch whose outcome is known: failed are the keys whose
-// compares failed, none if it was applied.
+// dependentsCancelled handles a batch whose outcome is known. failed holds the keys whose compares
+// failed, none if the batch was applied.
 func (p *propagator) dependentsCancelled(batch *dependentsBatch, failed []string) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -181,8 +182,8 @@
 		}
 	}
 	for _, job := range batch.cancelled {
-		// A live key that is not as it was is gone: the user cancelled the job, for it
-		// cannot have been done.
+		// If the compare of a live key failed, the key is deleted: the user cancelled the job,
+		// since a job that was never ready cannot be done.
 		if applied || slices.Contains(failed, ledger.LiveKey(job.ID)) {
 			p.cancellations.cancelJob(job.ID)
 		}
--- a/internal/leader/propagator_test.go
+++ b/internal/leader/propagator_test.go
@@ -20,7 +20,7 @@
 	"rillflow/internal/wire"
 )
 
-// newStoreTerm is a test term whose store is a handler.
+// newStoreTerm returns a test term whose store requests are answered by a handler.
 func newStoreTerm(t *testing.T, handler http.HandlerFunc) *leaderTerm {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -44,7 +44,8 @@
 	return t.addTestJob(jobID, wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 1, DependsOn: []string{dependency}})
 }
 
-// Guards against dependencies that no round of look-ups reaches because a refusal ends each.
+// Guards against dependencies that are never looked up because the store's refusals end every round
+// before it reaches them.
 func TestLookUpsGoOnWhereTheyWereRefused(t *testing.T) {
 	const dependencies, refuseEvery = 40, 10
 	cancelled := jobName(dependencies - 1)
@@ -70,18 +71,18 @@
 		leader.dependencies.lookUpEndings(t.Context())
 	}
 	if len(leader.jobs.JobsToCancel(1)) == 0 {
-		t.Errorf("the cancellation of %s was not found in %d look-ups", cancelled, requests.Load())
+		t.Errorf("the cancellation of %s was not found with %d requests", cancelled, requests.Load())
 	}
 }
 
-// Guards against cancellations that wait behind look-ups of other jobs.
+// Guards against cancellations that wait for look-ups of other jobs.
 func TestPropagationDoesNotWaitForLookUps(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	lookUpBegan, committed := make(chan struct{}, 1), make(chan struct{}, 1)
 	leader := newStoreTerm(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
 			lookUpBegan <- struct{}{}
-			<-r.Context().Done() // a look-up that is not answered
+			<-r.Context().Done() // the look-up is never answered
 			return
 		}
 		committed <- struct{}{}
@@ -90,7 +91,7 @@
 	var loops sync.WaitGroup
 	defer loops.Wait()
 	defer cancel()
-	leader.addDependent("req-2", "req-1") // how req-1 ended must be looked up
+	leader.addDependent("req-2", "req-1") // req-1 is unknown and has to be looked up
 	leader.addTestJob("req-3", wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 1})
 	leader.addDependent("req-4", "req-3")
 	for _, loop := range []func(context.Context) error{leader.dependencies.runLookUps, leader.propagator.runPropagation} {
@@ -104,12 +105,12 @@
 	select {
 	case <-committed:
 	case <-time.After(10 * time.Second):
-		t.Error("req-4 is not cancelled while the end of req-1 is looked up")
+		t.Error("req-4 was not cancelled within 10 s while the look-up of req-1 was in flight")
 	}
 }
 
-// Guards against dependents that are never cancelled: a batch of more operations than the store has
-// room for at a time was sent again as it was, for ever.
+// Guards against dependents that are never cancelled because a batch with more operations than the
+// store's rate limit allows at once is sent again unchanged forever.
 func TestPropagationSendsFewerWhereTheRateIsUsedUp(t *testing.T) {
 	for _, room := range []int{2, 4, 15, 16} {
 		t.Run(fmt.Sprint(room), func(t *testing.T) {
@@ -134,7 +135,8 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			if err := leader.propagator.propagateCancellations(ctx); err != nil || cancelled != dependents {
-				t.Errorf("%d of %d are cancelled by %d requests: %v", cancelled, dependents, requests, err)
+				t.Errorf("got %d dependents cancelled by %d requests, error %v; want %d",
+					cancelled, requests, err, dependents)
 			}
 		})
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -14,37 +14,37 @@
 	"rillflow/internal/wire"
 )
 
-// dataRecovery stores again what the store has lost, and holds placement until that is safe.
+// dataRecovery writes lost data back to the store, and holds placement until it is safe.
 //
-// Serve runs restoreLiveData before any loop that decides, then finishRecovery beside them. The
-// scheduler asks it whether tasks may be placed, the heartbeat reconciler has it adopt what
-// workers show, the status what was lost; these hold mu. mu guards progress, but that only the
-// two loops change its pending writes, one after the other. It must not hold mu during a request
-// to the store, nor let anything be placed that may run already.
+// Serve runs restoreLiveData before any loop that makes decisions, then finishRecovery alongside
+// them. The scheduler asks it whether tasks may be placed, the heartbeat reconciler has it adopt
+// tasks that workers report, the status view reads the progress; all of these hold mu. mu guards
+// progress, and only the two functions, one after the other, change its pending writes. It must
+// not hold mu during a request to the store, nor let a task be placed that may already be running.
 type dataRecovery struct {
 	*termScope
 	storeReader *storeReader
 
-	progress *recoveryProgress // nil: nothing was lost. Set by the loader.
+	progress *recoveryProgress // set by the loader; nil if there is nothing to recover
 }
 
-// recoveryProgress is what a leader knows and does about data that the store has lost.
+// recoveryProgress is the state of the recovery of data that the store has lost.
 type recoveryProgress struct {
-	full           bool             // everything is recovered; else only end records are still to be stored
-	exact          bool             // this controller remembers every claim that was ever launched
-	pending        []recovery.Write // still to be stored, live data first
-	written        int
+	full           bool             // all data is recovered; otherwise only end records are still to be written
+	exact          bool             // this controller's replica has every claim whose task may have been started
+	pending        []recovery.Write // writes still to be made, live data first
+	written        int              // number of writes made
 	recovered      recovery.Counts
-	missingPeers   []string // that could not be asked
-	damagedKeys    []string // that no source could replace
-	orphanedClaims []string // jobs of which there are only claims
+	missingPeers   []string // peers whose replicas could not be read
+	damagedKeys    []string // keys whose value no source could replace
+	orphanedClaims []string // jobs with claims but without any record
 
 	durableAt          time.Time // when all live data was stored again; zero before
 	placementResumedAt time.Time // zero before
 }
 
-// restoreLiveData stores again all live data, and takes the store to the phase in which only
-// end records are still missing.
+// restoreLiveData writes all live data back, and advances the incarnation to the phase in which
+// only end records are still missing.
 func (r *dataRecovery) restoreLiveData(ctx context.Context) error {
 	if r.progress == nil || !r.progress.full {
 		return nil
@@ -62,7 +62,8 @@
 	return r.advancePhase(ctx, dataloss.PhaseRestoringResults)
 }
 
-// finishRecovery stores what nothing waits for, and takes the store to the last phase.
+// finishRecovery writes the end records back, which nothing waits for, and advances the incarnation
+// to its last phase.
 func (r *dataRecovery) finishRecovery(ctx context.Context) error {
 	switch r.leadership.Incarnation().Phase {
 	case dataloss.PhaseProvisional:
@@ -86,7 +87,7 @@
 	return nil
 }
 
-// advancePhase takes the store's incarnation to a phase, however long that takes.
+// advancePhase advances the store's incarnation to a phase, and retries until the store answers.
 func (r *dataRecovery) advancePhase(ctx context.Context, phase dataloss.Phase) error {
 	answered := func(err error) bool {
 		return !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown)
@@ -98,8 +99,8 @@
 	return err
 }
 
-// writePending stores the first of the pending writes, count of them, in transactions as large
-// as the limits and the write budget allow.
+// writePending makes the first count pending writes, in transactions as large as the limits and
+// the write budget allow.
 func (r *dataRecovery) writePending(ctx context.Context, count int, reserve float64) error {
 	limits := r.txnLimits()
 	for count > 0 {
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// firstWrites returns as many of the writes as fit in one transaction.
+// firstWrites returns the longest prefix of the writes that goes into one transaction.
 func firstWrites(writes []recovery.Write, maxOperations int) []recovery.Write {
 	count, size := 0, 0
 	for count < min(len(writes), maxOperations) && size < maxTxnBytes {
@@ -143,7 +144,8 @@
 	return writes[:count]
 }
 
-// commitWrites commits one transaction, and sees it through until its outcome is known.
+// commitWrites commits writes in one transaction, and retries until its outcome is known. It returns
+// the revision at which they were stored.
 func (r *dataRecovery) commitWrites(ctx context.Context, writes []recovery.Write) (uint64, error) {
 	txn := recoveryTxn(r.leadership.Compares(), writes)
 	for attempt := 0; ; attempt++ {
@@ -155,8 +157,9 @@
 			if err := r.leadership.CheckCompares(failed); err != nil {
 				return 0, err
 			}
-			// An earlier attempt whose answer was lost, or a user's own end of the job: read
-			// what is there. Nobody but the leader writes anything else now.
+			// An earlier attempt whose response was lost may have been applied, or a user may
+			// have cancelled the job: read the stored value. Nobody but the leader writes
+			// anything else in this phase.
 			revision, err = r.storedRevision(ctx, writes[0].Value)
 			if err == nil {
 				return revision, nil
@@ -175,9 +178,9 @@
 	}
 }
 
-// recoveryTxn makes the transaction of some writes.
-func recoveryTxn(guards []wire.Compare, writes []recovery.Write) wire.Txn {
-	txn := wire.Txn{Compares: guards}
+// recoveryTxn builds the transaction that makes the writes while the given compares hold.
+func recoveryTxn(compares []wire.Compare, writes []recovery.Write) wire.Txn {
+	txn := wire.Txn{Compares: compares}
 	for _, write := range writes {
 		txn.Compares = append(txn.Compares, wire.Compare{Key: write.Key, ModRevision: write.ModRevision})
 		op := wire.Operation{Put: write.Key, Value: write.Data}
@@ -202,7 +205,8 @@
 	return item.ModRevision, err
 }
 
-// sameJSON compares values whatever way the store wrote them.
+// sameJSON reports whether two JSON values are equal, whatever their formatting: the store may
+// change that.
 func sameJSON(a, b []byte) bool {
 	var decodedA, decodedB any
 	if json.Unmarshal(a, &decodedA) != nil || json.Unmarshal(b, &decodedB) != nil {
--- a/internal/leader/replicafeeder.go
+++ b/internal/leader/replicafeeder.go
@@ -8,17 +8,17 @@
 	"rillflow/internal/retry"
 )
 
-// pushesPerHeartbeat is how often in a heartbeat interval changes are sent to a follower.
+// pushesPerHeartbeat is how many times per heartbeat interval changes are sent to a follower.
 const pushesPerHeartbeat = 12
 
 // replicaFeeder sends this controller's replica to its followers.
 //
-// Serve runs its loop, feedReplicas, which alone uses its state: a replication for each
-// follower. It does not take mu: the replica has its own lock.
+// Serve runs its loop, feedReplicas, which starts a replication for each follower and is the only
+// user of its state. It does not take mu: the replica has its own lock.
 type replicaFeeder struct {
 	*termScope
 
-	cancels map[string]context.CancelFunc // ends the replication to a follower
+	cancels map[string]context.CancelFunc // end the replications, by follower
 }
 
 // feedReplicas keeps a replication running for every follower.
@@ -48,7 +48,7 @@
 	f.cancels[follower] = cancel
 	interval := f.settings.HeartbeatInterval() / time.Duration(pushesPerHeartbeat)
 	f.group.Go(func() error {
-		// It ends with its context only. That is no failure of the term.
+		// Replicate returns only when its context ends, which is no failure of the term.
 		_ = f.replica.Replicate(replicateCtx, f.replicaPeers, follower, interval)
 		return nil
 	})
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -12,36 +12,37 @@
 	"rillflow/internal/retry"
 )
 
-// Shards are the controllers that share the workers among them, this one included.
+// Shards gives access to the controllers that own shards of the workers, this one included.
 type Shards interface {
-	// Pick has a shard owner pick tasks for the workers it is offered.
+	// Pick lets a shard owner pick tasks for the workers of an offer.
 	Pick(ctx context.Context, owner string, offer placement.Offer) ([]placement.Pick, error)
-	// Learn takes in how long a task ran on a worker of this controller's own shard.
+	// Learn records how long a task ran on a worker of this controller's own shard.
 	Learn(sample agent.RuntimeSample)
-	// EligibleOwners are the controllers that may own a shard now, given those that do.
+	// EligibleOwners returns the controllers that may own a shard now, given the current owners.
 	EligibleOwners(owners []string) []string
-	// StoreServesPeerOnly tells whether the store refuses this controller but serves a peer,
-	// and which.
+	// StoreServesPeerOnly reports whether the store refuses this controller but serves a peer,
+	// and returns the name of that peer.
 	StoreServesPeerOnly() (string, bool)
-	// StoreRefuses tells whether the store has not answered for long.
+	// StoreRefuses reports whether the store has not answered this controller for a long time.
 	StoreRefuses() bool
-	// PeersHearNoWorkers tells whether peers are linked, and none of them hears any worker either.
+	// PeersHearNoWorkers reports whether peers are connected and none of them receives requests
+	// of workers either.
 	PeersHearNoWorkers() bool
 }
 
-// errNoSuccessor ends a term that was given up when no other controller took over.
+// errNoSuccessor ends a term that has stepped down when no other controller took over in time.
 var errNoSuccessor = errors.New("leader: stepped down, and no other controller leads")
 
 // shardKeeper keeps the epoch and the shard map up to date, and ends the term when another
-// controller leads or should. Its loops are raiseEpochs and watchShardOwners. Who owns
-// a worker's shard is changed under mu; the epoch is the leadership's.
+// controller leads or should lead. Its loops are raiseEpochs and watchShardOwners. It changes the
+// shard owners of workers under mu; the epoch is state of the leadership.
 type shardKeeper struct {
 	*termScope
 	registry *workerRegistry
 }
 
-// raiseEpochs raises the epoch when a command of unknown fate must be fenced off
-// or the workers are to be divided among other controllers.
+// raiseEpochs raises the epoch on request: to fence off a command of unknown outcome, or to
+// divide the workers among other shard owners.
 func (k *shardKeeper) raiseEpochs(ctx context.Context) error {
 	for {
 		select {
@@ -53,7 +54,7 @@
 		if errors.Is(err, election.ErrDeposed) {
 			return err
 		}
-		if err == nil { // else it is asked for again by whoever needs it
+		if err == nil { // after an error the epoch is requested again
 			k.mu.Lock()
 			shardMap := k.leadership.ShardMap()
 			for _, worker := range k.workers {
@@ -61,17 +62,17 @@
 			}
 			k.mu.Unlock()
 		}
-		// At most once in a heartbeat interval: each makes every worker report.
+		// At most once per heartbeat interval: each new epoch makes every worker report.
 		if !retry.Sleep(ctx, k.settings.HeartbeatInterval()) {
 			return ctx.Err()
 		}
 	}
 }
 
-// watchShardOwners asks for a new shard map when a controller comes or goes, and steps down
-// when the store refuses this controller alone. A term that was given up goes on until the
-// next one is known or, should nobody else lead, until a quarter of a lease after the store
-// could have had one.
+// watchShardOwners requests a new shard map when the eligible owners change, and steps down when
+// the store refuses this controller but serves a peer. A term that has stepped down continues
+// until its successor is known or, if there is none, until the store has been available for a
+// quarter of a worker lease, in which another controller could have been elected.
 func (k *shardKeeper) watchShardOwners(ctx context.Context) error {
 	refusedAt := k.startedAt
 	for retry.Sleep(ctx, k.monitorInterval()) {
@@ -93,8 +94,9 @@
 			k.elector.StepDown(k.successorPatience(), "the store serves "+peer+" but not this controller")
 			continue
 		}
-		// A raise without an answer may have been carried out late: shard owners then know
-		// its epoch, and so do workers, whose heartbeats this leader would turn away.
+		// A raise of the epoch without a response may have been applied late: shard owners and
+		// workers then know the higher epoch, and this leader would reject the workers'
+		// heartbeats.
 		owners := k.leadership.ShardMap().Owners
 		if !slices.Equal(owners, k.shards.EligibleOwners(owners)) ||
 			k.elector.ShardMap().Epoch > k.leadership.Epoch() {
--- a/internal/leader/status_test.go
+++ b/internal/leader/status_test.go
@@ -10,8 +10,8 @@
 	"rillflow/internal/wire"
 )
 
-// leadershipAfterLoss leads in an incarnation of the store that begins behind a loss, or in one
-// that does not.
+// leadershipAfterLoss is a leadership in an incarnation of the store that began after a data loss,
+// or in one that did not.
 type leadershipAfterLoss struct {
 	fakeLeadership
 	lost bool
@@ -21,23 +21,23 @@
 	return dataloss.IncarnationState{Incarnation: dataloss.Incarnation{DataLost: l.lost}}
 }
 
-// Of a job that is stored nowhere a new leader knows nothing until the workers that have its tasks
-// have reported. Told as never accepted in that time, it was forgotten.
+// Guards against telling users after a data loss that their job was never accepted. A new leader
+// knows nothing of a job whose record was lost until the workers that have its tasks have reported.
 func TestTaskCountsOfUnknownJobs(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		lost   bool
-		since  time.Duration // the start of the term
-		worker string        // as it stands to this leader
+		since  time.Duration // time since the start of the term
+		worker string        // "unreported", "reported", or "earlier": it has seen an earlier epoch only
 		err    error
 	}{
-		{"nothing was lost", false, 0, "unheard", nil},
-		{"lost, and the list may lack machines", true, time.Second, "heard", ErrWorkersUnreported},
-		{"lost, and one was not heard", true, 15 * time.Second, "unheard", ErrWorkersUnreported},
-		{"lost, and one may still be ordered by the last leader", true, 15 * time.Second, "earlier",
+		{"no data lost", false, 0, "unreported", nil},
+		{"cloud list may lack instances", true, time.Second, "reported", ErrWorkersUnreported},
+		{"worker has not reported", true, 15 * time.Second, "unreported", ErrWorkersUnreported},
+		{"worker may still take commands of the last leader", true, 15 * time.Second, "earlier",
 			ErrWorkersUnreported},
-		{"lost, and all were heard", true, 15 * time.Second, "heard", nil},
-		{"lost, and what was not heard has no lease left", true, 40 * time.Second, "unheard", nil},
+		{"all workers have reported", true, 15 * time.Second, "reported", nil},
+		{"lease of the unreported worker has expired", true, 40 * time.Second, "unreported", nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -49,7 +49,7 @@
 			}
 			worker := agent.NewWorker("h9")
 			switch tc.worker {
-			case "heard":
+			case "reported":
 				worker.LastHeartbeat, worker.SeenEpoch = now, 7
 			case "earlier":
 				worker.LastHeartbeat, worker.SeenEpoch = now, 6
@@ -58,19 +58,19 @@
 			leader.instances = map[string]wire.Instance{"h9": {Name: "h9", Phase: wire.InstanceRunning}}
 			runner := runnerOf(leader)
 			if _, known, err := runner.TaskCounts("req-9"); known || !errors.Is(err, tc.err) {
-				t.Errorf("known %v, %v; want %v", known, err, tc.err)
+				t.Errorf("unknown job: got known %v, error %v; want false, %v", known, err, tc.err)
 			}
 			leader.addTestJob("req-1", wire.Job{Class: "f", TaskCount: 1})
 			if _, known, err := runner.TaskCounts("req-1"); !known || err != nil {
-				t.Errorf("a job in the table: known %v, %v", known, err)
+				t.Errorf("job in the table: got known %v, error %v; want true, no error", known, err)
 			}
 			leader.orphans.orphanedJobs = map[string]*orphanedJob{"req-2": {}}
 			if _, known, err := runner.TaskCounts("req-2"); !known || err != nil {
-				t.Errorf("a job that a worker showed: known %v, %v", known, err)
+				t.Errorf("orphaned job: got known %v, error %v; want true, no error", known, err)
 			}
 		})
 	}
 	if _, _, err := (&Runner{}).TaskCounts("req-1"); !errors.Is(err, ErrNotLeading) {
-		t.Errorf("no term: %v", err)
+		t.Errorf("without a term: got error %v, want %v", err, ErrNotLeading)
 	}
 }
