--- a/internal/leader/antientropy.go
+++ b/internal/leader/antientropy.go
@@ -31,9 +31,9 @@
 
 // Pace of the scrubber.
 const (
-	keysPerHeartbeat       = 200 // keys compared in a heartbeat interval
-	firstRoundAcceleration = 5   // factor on the page size in the first pass over the end records
-	maxSuspectsPerPage     = 8   // missing keys of a page that are looked up again
+	keysPerHeartbeat     = 200 // keys compared in a heartbeat interval
+	firstRoundPageFactor = 5   // factor on the page size in the first pass over the end records
+	maxSuspectsPerPage   = 8   // missing keys of a page that are looked up again
 )
 
 // scrubPrefixes are scanned in this order, repeatedly. End records come first: those of earlier
@@ -42,10 +42,10 @@
 
 // scrubCursor is the position and the pace of the scrubber.
 type scrubCursor struct {
-	prefix   int           // index in scrubPrefixes
-	after    string        // the last key compared under the prefix; "" if none
-	interval time.Duration // between two pages
-	keys     int           // page size
+	prefixIndex int           // index in scrubPrefixes
+	after       string        // the last key compared under the prefix; "" if none
+	interval    time.Duration // between two pages
+	pageSize    int           // page size
 }
 
 // scrubPage is a range of keys and values as read from the store.
@@ -58,11 +58,11 @@
 
 // runAntiEntropy compares the store with the replica, one page of keys at a time.
 func (s *scrubber) runAntiEntropy(ctx context.Context) error {
-	cursor := scrubCursor{interval: s.settings.HeartbeatInterval() / 8, keys: firstRoundAcceleration * keysPerHeartbeat}
+	cursor := scrubCursor{interval: s.settings.HeartbeatInterval() / 8, pageSize: firstRoundPageFactor * keysPerHeartbeat}
 	for retry.Sleep(ctx, cursor.interval) {
 		before, _ := s.replica.Tree()
-		prefix := scrubPrefixes[cursor.prefix]
-		items, last, err := s.store.Page(ctx, prefix, cursor.after, cursor.keys)
+		prefix := scrubPrefixes[cursor.prefixIndex]
+		items, last, err := s.store.Page(ctx, prefix, cursor.after, cursor.pageSize)
 		if err != nil {
 			continue
 		}
@@ -71,18 +71,18 @@
 			return err
 		}
 		if prefix == ledger.EndedPrefix {
-			s.addEndings(items)
+			s.addEndRecords(items)
 		}
 		if cursor.after = last; last == "" {
-			cursor.prefix = (cursor.prefix + 1) % len(scrubPrefixes)
-			cursor.interval, cursor.keys = s.settings.HeartbeatInterval(), keysPerHeartbeat
+			cursor.prefixIndex = (cursor.prefixIndex + 1) % len(scrubPrefixes)
+			cursor.interval, cursor.pageSize = s.settings.HeartbeatInterval(), keysPerHeartbeat
 		}
 	}
 	return ctx.Err()
 }
 
-// addEndings adds the end records that the replica lacks, those of earlier terms.
-func (s *scrubber) addEndings(items []wire.KeyValue) {
+// addEndRecords adds the end records that the replica lacks, those of earlier terms.
+func (s *scrubber) addEndRecords(items []wire.KeyValue) {
 	var ops []wire.Operation
 	for _, item := range items {
 		if _, known := s.replica.Get(item.Key); !known {
@@ -146,7 +146,7 @@
 // isLost reports whether a key missing from a page is certainly lost: neither just deleted nor
 // still to be restored by the recovery. If the store does not answer, nothing is proven.
 func (s *scrubber) isLost(ctx context.Context, prefix, key string) (bool, error) {
-	if prefix == ledger.EndedPrefix && s.endingPending(key) || !s.isAbsent(ctx, key) {
+	if prefix == ledger.EndedPrefix && s.endRecordPending(key) || !s.isAbsent(ctx, key) {
 		return false, nil
 	}
 	// The key may have been deleted meanwhile: leave the watch time to update the replica.
@@ -161,7 +161,7 @@
 	if !isJob {
 		return true, nil
 	}
-	_, err := s.storeReader.readEnding(ctx, jobID)
+	_, err := s.storeReader.readEndRecord(ctx, jobID)
 	return errors.Is(err, kvstore.ErrNotFound), nil
 }
 
@@ -181,8 +181,8 @@
 	return job == nil || job.Cancelled || job.Finished
 }
 
-// endingPending reports whether the recovery has yet to restore an end record.
-func (s *scrubber) endingPending(key string) bool {
+// endRecordPending reports whether the recovery has yet to restore an end record.
+func (s *scrubber) endRecordPending(key string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.recovery.progress == nil {
--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -16,16 +16,16 @@
 // auditedBatch is a batch of writes with the audit blocks that record it.
 type auditedBatch struct {
 	*ledger.Batch
-	blocks      []*audit.Block
-	queued      int             // number of queue entries that the blocks contain
-	dropped     int             // number of dropped entries that the blocks report
-	pendingKeys []string        // of the pending entries that the blocks contain
-	jobs        []*ledger.Job   // whose acceptance the blocks record
-	claims      []*ledger.Claim // that the blocks record
+	blocks       []*audit.Block
+	queuedCount  int             // number of queue entries that the blocks contain
+	droppedCount int             // number of dropped entries that the blocks report
+	pendingKeys  []string        // of the pending entries that the blocks contain
+	jobs         []*ledger.Job   // whose acceptance the blocks record
+	claims       []*ledger.Claim // that the blocks record
 }
 
-// blockContext holds what all blocks of a batch share.
-type blockContext struct {
+// blockParams holds what all blocks of a batch share.
+type blockParams struct {
 	epoch  uint64
 	now    time.Time
 	limits txnLimits
@@ -39,21 +39,21 @@
 	limits.MaxClaims = (limits.MaxValueBytes - blockOverhead) / bytesPerClaim
 }
 
-// attach adds to a batch the blocks that record its decisions, the queued entries and the pending
+// attachBlocks adds to a batch the blocks that record its decisions, the queued entries and the pending
 // entries of other controllers. Callers hold the slot and mu.
-func (a *auditWriter) attach(batch *auditedBatch, common blockContext) error {
+func (a *auditWriter) attachBlocks(batch *auditedBatch, params blockParams) error {
 	if a == nil {
 		return nil
 	}
-	entries := a.queuedEntries(batch, common.now)
+	entries := a.queuedEntries(batch, params.now)
 	for _, decision := range batch.Decisions() {
-		entries = append(entries, a.decisionEntries(batch, decision, common.now)...)
+		entries = append(entries, a.decisionEntries(batch, decision, params.now)...)
 	}
 	for key, pending := range a.pending {
-		if len(batch.Operations)+2 > common.limits.operations {
+		if len(batch.Operations)+2 > params.limits.operations {
 			break // one operation to delete the pending entry, one for its block
 		}
-		if len(entries) > 0 && audit.Size(entries)+audit.Size(pending.entries) > common.limits.valueBytes/2 {
+		if len(entries) > 0 && audit.Size(entries)+audit.Size(pending.entries) > params.limits.valueBytes/2 {
 			break
 		}
 		entries = append(entries, pending.entries...)
@@ -61,18 +61,18 @@
 		batch.Compares = append(batch.Compares, wire.Compare{Key: key, ModRevision: pending.revision})
 		batch.Operations = append(batch.Operations, wire.Operation{Delete: key})
 	}
-	return a.sealBlocks(batch, entries, common)
+	return a.sealBlocks(batch, entries, params)
 }
 
 // queuedEntries returns the entries of the queue that are written with a batch, and marks them
 // as in flight.
 func (a *auditWriter) queuedEntries(batch *auditedBatch, now time.Time) []audit.Entry {
-	batch.queued = min(len(a.queue), maxEntriesPerBatch)
-	a.inFlight = batch.queued
-	entries := append([]audit.Entry(nil), a.queue[:batch.queued]...)
-	if a.dropped > 0 && batch.queued == len(a.queue) {
-		batch.dropped = a.dropped
-		entries = append(entries, audit.Entry{At: now, Action: audit.Missed, Reason: strconv.Itoa(a.dropped)})
+	batch.queuedCount = min(len(a.queue), maxEntriesPerBatch)
+	a.inFlightCount = batch.queuedCount
+	entries := append([]audit.Entry(nil), a.queue[:batch.queuedCount]...)
+	if a.droppedCount > 0 && batch.queuedCount == len(a.queue) {
+		batch.droppedCount = a.droppedCount
+		entries = append(entries, audit.Entry{At: now, Action: audit.Missed, Reason: strconv.Itoa(a.droppedCount)})
 	}
 	return entries
 }
@@ -104,7 +104,7 @@
 
 // attachCancellations adds blocks to a batch that cancels jobs because a dependency was
 // cancelled; the blocks record these cancellations. Callers hold the slot and mu.
-func (a *auditWriter) attachCancellations(batch *auditedBatch, jobs []*ledger.Job, common blockContext) error {
+func (a *auditWriter) attachCancellations(batch *auditedBatch, jobs []*ledger.Job, params blockParams) error {
 	if a == nil {
 		return nil
 	}
@@ -114,23 +114,23 @@
 			entries = append(entries, audit.AcceptedEntry(a.keys, job.Record()))
 		}
 		entries = append(entries, audit.Entry{
-			At: common.now, Action: audit.Cancelled, Subject: job.ID, Reason: "needs " + job.CancelledUpstream(),
+			At: params.now, Action: audit.Cancelled, Subject: job.ID, Reason: "needs " + job.CancelledUpstream(),
 		})
 	}
-	return a.sealBlocks(batch, entries, common)
+	return a.sealBlocks(batch, entries, params)
 }
 
 // sealBlocks seals entries in blocks, and adds the writes of these blocks to a batch.
-func (a *auditWriter) sealBlocks(batch *auditedBatch, entries []audit.Entry, common blockContext) error {
+func (a *auditWriter) sealBlocks(batch *auditedBatch, entries []audit.Entry, params blockParams) error {
 	head := a.head
-	for _, blockEntries := range audit.Split(entries, common.limits.valueBytes-blockOverhead-len(a.controller)) {
-		if len(batch.Operations) >= common.limits.operations {
+	for _, blockEntries := range audit.Split(entries, params.limits.valueBytes-blockOverhead-len(a.controller)) {
+		if len(batch.Operations) >= params.limits.operations {
 			// With one more operation the store would refuse the whole transaction. This is
 			// only reached with worker names of hundreds of bytes.
-			a.dropped += len(blockEntries)
+			a.droppedCount += len(blockEntries)
 			continue
 		}
-		block, err := audit.NewBlock(a.keys, head, a.lastKey, common.epoch, a.controller, common.now, blockEntries)
+		block, err := audit.NewBlock(a.keys, head, a.lastKey, params.epoch, a.controller, params.now, blockEntries)
 		if err != nil {
 			return err
 		}
@@ -149,16 +149,16 @@
 	if a == nil {
 		return
 	}
-	a.inFlight = 0
+	a.inFlightCount = 0
 	if count := len(batch.blocks); count > 0 {
 		newest := batch.blocks[count-1]
 		a.head, a.lastKey = newest.Head(), newest.Key
 	}
-	if batch.queued > 0 {
-		a.queue = append(a.queue[:0], a.queue[batch.queued:]...)
+	if batch.queuedCount > 0 {
+		a.queue = append(a.queue[:0], a.queue[batch.queuedCount:]...)
 		a.queuedSince = now
 	}
-	a.dropped -= batch.dropped
+	a.droppedCount -= batch.droppedCount
 	for _, key := range batch.pendingKeys {
 		delete(a.pending, key)
 	}
@@ -170,7 +170,7 @@
 	if a == nil {
 		return
 	}
-	a.inFlight = 0
+	a.inFlightCount = 0
 	for _, job := range batch.jobs {
 		job.Audited = false
 	}
--- a/internal/leader/auditcollector.go
+++ b/internal/leader/auditcollector.go
@@ -27,7 +27,7 @@
 		OnSnapshot: func(items []wire.KeyValue, _ time.Time) {
 			c.mu.Lock()
 			for _, item := range items {
-				c.auditLog.takePending(item.Key, item.Value, item.ModRevision)
+				c.auditLog.addPending(item.Key, item.Value, item.ModRevision)
 			}
 			c.mu.Unlock()
 			notify(c.writeSignal)
@@ -36,7 +36,7 @@
 			c.mu.Lock()
 			for _, event := range events {
 				if event.Put != "" {
-					c.auditLog.takePending(event.Put, event.Value, event.ModRevision)
+					c.auditLog.addPending(event.Put, event.Value, event.ModRevision)
 				}
 			}
 			c.mu.Unlock()
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -38,11 +38,11 @@
 	head    audit.Head    // the newest block
 	lastKey uint32        // number of the key that the newest block is sealed with
 
-	queue       []audit.Entry
-	inFlight    int                     // number of leading queue entries in a transaction in flight
-	queuedSince time.Time               // when the queue's first entry was queued
-	dropped     int                     // number of entries dropped and not reported yet
-	pending     map[string]pendingEntry // by key in the store
+	queue         []audit.Entry
+	inFlightCount int                     // number of leading queue entries in a transaction in flight
+	queuedSince   time.Time               // when the queue's first entry was queued
+	droppedCount  int                     // number of entries dropped and not reported yet
+	pending       map[string]pendingEntry // by key in the store
 }
 
 // pendingEntry holds entries that another controller wrote to the store for the leader to append.
@@ -151,7 +151,7 @@
 		return
 	}
 	if len(a.queue) >= maxQueuedEntries {
-		a.dropped++
+		a.droppedCount++
 		return
 	}
 	if len(a.queue) == 0 {
@@ -164,7 +164,7 @@
 // time and tasks and the last one is not in flight. It reports whether it did.
 func (a *auditWriter) mergeWithLast(entry audit.Entry) bool {
 	queued := len(a.queue)
-	if queued <= a.inFlight || len(entry.Tasks) == 0 {
+	if queued <= a.inFlightCount || len(entry.Tasks) == 0 {
 		return false
 	}
 	last := &a.queue[queued-1]
@@ -204,8 +204,8 @@
 		(len(a.queue) >= maxEntriesPerBatch/2 || audit.Size(a.queue) > maxValueBytes/2)
 }
 
-// takePending adds a pending entry that another controller wrote. Callers hold mu.
-func (a *auditWriter) takePending(key string, data json.RawMessage, revision uint64) {
+// addPending adds a pending entry that another controller wrote. Callers hold mu.
+func (a *auditWriter) addPending(key string, data json.RawMessage, revision uint64) {
 	pending, err := audit.ReadPending(a.keys, key, data)
 	if err != nil {
 		a.log.Error("pending audit entry invalid", "key", key, "err", err)
--- a/internal/leader/auditwriter_test.go
+++ b/internal/leader/auditwriter_test.go
@@ -42,7 +42,7 @@
 	if len(writer.queue) != 3 || len(writer.queue[0].Tasks) != 2 {
 		t.Fatalf("got queue %+v, want 3 entries, the first with 2 tasks", writer.queue)
 	}
-	writer.inFlight = 3
+	writer.inFlightCount = 3
 	writer.enqueue(now, taskEntry("req-2", 1, "failed"))
 	if len(writer.queue) != 4 {
 		t.Error("entry was merged with one in flight")
@@ -63,36 +63,36 @@
 	for range maxQueuedEntries + 7 {
 		writer.enqueue(now, audit.Entry{Action: audit.Released, Subject: "h0"})
 	}
-	if len(writer.queue) != maxQueuedEntries || writer.dropped != 7 {
-		t.Fatalf("got %d entries, %d dropped; want %d, 7", len(writer.queue), writer.dropped, maxQueuedEntries)
+	if len(writer.queue) != maxQueuedEntries || writer.droppedCount != 7 {
+		t.Fatalf("got %d entries, %d dropped; want %d, 7", len(writer.queue), writer.droppedCount, maxQueuedEntries)
 	}
-	common := blockContext{epoch: 3, now: now, limits: txnLimits{operations: 16, valueBytes: 16 << 10}}
+	params := blockParams{epoch: 3, now: now, limits: txnLimits{operations: 16, valueBytes: 16 << 10}}
 	for batches := 1; ; batches++ {
 		batch := &auditedBatch{Batch: &ledger.Batch{}}
-		if err := writer.attach(batch, common); err != nil {
+		if err := writer.attachBlocks(batch, params); err != nil {
 			t.Fatal(err)
 		}
-		if len(batch.blocks) == 0 || batch.queued != maxEntriesPerBatch {
+		if len(batch.blocks) == 0 || batch.queuedCount != maxEntriesPerBatch {
 			t.Fatalf("batch %d: got %d blocks with %d queued entries, want at least one block with %d",
-				batches, len(batch.blocks), batch.queued, maxEntriesPerBatch)
+				batches, len(batch.blocks), batch.queuedCount, maxEntriesPerBatch)
 		}
 		writer.batchCommitted(batch, now)
-		if len(writer.queue) > 0 && writer.dropped != 7 || batches > maxQueuedEntries/maxEntriesPerBatch {
+		if len(writer.queue) > 0 && writer.droppedCount != 7 || batches > maxQueuedEntries/maxEntriesPerBatch {
 			t.Fatalf("batch %d: got %d entries left, %d dropped; want 7 dropped and at most %d batches",
-				batches, len(writer.queue), writer.dropped, maxQueuedEntries/maxEntriesPerBatch)
+				batches, len(writer.queue), writer.droppedCount, maxQueuedEntries/maxEntriesPerBatch)
 		}
 		if len(writer.queue) == 0 {
 			break
 		}
 	}
-	if writer.dropped != 0 || writer.head.Seq == 0 {
-		t.Errorf("got %d dropped entries unreported, head %v; want none, and a block written", writer.dropped, writer.head)
+	if writer.droppedCount != 0 || writer.head.Seq == 0 {
+		t.Errorf("got %d dropped entries unreported, head %v; want none, and a block written", writer.droppedCount, writer.head)
 	}
 }
 
 // A batch that was not applied leaves no trace in the log: its jobs and claims are unaudited again,
 // and queued entries about these claims are removed. Entries about other jobs stay queued.
-func TestAuditBatchFails(t *testing.T) {
+func TestFailedAuditBatchIsReverted(t *testing.T) {
 	leader := newTestTerm(t)
 	leader.auditLog = newTestAuditWriter(t)
 	job := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, TaskCount: 1, CPUs: 1})
@@ -104,7 +104,7 @@
 	batchLimits := ledger.BatchLimits{MaxOperations: 16, MaxBytes: maxTxnBytes, MaxValueBytes: limits.valueBytes}
 	leader.auditLog.limitBatch(&batchLimits)
 	batch := &auditedBatch{Batch: leader.jobs.NextBatch(batchLimits, now)}
-	if err := leader.auditLog.attach(batch, blockContext{epoch: 3, now: now, limits: limits}); err != nil {
+	if err := leader.auditLog.attachBlocks(batch, blockParams{epoch: 3, now: now, limits: limits}); err != nil {
 		t.Fatal(err)
 	}
 	if !job.Audited || !claim.Audited || len(batch.blocks) != 1 {
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -149,7 +149,7 @@
 		if !c.hasOverdueTask(worker, now) {
 			continue
 		}
-		if _, leaving := c.released[worker.Name]; !leaving {
+		if _, releasing := c.released[worker.Name]; !releasing {
 			c.autoscaler.noteRelease(worker.Name, releaseOverdueTask, now)
 		}
 		names = append(names, worker.Name)
--- a/internal/leader/claimcommit.go
+++ b/internal/leader/claimcommit.go
@@ -108,11 +108,11 @@
 		if !isJob {
 			continue
 		}
-		end, err := w.storeReader.requireEnding(ctx, jobID)
+		end, err := w.storeReader.requireEndRecord(ctx, jobID)
 		if err != nil {
 			return err
 		}
-		w.replica.Apply(0, endingOps(jobID, end)...)
+		w.replica.Apply(0, endOperations(jobID, end)...)
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/leader/claimwriter.go
+++ b/internal/leader/claimwriter.go
@@ -33,8 +33,8 @@
 // submissions and cancellations. Non-urgent ones leave most of it, so that the end of a job, which
 // a dependent may be waiting for, can be written at once.
 const (
-	urgentWriteReserve = 0.25
-	idleWriteReserve   = 0.6
+	urgentWriteReserve    = 0.25
+	nonUrgentWriteReserve = 0.6
 )
 
 // errNothingToWrite means that neither the job table nor the audit log has anything to write now.
@@ -122,7 +122,7 @@
 	// Finished tasks alone need no audit entry. Every block costs an operation of the write
 	// budget, so without decisions to record, queued entries wait until they are due.
 	if auditOnly || len(audited.Operations) > 0 && (len(audited.Decisions()) > 0 || auditDue) {
-		if err := w.auditLog.attach(audited, blockContext{w.leadership.Epoch(), now, limits}); err != nil {
+		if err := w.auditLog.attachBlocks(audited, blockParams{w.leadership.Epoch(), now, limits}); err != nil {
 			return nil, err
 		}
 	}
@@ -133,7 +133,7 @@
 // the others are written after a delay all the same: unwritten finished tasks would have to run
 // again if their workers were lost, and the chunks of ended jobs would pile up in the store.
 func (w *claimWriter) nextBatch(store txnLimits, now time.Time) (*ledger.Batch, error) {
-	reserve, urgent := idleWriteReserve, w.jobs.HasUrgentWrites()
+	reserve, urgent := nonUrgentWriteReserve, w.jobs.HasUrgentWrites()
 	if urgent {
 		reserve = urgentWriteReserve
 	} else {
--- a/internal/leader/claimwriter_test.go
+++ b/internal/leader/claimwriter_test.go
@@ -13,7 +13,7 @@
 )
 
 // Guards against non-urgent changes that are never written because there are always urgent ones.
-func TestIdleWritesHaveTheirTurn(t *testing.T) {
+func TestNonUrgentWritesAreNotStarved(t *testing.T) {
 	leader := newTestTerm(t)
 	leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 1}}
 	at := now
--- a/internal/leader/commander.go
+++ b/internal/leader/commander.go
@@ -31,9 +31,9 @@
 // directCommand is a batch of commands for a worker, with the worker's state at the time when the
 // batch was made.
 type directCommand struct {
-	address     string
-	batch       wire.CommandBatch
-	heardBefore time.Time // of the worker's last heartbeat
+	address       string
+	batch         wire.CommandBatch
+	lastHeartbeat time.Time // of the worker's last heartbeat
 }
 
 // runCommands sends a worker its commands whenever it is woken, so that they don't have to wait
@@ -53,14 +53,14 @@
 			continue
 		}
 		heartbeat, refused, err := c.workerClient.Send(ctx, command.address, command.batch)
-		unheard := c.commandAnswered(worker, command, heartbeat, err)
+		noHeartbeat := c.commandAnswered(worker, command, heartbeat, err)
 		if err == nil && !refused {
 			attempt = 0
 			continue
 		}
 		// The worker also gets its commands in the response to its next heartbeat.
 		c.log.Debug("direct command failed", "worker", worker.Name, "refused", refused, "err", err)
-		if unheard {
+		if noHeartbeat {
 			retry.Backoff(ctx, attempt, c.settings.HeartbeatInterval()/8, c.settings.HeartbeatInterval())
 			attempt = min(attempt+1, maxCommandAttempts)
 		}
@@ -87,7 +87,7 @@
 	}
 	batch := wire.CommandBatch{Epoch: epoch, Incarnation: worker.Incarnation, Commands: commands}
 	c.logCommands(worker, batch)
-	return &directCommand{address: worker.Address, batch: batch, heardBefore: worker.LastHeartbeat}, true
+	return &directCommand{address: worker.Address, batch: batch, lastHeartbeat: worker.LastHeartbeat}, true
 }
 
 // commandAnswered handles the response to a direct command or its error, and reports whether the
@@ -95,7 +95,7 @@
 // be executed until the worker has seen a higher epoch.
 func (c *commander) commandAnswered(
 	worker *agent.Worker, command *directCommand, heartbeat *wire.Heartbeat, err error,
-) (unheard bool) {
+) (noHeartbeat bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	worker.CommandInFlight = false
@@ -105,7 +105,7 @@
 	if heartbeat != nil {
 		c.heartbeats.applyHeartbeat(heartbeat)
 	}
-	return worker.LastHeartbeat.Equal(command.heardBefore)
+	return worker.LastHeartbeat.Equal(command.lastHeartbeat)
 }
 
 // workersToPoll returns up to maxPolls workers that are running but whose heartbeat is overdue:
--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -38,7 +38,7 @@
 func (d *dependencies) runLookUps(ctx context.Context) error {
 	return d.repeat(ctx, d.dependencySignal, func() error {
 		d.warnOverdueCancellation()
-		d.lookUpEndings(ctx)
+		d.lookUpEndRecords(ctx)
 		return nil
 	})
 }
@@ -58,10 +58,10 @@
 	d.log.Warn("dependent not cancelled yet", "job", pending.Job, "cause", pending.Cause, "age_s", age.Seconds())
 }
 
-// lookUpEndings looks up how dependencies ended that are not in the job table. A round stops once
+// lookUpEndRecords looks up how dependencies ended that are not in the job table. A round stops once
 // the store refuses a request; the next round retries the refused look-ups first, and continues
 // after the last dependency looked up.
-func (d *dependencies) lookUpEndings(ctx context.Context) {
+func (d *dependencies) lookUpEndRecords(ctx context.Context) {
 	d.mu.Lock()
 	unresolved := d.jobs.UnresolvedDependencies()
 	d.mu.Unlock()
@@ -101,10 +101,10 @@
 			break
 		}
 		lookUps = append(lookUps, dependencyLookUp{jobID: jobID})
-		lookUp := &lookUps[len(lookUps)-1]
+		result := &lookUps[len(lookUps)-1]
 		wg.Go(func() {
 			defer func() { <-slots }()
-			if lookUp.err = d.lookUpEnding(ctx, lookUp.jobID); lookUp.err != nil {
+			if result.err = d.lookUpEndRecord(ctx, result.jobID); result.err != nil {
 				refused.Store(true)
 			}
 		})
@@ -122,9 +122,9 @@
 	return slices.Concat(sorted[first:], sorted[:first])
 }
 
-// lookUpEnding resolves a dependency if it has ended. The error is that of the request to the
+// lookUpEndRecord resolves a dependency if it has ended. The error is that of the request to the
 // store.
-func (d *dependencies) lookUpEnding(ctx context.Context, jobID string) error {
+func (d *dependencies) lookUpEndRecord(ctx context.Context, jobID string) error {
 	item, err := d.store.Get(ctx, ledger.EndedKey(jobID))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil // the job is live, and the watch has not reported it yet
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -195,14 +195,14 @@
 		for i := len(jobs) - 1; i >= 0; i-- {
 			best[i] = priorityLevel(jobs[i].job.Spec.Priority)
 			for dependent := i + 1; dependent < len(jobs); dependent++ {
-				if slices.Contains(jobs[dependent].dependsOn, i) && !jobs[dependent].ofGuest {
+				if slices.Contains(jobs[dependent].dependsOn, i) && !jobs[dependent].byGuest {
 					best[i] = min(best[i], best[dependent])
 				}
 			}
 		}
 		for i, drawn := range jobs {
 			got := leader.dependencies.effectivePriority(drawn.job)
-			if drawn.ofGuest && got < priorityLevel("standard") {
+			if drawn.byGuest && got < priorityLevel("standard") {
 				rt.Fatalf("guest's job %s has priority %s, want at most standard", drawn.job.ID, priorityName(got))
 			}
 			if drawn.job.Spec.Team == "t" && got < best[i] {
@@ -216,7 +216,7 @@
 // drawnJob is a job that a guest or a curator submitted.
 type drawnJob struct {
 	job       *ledger.Job
-	ofGuest   bool
+	byGuest   bool
 	dependsOn []int
 }
 
@@ -242,7 +242,7 @@
 		decision := rules.Decide(submitter, rights.Request{
 			Action: rights.Submit, Team: spec.Team, Priority: spec.Priority,
 		})
-		drawn := drawnJob{ofGuest: submitter == &guest}
+		drawn := drawnJob{byGuest: submitter == &guest}
 		for n, earlier := range jobs {
 			if rapid.Bool().Draw(rt, "need") {
 				dependOn := rights.Request{Action: rights.DependOn, Team: earlier.job.Spec.Team}
@@ -284,7 +284,7 @@
 
 // The times of a job count from its arrival by the leader's clock, whatever the clock of the
 // controller that accepted it. Those of a job loaded from the store count from the stored time.
-func TestClocksApart(t *testing.T) {
+func TestJobTimesWithClockSkew(t *testing.T) {
 	for _, clockError := range []time.Duration{-time.Second, time.Second} {
 		leader := newTestTerm(t)
 		job := leader.jobs.AddJob("req-1", ledger.JobRecord{
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -121,7 +121,7 @@
 	worker.UnresolvedEpoch = 0 // commands carry the incarnation: the worker executes none of an earlier one
 	for _, claim := range h.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Incarnation < heartbeat.Incarnation {
-			h.dropImageFetch(claim, worker)
+			h.abandonImagePull(claim, worker)
 			h.freeClaim(claim, freedNewIncarnation)
 		}
 	}
@@ -208,14 +208,14 @@
 ) {
 	for task, claim := range claims {
 		_, present := seen[task]
-		if !present && notWanted(claim) && !worker.CommandInFlight && worker.SeenEpoch > claim.StartEpoch {
+		if !present && isUnwanted(claim) && !worker.CommandInFlight && worker.SeenEpoch > claim.StartEpoch {
 			h.freeClaim(claim, freedNeverStarted)
 		}
 	}
 }
 
-// notWanted reports whether a claim is to be freed once it is proven that its task does not run.
-func notWanted(claim *ledger.Claim) bool {
+// isUnwanted reports whether a claim is to be freed once it is proven that its task does not run.
+func isUnwanted(claim *ledger.Claim) bool {
 	return claim.Job.Cancelled || claim.Stopping || claim.Unconfirmed
 }
 
@@ -224,7 +224,7 @@
 func (h *heartbeatReconciler) requestFencing(worker *agent.Worker) {
 	needed := worker.UnresolvedEpoch != 0 && len(worker.Tasks) > 0
 	for task, claim := range h.jobs.ClaimsOnWorker(worker.Name) {
-		if _, present := worker.Tasks[task]; !present && notWanted(claim) {
+		if _, present := worker.Tasks[task]; !present && isUnwanted(claim) {
 			needed = needed || worker.SeenEpoch <= claim.StartEpoch
 		}
 	}
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -13,7 +13,7 @@
 // Guards against freeing a cancelled task too early, which then runs beside another one or past its
 // deadline. A heartbeat that lacks the task proves nothing if it is a duplicate or older than the
 // latest one, or while a start command sent earlier may still arrive.
-func TestHeartbeatWithoutTask(t *testing.T) {
+func TestHeartbeatLackingCancelledTask(t *testing.T) {
 	commandInFlight := func(worker *agent.Worker, _ *ledger.Claim) { worker.CommandInFlight = true }
 	startedUnder := func(epoch uint64) func(*agent.Worker, *ledger.Claim) {
 		return func(_ *agent.Worker, claim *ledger.Claim) { claim.StartEpoch = epoch }
@@ -56,7 +56,7 @@
 // Guards against delayed copies of heartbeats that keep a dead worker's tasks from being restarted.
 // A heartbeat received after newer ones is answered, and the response may renew the lease, but it
 // does not prove that the worker is alive.
-func TestLateHeartbeatIsNoSignOfLife(t *testing.T) {
+func TestStaleHeartbeatDoesNotProveLiveness(t *testing.T) {
 	for _, tc := range []struct {
 		name                  string
 		incarnation, sequence uint64
@@ -106,7 +106,7 @@
 
 // A result kept from an earlier attempt is reported at once: the task is done, but its run time is
 // not recorded.
-func TestCheckpointedResultIsNotMeasured(t *testing.T) {
+func TestRunTimeOfKeptResultIsNotRecorded(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		ran     bool // the task was seen running
--- a/internal/leader/jobwatcher.go
+++ b/internal/leader/jobwatcher.go
@@ -37,11 +37,11 @@
 		if err != nil {
 			return w.suspectDataLoss(err)
 		}
-		endings, err := w.readEndings(ctx, endedJobs)
+		endOps, err := w.readEndOperations(ctx, endedJobs)
 		if err != nil {
 			return err
 		}
-		w.replica.Apply(events.Revision, append(changes, endings...)...)
+		w.replica.Apply(events.Revision, append(changes, endOps...)...)
 		notify(w.scheduleSignal)
 		w.dependenciesChanged()
 	}
@@ -89,19 +89,19 @@
 	return nil
 }
 
-// readEndings reads the end records of jobs, and returns the operations that apply them to the
+// readEndOperations reads the end records of jobs, and returns the operations that apply them to the
 // replica. Most of the jobs were cancelled by their users, but a leader that was cut off may also
 // see jobs that its successor finished.
-func (w *jobWatcher) readEndings(ctx context.Context, jobIDs []string) ([]wire.Operation, error) {
-	var endings []wire.Operation
+func (w *jobWatcher) readEndOperations(ctx context.Context, jobIDs []string) ([]wire.Operation, error) {
+	var endOps []wire.Operation
 	for _, jobID := range jobIDs {
-		end, err := w.storeReader.requireEnding(ctx, jobID)
+		end, err := w.storeReader.requireEndRecord(ctx, jobID)
 		if err != nil {
 			return nil, err
 		}
-		endings = append(endings, endingOps(jobID, end)...)
+		endOps = append(endOps, endOperations(jobID, end)...)
 	}
-	return endings, nil
+	return endOps, nil
 }
 
 // endUnreplicated reports whether a job left the live keys other than by this leader's own
--- a/internal/leader/latencies.go
+++ b/internal/leader/latencies.go
@@ -16,13 +16,13 @@
 
 // Range and precision of the recorded latencies.
 const (
-	maxLatency         = time.Hour
-	latencyDigits      = 2 // significant decimal digits
-	minLatencyRecorded = 1 // millisecond
+	maxLatency       = time.Hour
+	latencyDigits    = 2 // significant decimal digits
+	minLatencyMillis = 1 // millisecond
 )
 
 func newLatencies() *latencies {
-	return &latencies{start: hdrhistogram.New(minLatencyRecorded, maxLatency.Milliseconds(), latencyDigits)}
+	return &latencies{start: hdrhistogram.New(minLatencyMillis, maxLatency.Milliseconds(), latencyDigits)}
 }
 
 // recordStart records the latency from a task's job being ready to the task running.
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -29,11 +29,11 @@
 
 // loadedState is the stored or recovered state that a term begins with.
 type loadedState struct {
-	revision  uint64            // at which the live jobs were read
-	jobs      []wire.KeyValue   // records of live jobs
-	chunks    []wire.KeyValue   // chunks of claims
-	endings   map[string][]byte // end records that the replica may lack, by job
-	recovered map[string][]byte // recovered end records by job; nil if no recovery was needed
+	revision   uint64            // at which the live jobs were read
+	jobs       []wire.KeyValue   // records of live jobs
+	chunks     []wire.KeyValue   // chunks of claims
+	endRecords map[string][]byte // end records that the replica may lack, by job
+	recovered  map[string][]byte // recovered end records by job; nil if no recovery was needed
 }
 
 // load reads the jobs and claims, and recovers them if data was lost. It returns the revision from
@@ -45,7 +45,7 @@
 	}
 	incarnation := l.leadership.Incarnation()
 	if incarnation.Phase != dataloss.PhaseRecovering {
-		if state.endings, err = l.compareWithReplica(ctx, state); err != nil {
+		if state.endRecords, err = l.compareWithReplica(ctx, state); err != nil {
 			return 0, err
 		}
 	}
@@ -56,20 +56,20 @@
 		}
 		state.recovered = merged.Ends
 		if incarnation.Phase == dataloss.PhaseRecovering {
-			state.jobs, state.chunks = toItems(merged.LiveJobs), toItems(merged.Chunks)
+			state.jobs, state.chunks = toKeyValues(merged.LiveJobs), toKeyValues(merged.Chunks)
 		}
 	}
-	orphaned, err := l.endingsOfOrphanedClaims(ctx, state)
+	orphaned, err := l.readOrphanedClaimEnds(ctx, state)
 	if err != nil {
 		return 0, err
 	}
-	maps.Copy(state.endings, orphaned)
+	maps.Copy(state.endRecords, orphaned)
 	return state.revision, l.populate(incarnation, state)
 }
 
 // readStored reads the live jobs and the claims.
 func (l *loader) readStored(ctx context.Context) (*loadedState, error) {
-	state := &loadedState{endings: make(map[string][]byte)}
+	state := &loadedState{endRecords: make(map[string][]byte)}
 	var err error
 	if state.jobs, state.revision, err = l.storeReader.listAll(ctx, ledger.LivePrefix); err != nil {
 		return nil, err
@@ -89,24 +89,24 @@
 	return live
 }
 
-// endingsOfOrphanedClaims returns the end records of jobs that have claims but no live record.
+// readOrphanedClaimEnds returns the end records of jobs that have claims but no live record.
 // Each was done or cancelled, and the tasks of a cancelled one may still run and use resources. A
 // job with neither record was lost: no claim is made before its job is stored, and none at all
 // while a new leader loads.
-func (l *loader) endingsOfOrphanedClaims(ctx context.Context, state *loadedState) (map[string][]byte, error) {
-	live, endings := state.liveJobs(), make(map[string][]byte)
+func (l *loader) readOrphanedClaimEnds(ctx context.Context, state *loadedState) (map[string][]byte, error) {
+	live, endRecords := state.liveJobs(), make(map[string][]byte)
 	var unknown []string
 	for _, item := range state.chunks {
 		jobID, ok := ledger.JobOfChunkKey(item.Key)
-		if _, seen := endings[jobID]; !ok || live[jobID] || seen {
+		if _, seen := endRecords[jobID]; !ok || live[jobID] || seen {
 			continue
 		}
-		endings[jobID] = state.recovered[jobID]
-		if endings[jobID] == nil {
+		endRecords[jobID] = state.recovered[jobID]
+		if endRecords[jobID] == nil {
 			unknown = append(unknown, jobID)
 		}
 	}
-	read, err := l.storeReader.readEndings(ctx, unknown)
+	read, err := l.storeReader.readEndRecords(ctx, unknown)
 	if err != nil {
 		return nil, err
 	}
@@ -114,13 +114,13 @@
 		if read[jobID] == nil {
 			return nil, l.suspectDataLoss(fmt.Errorf("claims of job %s without its record", jobID))
 		}
-		endings[jobID] = read[jobID]
+		endRecords[jobID] = read[jobID]
 	}
-	return endings, nil
+	return endRecords, nil
 }
 
-// toItems converts recovered values to the form in which the store returns keys and values.
-func toItems(values []recovery.Value) []wire.KeyValue {
+// toKeyValues converts recovered values to the form in which the store returns keys and values.
+func toKeyValues(values []recovery.Value) []wire.KeyValue {
 	items := make([]wire.KeyValue, len(values))
 	for i, value := range values {
 		items[i] = wire.KeyValue{Key: value.Key, Value: value.Data, ModRevision: value.ModRevision}
@@ -162,7 +162,7 @@
 	}
 	for _, item := range state.chunks {
 		jobID, _ := ledger.JobOfChunkKey(item.Key)
-		if end := state.endings[jobID]; end != nil && l.jobs.Job(jobID) == nil {
+		if end := state.endRecords[jobID]; end != nil && l.jobs.Job(jobID) == nil {
 			if err := l.jobs.AddEndedJob(jobID, end); err != nil {
 				return err
 			}
@@ -195,8 +195,8 @@
 			return false
 		})
 	}
-	for _, endings := range []map[string][]byte{state.endings, state.recovered} {
-		for jobID, end := range endings {
+	for _, endRecords := range []map[string][]byte{state.endRecords, state.recovered} {
+		for jobID, end := range endRecords {
 			if end != nil {
 				txn.Insert([]byte(ledger.EndedKey(jobID)), end)
 			}
--- a/internal/leader/load_test.go
+++ b/internal/leader/load_test.go
@@ -148,7 +148,7 @@
 
 // Guards against takeovers that take one read per ended job with chunks left, and there may be
 // many of these.
-func TestEndingsAreReadInPages(t *testing.T) {
+func TestEndRecordsAreReadInPages(t *testing.T) {
 	const ended, pages = 2500, 3
 	store := &fakeStore{data: make(map[string][]byte)}
 	var all []string
@@ -182,12 +182,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			store.requests = 0
-			endings, err := reader.readEndings(t.Context(), tc.jobs)
-			if err != nil || len(endings) != tc.found || store.requests != tc.requests {
+			endRecords, err := reader.readEndRecords(t.Context(), tc.jobs)
+			if err != nil || len(endRecords) != tc.found || store.requests != tc.requests {
 				t.Errorf("got %d end records in %d requests, error %v; want %d in %d",
-					len(endings), store.requests, err, tc.found, tc.requests)
+					len(endRecords), store.requests, err, tc.found, tc.requests)
 			}
-			for jobID, end := range endings {
+			for jobID, end := range endRecords {
 				if string(end) != string(store.data[ledger.EndedKey(jobID)]) {
 					t.Errorf("%s: got end record %s, want %s", jobID, end, store.data[ledger.EndedKey(jobID)])
 				}
--- a/internal/leader/loadcheck.go
+++ b/internal/leader/loadcheck.go
@@ -8,31 +8,31 @@
 	"rillflow/internal/replica"
 )
 
-// maxEndingLookups bounds the end records that are looked up in a row.
-const maxEndingLookups = 64
+// maxEndRecordLookUps bounds the end records that are looked up in a row.
+const maxEndRecordLookUps = 64
 
 // compareWithReplica compares the loaded state with this controller's replica of the same
 // incarnation. A key of the replica that is not in the store and that nobody can have deleted
 // proves a data loss. If the replica is behind, the check takes a few reads; it returns the end
 // records that the replica lacks, by job.
 func (l *loader) compareWithReplica(ctx context.Context, state *loadedState) (map[string][]byte, error) {
-	endings := make(map[string][]byte)
+	endRecords := make(map[string][]byte)
 	tree, head := l.replica.Tree()
 	if head.Incarnation == "" || head.Incarnation != l.leadership.Incarnation().ID {
-		return endings, nil
+		return endRecords, nil
 	}
 	live := state.liveJobs()
 	if key, lost := state.lostChunk(tree, live); lost {
 		return nil, l.suspectDataLoss(fmt.Errorf("%s is gone though its job is not over", key))
 	}
 	for _, jobID := range jobsNotLive(tree, live) {
-		end, err := l.storeReader.requireEnding(ctx, jobID)
+		end, err := l.storeReader.requireEndRecord(ctx, jobID)
 		if err != nil {
 			return nil, err
 		}
-		endings[jobID] = end
+		endRecords[jobID] = end
 	}
-	return endings, nil
+	return endRecords, nil
 }
 
 // jobsNotLive returns the first maxEndingLookups jobs that are live in the replica but not in the
@@ -43,7 +43,7 @@
 		if jobID := string(key[len(ledger.LivePrefix):]); !live[jobID] {
 			jobIDs = append(jobIDs, jobID)
 		}
-		return len(jobIDs) >= maxEndingLookups
+		return len(jobIDs) >= maxEndRecordLookUps
 	})
 	return jobIDs
 }
--- a/internal/leader/mergesources.go
+++ b/internal/leader/mergesources.go
@@ -20,7 +20,7 @@
 		return recovery.Result{}, err
 	}
 	progress := &recoveryProgress{full: phase == dataloss.PhaseRecovering}
-	progress.exact = progress.full && l.remembersAllLaunches()
+	progress.exact = progress.full && l.replicaHoldsStartedClaims()
 	replicas, missingPeers := l.replicaSources(ctx, progress.full)
 	writer := fmt.Sprintf("%s.%d.r", l.settings.Name, l.firstEpoch)
 	merged, err := recovery.Merge(append(replicas, stored), writer, l.baseAttempt(), l.store.MaxValueBytes())
@@ -38,9 +38,9 @@
 	return merged, nil
 }
 
-// remembersAllLaunches reports whether this controller led when the data was lost, so that its
+// replicaHoldsStartedClaims reports whether this controller led when the data was lost, so that its
 // replica has every claim for which a start command may have been sent.
-func (l *loader) remembersAllLaunches() bool {
+func (l *loader) replicaHoldsStartedClaims() bool {
 	head, previous := l.replica.Head(), l.leadership.PreviousMap()
 	return previous.Leader == l.settings.Name && head.Epoch > 0 && l.replica.HoldsAllLaunches()
 }
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -62,13 +62,13 @@
 		unresolved := o.unresolvedJobs()
 		o.reserveForOrphans()
 		o.mu.Unlock()
-		for _, jobID := range unresolved[:min(len(unresolved), maxEndingLookups)] {
+		for _, jobID := range unresolved[:min(len(unresolved), maxEndRecordLookUps)] {
 			ended, err := o.hasEnded(ctx, jobID)
 			if err != nil {
 				break // the store refused the request: continue in the next round
 			}
 			if ended {
-				o.letGo(jobID)
+				o.markEnded(jobID)
 			}
 		}
 	}
@@ -99,22 +99,22 @@
 	return err == nil, err
 }
 
-// letGo lets the tasks of a job that has ended be stopped on their workers.
-func (o *orphanTracker) letGo(jobID string) {
+// markEnded lets the tasks of a job that has ended be stopped on their workers.
+func (o *orphanTracker) markEnded(jobID string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if orphan := o.orphanedJobs[jobID]; orphan != nil { // nil if the job was submitted again meanwhile
 		orphan.ended = true
 	}
-	o.eachTaskOf(jobID, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
+	o.forEachTask(jobID, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
 		status.Orphaned = false
 		worker.Tasks[task] = status
 		worker.WakeSender()
 	})
 }
 
-// eachTaskOf calls visit for the tasks of a job on all workers. Callers hold mu.
-func (o *orphanTracker) eachTaskOf(jobID string, visit func(*agent.Worker, ledger.Task, agent.TaskStatus)) {
+// forEachTask calls visit for the tasks of a job on all workers. Callers hold mu.
+func (o *orphanTracker) forEachTask(jobID string, visit func(*agent.Worker, ledger.Task, agent.TaskStatus)) {
 	for _, worker := range o.workersByName {
 		for task, status := range worker.Tasks {
 			if task.JobID == jobID {
@@ -159,7 +159,7 @@
 	}
 	delete(o.orphanedJobs, jobID)
 	now, adopted := o.now(), 0
-	o.eachTaskOf(jobID, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
+	o.forEachTask(jobID, func(worker *agent.Worker, task ledger.Task, status agent.TaskStatus) {
 		if !status.Orphaned {
 			return
 		}
@@ -201,7 +201,7 @@
 	if orphan == nil || orphan.ended {
 		return 0, false
 	}
-	o.eachTaskOf(jobID, func(_ *agent.Worker, _ ledger.Task, status agent.TaskStatus) {
+	o.forEachTask(jobID, func(_ *agent.Worker, _ ledger.Task, status agent.TaskStatus) {
 		if status.Phase == wire.TaskRunning {
 			running++
 		}
--- a/internal/leader/propagator.go
+++ b/internal/leader/propagator.go
@@ -99,7 +99,7 @@
 		}
 		rateLimited := errors.Is(err, kvstore.ErrRateLimited) && !uncertain
 		if rateLimited || errors.Is(err, kvstore.ErrTooLarge) {
-			return p.refused(ctx, batch, rateLimited) // built again for the current limits
+			return p.batchRefused(ctx, batch, rateLimited) // built again for the current limits
 		}
 		uncertain = uncertain || errors.Is(err, kvstore.ErrOutcomeUnknown)
 		// A transaction of unknown outcome is sent again unchanged: if it was applied, the
@@ -110,10 +110,10 @@
 	}
 }
 
-// refused handles a batch that was certainly not applied. After a refusal for the rate limit it
+// batchRefused handles a batch that was certainly not applied. After a refusal for the rate limit it
 // backs off, and the next batch has fewer jobs: a busy store may never have room for many
 // operations at once, although it accepts a few at any time.
-func (p *propagator) refused(ctx context.Context, batch *dependentsBatch, rateLimited bool) error {
+func (p *propagator) batchRefused(ctx context.Context, batch *dependentsBatch, rateLimited bool) error {
 	p.mu.Lock()
 	p.auditLog.batchFailed(batch.auditedBatch)
 	p.mu.Unlock()
@@ -152,7 +152,7 @@
 		batch.Operations = append(batch.Operations,
 			wire.Operation{Delete: live}, wire.Operation{Put: ledger.EndedKey(job.ID), Value: end})
 	}
-	err := p.auditLog.attachCancellations(batch, jobs, blockContext{p.leadership.Epoch(), now, limits})
+	err := p.auditLog.attachCancellations(batch, jobs, blockParams{p.leadership.Epoch(), now, limits})
 	if err != nil {
 		return nil, err
 	}
--- a/internal/leader/propagator_test.go
+++ b/internal/leader/propagator_test.go
@@ -46,7 +46,7 @@
 
 // Guards against dependencies that are never looked up because the store's refusals end every round
 // before it reaches them.
-func TestLookUpsGoOnWhereTheyWereRefused(t *testing.T) {
+func TestLookUpsResumeAfterRefusal(t *testing.T) {
 	const dependencies, refuseEvery = 40, 10
 	cancelled := jobName(dependencies - 1)
 	record, err := json.Marshal(ledger.EndRecord{Phase: wire.PhaseCancelled})
@@ -68,7 +68,7 @@
 		leader.addDependent("dependent-of-"+jobName(i), jobName(i))
 	}
 	for range 2 * dependencies / refuseEvery {
-		leader.dependencies.lookUpEndings(t.Context())
+		leader.dependencies.lookUpEndRecords(t.Context())
 	}
 	if len(leader.jobs.JobsToCancel(1)) == 0 {
 		t.Errorf("the cancellation of %s was not found with %d requests", cancelled, requests.Load())
@@ -111,7 +111,7 @@
 
 // Guards against dependents that are never cancelled because a batch with more operations than the
 // store's rate limit allows at once is sent again unchanged forever.
-func TestPropagationSendsFewerWhereTheRateIsUsedUp(t *testing.T) {
+func TestPropagationReducesBatchWhenRateLimited(t *testing.T) {
 	for _, room := range []int{2, 4, 15, 16} {
 		t.Run(fmt.Sprint(room), func(t *testing.T) {
 			const dependents = 20
@@ -135,8 +135,8 @@
 			ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
 			defer cancel()
 			if err := leader.propagator.propagateCancellations(ctx); err != nil || cancelled != dependents {
-				t.Errorf("got %d dependents cancelled by %d requests, error %v; want %d",
-					cancelled, requests, err, dependents)
+				t.Errorf("got %d of %d dependents cancelled by %d requests, error %v; want all",
+					cancelled, dependents, requests, err)
 			}
 		})
 	}
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -71,7 +71,7 @@
 			return err
 		}
 	case dataloss.PhaseRecovering, dataloss.PhaseRestoringResults:
-		if err := r.writePending(ctx, len(r.progress.pending), idleWriteReserve); err != nil {
+		if err := r.writePending(ctx, len(r.progress.pending), nonUrgentWriteReserve); err != nil {
 			return err
 		}
 		if err := r.awaitOrphanReports(ctx); err != nil {
--- a/internal/leader/storereader.go
+++ b/internal/leader/storereader.go
@@ -46,8 +46,8 @@
 	return r.readOne(ctx, func() (wire.KeyValue, error) { return r.store.First(ctx, prefix) })
 }
 
-// readEnding reads the end record of a job. The error is kvstore.ErrNotFound if there is none.
-func (r *storeReader) readEnding(ctx context.Context, jobID string) ([]byte, error) {
+// readEndRecord reads the end record of a job. The error is kvstore.ErrNotFound if there is none.
+func (r *storeReader) readEndRecord(ctx context.Context, jobID string) ([]byte, error) {
 	item, err := r.readOne(ctx, func() (wire.KeyValue, error) { return r.store.Get(ctx, ledger.EndedKey(jobID)) })
 	return item.Value, err
 }
@@ -63,17 +63,17 @@
 	return item, err
 }
 
-// endingsPageSize is the maximum number of end records read with one request.
-const endingsPageSize = 1000
+// endRecordPageSize is the maximum number of end records read with one request.
+const endRecordPageSize = 1000
 
-// readEndings reads the end records of several jobs. Each request reads a page of consecutive
+// readEndRecords reads the end records of several jobs. Each request reads a page of consecutive
 // end records, so there are no more requests than jobs, and not many more than pages of all end
 // records. Jobs without an end record are left out of the result.
-func (r *storeReader) readEndings(ctx context.Context, jobIDs []string) (map[string][]byte, error) {
+func (r *storeReader) readEndRecords(ctx context.Context, jobIDs []string) (map[string][]byte, error) {
 	wanted := slices.Sorted(slices.Values(jobIDs))
-	endings := make(map[string][]byte, len(wanted))
+	endRecords := make(map[string][]byte, len(wanted))
 	for len(wanted) > 0 {
-		page, err := r.endingsFrom(ctx, wanted[0])
+		page, err := r.readEndRecordPage(ctx, wanted[0])
 		if err != nil {
 			return nil, err
 		}
@@ -83,40 +83,40 @@
 		for _, item := range page {
 			jobID := strings.TrimPrefix(item.Key, ledger.EndedPrefix)
 			if at, isWanted := slices.BinarySearch(wanted, jobID); isWanted {
-				endings[wanted[at]] = item.Value
+				endRecords[wanted[at]] = item.Value
 			}
 		}
 		last := page[len(page)-1].Key
 		wanted = slices.DeleteFunc(wanted, func(jobID string) bool { return ledger.EndedKey(jobID) <= last })
 	}
-	return endings, nil
+	return endRecords, nil
 }
 
-// endingsFrom reads a page of end records that begins with the given job's, or the next one.
-func (r *storeReader) endingsFrom(ctx context.Context, jobID string) (page []wire.KeyValue, err error) {
+// readEndRecordPage reads a page of end records that begins with the given job's, or the next one.
+func (r *storeReader) readEndRecordPage(ctx context.Context, jobID string) (page []wire.KeyValue, err error) {
 	key := []byte(ledger.EndedKey(jobID))
 	key[len(key)-1]-- // pages begin after a key; IDs end with digits, so none sorts between the two
 	succeeded := func(err error) bool { return err == nil }
 	err = r.retry(ctx, succeeded, func() error {
 		var err error
-		page, _, err = r.store.Page(ctx, ledger.EndedPrefix, string(key), endingsPageSize)
+		page, _, err = r.store.Page(ctx, ledger.EndedPrefix, string(key), endRecordPageSize)
 		return err
 	})
 	return page, err
 }
 
-// requireEnding reads the end record of a job whose live key is deleted. The transaction that
+// requireEndRecord reads the end record of a job whose live key is deleted. The transaction that
 // deletes a live key writes the end record, so a missing one was lost: the error then ends the
 // term.
-func (r *storeReader) requireEnding(ctx context.Context, jobID string) ([]byte, error) {
-	end, err := r.readEnding(ctx, jobID)
+func (r *storeReader) requireEndRecord(ctx context.Context, jobID string) ([]byte, error) {
+	end, err := r.readEndRecord(ctx, jobID)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return nil, r.suspectDataLoss(&missingEndError{jobID})
 	}
 	return end, err
 }
 
-// endingOps returns the operations of the transaction that ended a job.
-func endingOps(jobID string, end []byte) []wire.Operation {
+// endOperations returns the operations of the transaction that ended a job.
+func endOperations(jobID string, end []byte) []wire.Operation {
 	return []wire.Operation{{Put: ledger.EndedKey(jobID), Value: end}, {Delete: ledger.LiveKey(jobID)}}
 }
--- a/internal/leader/taskevents.go
+++ b/internal/leader/taskevents.go
@@ -21,9 +21,9 @@
 		"wait_s", now.Sub(claim.Job.WaitingSince).Seconds())
 }
 
-// dropImageFetch handles a task that ended before it ran: if no other task on the worker needs
+// abandonImagePull handles a task that ended before it ran: if no other task on the worker needs
 // its image, the worker abandons the pull.
-func (h *heartbeatReconciler) dropImageFetch(claim *ledger.Claim, worker *agent.Worker) {
+func (h *heartbeatReconciler) abandonImagePull(claim *ledger.Claim, worker *agent.Worker) {
 	for _, other := range h.jobs.ClaimsOnWorker(worker.Name) {
 		if other != claim && other.Job.Spec.Image == claim.Job.Spec.Image {
 			return
@@ -37,7 +37,7 @@
 func (h *heartbeatReconciler) taskEnded(claim *ledger.Claim, worker *agent.Worker, cause string, now time.Time) {
 	job := claim.Job
 	if claim.RunningSince.IsZero() {
-		h.dropImageFetch(claim, worker)
+		h.abandonImagePull(claim, worker)
 	}
 	h.log.Debug("task ended", "task", claim.Task(), "worker", worker.Name, "cause", cause)
 	if job.Cancelled {
@@ -93,13 +93,13 @@
 	// Only tasks that were seen running are measured: a result kept from an earlier attempt is
 	// reported at once, which says nothing about the run time.
 	if !claim.RunningSince.IsZero() {
-		h.learnRunTime(claim, worker, now)
+		h.recordRunTime(claim, worker, now)
 	}
 	h.jobs.Finish(claim)
 }
 
-// learnRunTime records how long a task ran, for its job and for the owner of the worker's shard.
-func (h *heartbeatReconciler) learnRunTime(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
+// recordRunTime records how long a task ran, for its job and for the owner of the worker's shard.
+func (h *heartbeatReconciler) recordRunTime(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
 	job, ran := claim.Job, now.Sub(claim.RunningSince)
 	job.RunSeconds.Sum += ran.Seconds()
 	job.RunSeconds.Count++
