--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -82,7 +82,7 @@
 		return worker
 	}
 	now := h.now()
-	becameUsable := worker.HasUnclaimedTask || !h.scheduler.acceptsTasks(worker, now) // the heartbeat may make it usable
+	mayBecomeUsable := worker.HasUnclaimedTask || !h.scheduler.acceptsTasks(worker, now)
 	usedBefore := h.jobs.UsedOnWorker(worker.Name)
 	h.updateWorker(worker, heartbeat, now)
 	h.reconcileTasks(worker, heartbeat, now)
@@ -91,7 +91,7 @@
 		notify(h.writeSignal)
 	}
 	// Most heartbeats free no capacity, so a scheduling pass for each would be wasted.
-	if becameUsable || usedBefore != h.jobs.UsedOnWorker(worker.Name) {
+	if mayBecomeUsable || usedBefore != h.jobs.UsedOnWorker(worker.Name) {
 		notify(h.scheduleSignal)
 	}
 	return worker
--- a/internal/leader/latencies.go
+++ b/internal/leader/latencies.go
@@ -18,7 +18,7 @@
 const (
 	maxLatency       = time.Hour
 	latencyDigits    = 2 // significant decimal digits
-	minLatencyMillis = 1 // millisecond
+	minLatencyMillis = 1
 )
 
 func newLatencies() *latencies {
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -99,7 +99,7 @@
 	return err == nil, err
 }
 
-// markEnded lets the tasks of a job that has ended be stopped on their workers.
+// markEnded records that an orphaned job has ended, so that its tasks are stopped on their workers.
 func (o *orphanTracker) markEnded(jobID string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -14,7 +14,7 @@
 
 // Shards gives access to the controllers that own shards of the workers, this one included.
 type Shards interface {
-	// Pick lets a shard owner pick tasks for the workers of an offer.
+	// Pick asks a shard owner to pick tasks of an offer for its workers.
 	Pick(ctx context.Context, owner string, offer placement.Offer) ([]placement.Pick, error)
 	// Learn records how long a task ran on a worker of this controller's own shard.
 	Learn(sample agent.RuntimeSample)
@@ -77,9 +77,9 @@
 	refusedAt := k.startedAt
 	for retry.Sleep(ctx, k.monitorInterval()) {
 		now := k.now()
-		known := k.elector.ShardMap()
-		if known.Epoch > k.leadership.Epoch() && known.Leader != k.settings.Name {
-			return fmt.Errorf("%w: %s leads under epoch %d", election.ErrDeposed, known.Leader, known.Epoch)
+		latest := k.elector.ShardMap()
+		if latest.Epoch > k.leadership.Epoch() && latest.Leader != k.settings.Name {
+			return fmt.Errorf("%w: %s leads under epoch %d", election.ErrDeposed, latest.Leader, latest.Epoch)
 		}
 		if k.shards.StoreRefuses() {
 			refusedAt = now
