--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -14,7 +14,7 @@
 
 // Shards gives access to the controllers that own shards of the workers, this one included.
 type Shards interface {
-	// Pick asks a shard owner to pick tasks of an offer for its workers.
+	// Pick asks a shard owner to pick tasks for the workers of an offer.
 	Pick(ctx context.Context, owner string, offer placement.Offer) ([]placement.Pick, error)
 	// Learn records how long a task ran on a worker of this controller's own shard.
 	Learn(sample agent.RuntimeSample)
