--- a/internal/leader/status_test.go
+++ b/internal/leader/status_test.go
@@ -28,16 +28,16 @@
 		name   string
 		lost   bool
 		since  time.Duration // time since the start of the term
-		worker string        // "unreported", "reported", or "earlier": it has seen an earlier epoch only
+		worker string        // "unheard", "heard", or "earlier": it has seen an earlier epoch only
 		err    error
 	}{
-		{"no data lost", false, 0, "unreported", nil},
-		{"cloud list may lack instances", true, time.Second, "reported", ErrWorkersUnreported},
-		{"worker has not reported", true, 15 * time.Second, "unreported", ErrWorkersUnreported},
+		{"no data lost", false, 0, "unheard", nil},
+		{"cloud list may lack instances", true, time.Second, "heard", ErrWorkersUnreported},
+		{"worker has not reported", true, 15 * time.Second, "unheard", ErrWorkersUnreported},
 		{"worker may still take commands of the last leader", true, 15 * time.Second, "earlier",
 			ErrWorkersUnreported},
-		{"all workers have reported", true, 15 * time.Second, "reported", nil},
-		{"lease of the unreported worker has expired", true, 40 * time.Second, "unreported", nil},
+		{"all workers have reported", true, 15 * time.Second, "heard", nil},
+		{"lease of the unreported worker has expired", true, 40 * time.Second, "unheard", nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -49,7 +49,7 @@
 			}
 			worker := agent.NewWorker("h9")
 			switch tc.worker {
-			case "reported":
+			case "heard":
 				worker.LastHeartbeat, worker.SeenEpoch = now, 7
 			case "earlier":
 				worker.LastHeartbeat, worker.SeenEpoch = now, 6
