--- a/internal/leader/auditcollector.go
+++ b/internal/leader/auditcollector.go
@@ -9,9 +9,9 @@
 	"rillflow/internal/wire"
 )
 
-// auditCollector hands the audit writer the entries that other controllers leave in the store.
-// Serve runs its loop. It has no state of its own, and writes nothing: the audit writer deletes
-// an entry in the transaction that appends it.
+// auditCollector passes the pending audit entries that other controllers write to the store on to
+// the audit writer. Serve runs its loop, watchPendingAudit. It has no state of its own, and writes
+// nothing: the audit writer deletes a pending entry in the transaction that appends it.
 type auditCollector struct {
 	*termScope
 }
@@ -27,7 +27,7 @@
 		OnSnapshot: func(items []wire.KeyValue, _ time.Time) {
 			c.mu.Lock()
 			for _, item := range items {
-				c.auditLog.takePending(item.Key, item.Value, item.ModRevision)
+				c.auditLog.addPending(item.Key, item.Value, item.ModRevision)
 			}
 			c.mu.Unlock()
 			notify(c.writeSignal)
@@ -36,7 +36,7 @@
 			c.mu.Lock()
 			for _, event := range events {
 				if event.Put != "" {
-					c.auditLog.takePending(event.Put, event.Value, event.ModRevision)
+					c.auditLog.addPending(event.Put, event.Value, event.ModRevision)
 				}
 			}
 			c.mu.Unlock()
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -14,12 +14,12 @@
 	"rillflow/internal/wire"
 )
 
-// loader fills the job table and the replica when a term begins: with what the store holds or,
-// where it lost data, with what was put together from all sources.
+// loader fills the job table and the replica when a term begins: with the contents of the store
+// or, if the store lost data, with the data merged from all sources.
 //
 // The term calls load once, before any loop of its own runs and before heartbeats are answered. The
-// loader reads without mu and takes it to fill the table. It writes nothing to the store: what
-// is to be stored again is left to the recovery, whose progress the loader sets.
+// loader reads without mu and takes it to fill the table. It writes nothing to the store: lost
+// data is written back by the recovery, whose progress the loader sets.
 type loader struct {
 	*termScope
 	recovery    *dataRecovery
@@ -27,17 +27,17 @@
 	storeReader *storeReader
 }
 
-// loadedState is what a term begins with.
+// loadedState is the stored or recovered state that a term begins with.
 type loadedState struct {
-	revision  uint64            // at which the live jobs were read
-	jobs      []wire.KeyValue   // live jobs
-	chunks    []wire.KeyValue   // claims
-	endings   map[string][]byte // end records that the replica may lack, by job
-	recovered map[string][]byte // recovered end records by job; nil: none were to be recovered
+	revision   uint64            // at which the live jobs were read
+	jobs       []wire.KeyValue   // records of live jobs
+	chunks     []wire.KeyValue   // chunks of claims
+	endRecords map[string][]byte // end records that the replica may lack, by job
+	recovered  map[string][]byte // recovered end records by job; nil if no recovery was needed
 }
 
-// load reads the jobs and claims, and recovers them where data was lost. It returns the
-// revision from which the jobs are to be watched.
+// load reads the jobs and claims, and recovers them if data was lost. It returns the revision from
+// which the jobs are to be watched.
 func (l *loader) load(ctx context.Context) (uint64, error) {
 	state, err := l.readStored(ctx)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	incarnation := l.leadership.Incarnation()
 	if incarnation.Phase != dataloss.PhaseRecovering {
-		if state.endings, err = l.compareWithReplica(ctx, state); err != nil {
+		if state.endRecords, err = l.compareWithReplica(ctx, state); err != nil {
 			return 0, err
 		}
 	}
@@ -56,20 +56,20 @@
 		}
 		state.recovered = merged.Ends
 		if incarnation.Phase == dataloss.PhaseRecovering {
-			state.jobs, state.chunks = toItems(merged.LiveJobs), toItems(merged.Chunks)
+			state.jobs, state.chunks = toKeyValues(merged.LiveJobs), toKeyValues(merged.Chunks)
 		}
 	}
-	orphaned, err := l.endingsOfOrphanedClaims(ctx, state)
+	orphaned, err := l.readOrphanedClaimEnds(ctx, state)
 	if err != nil {
 		return 0, err
 	}
-	maps.Copy(state.endings, orphaned)
+	maps.Copy(state.endRecords, orphaned)
 	return state.revision, l.populate(incarnation, state)
 }
 
 // readStored reads the live jobs and the claims.
 func (l *loader) readStored(ctx context.Context) (*loadedState, error) {
-	state := &loadedState{endings: make(map[string][]byte)}
+	state := &loadedState{endRecords: make(map[string][]byte)}
 	var err error
 	if state.jobs, state.revision, err = l.storeReader.listAll(ctx, ledger.LivePrefix); err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 	return state, nil
 }
 
-// liveJobs returns the names of the live jobs.
+// liveJobs returns the IDs of the live jobs.
 func (s *loadedState) liveJobs() map[string]bool {
 	live := make(map[string]bool, len(s.jobs))
 	for _, item := range s.jobs {
@@ -89,24 +89,24 @@
 	return live
 }
 
-// endingsOfOrphanedClaims returns the end records of jobs that have claims but no live record.
-// Each was done or cancelled, and the tasks of a cancelled one may still run and count. A job
-// that has neither record was lost: no claim is made before its job is stored, and none at all
-// while a new leader reads.
-func (l *loader) endingsOfOrphanedClaims(ctx context.Context, state *loadedState) (map[string][]byte, error) {
-	live, endings := state.liveJobs(), make(map[string][]byte)
+// readOrphanedClaimEnds returns the end records of jobs that have claims but no live record.
+// Each was done or cancelled, and the tasks of a cancelled one may still run and use resources. A
+// job with neither record was lost: no claim is made before its job is stored, and none at all
+// while a new leader loads.
+func (l *loader) readOrphanedClaimEnds(ctx context.Context, state *loadedState) (map[string][]byte, error) {
+	live, endRecords := state.liveJobs(), make(map[string][]byte)
 	var unknown []string
 	for _, item := range state.chunks {
 		jobID, ok := ledger.JobIDOfChunkKey(item.Key)
-		if _, seen := endings[jobID]; !ok || live[jobID] || seen {
+		if _, seen := endRecords[jobID]; !ok || live[jobID] || seen {
 			continue
 		}
-		endings[jobID] = state.recovered[jobID]
-		if endings[jobID] == nil {
+		endRecords[jobID] = state.recovered[jobID]
+		if endRecords[jobID] == nil {
 			unknown = append(unknown, jobID)
 		}
 	}
-	read, err := l.storeReader.readEndings(ctx, unknown)
+	read, err := l.storeReader.readEndRecords(ctx, unknown)
 	if err != nil {
 		return nil, err
 	}
@@ -114,13 +114,13 @@
 		if read[jobID] == nil {
 			return nil, l.suspectDataLoss(fmt.Errorf("claims of job %s without its record", jobID))
 		}
-		endings[jobID] = read[jobID]
+		endRecords[jobID] = read[jobID]
 	}
-	return endings, nil
+	return endRecords, nil
 }
 
-// toItems makes recovered values of what the store would have answered.
-func toItems(values []recovery.Value) []wire.KeyValue {
+// toKeyValues converts recovered values to the form in which the store returns keys and values.
+func toKeyValues(values []recovery.Value) []wire.KeyValue {
 	items := make([]wire.KeyValue, len(values))
 	for i, value := range values {
 		items[i] = wire.KeyValue{Key: value.Key, Value: value.Data, ModRevision: value.ModRevision}
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// addJobs adds to the table the live jobs, and ended ones that have claims. Callers hold mu.
+// addJobs adds the live jobs, and ended ones that have claims, to the job table. Callers hold mu.
 func (l *loader) addJobs(state *loadedState) error {
 	for _, item := range state.jobs {
 		if err := l.addJob(item.Key, item.Value, item.ModRevision); err != nil {
@@ -162,7 +162,7 @@
 	}
 	for _, item := range state.chunks {
 		jobID, _ := ledger.JobIDOfChunkKey(item.Key)
-		if end := state.endings[jobID]; end != nil && l.jobs.Job(jobID) == nil {
+		if end := state.endRecords[jobID]; end != nil && l.jobs.Job(jobID) == nil {
 			if err := l.jobs.AddEndedJob(jobID, end); err != nil {
 				return err
 			}
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// addClaims adds claims to the table. Callers hold mu.
+// addClaims adds claims to the job table. Callers hold mu.
 func (l *loader) addClaims(chunks []wire.KeyValue) error {
 	for _, item := range chunks {
 		if jobID, _ := ledger.JobIDOfChunkKey(item.Key); l.jobs.Job(jobID) == nil {
@@ -185,8 +185,8 @@
 	return nil
 }
 
-// replicaTree is what the replicas are to hold: what was loaded, and the end records that are
-// known.
+// replicaTree returns the tree that the replicas are to hold: the loaded state, and the end records
+// that this controller's replica already has.
 func (l *loader) replicaTree(incarnation dataloss.IncarnationState, state *loadedState) *replica.Tree {
 	txn := iradix.New[[]byte]().Txn()
 	if known, head := l.replica.Tree(); head.Incarnation == incarnation.ID && state.recovered == nil {
@@ -195,8 +195,8 @@
 			return false
 		})
 	}
-	for _, endings := range []map[string][]byte{state.endings, state.recovered} {
-		for jobID, end := range endings {
+	for _, endRecords := range []map[string][]byte{state.endRecords, state.recovered} {
+		for jobID, end := range endRecords {
 			if end != nil {
 				txn.Insert([]byte(ledger.EndedKey(jobID)), end)
 			}
