--- a/internal/agent/command.go
+++ b/internal/agent/command.go
@@ -11,25 +11,25 @@
 	"rillflow/internal/wire"
 )
 
-// ErrNotSent is matched by the error of commands that surely did not reach the worker.
+// ErrNotSent is wrapped by errors which prove that no command reached the worker.
 var ErrNotSent = errors.New("not sent")
 
-// MaxHeartbeatBytes bounds a worker's heartbeat. It is far more than the tasks of one worker take.
+// MaxHeartbeatBytes bounds the size of a heartbeat. The tasks of one worker take far less.
 const MaxHeartbeatBytes = 1 << 20
 
 // maxConnsPerWorker bounds the connections open to one worker.
 const maxConnsPerWorker = 2
 
-// CommandClient sends commands straight to workers, outside the answers to their heartbeats. It is
-// safe for concurrent use.
+// CommandClient sends commands directly to workers, rather than in the answers to their heartbeats.
+// It is safe for concurrent use.
 type CommandClient struct {
 	http    *jsonhttp.Client
 	timeout time.Duration
 }
 
-// NewCommandClient returns a client that gives a worker so long to answer. It keeps so many
-// connections open between commands: with one for each of hundreds of workers, a leader was seen
-// to run out of sockets.
+// NewCommandClient returns a client that waits up to timeout for a worker's answer. At most
+// maxIdleConns connections (at least one) stay open between commands: with one per worker, a leader
+// of hundreds of workers ran out of sockets.
 func NewCommandClient(timeout time.Duration, maxIdleConns int, dial jsonhttp.DialFunc) *CommandClient {
 	return &CommandClient{
 		http: jsonhttp.New(jsonhttp.Options{
@@ -43,21 +43,22 @@
 	}
 }
 
-// Send sends commands. The worker's heartbeat is returned also when it refused them (409). An
-// error other than ErrNotSent leaves their outcome unknown.
+// Send sends commands to the worker at addr. It returns the worker's heartbeat even if the worker
+// refused the commands (409). After an error other than ErrNotSent their outcome is unknown.
 func (c *CommandClient) Send(
 	ctx context.Context, addr string, commands wire.CommandBatch,
 ) (heartbeat *wire.Heartbeat, refused bool, err error) {
 	return c.exchange(ctx, http.MethodPost, "http://"+addr+"/do", commands)
 }
 
-// Status asks a worker for its heartbeat.
+// Status requests the heartbeat of the worker at addr.
 func (c *CommandClient) Status(ctx context.Context, addr string) (*wire.Heartbeat, error) {
 	heartbeat, _, err := c.exchange(ctx, http.MethodGet, "http://"+addr+"/status", nil)
 	return heartbeat, err
 }
 
-// exchange sends a request to a worker, which answers every one with its heartbeat.
+// exchange sends a request to a worker and decodes the heartbeat that it answers with. refused
+// reports whether the status was 409.
 func (c *CommandClient) exchange(
 	ctx context.Context, method, url string, body any,
 ) (heartbeat *wire.Heartbeat, refused bool, err error) {
--- a/internal/agent/command_test.go
+++ b/internal/agent/command_test.go
@@ -14,14 +14,14 @@
 	"rillflow/internal/wire"
 )
 
-// connCounter counts how many of the connections that it dialled are open.
+// connCounter counts the open connections among those that it dialled.
 type connCounter struct {
 	mu     sync.Mutex
 	open   int
-	closed chan struct{} // one for each that was closed
+	closed chan struct{} // receives a value for each closed connection
 }
 
-// countedConn is a connection that tells its counter when it is closed.
+// countedConn is a connection that reports its closing to its counter.
 type countedConn struct {
 	net.Conn
 	counter *connCounter
@@ -50,11 +50,11 @@
 	return c.Conn.Close()
 }
 
-// However many workers are sent commands, only so many connections stay open.
-func TestIdleConnections(t *testing.T) {
-	for _, tc := range []struct{ workers, idle, open int }{{2, 4, 2}, {8, 4, 4}, {8, 0, 1}} {
+// Guards against a leader that runs out of sockets because it keeps a connection per worker open.
+func TestIdleConnectionsAreBounded(t *testing.T) {
+	for _, tc := range []struct{ workers, maxIdle, wantOpen int }{{2, 4, 2}, {8, 4, 4}, {8, 0, 1}} {
 		counter := connCounter{closed: make(chan struct{}, tc.workers)}
-		client := NewCommandClient(5*time.Second, tc.idle, counter.dial)
+		client := NewCommandClient(5*time.Second, tc.maxIdle, counter.dial)
 		for range tc.workers {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 				w.Write([]byte(`{"host":"h"}`))
@@ -65,19 +65,20 @@
 				t.Fatal(err)
 			}
 		}
-		for range tc.workers - tc.open { // each is closed once the next is kept
+		for range tc.workers - tc.wantOpen { // each is closed when a newer one becomes idle
 			select {
 			case <-counter.closed:
 			case <-time.After(10 * time.Second):
-				t.Fatalf("%d workers, %d to be kept: %d open", tc.workers, tc.idle, counter.open)
+				t.Fatalf("%d workers, at most %d idle connections: %d open, want %d",
+					tc.workers, tc.maxIdle, counter.open, tc.wantOpen)
 			}
 		}
 	}
 }
 
-// What a worker answers is told apart: a refusal comes with its heartbeat, and only a failure to
-// connect proves that nothing was sent.
-func TestAnswers(t *testing.T) {
+// Guards against confusing the outcomes of a command: a refusal carries the worker's heartbeat, and
+// only a failure to connect proves that nothing was sent.
+func TestCommandOutcomes(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		status  int
@@ -85,10 +86,10 @@
 		refused bool
 		fails   bool
 	}{
-		{"carried out", 200, `{"host":"i-1"}`, false, false},
+		{"executed", 200, `{"host":"i-1"}`, false, false},
 		{"refused", 409, `{"host":"i-1"}`, true, false},
-		{"another status", 500, `{"host":"i-1"}`, false, true},
-		{"nonsense", 200, `[`, false, true},
+		{"unexpected status", 500, `{"host":"i-1"}`, false, true},
+		{"malformed body", 200, `[`, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -101,14 +102,15 @@
 			addr := strings.TrimPrefix(server.URL, "http://")
 			heartbeat, refused, err := client.Send(t.Context(), addr, wire.CommandBatch{})
 			if refused != tc.refused || (err != nil) != tc.fails || errors.Is(err, ErrNotSent) {
-				t.Errorf("refused %v, %v", refused, err)
+				t.Errorf("refused %v, error %v, want refused %v, an error %v, not ErrNotSent",
+					refused, err, tc.refused, tc.fails)
 			}
 			if err == nil && heartbeat.Worker != "i-1" {
-				t.Errorf("heartbeat of %q", heartbeat.Worker)
+				t.Errorf("heartbeat of worker %q, want i-1", heartbeat.Worker)
 			}
 		})
 	}
-	t.Run("nobody there", func(t *testing.T) {
+	t.Run("connection refused", func(t *testing.T) {
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -117,7 +119,7 @@
 		var dialer net.Dialer
 		client := NewCommandClient(5*time.Second, 1, dialer.DialContext)
 		if _, err := client.Status(t.Context(), listener.Addr().String()); !errors.Is(err, ErrNotSent) {
-			t.Errorf("got %v", err)
+			t.Errorf("got %v, want ErrNotSent", err)
 		}
 	})
 }
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -7,12 +7,12 @@
 	"rillflow/internal/wire"
 )
 
-// Commands returns the commands that bring a worker from what it reported to what the claims on it
-// say: stops first, so that starts find the resources free. It notes on a claim that its start was
-// sent.
+// Commands returns the commands that make a worker's tasks match the claims on it, given what it
+// last reported. Stops come first, so that the starts find the resources free. Each claim whose
+// start is among the commands is marked as StartSent.
 //
-// The worker is told to forget an ended task only in the answer to a heartbeat: it has one
-// heartbeat in flight, so no start given in an earlier answer can come after it.
+// A worker is told to forget an ended task only in the answer to a heartbeat: it has at most one
+// heartbeat in flight, so a start from an earlier answer cannot arrive after the forget.
 func (w *Worker) Commands(
 	claims map[ledger.Task]*ledger.Claim, epoch uint64, inHeartbeatAnswer bool,
 ) []wire.Command {
@@ -21,7 +21,7 @@
 	return slices.Concat(stops, unclaimedStops, forgets, starts)
 }
 
-// claimedCommands are the commands for the claims on a worker.
+// claimedCommands returns the commands for the claims on the worker.
 func (w *Worker) claimedCommands(
 	claims map[ledger.Task]*ledger.Claim, epoch uint64,
 ) (stops, starts []wire.Command) {
@@ -37,7 +37,7 @@
 		case claim.Stopping:
 			if reported.Phase != wire.TaskExited && reported.Phase != wire.TaskSaving {
 				stop := command(wire.ActionStop, task, claim.Attempt)
-				stop.GraceSeconds = claim.Job.Spec.CheckpointSaveSeconds // it continues elsewhere
+				stop.GraceSeconds = claim.Job.Spec.CheckpointSaveSeconds // the task continues elsewhere
 				stops = append(stops, stop)
 			}
 		case !present && claim.Committed && !claim.Unconfirmed:
@@ -48,8 +48,8 @@
 	return stops, starts
 }
 
-// unclaimedCommands are the commands for tasks on a worker that no claim is for. Orphaned ones are
-// left alone.
+// unclaimedCommands returns the commands for reported tasks without a claim for the same attempt.
+// It skips orphaned tasks.
 func (w *Worker) unclaimedCommands(
 	claims map[ledger.Task]*ledger.Claim, inHeartbeatAnswer bool,
 ) (stops, forgets []wire.Command) {
@@ -67,7 +67,7 @@
 	return stops, forgets
 }
 
-// command is a command for one attempt of a task.
+// command returns a command for one attempt of a task.
 func command(action string, task ledger.Task, attempt uint64) wire.Command {
 	return wire.Command{Action: action, Task: task.String(), Attempt: attempt}
 }
--- a/internal/agent/commands_test.go
+++ b/internal/agent/commands_test.go
@@ -9,13 +9,13 @@
 	"rillflow/internal/wire"
 )
 
-// commandsTest is a worker in incarnation 1 that has seen epoch 7, and the commands it gets. They
-// are written with the verbs of the protocol.
+// commandsTest is a case for a worker in incarnation 1 that has seen epoch 7. The wanted commands
+// are written with the protocol's action names.
 type commandsTest struct {
 	name              string
 	claims            []*ledger.Claim
 	tasks             []reportedTask
-	change            func(*Worker)
+	changeWorker      func(*Worker)
 	inHeartbeatAnswer bool
 	want              string
 }
@@ -45,40 +45,40 @@
 	running, ended := []reportedTask{{"req-1/0", 4, "running"}}, []reportedTask{{"req-1/0", 4, "ended"}}
 	unclaimed := []reportedTask{{"req-9/1", 2, "running"}}
 	for _, tc := range []commandsTest{
-		{"start what is claimed", newClaim(live, 1, committed), nil, nil, false, "launch req-1/0 4"},
-		{"never before the claim is durable", newClaim(live, 1), nil, nil, true, ""},
-		{"not what may be lost with the store's data", newClaim(live, 1, committed, unconfirmed), nil, nil, true, ""},
-		{"an orphaned task is left alone", nil, unclaimed, func(worker *Worker) {
+		{"start of a claimed task", newClaim(live, 1, committed), nil, nil, false, "launch req-1/0 4"},
+		{"no start before the claim is durable", newClaim(live, 1), nil, nil, true, ""},
+		{"no start of an unconfirmed claim", newClaim(live, 1, committed, unconfirmed), nil, nil, true, ""},
+		{"no stop of an orphaned task", nil, unclaimed, func(worker *Worker) {
 			for task, status := range worker.Tasks {
 				status.Orphaned = true
 				worker.Tasks[task] = status
 			}
 		}, true, ""},
-		{"not in another incarnation", newClaim(live, 2, committed), nil, nil, true, ""},
-		{"not what it has", newClaim(live, 1, committed), running, nil, true, ""},
+		{"no start in another incarnation", newClaim(live, 2, committed), nil, nil, true, ""},
+		{"no start of a running task", newClaim(live, 1, committed), running, nil, true, ""},
 		{
-			"stop what is cancelled",
+			"stop of a cancelled job's task",
 			newClaim(cancelled, 1, committed), []reportedTask{{"req-2/0", 4, "running"}}, nil, true, "stop req-2/0 4",
 		},
 		{
-			"stop what a start on its way may begin",
+			"stop of a cancelled job's task whose start may still arrive",
 			newClaim(cancelled, 1, committed, startSent), nil, nil, true, "stop req-2/0 4",
 		},
-		{"stop what nobody claimed", nil, unclaimed, nil, true, "stop req-9/1 2"},
-		{"forget what has ended", nil, ended, nil, true, "reap req-1/0 4"},
-		{"not while its end is not durable", newClaim(live, 1, committed, finished), ended, nil, true, ""},
-		{"forget only in answer to a heartbeat", nil, ended, nil, false, ""},
-		{"not while a command is under way", nil, ended, func(worker *Worker) { worker.CommandInFlight = true }, true, ""},
+		{"stop of an unclaimed task", nil, unclaimed, nil, true, "stop req-9/1 2"},
+		{"forget of an ended task", nil, ended, nil, true, "reap req-1/0 4"},
+		{"no forget before the end is durable", newClaim(live, 1, committed, finished), ended, nil, true, ""},
+		{"no forget in a direct command", nil, ended, nil, false, ""},
+		{"no forget with a command in flight", nil, ended, func(worker *Worker) { worker.CommandInFlight = true }, true, ""},
 		{
-			"not while a lost command may still come",
+			"no forget while a command of unknown outcome may still arrive",
 			nil, ended, func(worker *Worker) { worker.UnresolvedEpoch = 7 }, true, "",
 		},
 		{
-			"once the worker has seen a later epoch",
+			"forget once the worker has seen a later epoch",
 			nil, ended, func(worker *Worker) { worker.UnresolvedEpoch = 6 }, true, "reap req-1/0 4",
 		},
 		{
-			"another attempt of a claimed task is stopped first",
+			"stop of another attempt before the start",
 			newClaim(live, 1, committed), []reportedTask{{"req-1/0", 3, "running"}}, nil, true,
 			"stop req-1/0 3, launch req-1/0 4",
 		},
@@ -98,17 +98,18 @@
 		task, _ := ledger.ParseTask(reported.task)
 		worker.Tasks[task] = TaskStatus{Attempt: reported.attempt, Phase: reported.phase}
 	}
-	if tc.change != nil {
-		tc.change(worker)
+	if tc.changeWorker != nil {
+		tc.changeWorker(worker)
 	}
 	var got []string
 	for _, command := range worker.Commands(claims, 7, tc.inHeartbeatAnswer) {
 		got = append(got, fmt.Sprintf("%s %s %d", command.Action, command.Task, command.Attempt))
 		if command.Action == wire.ActionStart && (!tc.claims[0].StartSent || tc.claims[0].StartEpoch != 7) {
-			t.Error("a start was sent without being noted")
+			t.Errorf("claim of a started task has StartSent %v, StartEpoch %d, want true, 7",
+				tc.claims[0].StartSent, tc.claims[0].StartEpoch)
 		}
 	}
 	if text := strings.Join(got, ", "); text != tc.want {
-		t.Errorf("got %q, want %q", text, tc.want)
+		t.Errorf("got commands %q, want %q", text, tc.want)
 	}
 }
--- a/internal/agent/golden_test.go
+++ b/internal/agent/golden_test.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// Workers are asked as they always were: methods, paths and bodies.
+// Guards against requests to workers that change in method, path or body.
 func TestGoldenRequests(t *testing.T) {
 	recorder := goldentest.NewRecorder(t)
 	var dialer net.Dialer
--- a/internal/agent/image_test.go
+++ b/internal/agent/image_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-func TestImages(t *testing.T) {
+func TestImageCache(t *testing.T) {
 	worker := NewWorker("i-1")
 	worker.RecordPull("a", 4)
 	if worker.HasImage("a") {
-		t.Error("an image is there before it is pulled")
+		t.Error("HasImage is true before the image is pulled")
 	}
 	worker.RecordPullAbandoned("a")
 	for _, name := range []string{"a", "b", "c", "a", "d"} {
@@ -20,6 +20,6 @@
 		names = append(names, image.Name)
 	}
 	if !slices.Equal(names, []string{"d", "a"}) {
-		t.Errorf("kept %v of a cache for two", names)
+		t.Errorf("a cache for two images holds %v, want [d a]", names)
 	}
 }
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -1,9 +1,10 @@
-// Package agent deals with workers, the machines that run tasks: what each last reported, the
-// commands that bring it to what the claims say, and the client that sends commands to it directly.
+// Package agent models the workers, the machines that run tasks: the last reported state of each,
+// the commands that make its tasks match the claims, and the client that sends commands to it
+// directly.
 //
 // It owns no state of its own. The leader keeps one Worker per machine and guards it with its
-// lock; shard owners exchange only the RuntimeSamples. The package must not change claims, but
-// for noting on them that a start was sent, and must not decide what runs where.
+// lock; shard owners exchange only the RuntimeSamples. The package must not decide what runs
+// where, and must not change claims, except to mark their starts as sent.
 package agent
 
 import (
@@ -13,8 +14,8 @@
 	"rillflow/internal/wire"
 )
 
-// Worker is a machine as it last reported itself, and what the leader noted about it. It is not
-// safe for concurrent use.
+// Worker holds what a machine last reported and what the leader recorded about it. It is not safe
+// for concurrent use.
 type Worker struct {
 	Name         string
 	Address      string
@@ -22,30 +23,30 @@
 	Zone         string
 	Spot         bool
 
-	// Incarnation and Sequence number the latest message taken in: Incarnation rises when the
+	// Incarnation and Sequence identify the latest message processed: Incarnation rises when the
 	// worker restarts, Sequence with each of its messages.
 	Incarnation uint64
 	Sequence    uint64
-	SeenEpoch   uint64    // highest epoch that the worker says it has seen
-	EpochSeenAt time.Time // when it first said so
+	SeenEpoch   uint64    // highest epoch that the worker reports to have seen
+	EpochSeenAt time.Time // when it first reported SeenEpoch
 
 	RequestedAt     time.Time // when the instance was requested from the cloud
 	ListedRunningAt time.Time // when the cloud first listed it as running
-	LastHeartbeat   time.Time // last heartbeat that was answered and no older than what was known
-	LastUpdate      time.Time // last message with anything new, a heartbeat or an answer
-	// LastAnswered is when a heartbeat was last answered, an old one included: the answer may
+	LastHeartbeat   time.Time // last heartbeat that was answered and not outdated
+	LastUpdate      time.Time // last heartbeat or answer that brought anything new
+	// LastAnswered is when a heartbeat was last answered, even an outdated one: the answer may
 	// renew the worker's lease.
 	LastAnswered time.Time
-	ReclaimAt    time.Time // when the cloud takes the instance away; zero: no notice
-	Polling      bool      // it is being asked for its status
+	ReclaimAt    time.Time // when the cloud reclaims the spot instance; zero: no notice
+	Polling      bool      // a status request to the worker is in flight
 
 	Tasks            map[ledger.Task]TaskStatus
-	HasUnclaimedTask bool    // a task on it takes resources that no claim tells of
+	HasUnclaimedTask bool    // a task without a claim takes resources on it
 	Images           []Image // most recently used first
 
-	// UnresolvedEpoch is the epoch of the latest direct command of unknown outcome. Until the
-	// worker has seen a higher one, that command may yet be executed, so the worker is told to
-	// forget nothing that it could start again.
+	// UnresolvedEpoch is the epoch of the latest direct command whose outcome is unknown. Until
+	// the worker has seen a higher epoch, that command may still be executed, so the worker must
+	// not forget any task that it could then start again.
 	UnresolvedEpoch uint64
 	CommandInFlight bool
 
@@ -53,15 +54,15 @@
 	// another controller may.
 	SoleOwnerEpoch  uint64
 	ShardOwner      string    // the controller that answers the worker
-	ShardOwnerSince time.Time // when it became so
-	// PendingSamples are those that the shard owner has yet to be told.
+	ShardOwnerSince time.Time // when ShardOwner last changed
+	// PendingSamples have not been sent to the shard owner yet.
 	PendingSamples []RuntimeSample
 
 	Draining          bool      // takes no new tasks, and is released once empty
-	StartBackoffUntil time.Time // gets no start before: it refused one for want of resources
+	StartBackoffUntil time.Time // no starts until then: it refused one for lack of resources
 	FailedJobs        []string  // jobs whose tasks failed here since the last success
-	LastFailure       time.Time // when the last of them did
-	IdleSince         time.Time // since when nothing is on it
+	LastFailure       time.Time // when a task of FailedJobs last failed
+	IdleSince         time.Time // since when no task is on it
 
 	Wake chan struct{} // wakes the goroutine that sends commands to it
 }
@@ -70,18 +71,18 @@
 type TaskStatus struct {
 	Attempt  uint64
 	Phase    string
-	EndCause string    // why it ended, if it did
-	Since    time.Time // first seen in this phase
-	Orphaned bool      // of a job that was lost, as far as is known: it is left alone
+	EndCause string    // why it ended; empty while it has not
+	Since    time.Time // when it was first seen in this phase
+	Orphaned bool      // its job seems to have been lost; the task is not stopped
 }
 
-// RuntimeSample is what one finished task tells about how long tasks of its job type run.
+// RuntimeSample is the run time of one finished task, for the estimates of its job type.
 type RuntimeSample struct {
 	JobType, InstanceType string
 	Duration              time.Duration
 }
 
-// NewWorker returns a worker from which nothing was heard yet.
+// NewWorker returns a worker that has not reported yet.
 func NewWorker(name string) *Worker {
 	return &Worker{Name: name, Tasks: make(map[ledger.Task]TaskStatus), Wake: make(chan struct{}, 1)}
 }
@@ -94,7 +95,7 @@
 	}
 }
 
-// IsNewer reports whether a heartbeat is newer than the latest one taken in.
+// IsNewer reports whether a heartbeat is newer than the latest message processed.
 func (w *Worker) IsNewer(heartbeat *wire.Heartbeat) bool {
 	if heartbeat.Incarnation != w.Incarnation {
 		return heartbeat.Incarnation > w.Incarnation
--- a/internal/agent/worker_test.go
+++ b/internal/agent/worker_test.go
@@ -15,7 +15,7 @@
 	}{{2, 11, true}, {2, 10, false}, {2, 9, false}, {3, 1, true}, {1, 99, false}} {
 		heartbeat := &wire.Heartbeat{Incarnation: tc.incarnation, Sequence: tc.sequence}
 		if got := worker.IsNewer(heartbeat); got != tc.want {
-			t.Errorf("%d.%d newer than 2.10: %v", tc.incarnation, tc.sequence, got)
+			t.Errorf("%d.%d newer than 2.10: got %v, want %v", tc.incarnation, tc.sequence, got, tc.want)
 		}
 	}
 }
