--- a/internal/fleet/ahead.go
+++ b/internal/fleet/ahead.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// runAhead plans for capacity ahead of demand: it requests all that teams may use, and releases
-// instances only once there is no work at all.
+// runAhead plans capacity ahead of demand: it requests instances up to the quota limits of the
+// teams, and releases instances only once there is no work at all.
 func (p *pass) runAhead() Plan {
 	p.scaleOutAhead()
 	p.plan.Drain = p.blockedByReplicas()
@@ -18,19 +18,19 @@
 	return p.plan
 }
 
-// scaleOutAhead requests instances up to the quota limits of the teams that are worth it, and for
-// the rest of the work on hand. Each offering is asked for all that is missing.
+// scaleOutAhead requests instances up to the quota limits of the teams that are scaled ahead, and
+// for the work of the other teams. Every offering is requested for the full shortfall.
 func (p *pass) scaleOutAhead() {
-	missing := p.demand.ScaleAheadCores +
+	missingCores := p.demand.ScaleAheadCores +
 		(p.demand.OnDemandCores+p.demand.SpotCores)*(1+p.planner.settings.Operator.Fleet.SpareCapacity)
 	for _, instance := range p.instances {
 		if instanceType := p.types[instance.InstanceType]; instanceType != nil && !instance.Releasing {
-			missing -= instanceType.CPUs
+			missingCores -= instanceType.CPUs
 		}
 	}
 	for _, spot := range []bool{false, true} {
 		for _, offered := range p.offerings(spot) {
-			count := min(maxInstancesPerRequest, int(missing/p.types[offered.instanceType].CPUs))
+			count := min(maxInstancesPerRequest, int(missingCores/p.types[offered.instanceType].CPUs))
 			if count > 0 {
 				p.request(offered, count)
 			}
@@ -38,7 +38,7 @@
 	}
 }
 
-// releaseIdle releases the instances that have been idle long enough.
+// releaseIdle releases the instances whose idle timeout has passed.
 func (p *pass) releaseIdle() {
 	for _, instance := range p.instances {
 		instanceType := p.types[instance.InstanceType]
@@ -48,13 +48,13 @@
 	}
 }
 
-// blockedByReplicas returns instances to drain since a few replicas keep waiting tasks off them:
-// with those moved to smaller instances, which such tasks do not fit, more of the tasks can run.
-// Those that move the fewest cores for each task gained go first, a few at a time.
+// blockedByReplicas returns the instances to drain because service replicas on them keep waiting
+// tasks from running: replicas may move to smaller instances, which those tasks do not fit. The
+// instances that move the fewest cores per task gained come first. maxDraining bounds their number.
 func (p *pass) blockedByReplicas() []string {
 	type candidate struct {
-		instance   *Instance
-		movedCores float64 // replicas' cores moved for each task gained
+		instance          *Instance
+		movedCoresPerTask float64 // replica cores to move per task gained
 	}
 	var candidates []candidate
 	draining := 0
@@ -68,7 +68,7 @@
 		}
 	}
 	slices.SortFunc(candidates, func(a, b candidate) int {
-		return cmp.Or(cmp.Compare(a.movedCores, b.movedCores), cmp.Compare(a.instance.Name, b.instance.Name))
+		return cmp.Or(cmp.Compare(a.movedCoresPerTask, b.movedCoresPerTask), cmp.Compare(a.instance.Name, b.instance.Name))
 	})
 	var names []string
 	limit := maxDraining(len(p.instances))
@@ -83,8 +83,8 @@
 	return names
 }
 
-// tasksGained returns how many more waiting tasks an instance could run without its replicas, by
-// the first waiting shape that gains any, or 0.
+// tasksGained returns how many more waiting tasks an instance could run without its replicas: the
+// number for the first waiting shape that gains any, or 0.
 func (p *pass) tasksGained(instance *Instance) float64 {
 	instanceType := p.types[instance.InstanceType]
 	if instanceType == nil || !instance.Up || instance.Releasing || instance.Draining || instance.Replicas == 0 {
--- a/internal/fleet/ahead_test.go
+++ b/internal/fleet/ahead_test.go
@@ -8,11 +8,11 @@
 	instances := []Instance{{InstanceType: "l"}, {InstanceType: "s"}}
 	requests := planner.Plan(testInstanceTypes(), instances, demand, now).ScaleOut
 	if len(requests) != 2 || requests[0].Count != 1 {
-		t.Errorf("requests %+v", requests)
+		t.Errorf("requests %+v, want two, the first for one instance", requests)
 	}
 	instances = append(instances, Instance{InstanceType: "s"})
 	requests = planner.Plan(testInstanceTypes(), instances, demand, now).ScaleOut
 	if len(requests) != 0 {
-		t.Errorf("requests %+v past the limit", requests)
+		t.Errorf("requests %+v beyond the quota limit, want none", requests)
 	}
 }
--- a/internal/fleet/catalogue.go
+++ b/internal/fleet/catalogue.go
@@ -11,13 +11,13 @@
 	"rillflow/internal/wire"
 )
 
-// Shares of the refresh interval that bound the pause after a failed reading of the catalogue.
+// Divisors of the refresh interval that give the backoff after a failed read of the catalogue.
 const (
-	retryBaseShare  = 64
-	retryLimitShare = 8
+	retryBaseDivisor  = 64
+	retryLimitDivisor = 8
 )
 
-// Catalogue is the cloud's instance types as last read. It is safe for concurrent use.
+// Catalogue caches the cloud's instance types. It is safe for concurrent use.
 type Catalogue struct {
 	cloud           *CloudClient
 	refreshInterval time.Duration
@@ -25,13 +25,13 @@
 	types           atomic.Pointer[map[string]*wire.InstanceType]
 }
 
-// NewCatalogue returns an empty catalogue that Run reads again at the interval.
+// NewCatalogue returns an empty catalogue, which Run reads anew once per refreshInterval.
 func NewCatalogue(cloud *CloudClient, refreshInterval time.Duration, log *slog.Logger) *Catalogue {
 	return &Catalogue{cloud: cloud, refreshInterval: refreshInterval, log: log}
 }
 
-// InstanceTypes are the instance types by name, or nil while they are not known. The map must not
-// be changed.
+// InstanceTypes returns the instance types by name, or nil before the first successful read. The
+// map must not be changed.
 func (c *Catalogue) InstanceTypes() map[string]*wire.InstanceType {
 	if types := c.types.Load(); types != nil {
 		return *types
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// Zones are all zones in which some type can be rented, sorted.
+// Zones returns the zones that offer at least one instance type, sorted.
 func (c *Catalogue) Zones() []string {
 	var zones []string
 	for _, instanceType := range c.InstanceTypes() {
@@ -58,14 +58,14 @@
 	c.types.Store(&byName)
 }
 
-// Run reads the catalogue at its interval until ctx ends. It keeps the last one while the cloud
-// does not answer.
+// Run reads the catalogue once per refresh interval until ctx ends. The instance types read last
+// are kept while the cloud does not answer.
 func (c *Catalogue) Run(ctx context.Context) error {
 	for attempt := 0; ctx.Err() == nil; {
 		types, err := c.cloud.InstanceTypes(ctx)
 		if err != nil || len(types) == 0 {
 			c.log.Debug("list instance types failed", "err", err)
-			retry.Backoff(ctx, attempt, c.refreshInterval/retryBaseShare, c.refreshInterval/retryLimitShare)
+			retry.Backoff(ctx, attempt, c.refreshInterval/retryBaseDivisor, c.refreshInterval/retryLimitDivisor)
 			attempt++
 			continue
 		}
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -1,9 +1,10 @@
-// Package fleet scales the cluster: the client of the cloud that instances are rented from, the
-// catalogue of instance types, and the pure plan of what to request, drain and release.
+// Package fleet scales the cluster. It has the client of the cloud that instances are rented from,
+// the catalogue of instance types, and the planner, which decides without any I/O what to request,
+// drain and release.
 //
-// It owns the catalogue last read and what the planner remembers from one plan to the next; the
-// instances themselves are the leader's, which calls all of it. The planner must not send
-// requests, and the client must not retry them.
+// It owns the catalogue and the planner's state from one plan to the next. The leader owns the
+// instances and calls this package. The planner must not send requests, and the client must not
+// retry them.
 package fleet
 
 import (
@@ -21,7 +22,7 @@
 	"rillflow/internal/wire"
 )
 
-// ErrNoCapacity says that the cloud has no instance of the type, zone and kind asked for.
+// ErrNoCapacity means that the cloud has no instance of the requested type, zone and kind.
 var ErrNoCapacity = errors.New("no capacity")
 
 const (
@@ -30,11 +31,11 @@
 	maxResponseBytes = 4 << 20
 	listPageSize     = 500
 
-	// noCapacity is the error in the body of a refusal (503) that is for want of instances.
+	// noCapacity is the error in the body of a 503 answer when the cloud is out of instances.
 	noCapacity = "no capacity"
 )
 
-// CloudClient is the client of the cloud's API. It is safe for concurrent use.
+// CloudClient is a client of the cloud's API. It is safe for concurrent use.
 type CloudClient struct {
 	baseURL string
 	http    *jsonhttp.Client
@@ -42,7 +43,8 @@
 	timeout time.Duration
 }
 
-// NewCloudClient returns a client that sends at most so many requests a second.
+// NewCloudClient returns a client that sends at most requestsPerSecond requests a second. The
+// timeout of a request includes its wait for the rate limit.
 func NewCloudClient(
 	addr string, requestsPerSecond float64, timeout time.Duration, dial jsonhttp.DialFunc,
 ) *CloudClient {
@@ -59,8 +61,8 @@
 	}
 }
 
-// do sends a request once, after waiting for the rate limit, and decodes the answer. A nil answer
-// ignores its body.
+// do sends a request once, after waiting for the rate limit, and decodes the body of the answer
+// into answer unless that is nil.
 func (c *CloudClient) do(ctx context.Context, method, path string, body, answer any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -90,7 +92,7 @@
 	return nil
 }
 
-// isNoCapacity reports whether an answer is a refusal for want of instances.
+// isNoCapacity reports whether the cloud refused a request because it is out of instances.
 func isNoCapacity(response *jsonhttp.Response) bool {
 	var refusal wire.ErrorResponse
 	return response.StatusCode == http.StatusServiceUnavailable &&
@@ -104,8 +106,8 @@
 	return catalogue.Types, err
 }
 
-// RequestInstances asks for instances and returns the names of those granted, which may be fewer.
-// The error is ErrNoCapacity if there are none to be had.
+// RequestInstances requests instances and returns the names of those granted, which may be fewer.
+// The error is ErrNoCapacity if the cloud has none.
 func (c *CloudClient) RequestInstances(ctx context.Context, request wire.ScaleOutRequest) ([]string, error) {
 	var instances wire.InstanceNames
 	err := c.do(ctx, http.MethodPost, "/hosts", request, &instances)
@@ -117,7 +119,7 @@
 	return c.do(ctx, http.MethodPost, "/hosts/release", wire.InstanceNames{Names: names}, nil)
 }
 
-// ListInstances reads the list of all instances rented, in pages.
+// ListInstances lists all rented instances, page by page.
 func (c *CloudClient) ListInstances(ctx context.Context) ([]wire.Instance, error) {
 	var all []wire.Instance
 	after := ""
--- a/internal/fleet/cloud_test.go
+++ b/internal/fleet/cloud_test.go
@@ -12,7 +12,7 @@
 	"rillflow/internal/wire"
 )
 
-// serveCloud returns a client of a cloud that is played by a handler.
+// serveCloud starts a fake cloud served by handler and returns a client of it.
 func serveCloud(t *testing.T, handler http.HandlerFunc) *CloudClient {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -21,7 +21,8 @@
 	return NewCloudClient(strings.TrimPrefix(server.URL, "http://"), 1e5, time.Minute, dialer.DialContext)
 }
 
-// Only the cloud's own word for it is a want of instances; every other refusal is a failure.
+// Guards against taking an outage for a lack of instances: only a 503 with the cloud's "no capacity"
+// error is ErrNoCapacity.
 func TestNoCapacity(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
@@ -32,10 +33,10 @@
 	}{
 		{"granted", 200, `{"hosts":["i-1"]}`, false, false},
 		{"no capacity", 503, `{"error":"no capacity"}`, true, true},
-		{"an outage", 503, `{"error":"try later"}`, true, false},
-		{"an outage without a word", 503, "", true, false},
-		{"the words with another status", 500, `{"error":"no capacity"}`, true, false},
-		{"nonsense", 200, `[`, true, false},
+		{"outage", 503, `{"error":"try later"}`, true, false},
+		{"outage with empty body", 503, "", true, false},
+		{"no capacity with another status", 500, `{"error":"no capacity"}`, true, false},
+		{"malformed body", 200, `[`, true, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			client := serveCloud(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -44,10 +45,10 @@
 			})
 			names, err := client.RequestInstances(t.Context(), wire.ScaleOutRequest{})
 			if (err != nil) != tc.fails || errors.Is(err, ErrNoCapacity) != tc.noCapacity {
-				t.Errorf("got %v", err)
+				t.Errorf("got error %v, want an error %v, ErrNoCapacity %v", err, tc.fails, tc.noCapacity)
 			}
 			if err == nil && (len(names) != 1 || names[0] != "i-1") {
-				t.Errorf("granted %v", names)
+				t.Errorf("granted %v, want [i-1]", names)
 			}
 			if err != nil && !strings.Contains(err.Error(), "/hosts") {
 				t.Errorf("%q does not name the request", err)
@@ -56,11 +57,11 @@
 	}
 }
 
-// A list that has more pages is asked for from the last name of each.
+// Guards against lost or repeated pages: each page is requested after the last name of the previous.
 func TestListInstancesPages(t *testing.T) {
-	var asked []string
+	var queries []string
 	client := serveCloud(t, func(w http.ResponseWriter, r *http.Request) {
-		asked = append(asked, r.URL.RawQuery)
+		queries = append(queries, r.URL.RawQuery)
 		if r.URL.Query().Get("after") == "" {
 			w.Write([]byte(`{"hosts":[{"ref":"i-1"},{"ref":"i-2"}],"more":true}`))
 			return
@@ -69,9 +70,9 @@
 	})
 	instances, err := client.ListInstances(t.Context())
 	if err != nil || len(instances) != 3 || instances[2].Name != "i-3" {
-		t.Errorf("listed %+v, %v", instances, err)
+		t.Errorf("listed %+v, error %v, want three instances, the last i-3", instances, err)
 	}
-	if got := strings.Join(asked, " "); got != "limit=500 after=i-2&limit=500" {
-		t.Errorf("asked %q", got)
+	if got := strings.Join(queries, " "); got != "limit=500 after=i-2&limit=500" {
+		t.Errorf("queries %q, want one per page, the second after i-2", got)
 	}
 }
--- a/internal/fleet/frugal_test.go
+++ b/internal/fleet/costsaving_test.go
@@ -14,17 +14,17 @@
 	longAgo = now.Add(-time.Hour)
 )
 
-// frugalCase is a demand, the instances there are and what the plan is to be.
-type frugalCase struct {
-	name      string
-	instances []Instance
-	demand    Demand
-	request   string // the first request: type, zone and kind; empty: none
-	count     int    // instances that it asks for
-	removed   []string
+// costSavingCase is a demand, the current instances and the plan wanted for them.
+type costSavingCase struct {
+	name        string
+	instances   []Instance
+	demand      Demand
+	wantRequest string   // type, zone and kind of the first request; empty: none
+	wantCount   int      // instances in the first request
+	wantRemoved []string // released or drained
 }
 
-func (tc frugalCase) run(t *testing.T) {
+func (tc costSavingCase) run(t *testing.T) {
 	plan := newTestPlanner(t, "always").Plan(testInstanceTypes(), tc.instances, tc.demand, now)
 	request, count := "", 0
 	if len(plan.ScaleOut) > 0 {
@@ -32,47 +32,47 @@
 		kind := map[bool]string{true: "spot", false: "on-demand"}[first.Spot]
 		request, count = first.InstanceType+" "+first.Zone+" "+kind, first.Count
 	}
-	if request != tc.request || count != tc.count {
-		t.Errorf("requests %d of %q, want %d of %q", count, request, tc.count, tc.request)
+	if request != tc.wantRequest || count != tc.wantCount {
+		t.Errorf("requests %d of %q, want %d of %q", count, request, tc.wantCount, tc.wantRequest)
 	}
 	removed := append(plan.Release, plan.Drain...)
-	if len(removed) != len(tc.removed) || len(removed) > 0 && removed[0] != tc.removed[0] {
-		t.Errorf("releases or drains %v, want %v", removed, tc.removed)
+	if len(removed) != len(tc.wantRemoved) || len(removed) > 0 && removed[0] != tc.wantRemoved[0] {
+		t.Errorf("releases or drains %v, want %v", removed, tc.wantRemoved)
 	}
 }
 
-// serviceDemand is the demand of a service of so many cores that may not run on spot instances.
+// serviceDemand returns the demand of a service that may not run on spot instances.
 func serviceDemand(cores float64) Demand {
 	return Demand{OnDemandCores: cores, TaskShapes: []TaskShape{serviceShape}}
 }
 
-// spreadDemand is the demand of a service that needs so many of its cores in a second zone.
-func spreadDemand(cores, secondZone float64) Demand {
+// spreadDemand returns the demand of a service that needs some of its cores in a second zone.
+func spreadDemand(cores, secondZoneCores float64) Demand {
 	demand := serviceDemand(cores)
-	demand.SecondZoneCores = secondZone
+	demand.SecondZoneCores = secondZoneCores
 	return demand
 }
 
-// zoneBoundDemand is the demand of services of which so many cores wait for zone b alone.
-func zoneBoundDemand(cores, inZoneB float64) Demand {
+// zoneBoundDemand returns the demand of services, some of whose cores wait for zone b only.
+func zoneBoundDemand(cores, zoneBCores float64) Demand {
 	demand := serviceDemand(cores)
-	demand.ZoneBoundCores = map[string]float64{"b": inZoneB}
+	demand.ZoneBoundCores = map[string]float64{"b": zoneBCores}
 	return demand
 }
 
-// arrayDemand is the demand of arrays that may run on spot instances.
-func arrayDemand(cores, urgent float64) Demand {
-	return Demand{SpotCores: cores, UrgentCores: urgent, TaskShapes: []TaskShape{arrayShape}}
+// arrayDemand returns the demand of arrays that may run on spot instances.
+func arrayDemand(cores, urgentCores float64) Demand {
+	return Demand{SpotCores: cores, UrgentCores: urgentCores, TaskShapes: []TaskShape{arrayShape}}
 }
 
-// idleInstance is an on-demand instance that has been idle for long.
+// idleInstance returns an on-demand instance whose idle timeout has passed.
 func idleInstance(name, instanceType, zone string) Instance {
 	return Instance{
 		Name: name, InstanceType: instanceType, Zone: zone, Up: true, IdleSince: longAgo, RequestedAt: longAgo,
 	}
 }
 
-// busyInstance is an on-demand instance with replicas, which have a place elsewhere or not.
+// busyInstance returns an on-demand instance with replicas, which can move elsewhere if movable.
 func busyInstance(name, instanceType, zone string, replicas int, replicaCores float64, movable bool) Instance {
 	return Instance{
 		Name: name, InstanceType: instanceType, Zone: zone, Up: true, RequestedAt: longAgo,
@@ -80,39 +80,39 @@
 	}
 }
 
-// bootingSpot is a large spot instance that has been booting for so long.
+// bootingSpot returns a large spot instance that was requested age ago and is still booting.
 func bootingSpot(age time.Duration) Instance {
 	return Instance{InstanceType: "l", Spot: true, Booting: true, RequestedAt: now.Add(-age)}
 }
 
-func TestFrugalScaleOut(t *testing.T) {
+func TestCostSavingScaleOut(t *testing.T) {
 	largeShape := TaskShape{Cores: 8, SpotAllowed: true}
-	for _, tc := range []frugalCase{
+	for _, tc := range []costSavingCase{
 		{"no demand, no instances", nil, Demand{}, "", 0, nil},
-		{"services get on-demand instances, the cheapest core", nil, serviceDemand(6), "s a on-demand", 2, nil},
-		{"the zone with the fewest cores first", []Instance{{InstanceType: "s", Zone: "a"}},
+		{"services get on-demand instances with the cheapest cores", nil, serviceDemand(6), "s a on-demand", 2, nil},
+		{"zone with the fewest cores first", []Instance{{InstanceType: "s", Zone: "a"}},
 			serviceDemand(8), "s b on-demand", 1, nil},
-		{"arrays run on spot", nil, arrayDemand(8, 8), "s a spot", 2, nil},
+		{"arrays get spot instances", nil, arrayDemand(8, 8), "s a spot", 2, nil},
 		{"only types that a task fits", nil,
 			Demand{SpotCores: 8, UrgentCores: 8, TaskShapes: []TaskShape{largeShape}}, "l a spot", 1, nil},
-		{"only what is urgent, at first", nil, arrayDemand(16, 8), "s a spot", 2, nil},
-		{"instances that boot count", []Instance{{InstanceType: "l", Spot: true}}, arrayDemand(8, 8), "", 0, nil},
-		{"one that boots for too long does not", []Instance{bootingSpot(40 * time.Second)},
+		{"urgent work only at first", nil, arrayDemand(16, 8), "s a spot", 2, nil},
+		{"booting instance counts", []Instance{{InstanceType: "l", Spot: true}}, arrayDemand(8, 8), "", 0, nil},
+		{"instance overdue to boot does not count", []Instance{bootingSpot(40 * time.Second)},
 			arrayDemand(8, 8), "s a spot", 2, nil},
-		{"one that may still come up in time does", []Instance{bootingSpot(30 * time.Second)},
+		{"instance that boots slowly but may still come up counts", []Instance{bootingSpot(30 * time.Second)},
 			arrayDemand(8, 8), "", 0, nil},
 	} {
 		t.Run(tc.name, tc.run)
 	}
 }
 
-func TestFrugalZones(t *testing.T) {
+func TestCostSavingZones(t *testing.T) {
 	failover := serviceDemand(4)
 	failover.FailoverCores = map[string]float64{"a": 4}
-	for _, tc := range []frugalCase{
+	for _, tc := range []costSavingCase{
 		{"a spread service needs capacity in a second zone", []Instance{{InstanceType: "l", Zone: "a"}},
 			spreadDemand(4, 2), "s b on-demand", 1, nil},
-		{"what replicas take there is not free", []Instance{
+		{"cores taken by replicas in the second zone are not free", []Instance{
 			{InstanceType: "l", Zone: "a"},
 			{InstanceType: "s", Zone: "b", ReplicaCores: 4},
 		}, spreadDemand(8, 2), "s b on-demand", 1, nil},
@@ -120,17 +120,17 @@
 			idleInstance("x", "l", "a"),
 			idleInstance("y", "s", "b"),
 		}, spreadDemand(2, 2), "", 0, nil},
-		// A zone that has no more to give kept all idle instances of the others.
-		{"what the second zone lacks keeps nothing elsewhere", []Instance{
+		// A second zone without further capacity once kept all idle instances of the other zones.
+		{"a shortfall in the second zone keeps no instance elsewhere", []Instance{
 			idleInstance("x", "l", "a"),
 			busyInstance("", "l", "a", 1, 2, false),
 			busyInstance("", "s", "b", 2, 4, false),
 		}, spreadDemand(6, 2), "s b on-demand", 1, []string{"x"}},
-		{"what only one zone may take is requested there", []Instance{{InstanceType: "l", Zone: "a"}},
+		{"zone-bound work gets an instance in its zone", []Instance{{InstanceType: "l", Zone: "a"}},
 			zoneBoundDemand(8, 4), "s b on-demand", 1, nil},
-		{"and not elsewhere", []Instance{{InstanceType: "s", Zone: "b", ReplicaCores: 4}},
+		{"zone-bound work gets no instance elsewhere", []Instance{{InstanceType: "s", Zone: "b", ReplicaCores: 4}},
 			zoneBoundDemand(8, 4), "s b on-demand", 1, nil},
-		{"nor is anything kept elsewhere for it", []Instance{
+		{"zone-bound work keeps no instance elsewhere", []Instance{
 			idleInstance("x", "l", "a"),
 			busyInstance("", "s", "b", 2, 4, false),
 			busyInstance("", "l", "a", 1, 2, false),
@@ -138,25 +138,25 @@
 		{"capacity elsewhere for the replicas of a lost zone", []Instance{
 			{InstanceType: "l", Zone: "a", ReplicaCores: 4},
 		}, failover, "s b on-demand", 1, nil},
-		{"none for what may not be elsewhere", []Instance{{InstanceType: "l", Zone: "a", ReplicaCores: 4}},
+		{"no failover capacity for replicas that may not move", []Instance{{InstanceType: "l", Zone: "a", ReplicaCores: 4}},
 			serviceDemand(4), "", 0, nil},
 	} {
 		t.Run(tc.name, tc.run)
 	}
 }
 
-func TestFrugalScaleIn(t *testing.T) {
+func TestCostSavingScaleIn(t *testing.T) {
 	idleSpot := func(since time.Time) Instance {
 		return Instance{Name: "x", InstanceType: "s", Spot: true, Up: true, IdleSince: since, RequestedAt: since}
 	}
-	for _, tc := range []frugalCase{
+	for _, tc := range []costSavingCase{
 		{"idle instances are released", []Instance{idleSpot(longAgo)}, Demand{}, "", 0, []string{"x"}},
-		{"not in the first moments", []Instance{idleSpot(now.Add(-time.Second))}, Demand{}, "", 0, nil},
-		{"the dearest core first", []Instance{
+		{"instances idle for a short time are kept", []Instance{idleSpot(now.Add(-time.Second))}, Demand{}, "", 0, nil},
+		{"highest price per core first", []Instance{
 			idleInstance("x", "s", ""),
 			idleInstance("y", "l", ""),
 		}, Demand{OnDemandCores: 2, LargestServiceCores: 2, TaskShapes: []TaskShape{serviceShape}}, "", 0, []string{"y"}},
-		{"an instance with replicas is drained only if they have a place", []Instance{
+		{"an instance is drained only if its replicas can move", []Instance{
 			busyInstance("x", "s", "", 1, 0, true),
 			busyInstance("y", "l", "", 1, 0, false),
 		}, serviceDemand(2), "", 0, []string{"x"}},
@@ -165,7 +165,7 @@
 	}
 }
 
-// Many services even out: they need a smaller spare share than a few.
+// Guards against needless spare capacity: the demand of many services varies less than that of a few.
 func TestSpareShareFallsWithManyJobs(t *testing.T) {
 	operator, err := settings.ParseOperator([]byte("<rillflow><fleet><spare>0.2</spare></fleet></rillflow>"))
 	if err != nil {
@@ -174,7 +174,7 @@
 	planner := NewPlanner(&settings.Settings{Operator: operator}, 1)
 	for jobs, want := range map[int]float64{0: 0.2, 10: 0.2, 64: 0.2, 256: 0.1, 1024: 0.05} {
 		if got := planner.spareShare(jobs); got != want {
-			t.Errorf("%d jobs: %v, want %v", jobs, got, want)
+			t.Errorf("spare share for %d jobs: got %v, want %v", jobs, got, want)
 		}
 	}
 }
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -7,32 +7,32 @@
 	"rillflow/internal/wire"
 )
 
-// fitTolerance is added before a number of tasks is rounded down: tasks that fill an instance
-// exactly are not to be one fewer by a rounding error, as 0.3/0.1 is just below 3.
+// fitTolerance is added before a number of tasks is rounded down. Without it a floating-point error
+// costs one task of those that fill an instance exactly, as 0.3/0.1 is just below 3.
 const fitTolerance = 1e-6
 
-// Demand is the work on hand, in cores.
+// Demand is the unfinished work that is ready to run, in cores unless noted otherwise.
 type Demand struct {
 	OnDemandCores       float64            // work that may not run on spot instances
 	SpotCores           float64            // work that may run on spot instances
 	QueuedCores         float64            // the part of SpotCores that waits within quota
 	UrgentCores         float64            // the part of SpotCores that must run at once to meet its deadline
-	LargestServiceCores float64            // the largest service on hand: the next one may be like it
-	SecondZoneCores     float64            // what the largest spread service may not have in a single zone
-	ZoneBoundCores      map[string]float64 // waiting work by the only zone that may take it
-	FailoverCores       map[string]float64 // by zone, what its replicas take that other zones may take over
-	OnDemandJobs        int                // jobs that OnDemandCores are of
+	LargestServiceCores float64            // the largest current service: the next one may be as large
+	SecondZoneCores     float64            // the most that a service spread over zones needs outside its first zone
+	ZoneBoundCores      map[string]float64 // waiting work that only one zone may run, by that zone
+	FailoverCores       map[string]float64 // by zone, the part of its replicas that may move to other zones
+	OnDemandJobs        int                // number of jobs in OnDemandCores
 	ScaleAheadCores     float64            // quota limits of the teams for which instances are requested ahead
-	TaskShapes          []TaskShape        // shapes of tasks on hand
+	TaskShapes          []TaskShape        // shapes of all unfinished tasks
 	WaitingShapes       []TaskShape        // shapes of tasks that may run on spot instances and wait within quota
 }
 
-// TaskShape is what a task takes and where it may run.
+// TaskShape is the resources that a task takes and the instances that it may run on.
 type TaskShape struct {
 	Cores, GPUs, MemoryGB float64
-	InstanceTypes         []string // types it may run on; none: any
+	InstanceTypes         []string // types it may run on; empty: any
 	SpotAllowed           bool
-	Weight                float64 // cores of such tasks on hand
+	Weight                float64 // total cores of the unfinished tasks of this shape
 }
 
 // Fits reports whether a task fits an empty instance of a type.
@@ -41,7 +41,7 @@
 		(len(s.InstanceTypes) == 0 || slices.Contains(s.InstanceTypes, instanceType.Name))
 }
 
-// tasksPerInstance returns how many tasks an empty instance of a type holds.
+// tasksPerInstance returns how many tasks of the shape an empty instance of a type holds.
 func (s TaskShape) tasksPerInstance(instanceType *wire.InstanceType) float64 {
 	count := math.Inf(1)
 	for _, resource := range []struct{ capacity, perTask float64 }{
@@ -56,8 +56,9 @@
 	return count
 }
 
-// usableShare returns the share of a type's cores that the tasks on hand can use, each shape alone
-// and by its weight. A type whose memory runs out first is dearer than its price per core says.
+// usableShare returns the share of a type's cores that current tasks can use: the average over the
+// shapes, by weight, of an instance filled with that shape alone. A type that runs out of memory
+// before cores costs more per usable core than its price per core suggests.
 func (d Demand) usableShare(instanceType *wire.InstanceType, spot bool) float64 {
 	sum, weight := 0.0, 0.0
 	for _, shape := range d.TaskShapes {
@@ -75,7 +76,7 @@
 	return sum / weight
 }
 
-// anyFits reports whether some task on hand fits an empty instance of a type and may run on it.
+// anyFits reports whether some unfinished task fits an empty instance of a type and may run on it.
 func (d Demand) anyFits(instanceType *wire.InstanceType, spot bool) bool {
 	return slices.ContainsFunc(d.TaskShapes, func(shape TaskShape) bool {
 		return shape.Fits(instanceType) && (shape.SpotAllowed || !spot)
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// The cloud is asked as it always was: methods, paths, queries and bodies.
+// Guards against requests to the cloud that change in method, path, query or body.
 func TestGoldenRequests(t *testing.T) {
 	recorder := goldentest.NewRecorder(t)
 	var dialer net.Dialer
--- a/internal/fleet/offering.go
+++ b/internal/fleet/offering.go
@@ -10,9 +10,8 @@
 )
 
 const (
-	// maxInstancesPerRequest bounds what a single request asks for.
 	maxInstancesPerRequest = 50
-	// maxBackoffDoublings bounds how often the pause after a refusal is doubled.
+	// maxBackoffDoublings bounds the exponential backoff after refusals.
 	maxBackoffDoublings = 4
 )
 
@@ -22,14 +21,15 @@
 	spot               bool
 }
 
-// refusal is the state of an offering that the cloud last did not grant in full.
+// refusal is the backoff state of an offering whose last request was not granted in full.
 type refusal struct {
-	retryAt time.Time // until then it is not requested
-	count   int       // refusals in a row, at most maxBackoffDoublings
+	retryAt time.Time // no request before
+	count   int       // consecutive refusals, at most maxBackoffDoublings
 }
 
-// RecordAnswer notes how many instances a request was granted. An offering that was not granted in
-// full is not requested for a while, longer each time, so that the next cheapest is tried instead.
+// RecordAnswer records how many instances the cloud granted for a request. An offering that was not
+// granted in full is not requested for a while, longer each time, so that the next cheapest is
+// tried instead.
 func (p *Planner) RecordAnswer(request wire.ScaleOutRequest, granted int, now time.Time) {
 	offered := offering{request.InstanceType, request.Zone, request.Spot}
 	if granted >= request.Count {
@@ -42,13 +42,14 @@
 	p.refused[offered] = refused
 }
 
-// RecordRelease notes that an instance was released: the cloud may grant another like it now.
+// RecordRelease ends the backoff for the offering of a released instance, as the cloud may now grant
+// another one like it.
 func (p *Planner) RecordRelease(instance Instance) {
 	delete(p.refused, offering{instance.InstanceType, instance.Zone, instance.Spot})
 }
 
-// offerings lists what can be requested now and would serve some task on hand, the cheapest first
-// by the cores that these tasks can use.
+// offerings returns the offerings that fit some unfinished task and are not in backoff, the lowest
+// price per usable core first.
 func (p *pass) offerings(spot bool) []offering {
 	var found []offering
 	for _, instanceType := range p.types {
@@ -69,7 +70,7 @@
 	return found
 }
 
-// pricePerUsableCore returns the price of an offering for each core that the tasks on hand can use.
+// pricePerUsableCore returns the hourly price of an offering per core that current tasks can use.
 func (p *pass) pricePerUsableCore(offered offering) float64 {
 	instanceType := p.types[offered.instanceType]
 	price := instanceType.PricePerHour
@@ -79,16 +80,16 @@
 	return price / (instanceType.CPUs * p.demand.usableShare(instanceType, offered.spot))
 }
 
-// requestCores requests so many cores of the offerings, in their order.
+// requestCores requests instances of the offerings, in their order, until they add up to the cores.
 func (p *pass) requestCores(offerings []offering, cores float64) {
 	for _, offered := range offerings {
 		if cores <= 0 {
 			break
 		}
-		perInstance := p.types[offered.instanceType].CPUs
-		count := min(maxInstancesPerRequest, int(math.Ceil(cores/perInstance)))
+		coresPerInstance := p.types[offered.instanceType].CPUs
+		count := min(maxInstancesPerRequest, int(math.Ceil(cores/coresPerInstance)))
 		p.request(offered, count)
-		cores -= float64(count) * perInstance
+		cores -= float64(count) * coresPerInstance
 	}
 }
 
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -10,57 +10,56 @@
 )
 
 const (
-	// minDraining and drainingDivisor bound how many instances drain at once: one in so many, and
-	// some also in a small fleet.
+	// At most one in drainingDivisor instances drain at once, but minDraining in a small fleet.
 	minDraining     = 2
 	drainingDivisor = 32
 )
 
-// Planner decides which instances to request, drain and release. It remembers refusals and the
-// smoothed demand from one plan to the next, and is not safe for concurrent use.
+// Planner decides which instances to request, drain and release. It keeps the refusals and the
+// smoothed demand from one plan to the next. It is not safe for concurrent use.
 type Planner struct {
 	settings          *settings.Settings
 	epoch             uint64
-	requests          int // requests named so far
+	requestCount      int // request IDs issued so far
 	refused           map[offering]refusal
 	smoothedSpotCores float64   // Demand.SpotCores, smoothed over time
-	smoothedAt        time.Time // when it was last updated
+	smoothedAt        time.Time // when smoothedSpotCores was last updated
 }
 
-// NewPlanner returns a planner; the leader's epoch keeps its request IDs unique.
+// NewPlanner returns a planner. The leader's epoch makes its request IDs unique.
 func NewPlanner(config *settings.Settings, epoch uint64) *Planner {
 	return &Planner{settings: config, epoch: epoch, refused: make(map[offering]refusal)}
 }
 
-// NextRequestID returns the ID of a new request. The epoch is this leader's alone, so no ID is ever
-// used twice.
+// NextRequestID returns the ID for a new request. No other leader has the same epoch, so no ID is
+// ever used twice.
 func (p *Planner) NextRequestID() string {
-	p.requests++
-	return fmt.Sprintf("%s-%d-%d", p.settings.Name, p.epoch, p.requests)
+	p.requestCount++
+	return fmt.Sprintf("%s-%d-%d", p.settings.Name, p.epoch, p.requestCount)
 }
 
-// Plan is what to do about the fleet.
+// Plan lists the changes to make to the fleet.
 type Plan struct {
 	ScaleOut         []wire.ScaleOutRequest
 	Release          []string // instances to release
-	Drain            []string // instances that take no new tasks from now on
-	CancelDrains     bool     // draining instances are needed after all
-	CancelDrainZones []string // zones whose draining instances are needed after all
-	ReuseDrained     bool     // draining instances are needed again once their replicas are gone
+	Drain            []string // instances to drain: they take no new tasks
+	CancelDrains     bool     // all drains are cancelled
+	CancelDrainZones []string // zones in which all drains are cancelled
+	ReuseDrained     bool     // an instance is used again once its replicas were drained
 }
 
-// pass is a single run of Planner.Plan: what it was given, and the plan so far.
+// pass holds the input of one call of Planner.Plan and the plan made so far.
 type pass struct {
 	planner   *Planner
 	types     map[string]*wire.InstanceType
-	instances []Instance // those not partitioned
+	instances []Instance // without partitioned ones
 	demand    Demand
 	now       time.Time
 	plan      Plan
 }
 
-// Plan decides which instances to request, drain and release. Partitioned instances are
-// left out: they are not counted on, and not released.
+// Plan decides which instances to request, drain and release. Partitioned instances are ignored:
+// they neither count as capacity nor are released.
 func (p *Planner) Plan(
 	types map[string]*wire.InstanceType, instances []Instance, demand Demand, now time.Time,
 ) Plan {
@@ -69,13 +68,13 @@
 		return instance.Partitioned
 	})
 	if demand.ScaleAheadCores == 0 && p.settings.NeverScalesAhead() {
-		return newFrugalPass(current).run()
+		return newCostSavingPass(current).run()
 	}
 	return current.runAhead()
 }
 
-// idleLongEnough reports whether an instance has been idle long enough to be released: the time
-// that another takes to boot, by the operator's ratio.
+// idleLongEnough reports whether an instance has been idle for its idle timeout: the boot time of
+// its type times the operator's ratio. An instance to be released anyway is not idle.
 func (p *pass) idleLongEnough(instance Instance, instanceType *wire.InstanceType) bool {
 	if instance.Releasing || instance.IdleSince.IsZero() {
 		return false
@@ -84,7 +83,7 @@
 	return p.now.Sub(instance.IdleSince) >= time.Duration(p.planner.settings.Operator.Fleet.IdleTimeout*float64(bootTime))
 }
 
-// maxDraining returns how many of so many instances may drain at once.
+// maxDraining returns how many instances may drain at once in a fleet of the given size.
 func maxDraining(instances int) int {
 	return max(minDraining, instances/drainingDivisor)
 }
--- a/internal/fleet/plan_test.go
+++ b/internal/fleet/plan_test.go
@@ -10,7 +10,8 @@
 
 var now = time.Unix(1000, 0)
 
-// testInstanceTypes returns a small, cheap type in two zones and a large, dear one in one zone.
+// testInstanceTypes returns a small type in two zones and a large one with a higher price per core
+// in one zone.
 func testInstanceTypes() map[string]*wire.InstanceType {
 	return map[string]*wire.InstanceType{
 		"s": {
@@ -24,7 +25,8 @@
 	}
 }
 
-// newTestPlanner returns a planner without spare capacity, which is frugal always or never.
+// newTestPlanner returns a planner without spare capacity, with the thrift setting "always" or
+// "never".
 func newTestPlanner(t *testing.T, thrift string) *Planner {
 	t.Helper()
 	operator, err := settings.ParseOperator([]byte(
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -8,14 +8,15 @@
 	"rillflow/internal/settings"
 )
 
-// coveredHeadroomShare is the part of a zone's headroom that is kept where a controller covers it.
+// coveredHeadroomShare is the share of the usual headroom that is kept for the loss of a zone that
+// has a controller.
 const coveredHeadroomShare = 0.3
 
-// zoneCores are amounts of cores by zone.
+// zoneCores are numbers of cores by zone.
 type zoneCores map[string]float64
 
-// largestTwo returns the zone with the most cores, and how many the next has.
-func (z zoneCores) largestTwo() (top string, second float64) {
+// largestTwo returns the zone with the most cores, and the cores of the zone with the second most.
+func (z zoneCores) largestTwo() (largest string, secondCores float64) {
 	names := slices.SortedFunc(maps.Keys(z), func(a, b string) int {
 		return cmp.Or(-cmp.Compare(z[a], z[b]), cmp.Compare(a, b))
 	})
@@ -28,21 +29,22 @@
 	return names[0], z[names[1]]
 }
 
-// leavesSecondShort reports whether the second-largest zone has less than is needed, and less than
-// now, once a zone has so many cores fewer. Where it lacks them in any case, nothing is kept for it.
-func (z zoneCores) leavesSecondShort(zone string, fewer, needed float64) bool {
+// leavesSecondShort reports whether removing cores from a zone leaves the second-largest zone with
+// fewer cores than needed and fewer than now. If the second-largest zone is short in any case,
+// keeping the cores does not help.
+func (z zoneCores) leavesSecondShort(zone string, removed, needed float64) bool {
 	_, before := z.largestTwo()
-	z[zone] -= fewer
-	_, second := z.largestTwo()
-	z[zone] += fewer
-	return second < min(needed, before)
+	z[zone] -= removed
+	_, after := z.largestTwo()
+	z[zone] += removed
+	return after < min(needed, before)
 }
 
-// failoverShortfall returns the zone whose loss would leave the most replicas without free
-// capacity, and how many cores they would lack. Replicas that may not run elsewhere, since their
-// job has all that is allowed there, need none. A zone that a controller covers goes on during a
-// partition, so that a part of the capacity will do. Spot work on on-demand instances yields to
-// replicas, so that the capacity kept for them is not idle.
+// failoverShortfall returns the zone whose loss would leave the most replica cores without free
+// capacity in other zones, and how many. replicaCores leaves out replicas that may not run in other
+// zones because their job has reached its limit there. A zone with a controller keeps running during
+// a partition, so a part of the capacity is enough for it. The capacity kept for failover is not
+// idle: spot work may use it and yields to replicas.
 func failoverShortfall(config *settings.Settings, replicaCores, free zoneCores) (zone string, shortfall float64) {
 	total := 0.0
 	for _, cores := range free {
@@ -53,16 +55,16 @@
 		if config.HasControllerInZone(lost) {
 			share *= coveredHeadroomShare
 		}
-		if lacking := share*replicaCores[lost] - (total - free[lost]); lacking > shortfall {
-			zone, shortfall = lost, lacking
+		if missing := share*replicaCores[lost] - (total - free[lost]); missing > shortfall {
+			zone, shortfall = lost, missing
 		}
 	}
 	return zone, shortfall
 }
 
-// releaseWorsensShortfall reports whether the loss of a zone would leave more replicas without free
-// capacity once an instance is released and its own replicas moved to others. Where they lack it in
-// any case, since a zone has no more instances to give, instances that do not help are not kept.
+// releaseWorsensShortfall reports whether the failover shortfall grows when an instance is released
+// and its replicas move to other instances. An instance that does not reduce the shortfall is not
+// kept for it, as when the zones that should grow have no more instances to offer.
 func releaseWorsensShortfall(
 	config *settings.Settings, replicaCores, free zoneCores, instance Instance, cores float64,
 ) bool {
