--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -9,52 +9,52 @@
 )
 
 const (
-	// minBurst is the least number of requests, or of writes, that may be sent at once.
+	// minBurst is the least burst of requests and of writes.
 	minBurst = 4
-	// rejectionWindow is how soon after a write that the store refused for its rate another such
-	// refusal shows lower limits, in request timeouts.
-	rejectionWindow = 4
-	// statusReadWaits is how many of the longest waits of a status read make up the request timeout.
-	statusReadWaits = 4
+	// rejectionWindowTimeouts is the time, in request timeouts, within which a second write
+	// rejected for its rate (429) shows that the store has lowered its limits.
+	rejectionWindowTimeouts = 4
+	// statusReadWaitDivisor divides the request timeout to give the longest wait of a status read.
+	statusReadWaitDivisor = 4
 )
 
-// Limits are limits of the store. The rate is this process's share.
+// Limits are the store's limits on writes. The rate is this process's share.
 type Limits struct {
 	WritesPerSecond float64
 	MaxValueBytes   int
 }
 
-// budget keeps this process to its share of the store's rates. The limit of writes only ever falls,
-// once, to the announced one; that of requests follows whether this process leads.
+// budget limits this process to its share of the store's request and write rates. The write limit
+// falls at most once, to the announced one. The request limit depends on whether this process leads.
 type budget struct {
-	requests         *priorityLimiter
-	writes           *priorityLimiter
-	followerRate     float64 // of requests
-	leaderRate       float64 // of requests, while holdsLease
-	holdsLease       func() bool
-	longestReadWait  time.Duration // of a status read
-	maxValueBytes    int
-	announced        Limits
-	lowered          atomic.Bool
-	start            time.Time
-	lastRejection    atomic.Int64 // nanoseconds from start of a write that was refused for its rate
-	rejectionsWithin time.Duration
-	usage            [priorityCount]usageCounter
+	requests          *priorityLimiter
+	writes            *priorityLimiter
+	followerRate      float64 // requests per second
+	leaderRate        float64 // requests per second while holdsLease reports true
+	holdsLease        func() bool
+	maxStatusReadWait time.Duration
+	maxValueBytes     int
+	announcedLimits   Limits
+	lowered           atomic.Bool // the announced limits are in force
+	start             time.Time
+	lastRejection     atomic.Int64 // when a write was last rejected for its rate, in nanoseconds since start; 0: never
+	rejectionWindow   time.Duration
+	usage             [priorityCount]usageCounter
 }
 
-// newBudget returns a budget that has not been used yet.
+// newBudget returns a budget with full token buckets.
 func newBudget(options Options) *budget {
 	return &budget{
-		requests:         newPriorityLimiter(options.RequestsPerSecond, requestBurst(options.RequestsPerSecond)),
-		writes:           newPriorityLimiter(options.WritesPerSecond, writeBurst(options.WritesPerSecond)),
-		followerRate:     options.RequestsPerSecond,
-		leaderRate:       options.LeaderRequestsPerSecond,
-		holdsLease:       options.HoldsLease,
-		longestReadWait:  options.Timeout / statusReadWaits,
-		maxValueBytes:    options.MaxValueBytes,
-		announced:        options.AnnouncedLimits,
-		start:            time.Now(),
-		rejectionsWithin: rejectionWindow * options.Timeout,
+		requests:          newPriorityLimiter(options.RequestsPerSecond, requestBurst(options.RequestsPerSecond)),
+		writes:            newPriorityLimiter(options.WritesPerSecond, writeBurst(options.WritesPerSecond)),
+		followerRate:      options.RequestsPerSecond,
+		leaderRate:        options.LeaderRequestsPerSecond,
+		holdsLease:        options.HoldsLease,
+		maxStatusReadWait: options.Timeout / statusReadWaitDivisor,
+		maxValueBytes:     options.MaxValueBytes,
+		announcedLimits:   options.AnnouncedLimits,
+		start:             time.Now(),
+		rejectionWindow:   rejectionWindowTimeouts * options.Timeout,
 	}
 }
 
@@ -62,30 +62,31 @@
 
 func writeBurst(perSecond float64) int { return max(minBurst, int(perSecond)) }
 
-// wait waits until a request with so many writes may be sent. A request that can't be sent before
-// ctx ends fails at once, and so does a status read that would wait for long; outcomeOf tells which.
+// wait blocks until a request with the given number of writes may be sent. It fails at once if the
+// request cannot be sent before ctx ends, or if a status read would wait longer than
+// maxStatusReadWait. outcomeOf maps the error to the outcome of the request.
 func (b *budget) wait(ctx context.Context, writes int) error {
 	b.adjustRate()
 	priority := priorityOf(ctx)
-	var longest time.Duration
+	var maxWait time.Duration
 	if priority == PriorityStatusRead {
-		longest = b.longestReadWait
+		maxWait = b.maxStatusReadWait
 	}
-	began := time.Now()
-	err := b.requests.wait(ctx, priority, 1, longest)
+	startedAt := time.Now()
+	err := b.requests.wait(ctx, priority, 1, maxWait)
 	if err != nil {
 		err = fmt.Errorf("request budget: %w", err)
 	} else if writes > 0 {
-		if err = b.writes.wait(ctx, priority, writes, longest); err != nil {
+		if err = b.writes.wait(ctx, priority, writes, maxWait); err != nil {
 			err = fmt.Errorf("write budget: %w", err)
 		}
 	}
-	b.usage[priority].noteWait(time.Since(began), err)
+	b.usage[priority].recordWait(time.Since(startedAt), err)
 	return err
 }
 
-// adjustRate gives this process the share of requests that it has now. The lease sees to it that
-// no two have the leader's.
+// adjustRate sets the request rate of this process's present role. The lease ensures that no two
+// processes use the leader's rate at once.
 func (b *budget) adjustRate() {
 	if b.holdsLease == nil {
 		return
@@ -97,7 +98,7 @@
 	b.requests.setRate(perSecond, requestBurst(perSecond))
 }
 
-// outcomeOf returns which outcome a request has that the budget did not allow.
+// outcomeOf returns the outcome of a request that the budget did not allow.
 func outcomeOf(err error) error {
 	if errors.Is(err, errQueueFull) {
 		return ErrShed
@@ -105,40 +106,41 @@
 	return ErrRateLimited
 }
 
-// lowerLimits goes over to the announced limits for good: a refusal has shown that they are in
-// force.
+// lowerLimits applies the announced limits for the rest of the process, after a rejection has shown
+// that they are in force.
 func (b *budget) lowerLimits() {
-	if b.announced.MaxValueBytes == 0 || b.lowered.Swap(true) {
+	if b.announcedLimits.MaxValueBytes == 0 || b.lowered.Swap(true) {
 		return
 	}
 	perSecond, _, _ := b.writes.limits()
-	lower := min(perSecond, b.announced.WritesPerSecond)
+	lower := min(perSecond, b.announcedLimits.WritesPerSecond)
 	b.writes.setRate(lower, writeBurst(lower))
 }
 
-// noteWriteRejection notes that the store refused a write for its rate. One may be bad luck among
-// several controllers; a second soon after shows lower limits.
-func (b *budget) noteWriteRejection() {
+// recordWriteRejection records that the store rejected a write for its rate. A single rejection may
+// come from bursts of several controllers that coincide; a second one within rejectionWindow shows
+// that the limits were lowered.
+func (b *budget) recordWriteRejection() {
 	now := int64(time.Since(b.start))
-	if last := b.lastRejection.Swap(now); last != 0 && now-last < int64(b.rejectionsWithin) {
+	if last := b.lastRejection.Swap(now); last != 0 && now-last < int64(b.rejectionWindow) {
 		b.lowerLimits()
 	}
 }
 
-// MaxValueBytes is how many bytes a value may have, as far as is known.
+// MaxValueBytes returns the largest size of a value under the limits known to be in force.
 func (c *Client) MaxValueBytes() int {
 	if c.budget.lowered.Load() {
-		return min(c.budget.maxValueBytes, c.budget.announced.MaxValueBytes)
+		return min(c.budget.maxValueBytes, c.budget.announcedLimits.MaxValueBytes)
 	}
 	return c.budget.maxValueBytes
 }
 
-// LimitsLowered reports whether the announced limits were found in force.
+// LimitsLowered reports whether the announced limits are known to be in force.
 func (c *Client) LimitsLowered() bool { return c.budget.lowered.Load() }
 
-// BulkWriteAllowance is how many bulk writes can be sent now that leave a share of the burst, the
-// reserve, to single writes, which users and leadership wait for. If that is fewer than the
-// minimum, it returns how long until those can be sent.
+// BulkWriteAllowance returns how many bulk writes can be sent now while a share of the burst, the
+// reserve, is left for single writes, which users and leader election wait for. If that is fewer
+// than the minimum, it returns 0 and the time until the minimum can be sent.
 func (c *Client) BulkWriteAllowance(minimum int, reserve float64) (allowance int, wait time.Duration) {
 	perSecond, burst, available := c.budget.writes.limits()
 	reserve *= burst
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -14,8 +14,8 @@
 	"rillflow/internal/wire"
 )
 
-// Bulk writes leave a part of the budget, so that a single write in between need not wait; the
-// more so the less anybody waits for them.
+// Guards against bulk writes that use up the budget and so delay single writes: the reserved share
+// of the burst stays available.
 func TestBulkWriteAllowance(t *testing.T) {
 	for _, tc := range []struct {
 		name      string
@@ -24,13 +24,13 @@
 		allowance int
 		wait      time.Duration
 	}{
-		{"all but a quarter", 0, 0.25, 6, 0},
-		{"just the minimum", 3, 0.25, 3, 0},
-		{"four short", 7, 0.25, 0, 500 * time.Millisecond},
-		{"half is reserved", 0, 0.5, 4, 0},
-		{"half is reserved, one was spent", 1, 0.5, 3, 0},
-		{"half is reserved, two were spent", 2, 0.5, 0, 125 * time.Millisecond},
-		{"more is reserved than leaves the minimum: all of the budget will do", 0, 0.9, 3, 0},
+		{"a quarter reserved", 0, 0.25, 6, 0},
+		{"exactly the minimum left", 3, 0.25, 3, 0},
+		{"four tokens short", 7, 0.25, 0, 500 * time.Millisecond},
+		{"half reserved", 0, 0.5, 4, 0},
+		{"half reserved, one spent", 1, 0.5, 3, 0},
+		{"half reserved, two spent", 2, 0.5, 0, 125 * time.Millisecond},
+		{"reserve and minimum exceed the burst: the full bucket suffices", 0, 0.9, 3, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -40,11 +40,11 @@
 				c.budget.writes.bucket.AllowN(time.Now(), tc.spent)
 				allowance, wait := c.BulkWriteAllowance(3, tc.reserve)
 				if allowance != tc.allowance || wait != tc.wait {
-					t.Errorf("%d writes in %v, want %d in %v", allowance, wait, tc.allowance, tc.wait)
+					t.Errorf("allowance %d, wait %v, want %d, %v", allowance, wait, tc.allowance, tc.wait)
 				}
 				if time.Sleep(wait); wait > 0 {
 					if allowance, wait = c.BulkWriteAllowance(3, tc.reserve); allowance < 3 || wait > 0 {
-						t.Errorf("then %d writes in %v", allowance, wait)
+						t.Errorf("after that wait: allowance %d, wait %v, want at least 3, 0s", allowance, wait)
 					}
 				}
 			})
@@ -52,9 +52,10 @@
 	}
 }
 
-// A refusal for size, or two for the rate soon after one another, show that the announced limits
-// are in force; they are kept to from then on.
-func TestLowerLimits(t *testing.T) {
+// Guards against a client that keeps exceeding limits that the store has lowered, or that takes
+// another refusal for lowered limits. A rejection for size, or two for the rate within a short time,
+// show that the announced limits are in force.
+func TestAnnouncedLimits(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
 		statuses      []int
@@ -63,17 +64,17 @@
 		maxValueBytes int
 	}{
 		{"too large", []int{400}, "too large", ErrTooLarge, 2048},
-		{"a lease that ended says nothing of limits", []int{400}, `{"error":"no such lease"}`, ErrRefused, 16384},
-		{"one refusal for the rate", []int{429}, "", ErrRateLimited, 16384},
-		{"two", []int{429, 200, 429}, "{}", ErrRateLimited, 2048},
-		{"an outage", []int{503, 503, 503}, "", ErrRefused, 16384},
+		{"lease has ended", []int{400}, `{"error":"no such lease"}`, ErrRefused, 16384},
+		{"one rejection for the rate", []int{429}, "", ErrRateLimited, 16384},
+		{"two rejections for the rate", []int{429, 200, 429}, "{}", ErrRateLimited, 2048},
+		{"outage", []int{503, 503, 503}, "", ErrRefused, 16384},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			n := 0
+			requestCount := 0
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				w.WriteHeader(tc.statuses[n])
+				w.WriteHeader(tc.statuses[requestCount])
 				w.Write([]byte(tc.body))
-				n++
+				requestCount++
 			}))
 			defer server.Close()
 			var dialer net.Dialer
@@ -91,7 +92,7 @@
 				t.Errorf("got %v, want %v", err, tc.want)
 			}
 			if c.MaxValueBytes() != tc.maxValueBytes {
-				t.Errorf("values of %d bytes, want %d", c.MaxValueBytes(), tc.maxValueBytes)
+				t.Errorf("MaxValueBytes %d, want %d", c.MaxValueBytes(), tc.maxValueBytes)
 			}
 			want := 1000.0
 			if tc.maxValueBytes == 2048 {
@@ -104,7 +105,8 @@
 	}
 }
 
-// Guards against shares that add up to more than the store allows: only the lease gives the leader's.
+// Guards against processes whose shares add up to more than the store allows: only the holder of the
+// lease uses the leader's share.
 func TestRequestRateFollowsTheLease(t *testing.T) {
 	holdsLease := false
 	budget := newBudget(Options{
@@ -121,13 +123,14 @@
 		}
 		perSecond, burst, _ := budget.requests.limits()
 		if perSecond != test.rate || burst != test.rate/2 {
-			t.Errorf("%v a second and bursts of %v while the lease is held: %v, want %v", perSecond, burst, test.holdsLease, test.rate)
+			t.Errorf("with the lease held %v: %v requests per second, burst %v, want %v per second", test.holdsLease, perSecond, burst, test.rate)
 		}
 	}
 }
 
-// Guards against a follower that keeps the leader's rate, set late by a caller that saw the lease held.
-func TestLateRateOfAnEndedLeaseDoesNotStay(t *testing.T) {
+// Guards against a follower that keeps the leader's rate because a concurrent caller, which still saw
+// the lease held, set it after the lease ended.
+func TestLeaderRateEndsWithTheLease(t *testing.T) {
 	budget := newBudget(Options{
 		RequestsPerSecond: 20, LeaderRequestsPerSecond: 40, HoldsLease: func() bool { return false },
 		Limits: Limits{WritesPerSecond: 10}, Timeout: time.Second,
@@ -137,6 +140,6 @@
 		t.Fatal(err)
 	}
 	if perSecond, _, _ := budget.requests.limits(); perSecond != 20 {
-		t.Errorf("%v requests a second without the lease, want 20", perSecond)
+		t.Errorf("%v requests per second without the lease, want 20", perSecond)
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,12 +1,12 @@
 // Package kvstore is the client of the key-value store, the only place where controllers keep
 // durable data: keys with revisions, transactions guarded by compares, leases and watches. It
-// keeps to this process's share of the store's request budget, tells a request that was surely
-// refused from one whose outcome is unknown, and notices when the store's revision goes back,
-// which shows that the store lost data.
+// limits this process to its share of the store's request budget, distinguishes requests that were
+// certainly not executed from those whose outcome is unknown, and detects when the store's revision
+// goes back, which shows that the store lost data.
 //
-// A Client owns the connections, the budget and the latest revision known; no data of the store.
-// Every package that reads or writes durable data calls it. It must not retry a request (only
-// WatchPrefix does, which reads) and must not interpret what is stored.
+// A Client owns the connections, the budget and the latest revision known, but no stored data.
+// Every package that reads or writes durable data uses it. It must not retry requests (except for
+// the reads of WatchPrefix) and must not interpret stored values.
 package kvstore
 
 import (
@@ -27,40 +27,40 @@
 	maxResponseBytes = 16 << 20
 )
 
-// Client talks to the key-value store. It is safe for concurrent use.
+// Client is a client of the key-value store. It is safe for concurrent use.
 type Client struct {
 	baseURL      string
 	http         *jsonhttp.Client
-	timeout      time.Duration // of a request, unless it may take longer
+	timeout      time.Duration // of a request; some add an extraTimeout
 	budget       *budget
 	revision     revisionFloor
 	start        time.Time
-	lastAnswer   atomic.Int64 // nanoseconds from start, by the monotonic clock
+	lastAnswer   atomic.Int64 // when the store last answered, in nanoseconds since start, by the monotonic clock
 	requestCount atomic.Int64 // requests sent
 	sharedReads  singleflight.Group
 	operations   operationCounters
 	log          *slog.Logger
 }
 
-// Options set up a client.
+// Options configure a client.
 type Options struct {
 	Addr              string
 	RequestsPerSecond float64 // this process's share
-	// LeaderRequestsPerSecond is its share while HoldsLease reports that no other process leads.
-	// No role is told apart if HoldsLease is nil.
+	// LeaderRequestsPerSecond is this process's share while HoldsLease reports true, so that no
+	// other process can be leader. If HoldsLease is nil, RequestsPerSecond always applies.
 	LeaderRequestsPerSecond float64
 	HoldsLease              func() bool
-	// Limits are those in force as far as is known.
+	// Limits are the limits that are initially taken to be in force.
 	Limits
-	// AnnouncedLimits are those that the store may fall to without further notice. None are
-	// announced if their value size is 0.
+	// AnnouncedLimits are lower limits that the store may apply at any time without further
+	// notice. A MaxValueBytes of 0 means that none are announced.
 	AnnouncedLimits Limits
 	Timeout         time.Duration
 	Dial            func(ctx context.Context, network, addr string) (net.Conn, error)
-	Log             *slog.Logger // nil: nothing is logged
+	Log             *slog.Logger // nil: no logging
 }
 
-// New returns a client that has not sent anything yet.
+// New returns a client without open connections.
 func New(options Options) *Client {
 	if options.Log == nil {
 		options.Log = slog.New(slog.DiscardHandler)
@@ -81,16 +81,16 @@
 	}
 }
 
-// SinceLastAnswer is how long ago the store last answered this process; before the first answer,
-// how long ago the client was made.
+// SinceLastAnswer returns the time since the store last answered this process or, before the first
+// answer, since the client was created.
 func (c *Client) SinceLastAnswer() time.Duration {
 	return time.Since(c.start) - time.Duration(c.lastAnswer.Load())
 }
 
-// RequestCount is the number of requests sent.
+// RequestCount returns the number of requests sent.
 func (c *Client) RequestCount() int64 { return c.requestCount.Load() }
 
-// Probe reads a key that need not exist, to see whether the store answers: SinceLastAnswer tells.
+// Probe reads a key that need not exist, so that SinceLastAnswer shows whether the store answers.
 func (c *Client) Probe(ctx context.Context) {
-	_, _ = c.Get(ctx, "probe") // the outcome shows in SinceLastAnswer
+	_, _ = c.Get(ctx, "probe") // an answer resets SinceLastAnswer
 }
--- a/internal/kvstore/client_test.go
+++ b/internal/kvstore/client_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// newTestClient returns a client of a server at an address, with a budget that no test uses up.
+// newTestClient returns a client of the server at addr, with a budget too large for a test to use up.
 func newTestClient(addr string) *Client {
 	var dialer net.Dialer
 	return New(Options{
@@ -18,7 +18,7 @@
 	})
 }
 
-// serve returns a client of a store that is played by a handler.
+// serve starts a fake store served by handler and returns a client of it.
 func serve(t *testing.T, handler http.Handler) *Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -5,37 +5,37 @@
 	"fmt"
 )
 
-// Outcomes that callers decide on, found by errors.Is.
+// Outcomes of requests, for callers to match with errors.Is.
 var (
-	// ErrRefused is the outcome of a request that was surely not executed.
+	// ErrRefused is the outcome of a request that was certainly not executed.
 	ErrRefused = errors.New("kvstore: refused")
-	// ErrOutcomeUnknown is the outcome of a request that may have been executed, or may yet be.
+	// ErrOutcomeUnknown is the outcome of a request that may have been executed or may still be.
 	ErrOutcomeUnknown = errors.New("kvstore: outcome unknown")
-	// ErrNotFound says that there is no such key or lease.
+	// ErrNotFound means that the key or lease does not exist.
 	ErrNotFound = errors.New("kvstore: not found")
-	// ErrCompacted says that the revision to watch from is no longer in the change log, or that
-	// the store never reached it since it lost data.
+	// ErrCompacted means that the revision to watch from is no longer in the change log, or that
+	// the store has not reached it since it lost data.
 	ErrCompacted = errors.New("kvstore: revision compacted")
-	// ErrRateLimited is a refusal for want of budget, here or at the store (429). The latter
-	// proves that the store is up.
+	// ErrRateLimited means that the request exceeded the budget of this process or the rate limit
+	// of the store (429). The latter proves that the store is up.
 	ErrRateLimited = fmt.Errorf("rate limited: %w", ErrRefused)
-	// ErrShed is a refusal here because too many requests of more or the same worth wait. It
-	// is not to be tried again soon.
+	// ErrShed means that this process dropped the request because too many requests of the same or
+	// a higher priority are waiting. The caller must not retry it soon.
 	ErrShed = fmt.Errorf("shed: %w", ErrRateLimited)
-	// ErrTooLarge is a refusal of a value or transaction over the store's limits. It is not to be
-	// sent again as it was.
+	// ErrTooLarge means that a value or transaction exceeds the store's limits. The caller must not
+	// send it again unchanged.
 	ErrTooLarge = fmt.Errorf("too large: %w", ErrRefused)
 )
 
-// RequestError is a request that failed.
+// RequestError is the error of a failed request.
 type RequestError struct {
 	Operation string // such as "get" or "commit"
-	Key       string // key, prefix or lease concerned; "" if there is none
+	Key       string // key, prefix or lease of the request; "" if it has none
 	Outcome   error  // one of the errors above
-	Cause     error  // what showed it; nil if the status code says all
+	Cause     error  // underlying error; nil if the status code alone gives the outcome
 }
 
-// Error names the outcome, the operation, its key and the cause.
+// Error returns the outcome, the operation, its key and the cause.
 func (e *RequestError) Error() string {
 	text := fmt.Sprintf("%v: %s", e.Outcome, describe(e.Operation, e.Key))
 	if e.Cause != nil {
@@ -44,11 +44,12 @@
 	return text
 }
 
-// Unwrap returns the outcome. The cause is left out on purpose: it may be why the caller's context
-// was cancelled, such as the end of a leadership, and must not pass for what became of the request.
+// Unwrap returns the outcome. It leaves out the cause on purpose: that may be the reason why the
+// caller's context was cancelled, such as the end of a leader's term, and must not be mistaken for
+// the outcome of the request.
 func (e *RequestError) Unwrap() error { return e.Outcome }
 
-// describe names an operation in an error text.
+// describe returns an operation and its key for an error text.
 func describe(operation, key string) string {
 	if key == "" {
 		return operation
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -12,8 +12,8 @@
 	"rillflow/internal/wire"
 )
 
-// What was surely not executed must be told from what may have been: only the first may be given
-// up.
+// Guards against taking a request that may have been executed for one that was certainly not: the
+// caller may give up only the latter.
 func TestErrorClassification(t *testing.T) {
 	status := func(code int) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(code) }
@@ -34,11 +34,11 @@
 		{"400", status(400), ErrRefused},
 		{"500", status(500), ErrOutcomeUnknown},
 		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrOutcomeUnknown},
-		{"half an answer", func(w http.ResponseWriter, _ *http.Request) {
+		{"truncated answer", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "50")
 			w.Write([]byte(`{"gen`))
 		}, ErrOutcomeUnknown},
-		{"nonsense", body(`[`), ErrOutcomeUnknown},
+		{"malformed answer", body(`[`), ErrOutcomeUnknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, _, err := serve(t, tc.handle).Commit(context.Background(), wire.Txn{})
@@ -46,7 +46,7 @@
 				t.Errorf("got %v, want %v", err, tc.want)
 			}
 			if tc.want == ErrOutcomeUnknown && errors.Is(err, ErrRefused) {
-				t.Error("an unknown outcome passed for a refusal")
+				t.Errorf("got %v: an unknown outcome must not match ErrRefused", err)
 			}
 		})
 	}
@@ -60,15 +60,16 @@
 	addr := listener.Addr().String()
 	listener.Close()
 	if _, err := newTestClient(addr).Get(context.Background(), "k"); !errors.Is(err, ErrRefused) {
-		t.Errorf("got %v: what was not sent was not executed", err)
+		t.Errorf("got %v, want ErrRefused: the request was not sent", err)
 	}
 }
 
-// Why a caller's context was cancelled must not pass for what became of the request.
-func TestCauseIsNoOutcome(t *testing.T) {
+// Guards against taking the reason why a caller's context was cancelled for the outcome of the
+// request.
+func TestCancellationCauseIsNotTheOutcome(t *testing.T) {
 	reached := make(chan struct{})
 	client := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		io.Copy(io.Discard, r.Body) // or the server would not notice that the client is gone
+		io.Copy(io.Discard, r.Body) // the server detects a closed connection only after reading the body
 		close(reached)
 		<-r.Context().Done()
 	}))
@@ -76,22 +77,22 @@
 	go func() { <-reached; cancel(ErrNotFound) }()
 	_, _, err := client.Commit(ctx, wire.Txn{Operations: []wire.Operation{{Put: "k"}}})
 	if !errors.Is(err, ErrOutcomeUnknown) || errors.Is(err, ErrNotFound) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want ErrOutcomeUnknown without ErrNotFound", err)
 	}
-	var failed *RequestError
-	if !errors.As(err, &failed) || failed.Cause == nil || !strings.Contains(err.Error(), "commit k: ") {
-		t.Errorf("%q does not name operation, key and cause", err)
+	var requestError *RequestError
+	if !errors.As(err, &requestError) || requestError.Cause == nil || !strings.Contains(err.Error(), "commit k: ") {
+		t.Errorf("error %q does not name the operation, the key and the cause", err)
 	}
 }
 
-// A compare that did not hold is an answer, not an error.
-func TestCompareFailedIsAnAnswer(t *testing.T) {
+// Guards against reporting a failed compare as an error: the answer is valid.
+func TestFailedCompareIsNotAnError(t *testing.T) {
 	client := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(409)
 		w.Write([]byte(`{"failed":["a"],"generation":9}`))
 	}))
 	revision, failed, err := client.Commit(context.Background(), wire.Txn{})
 	if err != nil || revision != 9 || len(failed) != 1 || failed[0] != "a" {
-		t.Errorf("%d %v %v", revision, failed, err)
+		t.Errorf("revision %d, failed %v, error %v, want 9, [a], no error", revision, failed, err)
 	}
 }
--- a/internal/kvstore/golden_test.go
+++ b/internal/kvstore/golden_test.go
@@ -8,7 +8,7 @@
 	"rillflow/internal/wire"
 )
 
-// The store is asked as it always was: methods, paths, queries and bodies.
+// Guards against requests to the store that change in method, path, query or body.
 func TestGoldenRequests(t *testing.T) {
 	recorder := goldentest.NewRecorder(t)
 	c := newTestClient(recorder.Addr())
@@ -28,7 +28,7 @@
 			t.Error(err)
 		}
 	}
-	c.First(ctx, "a/b/") // both find nothing
+	c.First(ctx, "a/b/") // these two reads find no key
 	c.GetByListing(ctx, "lead")
 	goldentest.Check(t, "requests.txt", recorder.Requests())
 }
--- a/internal/kvstore/operations.go
+++ b/internal/kvstore/operations.go
@@ -10,52 +10,52 @@
 	"rillflow/internal/wire"
 )
 
-// What became of the operations of a transaction, as metrics name it.
+// Outcomes of the operations of a transaction, as label values of metrics.
 const (
 	txnApplied       = "applied"
 	txnCompareFailed = "compare_failed"
-	txnUnsent        = "unsent"   // not allowed by the budget
-	txnRejected      = "rejected" // by the store
+	txnUnsent        = "unsent"   // not allowed by this process's budget
+	txnRejected      = "rejected" // not executed by the store
 	txnUnknown       = "unknown"
 )
 
-// OperationCount is how many operations of one sort transactions have had since the process
-// began.
+// OperationCount is the number of operations in transactions with the same key prefix, kind and
+// outcome since the process started.
 type OperationCount struct {
-	Prefix   string // of the key, up to the first slash
+	Prefix   string // key up to the first slash
 	IsDelete bool
 	Outcome  string
 	Count    int64
 }
 
-// operationSort is what operations are counted by.
-type operationSort struct {
+// operationKey identifies one counter of operations.
+type operationKey struct {
 	prefix   string
 	isDelete bool
 	outcome  string
 }
 
-// operationCounters counts operations of transactions. It is safe for concurrent use. Keys have few
-// prefixes, so it stays small.
+// operationCounters counts the operations of transactions. It is safe for concurrent use. There are
+// few key prefixes, so the map stays small.
 type operationCounters struct {
 	mu     sync.Mutex
-	counts map[operationSort]int64
+	counts map[operationKey]int64
 }
 
-// add counts the operations of a transaction.
+// add counts the operations of a transaction with an outcome.
 func (c *operationCounters) add(operations []wire.Operation, outcome string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.counts == nil {
-		c.counts = make(map[operationSort]int64)
+		c.counts = make(map[operationKey]int64)
 	}
 	for _, operation := range operations {
-		prefix, _, _ := strings.Cut(operation.Put+operation.Delete, "/") // it has one of them
-		c.counts[operationSort{prefix, operation.Delete != "", outcome}]++
+		prefix, _, _ := strings.Cut(operation.Put+operation.Delete, "/") // exactly one is set
+		c.counts[operationKey{prefix, operation.Delete != "", outcome}]++
 	}
 }
 
-// txnOutcomeOf names what became of a transaction.
+// txnOutcomeOf returns the outcome of a transaction from the results of Commit.
 func txnOutcomeOf(failed []string, err error) string {
 	var request *RequestError
 	switch {
@@ -71,18 +71,18 @@
 	return txnUnknown
 }
 
-// isUnsent reports whether it was this process's budget that did not allow a request.
+// isUnsent reports whether this process's budget did not allow a request, rather than the store.
 func isUnsent(request *RequestError) bool {
 	return errors.Is(request.Cause, errQueueFull) || errors.Is(request.Cause, errDeadlineTooClose)
 }
 
-// OperationCounts returns how many operations transactions have had, in a fixed order.
+// OperationCounts returns all counters of operations, in a fixed order.
 func (c *Client) OperationCounts() []OperationCount {
 	c.operations.mu.Lock()
 	defer c.operations.mu.Unlock()
 	counts := make([]OperationCount, 0, len(c.operations.counts))
-	for sort, count := range c.operations.counts {
-		counts = append(counts, OperationCount{sort.prefix, sort.isDelete, sort.outcome, count})
+	for key, count := range c.operations.counts {
+		counts = append(counts, OperationCount{key.prefix, key.isDelete, key.outcome, count})
 	}
 	slices.SortFunc(counts, func(a, b OperationCount) int {
 		return cmp.Or(cmp.Compare(a.Prefix, b.Prefix), cmp.Compare(a.Outcome, b.Outcome), cmp.Compare(b.Count, a.Count))
--- a/internal/kvstore/prioritylimiter.go
+++ b/internal/kvstore/prioritylimiter.go
@@ -10,32 +10,32 @@
 	"golang.org/x/time/rate"
 )
 
-// starvationInterval is how many grants in a row pass over a lower priority at most while
-// requests of it wait.
+// starvationInterval is the number of grants to higher priorities after which a waiting request of a
+// lower priority is granted next, and the least number of grants between two such exceptions.
 const starvationInterval = 16
 
 var (
-	// errDeadlineTooClose says that a request cannot be granted before its context ends.
+	// errDeadlineTooClose means that a request cannot be granted before the deadline of its context.
 	errDeadlineTooClose = errors.New("cannot be sent before the deadline")
-	// errQueueFull says that more requests wait than a request of this priority waits for.
+	// errQueueFull means that the requests ahead in the queue would take longer than the maximum wait.
 	errQueueFull = errors.New("too many requests wait")
 )
 
-// priorityLimiter is a token bucket that serves those who wait by priority, and those of one
-// priority in the order in which they came. It may be used by several goroutines.
+// priorityLimiter is a token bucket that grants waiting requests by priority, and first in, first
+// out within one priority. It is safe for concurrent use.
 type priorityLimiter struct {
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	bucket  *rate.Limiter
 	waiting [priorityCount][]*tokenRequest
-	// passedOver counts, by priority, the grants to others since a request of it was granted or
-	// began to wait.
+	// passedOver counts, for each priority, the grants to higher priorities since one of its
+	// requests was granted or began to wait.
 	passedOver [priorityCount]int
-	// sinceStarved counts the grants since one that went to a lower priority than the highest waiting.
-	sinceStarved int
-	timer        *time.Timer // wakes those who wait when there are tokens; nil until needed
+	// sinceException counts the grants since the last one that passed over a higher priority.
+	sinceException int
+	timer          *time.Timer // calls dispatch when tokens are expected; nil until needed
 }
 
-// tokenTime is how long it takes until there are so many tokens more.
+// tokenTime returns the time in which a bucket gains the given number of tokens.
 func tokenTime(tokens, perSecond float64) time.Duration {
 	return time.Duration(tokens / perSecond * float64(time.Second))
 }
@@ -43,14 +43,14 @@
 // tokenRequest is a request that waits for tokens.
 type tokenRequest struct {
 	tokens  int
-	granted chan struct{} // closed once it has them
+	granted chan struct{} // closed when the tokens are granted
 }
 
 func newPriorityLimiter(perSecond float64, burst int) *priorityLimiter {
-	return &priorityLimiter{bucket: rate.NewLimiter(rate.Limit(perSecond), burst), sinceStarved: starvationInterval}
+	return &priorityLimiter{bucket: rate.NewLimiter(rate.Limit(perSecond), burst), sinceException: starvationInterval}
 }
 
-// setRate changes the rate and the burst from now on, if they differ.
+// setRate changes the rate and the burst if they differ from the present ones.
 func (l *priorityLimiter) setRate(perSecond float64, burst int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -62,17 +62,17 @@
 	l.dispatch()
 }
 
-// limits returns the rate, the burst and the tokens available now.
+// limits returns the rate, the burst and the tokens currently available.
 func (l *priorityLimiter) limits() (perSecond, burst, available float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return float64(l.bucket.Limit()), float64(l.bucket.Burst()), l.bucket.Tokens()
 }
 
-// wait takes so many tokens, after waiting for those that come first. If that is expected to
-// take longer than ctx or the longest wait allow, it fails at once; a longest wait of 0 is none.
-func (l *priorityLimiter) wait(ctx context.Context, priority Priority, tokens int, longest time.Duration) error {
-	request, err := l.enqueue(ctx, priority, tokens, longest)
+// wait takes tokens, after waiting for the requests that come first. It fails at once if the
+// expected wait exceeds maxWait or the deadline of ctx. A maxWait of 0 means no limit.
+func (l *priorityLimiter) wait(ctx context.Context, priority Priority, tokens int, maxWait time.Duration) error {
+	request, err := l.enqueue(ctx, priority, tokens, maxWait)
 	if request == nil {
 		return err
 	}
@@ -84,13 +84,13 @@
 	if l.remove(priority, request) {
 		return ctx.Err()
 	}
-	return nil // granted at the same moment
+	return nil // granted before it could be removed
 }
 
-// enqueue takes the tokens if they are there and nobody waits; else it returns the request that
-// waits, or an error if that is in vain.
+// enqueue takes the tokens if they are available and no request waits; it then returns nil. Else it
+// returns the queued request, or an error if the expected wait is too long.
 func (l *priorityLimiter) enqueue(
-	ctx context.Context, priority Priority, tokens int, longest time.Duration,
+	ctx context.Context, priority Priority, tokens int, maxWait time.Duration,
 ) (*tokenRequest, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,7 +98,7 @@
 		return nil, nil
 	}
 	expected := l.expectedWait(priority, tokens)
-	if longest > 0 && expected > longest {
+	if maxWait > 0 && expected > maxWait {
 		return nil, errQueueFull
 	}
 	if deadline, ok := ctx.Deadline(); ok && expected > time.Until(deadline) {
@@ -110,15 +110,15 @@
 	return request, nil
 }
 
-// remove takes out a request that waits no longer. It reports false if it was granted.
+// remove takes a request out of the queue. It returns false if the request was granted already.
 func (l *priorityLimiter) remove(priority Priority, request *tokenRequest) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at := slices.Index(l.waiting[priority], request)
-	if at < 0 {
+	index := slices.Index(l.waiting[priority], request)
+	if index < 0 {
 		return false
 	}
-	l.waiting[priority] = slices.Delete(l.waiting[priority], at, at+1)
+	l.waiting[priority] = slices.Delete(l.waiting[priority], index, index+1)
 	if len(l.waiting[priority]) == 0 {
 		l.passedOver[priority] = 0
 	}
@@ -126,7 +126,8 @@
 	return true
 }
 
-// anyWaiting is called with the lock held, as are all below.
+// anyWaiting reports whether any request waits. It must be called with mu held, like all methods
+// below.
 func (l *priorityLimiter) anyWaiting() bool {
 	for _, queue := range l.waiting {
 		if len(queue) > 0 {
@@ -136,10 +137,11 @@
 	return false
 }
 
-// capped is how many tokens a request is granted at: one for more than the bucket holds gets all of it.
+// capped returns the tokens to take for a request: at most the burst, as the bucket never holds
+// more.
 func (l *priorityLimiter) capped(tokens int) int { return min(tokens, l.bucket.Burst()) }
 
-// expectedWait is how long a request would wait for those before it if no more came.
+// expectedWait returns how long a new request would wait if no request came after it.
 func (l *priorityLimiter) expectedWait(priority Priority, tokens int) time.Duration {
 	needed := float64(l.capped(tokens)) - l.bucket.Tokens()
 	for _, queue := range l.waiting[:priority+1] {
@@ -150,7 +152,7 @@
 	return tokenTime(needed, float64(l.bucket.Limit()))
 }
 
-// dispatch grants what there are tokens for, and sees to it that the rest is looked at again.
+// dispatch grants requests while there are tokens, and sets the timer for the next one.
 func (l *priorityLimiter) dispatch() {
 	for l.anyWaiting() {
 		priority := l.next()
@@ -163,12 +165,12 @@
 	}
 }
 
-// next is the priority whose first request is granted next: the highest, but now and then one
-// that was passed over for long. Something must be waiting.
+// next returns the priority whose first request is granted next: the highest that has one or, at
+// most once per starvationInterval, the one passed over most often. Some request must be waiting.
 func (l *priorityLimiter) next() Priority {
 	highest := slices.IndexFunc(l.waiting[:], func(queue []*tokenRequest) bool { return len(queue) > 0 })
 	next := highest
-	if l.sinceStarved >= starvationInterval {
+	if l.sinceException >= starvationInterval {
 		for lower := highest + 1; lower < priorityCount; lower++ {
 			if passed := l.passedOver[lower]; passed >= starvationInterval && passed > l.passedOver[next] {
 				next = lower
@@ -178,26 +180,26 @@
 	return Priority(next)
 }
 
-// grant gives the first request of a priority its tokens.
+// grant removes the first request of a priority from the queue and tells it that it has its tokens.
 func (l *priorityLimiter) grant(priority Priority) {
 	close(l.waiting[priority][0].granted)
 	l.waiting[priority] = slices.Delete(l.waiting[priority], 0, 1)
-	l.sinceStarved++
+	l.sinceException++
 	for other, queue := range l.waiting {
 		switch {
 		case Priority(other) == priority || len(queue) == 0:
 			l.passedOver[other] = 0
 		case Priority(other) < priority:
-			l.sinceStarved = 0
+			l.sinceException = 0
 		default:
 			l.passedOver[other]++
 		}
 	}
 }
 
-// wakeAfter looks at those who wait again after a while.
+// wakeAfter schedules a call of dispatch after the delay.
 func (l *priorityLimiter) wakeAfter(delay time.Duration) {
-	delay = max(delay, 0) + time.Nanosecond // what is left of a token is rounded down
+	delay = max(delay, 0) + time.Nanosecond // delay was rounded down to whole nanoseconds
 	if l.timer != nil {
 		l.timer.Reset(delay)
 		return
--- a/internal/kvstore/prioritylimiter_test.go
+++ b/internal/kvstore/prioritylimiter_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// grantLog notes in which order requests are granted.
+// grantLog records the priorities of granted requests, in order.
 type grantLog struct {
 	mu     sync.Mutex
 	grants []Priority
@@ -25,14 +25,14 @@
 	g.grants = append(g.grants, priority)
 }
 
-// emptyLimiter has a token every 10 ms, and none now.
+// emptyLimiter returns a limiter that gains a token every 10 ms and has none now.
 func emptyLimiter() *priorityLimiter {
 	limiter := newPriorityLimiter(100, 1)
 	limiter.bucket.AllowN(time.Now(), 1)
 	return limiter
 }
 
-// waitInBackground has a request wait, and returns once it does.
+// waitInBackground starts a request in a goroutine, and returns once it waits or is granted.
 func (l *priorityLimiter) waitInBackground(ctx context.Context, log *grantLog, priority Priority) {
 	go func() {
 		if l.wait(ctx, priority, 1, 0) == nil {
@@ -67,21 +67,22 @@
 			for i, arrival := range arrivals {
 				priority := Priority(arrival)
 				wg.Go(func() {
-					before := len(log.snapshot())
+					grantsBefore := len(log.snapshot())
 					if err := limiter.wait(t.Context(), priority, 1, 0); err != nil {
-						rt.Errorf("%v: %v", priority, err)
+						rt.Errorf("wait with priority %v: %v", priority, err)
 						return
 					}
-					lower, others := 0, 0
-					for _, granted := range log.snapshot()[before:] {
+					lower, notLower := 0, 0
+					for _, granted := range log.snapshot()[grantsBefore:] {
 						if granted > priority {
 							lower++
 						} else {
-							others++
+							notLower++
 						}
 					}
-					if lower > 1+others/starvationInterval {
-						rt.Errorf("%v was passed by %d of lower and %d of no lower priority", priority, lower, others)
+					if lower > 1+notLower/starvationInterval {
+						rt.Errorf("a %v request was passed by %d requests of lower priority and %d others, want at most 1+%d/%d of lower priority",
+							priority, lower, notLower, notLower, starvationInterval)
 					}
 					log.add(priority)
 				})
@@ -90,7 +91,7 @@
 			}
 			wg.Wait()
 			if len(log.grants) != len(arrivals) {
-				rt.Errorf("%d of %d requests were granted", len(log.grants), len(arrivals))
+				rt.Errorf("%d of %d requests were granted, want all", len(log.grants), len(arrivals))
 			}
 		})
 	})
@@ -107,7 +108,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		limiter, log := emptyLimiter(), &grantLog{}
 		for priority := range Priority(priorityCount) {
-			for range 3 { // each asks again as soon as it was granted
+			for range 3 { // each requests the next token as soon as it has one
 				go func() {
 					for limiter.wait(ctx, priority, 1, 0) == nil {
 						log.add(priority)
@@ -124,27 +125,29 @@
 		}
 		for _, priority := range Priorities()[1:] {
 			if granted[priority] < len(log.grants)/(4*starvationInterval) {
-				t.Errorf("%v got %d of %d grants", priority, granted[priority], len(log.grants))
+				t.Errorf("priority %v got %d of %d grants, want at least 1/%d of them",
+					priority, granted[priority], len(log.grants), 4*starvationInterval)
 			}
 		}
 		if lower := len(log.grants) - granted[PriorityCoordination]; lower > len(log.grants)/starvationInterval+1 {
-			t.Errorf("lower priorities got %d of %d grants", lower, len(log.grants))
+			t.Errorf("lower priorities got %d of %d grants, want at most 1/%d of them",
+				lower, len(log.grants), starvationInterval)
 		}
 	})
 }
 
-func TestWaitRefusesWhatCannotBeServedInTime(t *testing.T) {
+func TestWaitFailsAtOnceIfExpectedTooLong(t *testing.T) {
 	for _, test := range []struct {
 		name     string
 		waiting  int
 		deadline time.Duration
-		longest  time.Duration
+		maxWait  time.Duration
 		want     error
 	}{
-		{"in time", 4, time.Second, 0, nil},
-		{"the deadline comes first", 4, 30 * time.Millisecond, 0, errDeadlineTooClose},
-		{"the queue is longer than it waits for", 4, time.Second, 30 * time.Millisecond, errQueueFull},
-		{"the queue is as long as it waits for", 2, time.Second, 30 * time.Millisecond, nil},
+		{"within the deadline", 4, time.Second, 0, nil},
+		{"beyond the deadline", 4, 30 * time.Millisecond, 0, errDeadlineTooClose},
+		{"beyond the maximum wait", 4, time.Second, 30 * time.Millisecond, errQueueFull},
+		{"exactly the maximum wait", 2, time.Second, 30 * time.Millisecond, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -154,13 +157,13 @@
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), test.deadline)
 				defer cancel()
-				began := time.Now()
-				err := limiter.wait(ctx, PriorityStatusRead, 1, test.longest)
+				startedAt := time.Now()
+				err := limiter.wait(ctx, PriorityStatusRead, 1, test.maxWait)
 				if !errors.Is(err, test.want) {
 					t.Errorf("got %v, want %v", err, test.want)
 				}
-				if waited := time.Since(began); test.want != nil && waited > 0 {
-					t.Errorf("refused after %v, not at once", waited)
+				if waited := time.Since(startedAt); test.want != nil && waited > 0 {
+					t.Errorf("failed after %v, want at once", waited)
 				}
 				time.Sleep(time.Second)
 			})
@@ -202,7 +205,7 @@
 					time.Sleep(2 * time.Second)
 					allowed += 2 * perSecond
 					if granted := float64(2 * len(log.snapshot())); granted > allowed || granted < 0.9*(allowed-10) {
-						t.Errorf("%v tokens after %v, allowed are %v", granted, rates, allowed)
+						t.Errorf("%v tokens granted at rates %v, want between %v and %v", granted, rates, 0.9*(allowed-10), allowed)
 					}
 				}
 				cancel()
--- a/internal/kvstore/requests.go
+++ b/internal/kvstore/requests.go
@@ -10,17 +10,17 @@
 	"rillflow/internal/wire"
 )
 
-// listPageSize is how many keys List asks for at once.
+// listPageSize is the number of keys that List requests per page.
 const listPageSize = 1000
 
-// Get reads a key. The error is ErrNotFound if there is none.
+// Get reads a key. The error is ErrNotFound if it does not exist.
 func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
 	var item wire.KeyValue
 	err := c.do(ctx, call{operation: "get", key: key, method: http.MethodGet, path: "/store/" + key, answer: &item})
 	return item, err
 }
 
-// First reads the first key under a prefix. The error is ErrNotFound if there is none.
+// First reads the first key with a prefix. The error is ErrNotFound if there is none.
 func (c *Client) First(ctx context.Context, prefix string) (wire.KeyValue, error) {
 	return c.first(ctx, prefix, nil)
 }
@@ -36,8 +36,9 @@
 	return page.Items[0], nil
 }
 
-// List reads all keys under a prefix, in pages, and returns the revision of the first. The items
-// may hold later changes already: events after that revision are to be applied by mod revision.
+// List reads all keys with a prefix, page by page, and returns the revision of the first page. Later
+// pages may already contain changes made after it, so the caller must apply events after that
+// revision by mod revision.
 func (c *Client) List(ctx context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
 	revision, err = c.ListPages(ctx, prefix, func(page []wire.KeyValue) error {
 		items = append(items, page...)
@@ -49,15 +50,15 @@
 	return items, revision, nil
 }
 
-// ListPages reads as List does, and gives the items to a function page by page. An error that it
-// returns ends the listing.
+// ListPages reads as List does, but calls handlePage with the items of each page. An error from
+// handlePage ends the listing and is returned.
 func (c *Client) ListPages(
-	ctx context.Context, prefix string, take func(items []wire.KeyValue) error,
+	ctx context.Context, prefix string, handlePage func(items []wire.KeyValue) error,
 ) (revision uint64, err error) {
 	after := ""
 	for first := true; ; first = false {
 		page, err := c.listPage(ctx, pageRequest{
-			prefix: prefix, after: after, limit: listPageSize, extraTime: c.timeout,
+			prefix: prefix, after: after, limit: listPageSize, extraTimeout: c.timeout,
 		})
 		if err != nil {
 			return 0, err
@@ -65,7 +66,7 @@
 		if first {
 			revision = page.Revision
 		}
-		if err := take(page.Items); err != nil {
+		if err := handlePage(page.Items); err != nil {
 			return 0, err
 		}
 		if !page.More || len(page.Items) == 0 {
@@ -75,8 +76,8 @@
 	}
 }
 
-// Page reads up to so many of the keys under a prefix that follow a key, and returns the key after
-// which the next page begins; "" if there is none.
+// Page reads up to limit keys with a prefix that come after a key. It returns the key after which
+// the next page starts, or "" if there is no next page.
 func (c *Client) Page(
 	ctx context.Context, prefix, after string, limit int,
 ) (items []wire.KeyValue, next string, err error) {
@@ -84,21 +85,21 @@
 	if err != nil {
 		return nil, "", err
 	}
-	if n := len(page.Items); page.More && n > 0 {
-		next = page.Items[n-1].Key
+	if count := len(page.Items); page.More && count > 0 {
+		next = page.Items[count-1].Key
 	}
 	return page.Items, next, nil
 }
 
-// pageRequest asks for one page of a listing.
+// pageRequest is a request for one page of a listing.
 type pageRequest struct {
 	prefix, after string
 	limit         int
-	extraTime     time.Duration // that it may take beyond the usual timeout
-	onSend        func()        // as of a call
+	extraTimeout  time.Duration // as in call
+	onSend        func()        // as in call
 }
 
-// listPage asks for one page of a listing.
+// listPage reads one page of a listing.
 func (c *Client) listPage(ctx context.Context, request pageRequest) (page wire.RangeResponse, err error) {
 	query := url.Values{"under": {request.prefix}, "limit": {strconv.Itoa(request.limit)}}
 	if request.after != "" {
@@ -106,16 +107,16 @@
 	}
 	err = c.do(ctx, call{
 		operation: "list", key: request.prefix, method: http.MethodGet, path: "/store?" + query.Encode(),
-		answer: &page, extraTime: request.extraTime, onSend: request.onSend,
+		answer: &page, extraTimeout: request.extraTimeout, onSend: request.onSend,
 	})
 	return page, err
 }
 
-// Commit runs a transaction once and returns the revision that it made. With a nil error, failed
-// names the keys whose compares did not hold; if there are none, the transaction was applied.
+// Commit sends a transaction once and returns the store's revision. If err is nil, failed lists the
+// keys whose compares failed; the transaction was applied if failed is empty.
 func (c *Client) Commit(ctx context.Context, txn wire.Txn) (revision uint64, failed []string, err error) {
 	if txn.Compares == nil {
-		txn.Compares = []wire.Compare{} // the store wants lists, not null
+		txn.Compares = []wire.Compare{} // the store requires an array rather than null
 	}
 	if txn.Operations == nil {
 		txn.Operations = []wire.Operation{}
@@ -132,15 +133,16 @@
 	return result.Revision, result.FailedKeys, nil
 }
 
-// firstKey is the key that a transaction writes first, by which errors name it.
+// firstKey returns the key of a transaction's first operation, for error texts.
 func firstKey(txn wire.Txn) string {
 	if len(txn.Operations) == 0 {
 		return ""
 	}
-	return txn.Operations[0].Put + txn.Operations[0].Delete // it has one of them
+	return txn.Operations[0].Put + txn.Operations[0].Delete // exactly one is set
 }
 
-// GrantLease takes a lease and returns its ID. Keys written with it are removed when it ends.
+// GrantLease requests a lease and returns its ID. The store deletes keys written with the lease when
+// it ends.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (leaseID uint64, err error) {
 	var lease wire.Lease
 	err = c.do(ctx, call{
@@ -150,7 +152,7 @@
 	return lease.ID, err
 }
 
-// RenewLease gives a lease its full time again. The error is ErrNotFound if it has ended.
+// RenewLease restarts the time to live of a lease. The error is ErrNotFound if the lease has ended.
 func (c *Client) RenewLease(ctx context.Context, leaseID uint64) error {
 	id := strconv.FormatUint(leaseID, 10)
 	return c.do(ctx, call{
--- a/internal/kvstore/revision.go
+++ b/internal/kvstore/revision.go
@@ -2,62 +2,62 @@
 
 import "sync"
 
-// revisionFloor is the latest revision that the store is known to have reached. The store answers
-// consistently: no answer is of an earlier revision than one that came before it was asked for. An
-// answer that is shows that the store lost data, and begins another incarnation of it.
+// revisionFloor is the latest revision that the store is known to have reached. The store is
+// linearizable: an answer never has an earlier revision than any answer received before its request
+// was sent. An answer that does shows that the store lost data, and starts a new incarnation.
 type revisionFloor struct {
 	mu               sync.Mutex
 	position         position
 	onRollback       func(known, got uint64)
-	incarnationEnded chan struct{} // closed when the incarnation ends
+	incarnationEnded chan struct{} // closed when the present incarnation ends
 }
 
-// position is a revision of one incarnation of the store. The incarnation is counted by this
-// process and means nothing to others.
+// position is a revision of one incarnation of the store. The incarnation number is local to this
+// process.
 type position struct {
 	revision    uint64
 	incarnation uint64
 }
 
-// OnRollback has a function called when an answer shows that the store's revision went back: to a
-// request sent when a later revision was already known. It is called once for each time, by the
-// goroutine that made the request, and must not block.
+// OnRollback sets a function that is called when the store's revision goes back: when an answer has
+// an earlier revision than was known when its request was sent. It is called once per rollback, by
+// the goroutine that made the request, and must not block.
 func (c *Client) OnRollback(callback func(known, got uint64)) {
 	c.revision.mu.Lock()
 	defer c.revision.mu.Unlock()
 	c.revision.onRollback = callback
 }
 
-// Revision is the latest revision known, and the count of the incarnation that it belongs to.
+// Revision returns the latest revision known and the number of its incarnation.
 func (c *Client) Revision() (revision, incarnation uint64) {
-	known := c.revision.known()
-	return known.revision, known.incarnation
+	latest := c.revision.latest()
+	return latest.revision, latest.incarnation
 }
 
-// ObserveRevision takes in a revision that another controller knows the store's present
-// incarnation to have reached.
+// ObserveRevision records a revision that another controller reports the present incarnation of the
+// store to have reached.
 func (c *Client) ObserveRevision(revision uint64) {
 	_, incarnation := c.Revision()
 	c.revision.raise(position{revision, incarnation})
 }
 
-// StartIncarnation notes that the store's data was replaced, whatever the revisions say: they may
-// have passed the last ones of the earlier incarnation before anybody looked.
+// StartIncarnation records that the store's data was replaced. The revisions need not show it: the
+// new incarnation may have passed the last revision of the earlier one before the next request.
 func (c *Client) StartIncarnation() {
 	c.revision.mu.Lock()
 	defer c.revision.mu.Unlock()
 	c.revision.startIncarnation(0)
 }
 
-// known returns the latest position known.
-func (f *revisionFloor) known() position {
+// latest returns the latest position known.
+func (f *revisionFloor) latest() position {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.position
 }
 
-// raise notes a position that the store has surely reached. One of an earlier incarnation tells
-// nothing.
+// raise records a position that the store has certainly reached. A position of an earlier
+// incarnation is ignored.
 func (f *revisionFloor) raise(reached position) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -66,23 +66,22 @@
 	}
 }
 
-// startIncarnation begins another incarnation at a revision. It is called with the lock held.
+// startIncarnation starts a new incarnation at a revision. It must be called with mu held.
 func (f *revisionFloor) startIncarnation(revision uint64) {
 	f.position = position{revision: revision, incarnation: f.position.incarnation + 1}
 	close(f.incarnationEnded)
 	f.incarnationEnded = make(chan struct{})
 }
 
-// observe takes in the revision of an answer, given what was known when its request was sent. An
-// answer to what was asked in an earlier incarnation tells nothing: it may be of the data that is
-// lost.
-func (f *revisionFloor) observe(revision uint64, known position) {
+// observe records the revision of an answer, given the position known when its request was sent. An
+// answer to a request sent in an earlier incarnation is ignored: it may describe the lost data.
+func (f *revisionFloor) observe(revision uint64, knownAtSend position) {
 	if revision == 0 {
 		return
 	}
 	f.mu.Lock()
-	if known.incarnation != f.position.incarnation || revision >= known.revision {
-		if known.incarnation == f.position.incarnation {
+	if knownAtSend.incarnation != f.position.incarnation || revision >= knownAtSend.revision {
+		if knownAtSend.incarnation == f.position.incarnation {
 			f.position.revision = max(f.position.revision, revision)
 		}
 		f.mu.Unlock()
@@ -92,6 +91,6 @@
 	onRollback := f.onRollback
 	f.mu.Unlock()
 	if onRollback != nil {
-		onRollback(known.revision, revision)
+		onRollback(knownAtSend.revision, revision)
 	}
 }
--- a/internal/kvstore/revision_test.go
+++ b/internal/kvstore/revision_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// revisionServer is a store that answers every request with the revision that it is given.
+// revisionServer is a fake store that includes a preset revision in every answer.
 type revisionServer struct{ revision uint64 }
 
 func (s *revisionServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -27,30 +27,30 @@
 	}
 }
 
-// An answer of an earlier revision than was known when it was asked for is reported once; what may
-// have other reasons is not.
+// Guards against a missed, repeated or false report of a rollback. A rollback shows by an answer
+// with an earlier revision than was known when its request was sent.
 func TestRevisionRollback(t *testing.T) {
 	type step struct {
 		request  string
-		revision uint64 // that the store answers with
+		revision uint64 // in the store's answer
 	}
 	for _, tc := range []struct {
 		name      string
 		steps     []step
-		rollbacks []uint64 // revisions that were gone back to
+		rollbacks []uint64 // revisions that the store went back to
 	}{
 		{"forward", []step{{"miss", 5}, {"list", 9}, {"miss", 9}}, nil},
-		{"back, by a key that is not there", []step{{"miss", 9}, {"miss", 3}, {"miss", 4}}, []uint64{3}},
+		{"back, by a missing key", []step{{"miss", 9}, {"miss", 3}, {"miss", 4}}, []uint64{3}},
 		{"back, by a list", []step{{"list", 9}, {"list", 3}}, []uint64{3}},
-		{"back, by a key that is there", []step{{"list key", 9}, {"list key", 3}}, []uint64{3}},
+		{"back, by the listing of a key", []step{{"list key", 9}, {"list key", 3}}, []uint64{3}},
 		{"back twice", []step{{"miss", 9}, {"miss", 3}, {"miss", 7}, {"list", 1}}, []uint64{3, 1}},
-		{"a mod revision was reached", []step{{"hit", 9}, {"miss", 3}}, []uint64{3}},
-		{"an old mod revision means nothing", []step{{"miss", 9}, {"hit", 3}, {"miss", 9}}, nil},
-		{"a quiet watch may tell of its last change", []step{{"miss", 9}, {"watch", 3}, {"miss", 9}}, nil},
-		{"what a watch told was reached", []step{{"miss", 1}, {"watch", 9}, {"miss", 3}}, []uint64{3}},
-		{"no revision tells nothing", []step{{"miss", 9}, {"miss", 0}, {"miss", 9}}, nil},
-		{"what a peer knows was reached", []step{{"miss", 1}, {"peer", 9}, {"miss", 3}}, []uint64{3}},
-		{"another incarnation begins below", []step{{"miss", 9}, {"incarnation", 0}, {"miss", 3}, {"miss", 2}}, []uint64{2}},
+		{"back from the mod revision of a key", []step{{"hit", 9}, {"miss", 3}}, []uint64{3}},
+		{"an old mod revision is no rollback", []step{{"miss", 9}, {"hit", 3}, {"miss", 9}}, nil},
+		{"a watch with the revision of its last change is no rollback", []step{{"miss", 9}, {"watch", 3}, {"miss", 9}}, nil},
+		{"back from the revision of a watch", []step{{"miss", 1}, {"watch", 9}, {"miss", 3}}, []uint64{3}},
+		{"an answer without a revision is no rollback", []step{{"miss", 9}, {"miss", 0}, {"miss", 9}}, nil},
+		{"back from the revision known to a peer", []step{{"miss", 1}, {"peer", 9}, {"miss", 3}}, []uint64{3}},
+		{"a new incarnation may start at a lower revision", []step{{"miss", 9}, {"incarnation", 0}, {"miss", 3}, {"miss", 2}}, []uint64{2}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			server := &revisionServer{}
@@ -84,18 +84,18 @@
 	}
 }
 
-// What was asked before a rollback tells nothing of the incarnation after it: its answer may come
-// late.
+// Guards against a late answer to a request sent before a rollback that counts for the incarnation
+// after it.
 func TestLateAnswerAfterRollback(t *testing.T) {
 	floor := revisionFloor{incarnationEnded: make(chan struct{})}
 	rollbacks := 0
 	floor.onRollback = func(uint64, uint64) { rollbacks++ }
 	floor.observe(9, position{})
 	floor.observe(2, position{revision: 9})
-	floor.observe(11, position{revision: 9}) // asked before, answered after
-	floor.observe(5, position{revision: 9})  // so was this, by the incarnation that came after
+	floor.observe(11, position{revision: 9}) // sent before the rollback, received after it
+	floor.observe(5, position{revision: 9})  // the same, answered by the new incarnation
 	floor.observe(3, position{revision: 2, incarnation: 1})
 	if rollbacks != 1 || floor.position.revision != 3 {
-		t.Errorf("%d rollbacks, at %d", rollbacks, floor.position.revision)
+		t.Errorf("%d rollbacks, revision %d, want 1 rollback, revision 3", rollbacks, floor.position.revision)
 	}
 }
--- a/internal/kvstore/sharedread.go
+++ b/internal/kvstore/sharedread.go
@@ -6,23 +6,23 @@
 	"rillflow/internal/wire"
 )
 
-// GetByListing reads a key as Get does, by a listing that begins with it. Unlike Get's, this
-// answer tells the store's revision also if the key is there, so a rollback shows.
+// GetByListing reads a key as Get does, but by a listing that starts with it. Unlike the answer to
+// Get, a listing includes the store's revision even if the key exists, so it reveals a rollback.
 //
-// Callers that wait for the budget with the same key and priority share one read: it is sent
-// after each of them asked, so none is told anything older than was stored then.
+// Callers that wait for the budget with the same key and priority share one result. It is sent after
+// the last of them has called, so each sees a value at least as new as its call.
 func (c *Client) GetByListing(ctx context.Context, key string) (wire.KeyValue, error) {
-	shared := priorityOf(ctx).String() + " " + key
-	read := c.sharedReads.DoChan(shared, func() (any, error) {
-		// The first caller must not take the others with it: only the request's timeout ends it.
-		return c.getByListing(context.WithoutCancel(ctx), key, func() { c.sharedReads.Forget(shared) })
+	sharedKey := priorityOf(ctx).String() + " " + key
+	result := c.sharedReads.DoChan(sharedKey, func() (any, error) {
+		// The end of the first caller's ctx must not fail the others: only the timeout ends the read.
+		return c.getByListing(context.WithoutCancel(ctx), key, func() { c.sharedReads.Forget(sharedKey) })
 	})
 	select {
 	case <-ctx.Done():
 		return wire.KeyValue{}, &RequestError{Operation: "get", Key: key, Outcome: ErrOutcomeUnknown, Cause: ctx.Err()}
-	case result := <-read:
-		item, _ := result.Val.(wire.KeyValue)
-		return item, result.Err
+	case read := <-result:
+		item, _ := read.Val.(wire.KeyValue)
+		return item, read.Err
 	}
 }
 
--- a/internal/kvstore/sharedread_test.go
+++ b/internal/kvstore/sharedread_test.go
@@ -11,8 +11,9 @@
 	"rillflow/internal/memnet"
 )
 
-// Guards against answers that are older than the request: a read under way is never shared.
-func TestSharedReadBeginsAfterAllItsReadersAsked(t *testing.T) {
+// Guards against answers older than the call: a read that has been sent is not shared with later
+// callers.
+func TestSharedReadIsSentAfterAllItsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var requests atomic.Int64
 		listener := memnet.NewListener()
@@ -26,45 +27,45 @@
 			Addr: "store:1", RequestsPerSecond: 10, Limits: Limits{WritesPerSecond: 10}, Timeout: 10 * time.Second, Dial: listener.Dial,
 		})
 		ctx := WithPriority(t.Context(), PriorityStatusRead)
-		read := &concurrentReads{t: t, client: client}
+		reads := &concurrentReads{t: t, client: client}
 		client.budget.requests.bucket.AllowN(time.Now(), client.budget.requests.bucket.Burst())
 
 		for range 5 { // all wait for the budget
-			read.start(ctx)
+			reads.start(ctx)
 		}
 		time.Sleep(100*time.Millisecond + time.Millisecond)
 		synctest.Wait()
 		if got := requests.Load(); got != 1 {
 			t.Errorf("%d requests for five readers that waited together, want 1", got)
 		}
-		read.start(ctx) // the first read is under way
+		reads.start(ctx) // the first read has been sent
 		time.Sleep(time.Second)
 		synctest.Wait()
 		if got := requests.Load(); got != 2 {
-			t.Errorf("%d requests in all, want 2: the last reader came while the first read was under way", got)
+			t.Errorf("%d requests in total, want 2: the last reader came after the first read was sent", got)
 		}
-		if got := read.answers.Load(); got != 6 {
-			t.Errorf("%d answers to 6 readers", got)
+		if got := reads.answers.Load(); got != 6 {
+			t.Errorf("%d answers to 6 readers, want 6", got)
 		}
 		server.Close()
 	})
 }
 
-// concurrentReads counts the answers of reads that run at once.
+// concurrentReads starts concurrent reads of a key and counts their answers.
 type concurrentReads struct {
 	t       *testing.T
 	client  *Client
 	answers atomic.Int64
 }
 
-func (s *concurrentReads) start(ctx context.Context) {
+func (r *concurrentReads) start(ctx context.Context) {
 	go func() {
-		item, err := s.client.GetByListing(ctx, "j/a")
+		item, err := r.client.GetByListing(ctx, "j/a")
 		if err != nil || item.ModRevision != 7 {
-			s.t.Errorf("read %v: %v", item, err)
+			r.t.Errorf("read item %v, error %v, want mod revision 7", item, err)
 			return
 		}
-		s.answers.Add(1)
+		r.answers.Add(1)
 	}()
 	synctest.Wait()
 }
--- a/internal/kvstore/usage.go
+++ b/internal/kvstore/usage.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Usage is what the requests of one priority have used of the budget since the process began.
+// Usage is the use of the request budget by one priority since the process started.
 type Usage struct {
 	Sent     int64         // requests that the budget allowed
-	Waited   time.Duration // for the budget, all requests together
+	Waited   time.Duration // total time that requests waited for the budget
 	Shed     int64         // requests that the budget did not allow in time
 	Rejected int64         // requests that the store answered with 429 or 503
 }
 
-// usageCounter counts a Usage. It is safe for concurrent use.
+// usageCounter holds the counters of a Usage. It is safe for concurrent use.
 type usageCounter struct{ sent, waitedNanos, shed, rejected atomic.Int64 }
 
-// noteWait notes how long a request waited for the budget and whether it was allowed.
-func (u *usageCounter) noteWait(waited time.Duration, err error) {
+// recordWait records how long a request waited for the budget, and whether the budget allowed it.
+func (u *usageCounter) recordWait(waited time.Duration, err error) {
 	u.waitedNanos.Add(int64(waited))
 	if err != nil {
 		u.shed.Add(1)
@@ -26,7 +26,7 @@
 	u.sent.Add(1)
 }
 
-// Usage returns what the requests of a priority have used of the budget.
+// Usage returns the use of the request budget by a priority.
 func (c *Client) Usage(priority Priority) Usage {
 	counter := &c.budget.usage[priority]
 	return Usage{
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -12,21 +12,21 @@
 	"rillflow/internal/wire"
 )
 
-// Watch waits for changes under a prefix after a revision, for so long at most. The error is
-// ErrCompacted if the change log doesn't go back that far, and also if the store's incarnation
-// ends or has not reached the revision: what is watched for may never come then.
+// Watch waits up to the given time for changes under a prefix after a revision. The error is
+// ErrCompacted if the change log does not go back that far. It is ErrCompacted too if the store's
+// incarnation ends or has not reached the revision, as the changes may then never come.
 func (c *Client) Watch(
 	ctx context.Context, prefix string, afterRevision uint64, wait time.Duration,
 ) (wire.WatchResponse, error) {
 	return c.watch(ctx, call{
 		operation: "watch", key: prefix,
-		method: http.MethodGet, path: watchPath(prefix, afterRevision, wait), extraTime: wait,
+		method: http.MethodGet, path: watchPath(prefix, afterRevision, wait), extraTimeout: wait,
 	}, afterRevision)
 }
 
-// ChangesSince returns the changes under a prefix after a revision, without waiting for any. All
-// that were made before it is sent are among them; onSend is called just before that. Its errors
-// are those of Watch.
+// ChangesSince returns the changes under a prefix after a revision, without waiting for new ones. It
+// includes all changes made before the request is sent; onSend is called just before that. The
+// errors are those of Watch.
 func (c *Client) ChangesSince(
 	ctx context.Context, prefix string, afterRevision uint64, onSend func(),
 ) (wire.WatchResponse, error) {
@@ -36,13 +36,13 @@
 	}, afterRevision)
 }
 
-// watch makes a request for changes after a revision.
+// watch sends a request for changes after a revision, and cancels it when the incarnation ends.
 func (c *Client) watch(ctx context.Context, request call, afterRevision uint64) (wire.WatchResponse, error) {
 	c.revision.mu.Lock()
 	incarnationEnded, latest := c.revision.incarnationEnded, c.revision.position.revision
 	c.revision.mu.Unlock()
 	if afterRevision > latest {
-		return wire.WatchResponse{}, request.failed(ErrCompacted, nil)
+		return wire.WatchResponse{}, request.newError(ErrCompacted, nil)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	done := make(chan struct{})
@@ -59,12 +59,12 @@
 	request.answer = &changes
 	err := c.do(ctx, request)
 	if errors.Is(context.Cause(ctx), ErrCompacted) {
-		err = request.failed(ErrCompacted, err)
+		err = request.newError(ErrCompacted, err)
 	}
 	return changes, err
 }
 
-// watchPath is the path of a watch request.
+// watchPath returns the path of a watch request.
 func watchPath(prefix string, afterRevision uint64, wait time.Duration) string {
 	query := url.Values{
 		"under":   {prefix},
@@ -74,24 +74,24 @@
 	return "/changes?" + query.Encode()
 }
 
-// Watcher keeps up with the keys under a prefix.
+// Watcher follows the keys under a prefix.
 type Watcher struct {
 	Prefix                    string
-	PollWait                  time.Duration // that one watch request lasts
-	BackoffBase, BackoffLimit time.Duration // of the pauses after errors
-	// OnSnapshot is given all keys, first and whenever the change log doesn't go back far enough,
-	// and when the store was asked for them.
+	PollWait                  time.Duration // longest wait of one watch request
+	BackoffBase, BackoffLimit time.Duration // after errors
+	// OnSnapshot is called with all keys, at the start and whenever the change log does not go back
+	// far enough. requestedAt is when the client began to request them.
 	OnSnapshot func(items []wire.KeyValue, requestedAt time.Time)
-	// OnChanges is given the changes since, and when the store was asked for them.
+	// OnChanges is called with the changes since the last call of OnSnapshot or OnChanges.
 	OnChanges func(changes []wire.Operation, requestedAt time.Time)
 }
 
-// WatchPrefix runs a watcher until ctx ends. Its functions are called one at a time.
+// WatchPrefix runs a watcher until ctx ends. The watcher's functions are called one at a time.
 func (c *Client) WatchPrefix(ctx context.Context, watcher Watcher) error {
-	var revision, incarnation uint64 // revision 0: everything is to be read
+	var revision, incarnation uint64 // revision 0: all keys must be listed
 	for attempt := 0; ctx.Err() == nil; {
 		if _, current := c.Revision(); current != incarnation {
-			// The change log of another incarnation does not tell all that differs.
+			// The change log of the new incarnation does not contain all differences from the old one.
 			revision, incarnation = 0, current
 		}
 		var err error
@@ -108,8 +108,8 @@
 	return ctx.Err()
 }
 
-// advance takes a watcher from one revision to the next, by a listing if there is none to start
-// from.
+// advance brings a watcher to a later revision and returns that: by a listing if the revision is 0,
+// else by a watch.
 func (c *Client) advance(ctx context.Context, watcher *Watcher, revision uint64) (uint64, error) {
 	requestedAt := time.Now()
 	if revision == 0 {
--- a/internal/kvstore/watch_test.go
+++ b/internal/kvstore/watch_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A watch ends at once when the store's incarnation does, and one after a revision that the
-// present one has not reached is not begun: the change log would tell of nothing for long.
+// Guards against a watch that waits for changes that never come: a watch must end when the store's
+// incarnation ends, and fail at once if the incarnation has not reached its revision.
 func TestWatchEndsOnRollback(t *testing.T) {
 	block := make(chan struct{})
 	client := serve(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -25,7 +25,7 @@
 	defer close(block)
 	client.List(t.Context(), "j/")
 	if _, err := client.Watch(t.Context(), "j/", 8, time.Hour); !errors.Is(err, ErrCompacted) {
-		t.Errorf("after a revision to come: %v", err)
+		t.Errorf("watch after a later revision than the store's: got %v, want ErrCompacted", err)
 	}
 	ended := make(chan error, 1)
 	go func() {
@@ -37,7 +37,7 @@
 		select {
 		case err := <-ended:
 			if !errors.Is(err, ErrCompacted) {
-				t.Errorf("when the incarnation ends: %v", err)
+				t.Errorf("watch when the incarnation ends: got %v, want ErrCompacted", err)
 			}
 			watching = false
 		default:
