--- a/internal/jsonhttp/answer.go
+++ b/internal/jsonhttp/answer.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Answer answers a request with a message. One that cannot be encoded is a fault of the program,
-// and answered as such.
+// Answer writes a message as the answer to a request. A message that cannot be encoded is a bug, and
+// the answer is then a 500.
 func Answer(w http.ResponseWriter, status int, message any) {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -16,7 +16,7 @@
 	AnswerBody(w, status, body)
 }
 
-// AnswerBody answers a request with a message that is encoded already.
+// AnswerBody writes an encoded message as the answer to a request.
 func AnswerBody(w http.ResponseWriter, status int, body []byte) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,10 +1,10 @@
-// Package jsonhttp exchanges JSON messages with HTTP servers over pooled connections. It is what
-// the clients of the key-value store, of the workers and of the cloud have in common: it encodes
-// a request, sends it once, reads the whole answer and tells errors that prove that nothing was
-// sent from those that don't. The servers of users, workers and operators write their answers by it.
+// Package jsonhttp exchanges JSON messages with HTTP servers over pooled connections. The clients of
+// the key-value store, the workers and the cloud are built on it: it encodes a request, sends it
+// once, reads the whole answer and distinguishes errors that prove that nothing was sent from others.
+// The servers for users, workers and operators write their answers with it.
 //
-// It owns the connections and nothing else. It must not retry, limit rates, set time limits or
-// judge a status code: these differ between the servers and are decided by its callers.
+// It owns only the connections. It must not retry requests, limit rates, set timeouts or interpret
+// status codes: these differ between the servers, so the callers do it.
 package jsonhttp
 
 import (
@@ -19,32 +19,32 @@
 	"time"
 )
 
-// ErrNotConnected is matched by the error of a request for which no connection could be opened:
-// the server has not seen any of it.
+// ErrNotConnected is wrapped by the error of a request for which no connection could be opened. The
+// server has not received any part of the request.
 var ErrNotConnected = errors.New("no connection")
 
-// idleTimeout is how long a connection stays open without a request.
+// idleTimeout is the time after which an idle connection is closed.
 const idleTimeout = time.Minute
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options set up a client's connections.
+// Options configure a client's connections.
 type Options struct {
 	Dial                  DialFunc
-	MaxIdleConns          int   // kept open over all servers; 0: no bound
-	MaxIdleConnsPerServer int   // kept open to one server
-	MaxConnsPerServer     int   // open to one server, in use or idle
-	MaxResponseBytes      int64 // of an answer; the rest is cut off, so it won't decode
+	MaxIdleConns          int   // to all servers together; 0: no limit
+	MaxIdleConnsPerServer int   // to one server
+	MaxConnsPerServer     int   // to one server, in use or idle
+	MaxResponseBytes      int64 // longer bodies are truncated, so they fail to decode
 }
 
-// Client sends requests. It is safe for concurrent use.
+// Client is an HTTP client for JSON messages. It is safe for concurrent use.
 type Client struct {
 	httpClient       *http.Client
 	maxResponseBytes int64
 }
 
-// New returns a client without any connection yet.
+// New returns a client without open connections.
 func New(options Options) *Client {
 	return &Client{
 		httpClient: &http.Client{Transport: &http.Transport{
@@ -59,7 +59,7 @@
 	}
 }
 
-// NewRequest encodes a request. A nil body sends none.
+// NewRequest returns a request with a body encoded as JSON, or without a body if body is nil.
 func NewRequest(ctx context.Context, method, url string, body any) (*http.Request, error) {
 	var reader io.Reader
 	if body != nil {
@@ -77,8 +77,8 @@
 }
 
 // Do sends a request once and reads the answer, whatever its status. An error that matches
-// ErrNotConnected proves that nothing was sent; after any other the request may have been carried
-// out or may yet be.
+// ErrNotConnected proves that nothing was sent. After any other error the request may have been
+// executed or may still be.
 func (c *Client) Do(request *http.Request) (*Response, error) {
 	answer, err := c.httpClient.Do(request)
 	if err != nil {
@@ -96,14 +96,14 @@
 	return &Response{StatusCode: answer.StatusCode, Body: body, request: request}, nil
 }
 
-// Response is a server's answer, read whole.
+// Response is a server's answer with its body, up to MaxResponseBytes.
 type Response struct {
 	StatusCode int
 	Body       []byte
 	request    *http.Request
 }
 
-// Decode decodes the body into the message that it is expected to hold.
+// Decode decodes the body from JSON into message.
 func (r *Response) Decode(message any) error {
 	if err := json.Unmarshal(r.Body, message); err != nil {
 		return fmt.Errorf("decode answer to %s %s: %w", r.request.Method, r.request.URL, err)
@@ -111,12 +111,12 @@
 	return nil
 }
 
-// StatusError returns the error for a status that the caller does not accept.
+// StatusError returns an error for an answer with a status that the caller does not accept.
 func (r *Response) StatusError() *StatusError {
 	return &StatusError{Method: r.request.Method, URL: r.request.URL.String(), StatusCode: r.StatusCode, Body: r.Body}
 }
 
-// StatusError is an answer whose status the caller does not accept.
+// StatusError is the error of an answer with a status that the caller does not accept.
 type StatusError struct {
 	Method     string
 	URL        string
@@ -124,13 +124,13 @@
 	Body       []byte
 }
 
-// maxBodyInError bounds how much of a body an error text quotes.
-const maxBodyInError = 256
+// maxBodyBytesInError is the number of bytes of a body that an error text quotes.
+const maxBodyBytesInError = 256
 
-// Error names the request, the status and the beginning of the body.
+// Error returns the request, the status and the beginning of the body.
 func (e *StatusError) Error() string {
 	text := fmt.Sprintf("%s %s: status %d", e.Method, e.URL, e.StatusCode)
-	if body := bytes.TrimSpace(e.Body[:min(len(e.Body), maxBodyInError)]); len(body) > 0 {
+	if body := bytes.TrimSpace(e.Body[:min(len(e.Body), maxBodyBytesInError)]); len(body) > 0 {
 		text += ": " + string(body)
 	}
 	return text
--- a/internal/jsonhttp/jsonhttp_test.go
+++ b/internal/jsonhttp/jsonhttp_test.go
@@ -22,16 +22,17 @@
 	})
 }
 
-// What is sent is the message's JSON and no header of its own; without a message there is no body.
+// Guards against changes of what is sent: the JSON of the message without extra headers, and no body
+// without a message.
 func TestRequestOnTheWire(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		body   any
-		want   string
-		length int64
+		name       string
+		body       any
+		want       string
+		wantLength int64
 	}{
-		{"a message", message{"hello"}, `{"text":"hello"}`, 16},
-		{"an empty object", struct{}{}, `{}`, 2},
+		{"message", message{"hello"}, `{"text":"hello"}`, 16},
+		{"empty object", struct{}{}, `{}`, 2},
 		{"no body", nil, "", 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -50,12 +51,12 @@
 			if _, err := newTestClient(100).Do(request); err != nil {
 				t.Fatal(err)
 			}
-			if got != tc.want || length != tc.length {
-				t.Errorf("got %q of length %d, want %q of length %d", got, length, tc.want, tc.length)
+			if got != tc.want || length != tc.wantLength {
+				t.Errorf("got %q of length %d, want %q of length %d", got, length, tc.want, tc.wantLength)
 			}
 			for _, name := range []string{"Content-Type", "Accept-Encoding"} {
 				if value, ok := header[name]; ok {
-					t.Errorf("sent header %s: %s", name, value)
+					t.Errorf("sent header %s: %s, want none", name, value)
 				}
 			}
 		})
@@ -70,12 +71,12 @@
 		decodes    bool
 		statusText string
 	}{
-		{"a message", 200, `{"text":"hello"}`, true, `status 200: {"text":"hello"}`},
-		{"another status is no error by itself", 409, `{"text":"hello"}`, true, `status 409: {"text":"hello"}`},
+		{"message", 200, `{"text":"hello"}`, true, `status 200: {"text":"hello"}`},
+		{"other status with a message", 409, `{"text":"hello"}`, true, `status 409: {"text":"hello"}`},
 		{"not JSON", 500, "oops\n", false, "status 500: oops"},
 		{"no body", 503, "", false, "status 503"},
 		{
-			"too long", 200, `{"text":"` + strings.Repeat("x", 100) + `"}`, false,
+			"truncated body", 200, `{"text":"` + strings.Repeat("x", 100) + `"}`, false,
 			`status 200: {"text":"` + strings.Repeat("x", 55),
 		},
 	} {
@@ -96,10 +97,10 @@
 			var got message
 			err = response.Decode(&got)
 			if (err == nil) != tc.decodes || err == nil && got.Text != "hello" {
-				t.Errorf("decoded %+v, %v", got, err)
+				t.Errorf("decoded %+v, error %v, want text hello or, if it does not decode, an error", got, err)
 			}
 			if err != nil && !strings.Contains(err.Error(), "GET "+server.URL+"/path") {
-				t.Errorf("%q does not name the request", err)
+				t.Errorf("error %q does not name the request", err)
 			}
 			if text := response.StatusError().Error(); !strings.HasSuffix(text, "/path: "+tc.statusText) {
 				t.Errorf("status error %q, want %q", text, tc.statusText)
@@ -108,7 +109,8 @@
 	}
 }
 
-// Only a failure to connect proves that nothing was sent.
+// Guards against reporting a request as not sent although the server may have received it: only a
+// failure to connect proves that.
 func TestNotConnected(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,18 +122,18 @@
 		panic(http.ErrAbortHandler)
 	}))
 	defer aborting.Close()
-	cut := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	truncating := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "50")
 		io.WriteString(w, `{"text`)
 	}))
-	defer cut.Close()
+	defer truncating.Close()
 	for _, tc := range []struct {
 		name, url    string
 		notConnected bool
 	}{
-		{"refused", refusing, true},
-		{"aborted", aborting.URL, false},
-		{"cut off", cut.URL, false},
+		{"connection refused", refusing, true},
+		{"connection aborted", aborting.URL, false},
+		{"truncated answer", truncating.URL, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			request, err := NewRequest(t.Context(), http.MethodGet, tc.url, nil)
@@ -139,7 +141,7 @@
 				t.Fatal(err)
 			}
 			if _, err := newTestClient(100).Do(request); err == nil || errors.Is(err, ErrNotConnected) != tc.notConnected {
-				t.Errorf("got %v", err)
+				t.Errorf("got %v, want an error, ErrNotConnected %v", err, tc.notConnected)
 			}
 		})
 	}
@@ -159,12 +161,12 @@
 		t.Fatal(err)
 	}
 	if _, err := newTestClient(100).Do(request); !errors.Is(err, context.Canceled) || errors.Is(err, ErrNotConnected) {
-		t.Errorf("got %v, want a cancelled request that may have been sent", err)
+		t.Errorf("got %v, want context.Canceled without ErrNotConnected", err)
 	}
 }
 
 func TestUnencodableMessage(t *testing.T) {
 	if _, err := NewRequest(t.Context(), http.MethodPost, "http://worker/do", func() {}); err == nil {
-		t.Error("a function was encoded")
+		t.Error("got no error for a body that cannot be encoded")
 	}
 }
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -123,7 +123,7 @@
 		}
 		perSecond, burst, _ := budget.requests.limits()
 		if perSecond != test.rate || burst != test.rate/2 {
-			t.Errorf("with the lease held %v: %v requests per second, burst %v, want %v per second", test.holdsLease, perSecond, burst, test.rate)
+			t.Errorf("%v requests per second, burst %v with the lease held %v, want %v per second", perSecond, burst, test.holdsLease, test.rate)
 		}
 	}
 }
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -46,7 +46,7 @@
 				t.Errorf("got %v, want %v", err, tc.want)
 			}
 			if tc.want == ErrOutcomeUnknown && errors.Is(err, ErrRefused) {
-				t.Errorf("got %v: an unknown outcome must not match ErrRefused", err)
+				t.Error("an error with unknown outcome matches ErrRefused too")
 			}
 		})
 	}
--- a/internal/memnet/memnet.go
+++ b/internal/memnet/memnet.go
@@ -1,6 +1,6 @@
-// Package memnet is a network in memory for tests: connections whose two ends are pipes, so that
-// a server can be served within a testing/synctest bubble. It has no latency, no faults and no
-// addresses; the simulation has a network of its own that does.
+// Package memnet is an in-memory network for tests. Its connections are pipes, so that a server can
+// run within a testing/synctest bubble. It has no latency, faults or addresses; the simulation has
+// its own network, which does.
 package memnet
 
 import (
@@ -8,10 +8,10 @@
 	"net"
 )
 
-// Listener accepts the connections that its Dial makes.
+// Listener accepts the connections opened with its Dial method.
 type Listener chan net.Conn
 
-// NewListener returns a listener that nobody has dialled yet.
+// NewListener returns a listener without pending connections.
 func NewListener() Listener { return make(Listener) }
 
 // Accept implements net.Listener.
@@ -23,7 +23,7 @@
 	return conn, nil
 }
 
-// Close implements net.Listener. It must not be called while Dial is.
+// Close implements net.Listener. It must not be called concurrently with Dial.
 func (l Listener) Close() error {
 	close(l)
 	return nil
@@ -32,7 +32,7 @@
 // Addr implements net.Listener.
 func (l Listener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Dial connects to the listener, whatever network and address are named.
+// Dial connects to the listener. It ignores the network and the address.
 func (l Listener) Dial(context.Context, string, string) (net.Conn, error) {
 	client, server := net.Pipe()
 	l <- server
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -1,5 +1,5 @@
-// Package pressure tells when this process is close to its limit of memory, so
-// that new work is turned away while there is room left to serve what was taken.
+// Package pressure detects when this process is close to its memory limit, so that new work is
+// rejected while there is memory left for the work already accepted.
 package pressure
 
 import (
@@ -8,40 +8,41 @@
 	"time"
 )
 
-// Gauge watches the memory that the process holds. It is safe for concurrent use.
+// Gauge measures the memory that the process holds. It is safe for concurrent use.
 type Gauge struct {
-	limit uint64
-	every time.Duration
-	read  func() uint64
-	now   func() time.Time
+	limitBytes  uint64
+	minInterval time.Duration // between two measurements
+	measure     func() uint64
+	now         func() time.Time
 
-	mu   sync.Mutex
-	at   time.Time
-	held uint64
+	mu         sync.Mutex // guards the fields below
+	measuredAt time.Time
+	heldBytes  uint64
 }
 
-// New makes a gauge for a limit in bytes that looks at most once in every so long.
-func New(limit uint64, every time.Duration) *Gauge {
-	return &Gauge{limit: limit, every: every, read: held, now: time.Now}
+// New returns a gauge that measures at most once per minInterval.
+func New(limitBytes uint64, minInterval time.Duration) *Gauge {
+	return &Gauge{limitBytes: limitBytes, minInterval: minInterval, measure: measureHeldBytes, now: time.Now}
 }
 
-// held is what the runtime has of the system and has not given back, in bytes.
-func held() uint64 {
-	s := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
-	metrics.Read(s)
-	return s[0].Value.Uint64() - s[1].Value.Uint64()
+// measureHeldBytes returns the memory that the Go runtime has obtained from the operating system and
+// not returned.
+func measureHeldBytes() uint64 {
+	samples := []metrics.Sample{{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}}
+	metrics.Read(samples)
+	return samples[0].Value.Uint64() - samples[1].Value.Uint64()
 }
 
-// Held is how much memory the process held when last looked at, in bytes.
+// Held returns the bytes of memory that the process held at the last measurement.
 func (g *Gauge) Held() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if now := g.now(); g.at.IsZero() || now.Sub(g.at) >= g.every {
-		g.at, g.held = now, g.read()
+	if now := g.now(); g.measuredAt.IsZero() || now.Sub(g.measuredAt) >= g.minInterval {
+		g.measuredAt, g.heldBytes = now, g.measure()
 	}
-	return g.held
+	return g.heldBytes
 }
 
-// High tells whether more than the limit is held. The collector keeps to a lower
-// goal, so that is no garbage but what is in use.
-func (g *Gauge) High() bool { return g.Held() > g.limit }
+// High reports whether the process holds more memory than the limit. The garbage collector's memory
+// limit is lower, so memory above this limit is in use and not garbage.
+func (g *Gauge) High() bool { return g.Held() > g.limitBytes }
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -6,28 +6,29 @@
 )
 
 func TestGauge(t *testing.T) {
-	at, have, reads := time.Unix(1, 0), uint64(90), 0
+	now, heldBytes, measurements := time.Unix(1, 0), uint64(90), 0
 	g := New(100, time.Second)
-	g.now = func() time.Time { return at }
-	g.read = func() uint64 { reads++; return have }
+	g.now = func() time.Time { return now }
+	g.measure = func() uint64 { measurements++; return heldBytes }
 	for _, tc := range []struct {
-		name  string
-		have  uint64
-		after time.Duration
-		high  bool
-		reads int
+		name             string
+		heldBytes        uint64
+		elapsed          time.Duration
+		wantHigh         bool
+		wantMeasurements int
 	}{
-		{"room left", 90, 0, false, 1},
-		{"not looked at so soon again", 110, time.Second / 2, false, 1},
-		{"over", 110, time.Second, true, 2},
-		{"freed", 100, time.Second, false, 3},
+		{"below the limit", 90, 0, false, 1},
+		{"not measured again within the interval", 110, time.Second / 2, false, 1},
+		{"above the limit", 110, time.Second, true, 2},
+		{"at the limit", 100, time.Second, false, 3},
 	} {
-		have, at = tc.have, at.Add(tc.after)
-		if got := g.High(); got != tc.high || reads != tc.reads {
-			t.Errorf("%s: high %v after %d looks", tc.name, got, reads)
+		heldBytes, now = tc.heldBytes, now.Add(tc.elapsed)
+		if got := g.High(); got != tc.wantHigh || measurements != tc.wantMeasurements {
+			t.Errorf("%s: High %v after %d measurements, want %v after %d",
+				tc.name, got, measurements, tc.wantHigh, tc.wantMeasurements)
 		}
 	}
-	if real := New(1, time.Second); !real.High() || real.Held() < 1<<16 {
-		t.Errorf("this process holds %d bytes", real.Held())
+	if process := New(1, time.Second); !process.High() || process.Held() < 1<<16 {
+		t.Errorf("this process holds %d bytes, want at least %d", process.Held(), 1<<16)
 	}
 }
--- a/internal/readindex/fakestore_test.go
+++ b/internal/readindex/fakestore_test.go
@@ -19,21 +19,21 @@
 
 const testPrefix = "j/"
 
-// fakeStore stands in for the store's listings and its change log.
+// fakeStore is a fake of the store's listings and its change log.
 type fakeStore struct {
-	mu       sync.Mutex
-	revision uint64
-	keys     map[string]wire.KeyValue
-	log      []wire.Operation
-	began    time.Time
-	history  map[string][]transition
-	requests int
-	status   int           // that every request is answered, if it is not 0
-	latency  time.Duration // there, and the same back
-	frozenAt uint64        // a revision after which the change log shows nothing; 0: it shows all
+	mu        sync.Mutex
+	revision  uint64
+	keys      map[string]wire.KeyValue
+	changeLog []wire.Operation
+	startedAt time.Time
+	history   map[string][]transition
+	requests  int
+	status    int           // if not 0, the status of every answer
+	latency   time.Duration // one way
+	frozenAt  uint64        // last revision that the change log shows; 0: it shows all
 }
 
-// transition is a change of a key's existence.
+// transition is the creation or deletion of a key.
 type transition struct {
 	at     time.Time
 	exists bool
@@ -41,7 +41,7 @@
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{
-		revision: 1, keys: make(map[string]wire.KeyValue), began: time.Now(),
+		revision: 1, keys: make(map[string]wire.KeyValue), startedAt: time.Now(),
 		history: make(map[string][]transition), latency: 3 * time.Millisecond,
 	}
 }
@@ -60,34 +60,35 @@
 		change.Delete = key
 		delete(s.keys, key)
 	}
-	s.log = append(s.log, change)
+	s.changeLog = append(s.changeLog, change)
 	s.history[name] = append(s.history[name], transition{time.Now(), exists})
 }
 
-// locked changes how the store behaves.
-func (s *fakeStore) locked(change func()) {
+// withLock calls a function that changes the store, with the lock held.
+func (s *fakeStore) withLock(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// requestCount is how many requests came.
+// requestCount returns the number of requests received.
 func (s *fakeStore) requestCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// loseData takes the store back to a revision, with no keys.
+// loseData resets the store to a revision and deletes all keys and changes.
 func (s *fakeStore) loseData(revision uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.revision, s.log = revision, nil
+	s.revision, s.changeLog = revision, nil
 	clear(s.keys)
 }
 
-// couldBe tells whether a key existed, or did not, at a moment between two.
-func (s *fakeStore) couldBe(name string, exists bool, from, to time.Time) bool {
+// wasInState reports whether a key existed (or was missing, if exists is false) at any moment from
+// from to to.
+func (s *fakeStore) wasInState(name string, exists bool, from, to time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := false
@@ -111,7 +112,7 @@
 	w.Write(body)
 }
 
-// delay lasts for the latency, or until the request's sender gives up.
+// delay waits for the latency, or until the client cancels the request.
 func (s *fakeStore) delay(r *http.Request) {
 	s.mu.Lock()
 	latency := s.latency
@@ -144,7 +145,7 @@
 	if s.frozenAt != 0 {
 		changes.Revision = s.frozenAt
 	}
-	for _, change := range s.log {
+	for _, change := range s.changeLog {
 		if change.ModRevision > after && change.ModRevision <= changes.Revision {
 			changes.Events = append(changes.Events, change)
 		}
@@ -153,8 +154,8 @@
 	return http.StatusOK, body
 }
 
-// startView runs a view of a store, and its client, until the test ends or stop is called. It is
-// called in a synctest bubble.
+// startView runs a view of a store until stop is called, and returns it with its store client. It
+// must be called in a synctest bubble.
 func startView(t *testing.T, store *fakeStore, change func(*Options[int])) (view *View[int], client *kvstore.Client, stop func()) {
 	t.Helper()
 	listener := memnet.NewListener()
@@ -174,11 +175,11 @@
 	}
 	view = New(options)
 	ctx, cancel := context.WithCancel(t.Context())
-	var running sync.WaitGroup
-	running.Go(func() { view.Run(ctx) })
+	var runLoop sync.WaitGroup
+	runLoop.Go(func() { view.Run(ctx) })
 	return view, client, func() {
 		cancel()
-		running.Wait()
+		runLoop.Wait()
 		server.Close()
 	}
 }
--- a/internal/readindex/load.go
+++ b/internal/readindex/load.go
@@ -10,25 +10,25 @@
 	"rillflow/internal/wire"
 )
 
-// errTooManyKeys says that there are more keys than a view holds.
+// errTooManyKeys means that there are more keys than Options.MaxKeys.
 var errTooManyKeys = errors.New("readindex: too many keys")
 
-// loaded tells whether reads can be answered from memory.
+// loaded reports whether the keys are in memory, so that reads can be answered.
 func (v *View[Summary]) loaded() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.keys != nil
 }
 
-// reset forgets the keys: they are to be listed anew.
+// reset drops the keys, so that Run lists them anew.
 func (v *View[Summary]) reset() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.keys = nil
 }
 
-// load lists the keys, and reports whether it could. Later pages may hold changes later than the
-// revision of the first: the first round brings those again.
+// load lists the keys into memory, and reports whether that succeeded. Later pages may contain
+// changes made after the revision of the first page; the first round applies those again.
 func (v *View[Summary]) load(ctx context.Context) bool {
 	_, incarnation := v.options.Store.Revision()
 	keys := make(map[string]Summary)
@@ -44,7 +44,7 @@
 	if _, now := v.options.Store.Revision(); err == nil && now != incarnation {
 		err = kvstore.ErrCompacted
 	}
-	v.noteOverflow(ctx, errors.Is(err, errTooManyKeys))
+	v.handleOverflow(ctx, errors.Is(err, errTooManyKeys))
 	if err != nil {
 		return false
 	}
@@ -55,9 +55,9 @@
 	return true
 }
 
-// noteOverflow says when there begin or cease to be too many keys, and waits for a while if there
-// are: a listing of so many is not to be repeated soon.
-func (v *View[Summary]) noteOverflow(ctx context.Context, overflow bool) {
+// handleOverflow records whether there are too many keys. If there are, it logs the change and pauses,
+// so that so large a listing is not repeated soon.
+func (v *View[Summary]) handleOverflow(ctx context.Context, overflow bool) {
 	v.mu.Lock()
 	changed := overflow != v.overflow
 	v.overflow = overflow
@@ -67,6 +67,6 @@
 			"prefix", v.options.Prefix, "limit", v.options.MaxKeys)
 	}
 	if overflow {
-		retry.Sleep(ctx, overflowPause*v.options.KeepAlive)
+		retry.Sleep(ctx, overflowPauseIntervals*v.options.KeepAlive)
 	}
 }
--- a/internal/readindex/view.go
+++ b/internal/readindex/view.go
@@ -1,12 +1,13 @@
 // Package readindex answers reads of the keys under a prefix of the key-value store from memory,
-// as strictly as reads of the store would. It carries the ReadIndex of Raft over to a store with
-// revisions: a read joins the next round, one request that brings all changes up to a revision of
-// the store later than the read began, and is answered from what is known then. One round serves
-// all reads that wait, so that the requests depend on time and not on the readers.
+// with the same linearizability as reads of the store. It applies the ReadIndex technique of Raft
+// to a store with revisions: a read joins the next round, a single request for all changes since
+// the last round that is sent after the read began, and is answered from memory once the round's
+// changes are applied. One round serves all waiting reads, so the number of requests depends on the
+// elapsed time and not on the number of readers.
 //
-// A View owns the keys in memory and the revision up to which they are known. Its Run is one
-// long-lived loop of the process; the job API reads. It must not answer a read from memory without
-// a round that was sent after the read began, and must not write to the store.
+// A View owns the keys in memory and the revision up to which they are current. Its Run is one
+// long-lived loop of the process; the job API calls Read. The package must not answer a read from
+// memory without a round that was sent after the read began, and must not write to the store.
 package readindex
 
 import (
@@ -22,45 +23,46 @@
 	"rillflow/internal/wire"
 )
 
-// ErrUnavailable says that the view cannot answer now: it is not loaded, its rounds do not come
-// back, or there are too many keys. The key is to be read from the store itself.
+// ErrUnavailable means that the view cannot answer now: it is not loaded, its rounds fail or time
+// out, or there are too many keys. The caller must read the key from the store itself.
 var ErrUnavailable = errors.New("readindex: view unavailable")
 
-// overflowPause is how many keep-alive intervals pass before keys that were too many are listed
-// again.
-const overflowPause = 16
+// overflowPauseIntervals is the number of keep-alive intervals before the keys are listed again
+// after there were too many.
+const overflowPauseIntervals = 16
 
-// Options set up a View that keeps a summary of each value.
+// Options configure a View that keeps a summary of each value.
 type Options[Summary any] struct {
 	Store    *kvstore.Client
 	Prefix   string
-	Interval time.Duration // between the ends and beginnings of rounds, at least
-	// KeepAlive is the longest time between rounds: the change log must not be left behind.
+	Interval time.Duration // shortest pause between the end of a round and the start of the next
+	// KeepAlive is the longest time between rounds. It keeps the view from falling behind the
+	// compaction of the store's change log.
 	KeepAlive time.Duration
 	MaxWait   time.Duration // of a read for its round
-	MaxKeys   int           // above which the view gives up
-	// Summarize makes what is kept of a key from its value.
+	MaxKeys   int           // with more keys the view is unavailable
+	// Summarize returns the summary to keep of a value.
 	Summarize func(value []byte) Summary
 	Log       *slog.Logger
 }
 
-// View is the keys under a prefix, with a summary of each. It is safe for concurrent use.
+// View holds the keys under a prefix, with a summary of each value. It is safe for concurrent use.
 type View[Summary any] struct {
 	options Options[Summary]
-	wake    chan struct{} // there is a read to be answered
+	wake    chan struct{} // signals Run that a read waits
 
 	// Only Run's goroutine uses these.
-	revision    uint64 // up to which keys are known
-	incarnation uint64 // of the store, as its client counts them, that keys are of
-
-	mu       sync.Mutex         // guards what follows
-	keys     map[string]Summary // summaries by the rest of the key; nil: not loaded
-	next     *round             // that reads which begin now join; nil: none waits
-	stats    Stats
-	overflow bool // there were too many keys when they were last listed
+	revision    uint64 // up to which keys is current
+	incarnation uint64 // store incarnation of keys, as numbered by the store client
+
+	mu        sync.Mutex         // guards the fields below
+	keys      map[string]Summary // summaries by the part of the key after the prefix; nil: not loaded
+	nextRound *round             // joined by reads that begin now; nil: no read waits
+	stats     Stats
+	overflow  bool // there were too many keys when they were last listed
 }
 
-// Stats tell how a view is used.
+// Stats are the usage counters and the size of a view.
 type Stats struct {
 	Loaded       bool
 	Keys         int
@@ -69,18 +71,18 @@
 	Reads        int64 // answered from memory
 }
 
-// round is one request that confirms what all reads that wait for it are told.
+// round is one request to the store on behalf of all reads that wait for it.
 type round struct {
-	done chan struct{} // closed when the outcome is known
-	err  error         // set before that
+	done chan struct{} // closed when the round has ended
+	err  error         // set before done is closed
 }
 
-// New makes a view that is not loaded yet.
+// New returns a view that is not loaded yet.
 func New[Summary any](options Options[Summary]) *View[Summary] {
 	return &View[Summary]{options: options, wake: make(chan struct{}, 1)}
 }
 
-// Stats returns how the view was used so far.
+// Stats returns the usage counters and the present size of the view.
 func (v *View[Summary]) Stats() Stats {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -89,9 +91,10 @@
 	return stats
 }
 
-// Read tells whether a key exists, by what follows the prefix, and its summary. The answer holds
-// for a moment between the call and the return. The error is ErrUnavailable where the store is to
-// be read instead, or why the store could not be asked.
+// Read returns whether a key exists, given the part after the prefix, and its summary. The read is
+// linearizable: the answer was true at some moment between the call and the return. The error is
+// ErrUnavailable if the caller must read the store instead; any other error would have failed a
+// read of the store too.
 func (v *View[Summary]) Read(ctx context.Context, name string) (summary Summary, exists bool, err error) {
 	joined := v.join()
 	if joined == nil {
@@ -112,15 +115,16 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.keys == nil {
-		return summary, false, ErrUnavailable // it was found wanting since
+		return summary, false, ErrUnavailable // a later round reset the view
 	}
 	v.stats.Reads++
 	summary, exists = v.keys[name]
 	return summary, exists, nil
 }
 
-// Lacks reports whether a key was found missing by the last round, which may be as long ago as the
-// keep-alive interval. It is for what need not be exact; a view that is not loaded lacks nothing.
+// Lacks reports whether a key was missing as of the last round, which may be as old as the
+// keep-alive interval. It is for callers that tolerate stale answers. It returns false if the view
+// is not loaded.
 func (v *View[Summary]) Lacks(name string) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -128,24 +132,25 @@
 	return v.keys != nil && !exists
 }
 
-// join returns the round that a read which begins now waits for, nil if the view is not loaded.
+// join returns the round that a read must wait for if it begins now, or nil if the view is not
+// loaded.
 func (v *View[Summary]) join() *round {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.keys == nil {
 		return nil
 	}
-	if v.next == nil {
-		v.next = &round{done: make(chan struct{})}
+	if v.nextRound == nil {
+		v.nextRound = &round{done: make(chan struct{})}
 	}
 	select {
 	case v.wake <- struct{}{}:
-	default: // it is awake
+	default: // already signalled
 	}
-	return v.next
+	return v.nextRound
 }
 
-// Run keeps the view up to date until ctx ends.
+// Run loads the view and runs its rounds until ctx ends.
 func (v *View[Summary]) Run(ctx context.Context) error {
 	ctx = kvstore.WithPriority(ctx, kvstore.PriorityStatusRead)
 	keepAlive := time.NewTicker(v.options.KeepAlive)
@@ -168,19 +173,20 @@
 	return ctx.Err()
 }
 
-// runRound brings the keys up to date and answers the reads that wait.
+// runRound requests and applies the changes since the last round, and completes the round for the
+// reads that wait for it.
 func (v *View[Summary]) runRound(ctx context.Context) {
 	var current *round
-	var floor uint64 // a revision that the store had reached when the request was sent
+	var minRevision uint64 // the store had reached it when the request was sent
 	changes, err := v.options.Store.ChangesSince(ctx, v.options.Prefix, v.revision, func() {
-		current = v.begin()
-		floor, _ = v.options.Store.Revision()
+		current = v.beginRound()
+		minRevision, _ = v.options.Store.Revision()
 	})
-	if current == nil { // it was not sent
-		current = v.begin()
+	if current == nil { // the request was not sent
+		current = v.beginRound()
 	}
 	if err == nil {
-		err = v.apply(changes, floor)
+		err = v.apply(changes, minRevision)
 	}
 	if errors.Is(err, kvstore.ErrCompacted) {
 		v.reset()
@@ -195,8 +201,8 @@
 	close(current.done)
 }
 
-// readError is what a read is told of its round's error: what the store would have refused a read
-// of its own as well stays, all else sends it there.
+// readError returns the error of the reads of a round. ErrRefused is kept, as a read of the store
+// would be refused too; after any other error the caller should read the store.
 func readError(err error) error {
 	if err == nil || errors.Is(err, kvstore.ErrRefused) {
 		return err
@@ -204,26 +210,26 @@
 	return ErrUnavailable
 }
 
-// begin returns the round that is sent now. Reads that begin from here on join the one after.
-func (v *View[Summary]) begin() *round {
+// beginRound returns the round to be sent now. Reads that begin later join the next one.
+func (v *View[Summary]) beginRound() *round {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.stats.Rounds++
-	current := v.next
-	v.next = nil
+	current := v.nextRound
+	v.nextRound = nil
 	if current == nil {
-		current = &round{done: make(chan struct{})} // nobody waits
+		current = &round{done: make(chan struct{})} // no read waits
 	}
 	return current
 }
 
-// errBehind says that the answer to a round is older than what this process knew when it asked.
-var errBehind = errors.New("readindex: the change log is behind")
+// errBehind means that a round's answer has an earlier revision than was known when it was sent.
+var errBehind = errors.New("readindex: change log is behind the known revision")
 
-// apply takes in the changes that a round brought.
-func (v *View[Summary]) apply(changes wire.WatchResponse, floor uint64) error {
+// apply applies the changes of a round's answer to the keys.
+func (v *View[Summary]) apply(changes wire.WatchResponse, minRevision uint64) error {
 	if _, incarnation := v.options.Store.Revision(); incarnation != v.incarnation {
-		return kvstore.ErrCompacted // the keys are of data that the store lost
+		return kvstore.ErrCompacted // the keys are from an earlier incarnation
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -236,9 +242,9 @@
 	}
 	v.revision = max(v.revision, changes.Revision)
 	if len(v.keys) > v.options.MaxKeys {
-		return kvstore.ErrCompacted // listed again, which tells that they are too many
+		return kvstore.ErrCompacted // Run lists the keys again, and load detects the overflow
 	}
-	if changes.Revision < floor {
+	if changes.Revision < minRevision {
 		return errBehind
 	}
 	return nil
--- a/internal/readindex/view_test.go
+++ b/internal/readindex/view_test.go
@@ -16,22 +16,22 @@
 	"rillflow/internal/kvstore"
 )
 
-// Guards against status answers from memory that are older than the question: each answer must
-// have been true at a moment between its read's beginning and end.
+// Guards against stale answers from memory: each answer must have been true at some moment between
+// the start and the end of its read.
 func TestReadsAreLinearizable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Uint32(), 20, 200).Draw(rt, "steps")
-		var wrong string
-		synctest.Test(t, func(t *testing.T) { wrong = playSteps(t, steps) })
-		if wrong != "" {
-			rt.Fatal(wrong)
+		var violation string
+		synctest.Test(t, func(t *testing.T) { violation = runSteps(t, steps) })
+		if violation != "" {
+			rt.Fatal(violation)
 		}
 	})
 }
 
-// playSteps changes keys and reads them, as the bits of the steps say, and returns what was
-// answered that never was true while the read lasted.
-func playSteps(t *testing.T, steps []uint32) (wrong string) {
+// runSteps writes, deletes and reads keys as encoded in the bits of the steps. It returns a
+// description of an answer that was never true during its read, or "" if there is none.
+func runSteps(t *testing.T, steps []uint32) (violation string) {
 	const names = 4
 	store := newFakeStore()
 	view, _, stop := startView(t, store, nil)
@@ -56,20 +56,20 @@
 				return
 			}
 			answered++
-			if !store.couldBe(name, exists, from, time.Now()) {
-				wrong = fmt.Sprintf("%s exists=%v, asked at %v, answered at %v",
-					name, exists, from.Sub(store.began), time.Since(store.began))
+			if !store.wasInState(name, exists, from, time.Now()) {
+				violation = fmt.Sprintf("stale answer: %s exists=%v, read started at %v, ended at %v",
+					name, exists, from.Sub(store.startedAt), time.Since(store.startedAt))
 			}
 		})
 	}
 	readers.Wait()
-	if wrong == "" && answered == 0 && len(steps) > 100 {
-		wrong = "no read was answered from memory"
+	if violation == "" && answered == 0 && len(steps) > 100 {
+		violation = "no read was answered from memory"
 	}
-	return wrong
+	return violation
 }
 
-// Guards against requests that grow with the number of those who read.
+// Guards against a number of requests that grows with the number of readers.
 func TestRoundsDoNotGrowWithReaders(t *testing.T) {
 	for _, readers := range []int{1, 5, 20} {
 		synctest.Test(t, func(t *testing.T) {
@@ -84,7 +84,7 @@
 				waiting.Go(func() {
 					for range 50 {
 						if _, exists, err := view.Read(t.Context(), "a"); err != nil || !exists {
-							t.Errorf("exists %v: %v", exists, err)
+							t.Errorf("exists %v, error %v, want true, no error", exists, err)
 						}
 						time.Sleep(10 * time.Millisecond)
 					}
@@ -92,7 +92,7 @@
 			}
 			waiting.Wait()
 			if got := store.requestCount() - before; got > 51 {
-				t.Errorf("%d requests for %d readers of 50 reads each, want one for each round", got, readers)
+				t.Errorf("%d requests for %d readers of 50 reads each, want at most 51, one per round", got, readers)
 			}
 		})
 	}
@@ -105,24 +105,24 @@
 		fault  func(*fakeStore, *kvstore.Client)
 		want   error
 	}{
-		{"rounds hang", nil, func(s *fakeStore, _ *kvstore.Client) { s.locked(func() { s.latency = time.Hour }) }, ErrUnavailable},
-		{"the store refuses", nil, func(s *fakeStore, _ *kvstore.Client) { s.locked(func() { s.status = http.StatusServiceUnavailable }) }, kvstore.ErrRefused},
+		{"rounds hang", nil, func(s *fakeStore, _ *kvstore.Client) { s.withLock(func() { s.latency = time.Hour }) }, ErrUnavailable},
+		{"the store refuses requests", nil, func(s *fakeStore, _ *kvstore.Client) { s.withLock(func() { s.status = http.StatusServiceUnavailable }) }, kvstore.ErrRefused},
 		{"too many keys", func(o *Options[int]) { o.MaxKeys = 1 }, nil, ErrUnavailable},
-		{"the change log is compacted", nil, func(s *fakeStore, _ *kvstore.Client) { s.locked(func() { s.status = http.StatusGone }) }, ErrUnavailable},
+		{"the change log is compacted", nil, func(s *fakeStore, _ *kvstore.Client) { s.withLock(func() { s.status = http.StatusGone }) }, ErrUnavailable},
 		{"the change log is behind", nil, func(s *fakeStore, c *kvstore.Client) {
-			s.locked(func() { s.frozenAt = s.revision })
+			s.withLock(func() { s.frozenAt = s.revision })
 			s.set("c", true)
 			c.Probe(context.Background())
 			c.List(context.Background(), testPrefix)
 		}, ErrUnavailable},
-		{"another incarnation of the data", nil, func(_ *fakeStore, c *kvstore.Client) { c.StartIncarnation() }, ErrUnavailable},
-		{"another incarnation that has grown past the view", nil, func(s *fakeStore, c *kvstore.Client) {
+		{"the store's incarnation ended", nil, func(_ *fakeStore, c *kvstore.Client) { c.StartIncarnation() }, ErrUnavailable},
+		{"the new incarnation has passed the view's revision", nil, func(s *fakeStore, c *kvstore.Client) {
 			s.loseData(s.revision)
 			s.set("c", true)
 			c.StartIncarnation()
 			c.List(context.Background(), testPrefix)
 		}, ErrUnavailable},
-		{"the store lost data", nil, func(s *fakeStore, c *kvstore.Client) {
+		{"the store's revision went back", nil, func(s *fakeStore, c *kvstore.Client) {
 			s.loseData(1)
 			c.List(context.Background(), testPrefix)
 		}, ErrUnavailable},
@@ -138,19 +138,19 @@
 				if tc.fault != nil {
 					tc.fault(store, client)
 				}
-				began := time.Now()
+				startedAt := time.Now()
 				if _, exists, err := view.Read(t.Context(), "a"); !errors.Is(err, tc.want) {
 					t.Errorf("exists %v, error %v, want %v", exists, err, tc.want)
 				}
-				if waited := time.Since(began); waited > 400*time.Millisecond {
-					t.Errorf("waited for %v", waited)
+				if waited := time.Since(startedAt); waited > 400*time.Millisecond {
+					t.Errorf("waited for %v, want at most 400ms", waited)
 				}
 			})
 		})
 	}
 }
 
-// After a fault a view is loaded anew, and tells what is stored then.
+// Guards against a view that stays unavailable or keeps lost keys after the store lost data.
 func TestViewReloads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeStore()
@@ -171,7 +171,7 @@
 	})
 }
 
-// BenchmarkMemory tells how much 50,000 live keys take.
+// BenchmarkMemory measures the memory per key of 50,000 live keys.
 func BenchmarkMemory(b *testing.B) {
 	const names = 50_000
 	for b.Loop() {
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,11 +1,11 @@
 package wire
 
-// InstanceTypeList is the cloud's catalogue.
+// InstanceTypeList is the cloud's catalogue of instance types.
 type InstanceTypeList struct {
 	Types []InstanceType `json:"flavors"`
 }
 
-// InstanceType is one row of the catalogue.
+// InstanceType is one entry of the catalogue.
 type InstanceType struct {
 	Name                 string   `json:"label"`
 	CPUs                 float64  `json:"cores"`
@@ -19,8 +19,8 @@
 	Zones                []string `json:"locales"`
 }
 
-// ScaleOutRequest asks the cloud for instances. A request that was granted once rents
-// nothing when it is repeated under the same ID.
+// ScaleOutRequest requests instances from the cloud. It is idempotent: repeating a granted
+// request with the same ID rents no further instances.
 type ScaleOutRequest struct {
 	RequestID    string `json:"ask"`
 	InstanceType string `json:"flavor"`
@@ -40,7 +40,7 @@
 	More      bool       `json:"more"`
 }
 
-// Instance is a rented machine as the cloud lists it.
+// Instance is a rented machine in the cloud's list.
 type Instance struct {
 	Name         string  `json:"ref"`
 	Address      string  `json:"address"`
@@ -48,7 +48,7 @@
 	Zone         string  `json:"locale"`
 	Spot         bool    `json:"loaners"`
 	Phase        string  `json:"phase"`
-	AgeSeconds   float64 `json:"held_s"` // since the request, as of the moment the list describes
+	AgeSeconds   float64 `json:"held_s"` // since the request, at the time that the list describes
 }
 
 // Phases of an instance.
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/goldentest"
 )
 
-// Every message of the platform's protocol keeps its fields, their names and their order.
+// Guards against changes of the fields, their names and their order in the protocol's messages.
 func TestGoldenMessages(t *testing.T) {
 	var out strings.Builder
 	line := func(name, text string) { out.WriteString(name + "\t" + text + "\n") }
@@ -38,8 +38,8 @@
 	goldentest.Check(t, "messages.txt", out.String())
 }
 
-// The words of the protocol.
-func TestGoldenWords(t *testing.T) {
+// Guards against changes of the protocol's enum values.
+func TestGoldenEnumValues(t *testing.T) {
 	goldentest.Check(t, "words.txt", strings.Join([]string{
 		"job phases: " + strings.Join([]string{PhaseQueued, PhaseRunning, PhaseDone, PhaseCancelled}, " "),
 		"shapes: " + strings.Join([]string{KindArray, KindService, KindGang}, " "),
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -1,39 +1,39 @@
 package wire
 
-// Job is a submission that was checked. It is stored in this form too.
+// Job is a submission. An accepted one is stored in the same form.
 type Job struct {
 	ID       string `json:"ref"`
 	Class    string `json:"jobclass"`
-	Team     string `json:"owner"` // whose quota applies
+	Team     string `json:"owner"` // team whose quota applies
 	Kind     string `json:"shape"`
 	Priority string `json:"rank"`
 
 	TaskCount int     `json:"members"`
-	CPUs      float64 `json:"cores"` // of each task, as GPUs and MemoryGB
+	CPUs      float64 `json:"cores"` // per task, like GPUs and MemoryGB
 	GPUs      float64 `json:"accelerators"`
 	MemoryGB  float64 `json:"ram_gb"`
 	Image     string  `json:"bundle"`
 	ImageGB   float64 `json:"size_gb"`
 
-	InstanceTypes []string `json:"flavors,omitempty"` // allowed; none: any
-	Zone          string   `json:"locale,omitempty"`  // the only one allowed; "": any
+	InstanceTypes []string `json:"flavors,omitempty"` // allowed types; empty: any
+	Zone          string   `json:"locale,omitempty"`  // the only allowed zone; "": any
 	SingleZone    bool     `json:"same_place,omitempty"`
 	SpreadZones   bool     `json:"scatter,omitempty"`
 	AllowSpot     bool     `json:"loaners,omitempty"`
 
-	ExpectedSeconds           float64 `json:"expect_s"` // run time of a task, by its owner's estimate
+	ExpectedSeconds           float64 `json:"expect_s"` // run time of a task, as estimated by the user
 	CheckpointIntervalSeconds float64 `json:"snapshot_s,omitempty"`
 	CheckpointSaveSeconds     float64 `json:"flush_s,omitempty"`
 	DeadlineSeconds           float64 `json:"due_s,omitempty"` // since the submission; 0: none
 
-	DependsOn []string `json:"waits_on,omitempty"` // jobs that must be done before
+	DependsOn []string `json:"waits_on,omitempty"` // IDs of jobs that must be done before this one starts
 }
 
 // Kinds of a job.
 const (
-	KindArray   = "batch"    // independent tasks, each runs to completion
+	KindArray   = "batch"    // independent tasks that run to completion
 	KindService = "standing" // replicas that run until the job is cancelled
-	KindGang    = "ensemble" // all of its tasks start together
+	KindGang    = "ensemble" // tasks that all start together
 )
 
 // Priorities returns the priorities of jobs, the highest first.
@@ -55,7 +55,7 @@
 	PhaseCancelled = "withdrawn"
 )
 
-// ErrorResponse is the body of a refusal.
+// ErrorResponse is the body of an error answer.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -1,7 +1,7 @@
 package wire
 
-// Heartbeat is what a worker reports: at its interval and when something changes, and
-// in answer to commands and questions sent to it directly.
+// Heartbeat is a worker's report of its state. A worker sends it at its interval, when something
+// changes, and in answer to direct commands and status requests.
 type Heartbeat struct {
 	Worker            string       `json:"host"`
 	Address           string       `json:"address"`
@@ -10,12 +10,13 @@
 	Spot              bool         `json:"loaners"`
 	Incarnation       uint64       `json:"tenure"` // rises each time the worker's lease expires
 	Sequence          uint64       `json:"tick"`   // orders the heartbeats of one incarnation
-	Epoch             uint64       `json:"epoch"`  // the highest fencing token the worker has seen
+	Epoch             uint64       `json:"epoch"`  // highest fencing token that the worker has seen
 	SpotNoticeSeconds *float64     `json:"warning_s"`
 	Tasks             []TaskStatus `json:"members"`
 }
 
-// TaskStatus is one task on a worker, exited tasks that were not forgotten included.
+// TaskStatus is the state of one task on a worker. A worker reports exited tasks too, until it is
+// told to forget them.
 type TaskStatus struct {
 	Task            string `json:"member"`
 	Attempt         uint64 `json:"try"`
@@ -26,9 +27,9 @@
 
 // Phases of a task.
 const (
-	TaskFetching = "fetching" // waits for its image
+	TaskFetching = "fetching" // waiting for its image
 	TaskRunning  = "running"
-	TaskSaving   = "flushing" // was told to stop and saves a checkpoint
+	TaskSaving   = "flushing" // saving a checkpoint after a stop command
 	TaskExited   = "ended"
 )
 
@@ -37,20 +38,20 @@
 	ExitDone        = "done"
 	ExitStopped     = "halted"
 	ExitFailed      = "error"
-	ExitNoCapacity  = "no_room" // not started: too few free resources on the worker
-	ExitDuplicate   = "in_use"  // not started: the worker has it with another attempt
+	ExitNoCapacity  = "no_room" // not started: not enough free resources on the worker
+	ExitDuplicate   = "in_use"  // not started: the worker already has another attempt of it
 	ExitUnknownTask = "unknown" // not started: no such job or task
 )
 
-// CommandBatch answers a heartbeat. Sent to a worker directly, it names the
-// incarnation that it is for.
+// CommandBatch is the answer to a heartbeat. A batch sent to a worker directly includes the
+// incarnation that it is meant for.
 type CommandBatch struct {
-	Epoch       uint64    `json:"epoch"` // the fencing token that entitles to command
+	Epoch       uint64    `json:"epoch"` // fencing token of the sender
 	Incarnation uint64    `json:"tenure,omitempty"`
 	Commands    []Command `json:"orders"`
 }
 
-// Command is one command to a worker, about one attempt of a task.
+// Command is a command to a worker for one attempt of a task.
 type Command struct {
 	Action       string  `json:"verb"`
 	Task         string  `json:"member"`
@@ -62,10 +63,10 @@
 const (
 	ActionStart  = "launch"
 	ActionStop   = "stop"
-	ActionForget = "reap" // drop an exited task from the heartbeats
+	ActionForget = "reap" // stop reporting an exited task
 )
 
-// Redirect sends a worker to another controller.
+// Redirect tells a worker which controller to send its heartbeats to.
 type Redirect struct {
 	Controller string `json:"steward,omitempty"`
 }
