--- a/internal/fleet/costsaving.go
+++ b/internal/fleet/costsaving.go
@@ -58,45 +58,45 @@
 
 // run plans in this order: requests for work bound to a zone, cancelled drains, requests for other
 // missing capacity and, only if none is missing, instances to release and drain.
-func (f *costSavingPass) run() Plan {
-	f.countCapacity()
-	f.scaleOutZoneBound()
-	availableCores := f.spotCores + max(0, f.onDemandCores-f.neededOnDemandCores) // for work that may run on spot
-	if (f.onDemandCores < f.neededOnDemandCores || availableCores < f.neededSpotCores) && f.drainingCores > 0 {
-		f.plan.CancelDrains = true // draining instances are usable at once, new ones have to boot
-		return f.plan
+func (c *costSavingPass) run() Plan {
+	c.countCapacity()
+	c.scaleOutZoneBound()
+	availableCores := c.spotCores + max(0, c.onDemandCores-c.neededOnDemandCores) // for work that may run on spot
+	if (c.onDemandCores < c.neededOnDemandCores || availableCores < c.neededSpotCores) && c.drainingCores > 0 {
+		c.plan.CancelDrains = true // draining instances are usable at once, new ones have to boot
+		return c.plan
 	}
-	f.scaleOutOnDemand()
-	if zone, shortfall := f.failoverShortfall(); shortfall > 0 {
-		f.scaleOutElsewhere(zone, shortfall)
+	c.scaleOutOnDemand()
+	if zone, shortfall := c.failoverShortfall(); shortfall > 0 {
+		c.scaleOutElsewhere(zone, shortfall)
 	}
-	f.scaleOutSpot(availableCores)
-	if !f.plan.CancelDrains {
-		f.scaleIn()
+	c.scaleOutSpot(availableCores)
+	if !c.plan.CancelDrains {
+		c.scaleIn()
 	}
-	return f.plan
+	return c.plan
 }
 
 // countCapacity adds up the available capacity, and releases draining instances that are idle.
-func (f *costSavingPass) countCapacity() {
-	for _, instance := range f.instances {
-		instanceType := f.types[instance.InstanceType]
-		if instanceType == nil || instance.Releasing || instance.bootOverdue(instanceType, f.now) {
+func (c *costSavingPass) countCapacity() {
+	for _, instance := range c.instances {
+		instanceType := c.types[instance.InstanceType]
+		if instanceType == nil || instance.Releasing || instance.bootOverdue(instanceType, c.now) {
 			continue
 		}
 		switch {
 		case instance.Draining:
-			f.drainingInstances++
-			f.drainingCores += instanceType.CPUs
+			c.drainingInstances++
+			c.drainingCores += instanceType.CPUs
 			if !instance.IdleSince.IsZero() {
-				f.plan.Release = append(f.plan.Release, instance.Name)
+				c.plan.Release = append(c.plan.Release, instance.Name)
 			}
 		case instance.Spot:
-			f.spotCores += instanceType.CPUs
+			c.spotCores += instanceType.CPUs
 		default:
-			f.onDemandCores += instanceType.CPUs
-			f.onDemandByZone[instance.Zone] += instanceType.CPUs
-			f.freeForReplicas[instance.Zone] += instanceType.CPUs - instance.ReplicaCores
+			c.onDemandCores += instanceType.CPUs
+			c.onDemandByZone[instance.Zone] += instanceType.CPUs
+			c.freeForReplicas[instance.Zone] += instanceType.CPUs - instance.ReplicaCores
 		}
 	}
 }
@@ -104,47 +104,47 @@
 // scaleOutZoneBound requests instances for waiting work that only one zone may run. The cores
 // missing there are subtracted from neededOnDemandCores: instances in other zones are of no use to
 // such work, and must not be requested or kept for it.
-func (f *costSavingPass) scaleOutZoneBound() {
+func (c *costSavingPass) scaleOutZoneBound() {
 	totalShortfall := 0.0
-	for _, zone := range slices.Sorted(maps.Keys(f.demand.ZoneBoundCores)) {
-		shortfall := f.demand.ZoneBoundCores[zone] - f.freeForReplicas[zone]
+	for _, zone := range slices.Sorted(maps.Keys(c.demand.ZoneBoundCores)) {
+		shortfall := c.demand.ZoneBoundCores[zone] - c.freeForReplicas[zone]
 		if shortfall <= 0 {
 			continue
 		}
 		totalShortfall += shortfall
-		inZone := slices.DeleteFunc(f.offerings(false), func(offered offering) bool { return offered.zone != zone })
-		f.requestCores(inZone, shortfall)
-		f.plan.CancelDrainZones = append(f.plan.CancelDrainZones, zone)
+		inZone := slices.DeleteFunc(c.offerings(false), func(offered offering) bool { return offered.zone != zone })
+		c.requestCores(inZone, shortfall)
+		c.plan.CancelDrainZones = append(c.plan.CancelDrainZones, zone)
 	}
-	f.neededOnDemandCores -= totalShortfall
+	c.neededOnDemandCores -= totalShortfall
 }
 
 // scaleOutOnDemand requests the missing on-demand instances, in the zones with the fewest cores
 // first. If none are missing, it requests what a service spread over zones needs outside the
 // largest zone.
-func (f *costSavingPass) scaleOutOnDemand() {
-	if shortfall := f.neededOnDemandCores - f.onDemandCores; shortfall > 0 {
-		offerings := f.offerings(false)
+func (c *costSavingPass) scaleOutOnDemand() {
+	if shortfall := c.neededOnDemandCores - c.onDemandCores; shortfall > 0 {
+		offerings := c.offerings(false)
 		slices.SortStableFunc(offerings, func(a, b offering) int {
-			return cmp.Compare(f.onDemandByZone[a.zone], f.onDemandByZone[b.zone])
+			return cmp.Compare(c.onDemandByZone[a.zone], c.onDemandByZone[b.zone])
 		})
-		f.requestCores(offerings, shortfall)
-		f.plan.CancelDrains = true
+		c.requestCores(offerings, shortfall)
+		c.plan.CancelDrains = true
 		return
 	}
-	if largest, second := f.freeForReplicas.largestTwo(); second < f.demand.SecondZoneCores {
-		f.scaleOutElsewhere(largest, f.demand.SecondZoneCores-second)
+	if largest, second := c.freeForReplicas.largestTwo(); second < c.demand.SecondZoneCores {
+		c.scaleOutElsewhere(largest, c.demand.SecondZoneCores-second)
 	}
 }
 
 // scaleOutElsewhere requests on-demand instances outside a zone and cancels the drains there.
 // Instances in the zone itself do not help.
-func (f *costSavingPass) scaleOutElsewhere(zone string, cores float64) {
-	elsewhere := slices.DeleteFunc(f.offerings(false), func(offered offering) bool { return offered.zone == zone })
-	f.requestCores(elsewhere, cores)
-	for other := range f.onDemandByZone {
-		if other != zone && !slices.Contains(f.plan.CancelDrainZones, other) {
-			f.plan.CancelDrainZones = append(f.plan.CancelDrainZones, other)
+func (c *costSavingPass) scaleOutElsewhere(zone string, cores float64) {
+	elsewhere := slices.DeleteFunc(c.offerings(false), func(offered offering) bool { return offered.zone == zone })
+	c.requestCores(elsewhere, cores)
+	for other := range c.onDemandByZone {
+		if other != zone && !slices.Contains(c.plan.CancelDrainZones, other) {
+			c.plan.CancelDrainZones = append(c.plan.CancelDrainZones, other)
 		}
 	}
 }
@@ -152,52 +152,52 @@
 // scaleOutSpot requests the missing spot instances. If none can be requested, it requests on-demand
 // ones, but only for the queued urgent work that exceeds the available cores: those take on the
 // rest in about the time that an instance needs to boot.
-func (f *costSavingPass) scaleOutSpot(availableCores float64) {
-	shortfall := f.neededSpotCores - availableCores
+func (c *costSavingPass) scaleOutSpot(availableCores float64) {
+	shortfall := c.neededSpotCores - availableCores
 	if shortfall <= 0 {
 		return
 	}
-	if offerings := f.offerings(true); len(offerings) > 0 {
-		f.requestCores(offerings, shortfall)
-	} else if urgentShortfall := min(f.demand.QueuedCores, f.demand.UrgentCores) - availableCores; urgentShortfall > 0 {
-		f.requestCores(f.offerings(false), min(shortfall, urgentShortfall))
+	if offerings := c.offerings(true); len(offerings) > 0 {
+		c.requestCores(offerings, shortfall)
+	} else if urgentShortfall := min(c.demand.QueuedCores, c.demand.UrgentCores) - availableCores; urgentShortfall > 0 {
+		c.requestCores(c.offerings(false), min(shortfall, urgentShortfall))
 	}
-	f.plan.CancelDrains = true
+	c.plan.CancelDrains = true
 }
 
 // scaleIn releases surplus instances that are idle, and drains surplus ones that are busy.
-func (f *costSavingPass) scaleIn() {
-	candidates := f.scaleInCandidates()
+func (c *costSavingPass) scaleIn() {
+	candidates := c.scaleInCandidates()
 	drainLimit := maxDraining(len(candidates))
 	for _, instance := range candidates {
-		instanceType := f.types[instance.InstanceType]
-		idle := f.idleLongEnough(instance, instanceType)
-		if f.mustKeep(instance, instanceType.CPUs) || !idle && !f.drainable(instance, drainLimit) {
+		instanceType := c.types[instance.InstanceType]
+		idle := c.idleLongEnough(instance, instanceType)
+		if c.mustKeep(instance, instanceType.CPUs) || !idle && !c.drainable(instance, drainLimit) {
 			continue
 		}
 		if instance.Spot {
-			f.spotCores -= instanceType.CPUs
+			c.spotCores -= instanceType.CPUs
 		} else {
-			f.onDemandCores -= instanceType.CPUs
-			f.freeForReplicas[instance.Zone] -= instanceType.CPUs
+			c.onDemandCores -= instanceType.CPUs
+			c.freeForReplicas[instance.Zone] -= instanceType.CPUs
 		}
 		if idle {
-			f.plan.Release = append(f.plan.Release, instance.Name)
+			c.plan.Release = append(c.plan.Release, instance.Name)
 		} else {
-			f.plan.Drain = append(f.plan.Drain, instance.Name)
-			f.drainingInstances++
+			c.plan.Drain = append(c.plan.Drain, instance.Name)
+			c.drainingInstances++
 		}
 	}
 }
 
 // scaleInCandidates returns the instances that are up and neither draining nor to be released: the
 // highest price per core first, then the fewest replicas to move.
-func (f *costSavingPass) scaleInCandidates() []Instance {
-	candidates := slices.DeleteFunc(slices.Clone(f.instances), func(instance Instance) bool {
-		return f.types[instance.InstanceType] == nil || instance.Releasing || instance.Draining || !instance.Up
+func (c *costSavingPass) scaleInCandidates() []Instance {
+	candidates := slices.DeleteFunc(slices.Clone(c.instances), func(instance Instance) bool {
+		return c.types[instance.InstanceType] == nil || instance.Releasing || instance.Draining || !instance.Up
 	})
 	slices.SortFunc(candidates, func(a, b Instance) int {
-		priceA, priceB := a.pricePerCore(f.types[a.InstanceType]), b.pricePerCore(f.types[b.InstanceType])
+		priceA, priceB := a.pricePerCore(c.types[a.InstanceType]), b.pricePerCore(c.types[b.InstanceType])
 		return cmp.Or(-cmp.Compare(priceA, priceB), cmp.Compare(a.Replicas, b.Replicas), cmp.Compare(a.Name, b.Name))
 	})
 	return candidates
@@ -205,29 +205,29 @@
 
 // mustKeep reports whether the capacity without an instance would be too small: in total, on-demand,
 // in a second zone, or for the replicas of a lost zone.
-func (f *costSavingPass) mustKeep(instance Instance, cores float64) bool {
-	if f.onDemandCores+f.spotCores-cores < f.neededOnDemandCores+f.scaleInMarginCores {
+func (c *costSavingPass) mustKeep(instance Instance, cores float64) bool {
+	if c.onDemandCores+c.spotCores-cores < c.neededOnDemandCores+c.scaleInMarginCores {
 		return true
 	}
 	if instance.Spot {
 		return false
 	}
-	return f.onDemandCores-cores < f.neededOnDemandCores ||
-		f.freeForReplicas.leavesSecondShort(instance.Zone, cores, f.demand.SecondZoneCores) ||
-		releaseWorsensShortfall(f.planner.settings, f.demand.FailoverCores, f.freeForReplicas, instance, cores)
+	return c.onDemandCores-cores < c.neededOnDemandCores ||
+		c.freeForReplicas.leavesSecondShort(instance.Zone, cores, c.demand.SecondZoneCores) ||
+		releaseWorsensShortfall(c.planner.settings, c.demand.FailoverCores, c.freeForReplicas, instance, cores)
 }
 
 // drainable reports whether a busy instance may be drained now. CanMoveReplicas is called last, as
 // it reserves places for the replicas.
-func (f *costSavingPass) drainable(instance Instance, drainLimit int) bool {
-	minAge := minDrainAge * settings.Seconds(f.types[instance.InstanceType].BootSeconds)
-	return f.drainingInstances < drainLimit && f.now.Sub(instance.RequestedAt) >= minAge &&
+func (c *costSavingPass) drainable(instance Instance, drainLimit int) bool {
+	minAge := minDrainAge * settings.Seconds(c.types[instance.InstanceType].BootSeconds)
+	return c.drainingInstances < drainLimit && c.now.Sub(instance.RequestedAt) >= minAge &&
 		(instance.Replicas == 0 || instance.CanMoveReplicas())
 }
 
 // failoverShortfall calls the function of the same name with the demand and capacity of this pass.
-func (f *costSavingPass) failoverShortfall() (zone string, shortfall float64) {
-	return failoverShortfall(f.planner.settings, f.demand.FailoverCores, f.freeForReplicas)
+func (c *costSavingPass) failoverShortfall() (zone string, shortfall float64) {
+	return failoverShortfall(c.planner.settings, c.demand.FailoverCores, c.freeForReplicas)
 }
 
 // spareShare returns the share of the current on-demand work that is kept as spare capacity. The
--- a/internal/kvstore/prioritylimiter.go
+++ b/internal/kvstore/prioritylimiter.go
@@ -180,7 +180,7 @@
 	return Priority(next)
 }
 
-// grant removes the first request of a priority from the queue and tells it that it has its tokens.
+// grant removes the first request of a priority from its queue and signals that it has its tokens.
 func (l *priorityLimiter) grant(priority Priority) {
 	close(l.waiting[priority][0].granted)
 	l.waiting[priority] = slices.Delete(l.waiting[priority], 0, 1)
--- a/internal/readindex/view.go
+++ b/internal/readindex/view.go
@@ -1,9 +1,9 @@
 // Package readindex answers reads of the keys under a prefix of the key-value store from memory,
 // with the same linearizability as reads of the store. It applies the ReadIndex technique of Raft
-// to a store with revisions: a read joins the next round, a single request for all changes since
-// the last round that is sent after the read began, and is answered from memory once the round's
-// changes are applied. One round serves all waiting reads, so the number of requests depends on the
-// elapsed time and not on the number of readers.
+// to a store with revisions: a read waits for the next round and is then answered from memory. A
+// round is one request, sent after the read began, that returns all changes up to a revision later
+// than that, which are then applied. One round serves all waiting reads, so the number of requests
+// depends on the elapsed time and not on the number of readers.
 //
 // A View owns the keys in memory and the revision up to which they are current. Its Run is one
 // long-lived loop of the process; the job API calls Read. The package must not answer a read from
