--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -12,19 +12,19 @@
 	"rillflow/internal/wire"
 )
 
-// Limits of the requests to the cloud.
+// Limits on requests to the cloud API.
 const (
-	maxReleaseNames     = 100 // names in a release, by the protocol
-	maxRequestsPerRound = 32  // requests for instances before the instance list is read again
-	requestsPerInterval = 4   // share of the request budget: one round in the time of so many requests
+	maxReleaseNames     = 100 // instance names per release request, a limit of the protocol
+	maxRequestsPerRound = 32  // scale-out requests before the instance list is read again
+	requestsPerInterval = 4   // a round runs at most once per this many requests of the cloud's rate limit
 )
 
 // autoscaler requests and releases instances.
 //
-// Its loop is runAutoscaler; the failure monitor has it release instances. Its state is guarded by
-// mu, which is not held while the cloud is asked. What to scale is the planner's decision;
-// the autoscaler shows it the fleet and the demand, and carries its plan out. It must not act
-// while another controller may lead.
+// Its loop is runAutoscaler; the failure monitor also calls it to release instances. Its state is
+// guarded by mu, which is not held during requests to the cloud. The planner decides what to scale;
+// the autoscaler passes it the fleet and the demand, and executes its plan. It must not act while
+// another controller may lead.
 type autoscaler struct {
 	*termScope
 	registry  *workerRegistry
@@ -34,14 +34,14 @@
 	scheduler *scheduler
 
 	planner          *fleet.Planner
-	scaledAheadTeams map[string]bool // teams whose work is scaled out ahead of need
+	scaledAheadTeams map[string]bool // teams for which instances are requested ahead of demand
 }
 
-// runAutoscaler keeps the fleet: it reads the instance list, releases what is idle, and
-// requests what is needed.
+// runAutoscaler adapts the fleet to the demand until ctx ends: it reads the instance list every
+// other round, releases idle instances, and requests new ones.
 func (a *autoscaler) runAutoscaler(ctx context.Context) error {
-	budgeted := time.Duration(float64(time.Second) * requestsPerInterval / a.settings.Facts.Cloud.RPS)
-	interval := max(a.settings.HeartbeatInterval()/2, budgeted)
+	budgetInterval := time.Duration(float64(time.Second) * requestsPerInterval / a.settings.Facts.Cloud.RPS)
+	interval := max(a.settings.HeartbeatInterval()/2, budgetInterval)
 	for round := 0; ; round++ {
 		if !a.leadership.LeaseHeld(a.now()) {
 			if !retry.Sleep(ctx, interval) {
@@ -65,9 +65,9 @@
 	}
 }
 
-// scale releases what is idle, drains what is too much, and requests
-// what is needed, one request after the other: how much each brings shows only
-// in its answer.
+// scale releases idle instances, drains surplus workers, and requests missing instances. It sends
+// one request at a time and plans again after each, because the cloud may grant fewer instances
+// than requested.
 func (a *autoscaler) scale(ctx context.Context) {
 	for requests := 0; requests < maxRequestsPerRound && a.leadership.LeaseHeld(a.now()); requests++ {
 		a.mu.Lock()
@@ -80,7 +80,7 @@
 			a.releaseInstances(ctx, idle)
 		}
 		if len(plan.ScaleOut) == 0 || a.memoryFull() {
-			return // more workers than there is memory for are of no use
+			return // this controller has no memory for the state of more workers
 		}
 		request := plan.ScaleOut[0]
 		names, err := a.cloud.RequestInstances(ctx, request)
@@ -90,8 +90,8 @@
 	}
 }
 
-// plan asks the planner what to do. The plan is empty while the fleet is not known: what an
-// earlier leader requested shows within a heartbeat interval.
+// plan returns the planner's plan. It is empty while the fleet is not known: instances requested
+// by an earlier leader show up within a heartbeat interval.
 func (a *autoscaler) plan(now time.Time) fleet.Plan {
 	instanceTypes := a.instanceTypes.InstanceTypes()
 	fleetKnown := a.leadership.Incarnation().Phase == dataloss.PhaseProvisional ||
@@ -103,8 +103,8 @@
 	return a.planner.Plan(instanceTypes, instances, a.demand(instances, now), now)
 }
 
-// markIdleReleased marks the instances that the plan releases, and returns their names; not
-// those of workers that were given a task since they were looked at.
+// markIdleReleased marks the instances that the plan releases and returns their names. It skips
+// workers on which a task was claimed since the plan was made.
 func (a *autoscaler) markIdleReleased(plan fleet.Plan, now time.Time) []string {
 	var idle []string
 	for _, name := range plan.Release {
@@ -115,12 +115,12 @@
 	}
 	idle = idle[:min(len(idle), maxReleaseNames)]
 	for _, name := range idle {
-		a.released[name] = time.Time{} // no new tasks from here on
+		a.released[name] = time.Time{} // the worker gets no new tasks from here on
 	}
 	return idle
 }
 
-// recordScaleOut takes in the answer to a request for instances.
+// recordScaleOut records the answer to a scale-out request and adds the granted workers.
 func (a *autoscaler) recordScaleOut(request wire.ScaleOutRequest, names []string, err error) {
 	now := a.now()
 	if err != nil && !errors.Is(err, fleet.ErrNoCapacity) {
@@ -145,14 +145,14 @@
 	}
 }
 
-// noteRelease logs why an instance is about to be released. Callers hold mu.
+// noteRelease logs and audits why an instance is about to be released. Callers hold mu.
 func (a *autoscaler) noteRelease(name, reason string, now time.Time) {
 	a.log.Info("releasing", "worker", name, "reason", reason, "claims", len(a.jobs.ClaimsOnWorker(name)))
 	a.auditLog.enqueue(now, audit.Entry{Action: audit.Released, Subject: name, Reason: reason})
 }
 
-// releaseInstances releases instances. The answer is proof that what was on them is gone, and
-// frees their claims.
+// releaseInstances releases instances and frees their claims: a successful answer proves that
+// their tasks have ended.
 func (a *autoscaler) releaseInstances(ctx context.Context, names []string) {
 	err := a.cloud.ReleaseInstances(ctx, names)
 	a.mu.Lock()
@@ -182,17 +182,17 @@
 	notify(a.writeSignal)
 }
 
-// mergeInstanceList takes in the cloud's list of instances. It lags, so what is missing from
-// it is not thereby gone.
+// mergeInstanceList merges the cloud's instance list into the known instances. The list lags, so
+// an instance that is missing from it may still exist.
 func (a *autoscaler) mergeInstanceList(list []wire.Instance) {
 	now := a.now()
 	listLag := time.Duration(a.settings.Facts.Cloud.ListLagSeconds * float64(time.Second))
-	present := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for _, instance := range list {
-		present[instance.Name] = true
+		listed[instance.Name] = true
 		releasedAt := a.released[instance.Name]
 		if !releasedAt.IsZero() && now.Sub(releasedAt) < 3*listLag+a.settings.HeartbeatInterval() {
-			continue // the list is behind
+			continue // the list still shows an instance that was released
 		}
 		a.instances[instance.Name] = instance
 		worker := a.registry.worker(instance.Name)
@@ -208,7 +208,7 @@
 		}
 	}
 	for name, releasedAt := range a.released {
-		if !releasedAt.IsZero() && !present[name] && now.Sub(releasedAt) > 4*listLag+a.settings.WorkerLease() {
+		if !releasedAt.IsZero() && !listed[name] && now.Sub(releasedAt) > 4*listLag+a.settings.WorkerLease() {
 			delete(a.released, name)
 		}
 	}
--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -14,12 +14,12 @@
 )
 
 // ruleOwner picks by the placement rule, as the owner of a shard does.
-type ruleOwner struct {
+type placementRuleOwner struct {
 	idleOwners
 	table *placement.Table
 }
 
-func (o ruleOwner) Pick(_ context.Context, _ string, offer placement.Offer) ([]placement.Pick, error) {
+func (o placementRuleOwner) Pick(_ context.Context, _ string, offer placement.Offer) ([]placement.Pick, error) {
 	return o.table.Choose(offer, placement.Tuning{AgingThreshold: 2 * time.Minute, NearTie: 0.1}, now), nil
 }
 
@@ -30,7 +30,7 @@
 	leader := newTestTerm(b)
 	leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 1, Leader: "n", Owners: []string{"n"}}}
 	params := placement.Params{Horizon: 512, Bonus: 0.05, RunBound: 8, Tick: 12 * time.Second}
-	leader.shards = ruleOwner{table: placement.NewTable(params, now)}
+	leader.shards = placementRuleOwner{table: placement.NewTable(params, now)}
 	team := &leader.settings.Facts.Teams[0]
 	team.CPUs, team.CPUsMax = 1e6, 1e6
 	leader.jobs = ledger.New("w", leader.settings.Facts.Teams)
@@ -60,8 +60,8 @@
 				b.StartTimer()
 				leader.scheduler.pass(b.Context())
 				b.StopTimer()
-				if n := len(leader.jobs.ClaimedWorkers()); n < workers {
-					b.Fatalf("%d of %d workers have tasks", n, workers)
+				if claimed := len(leader.jobs.ClaimedWorkers()); claimed < workers {
+					b.Fatalf("%d of %d workers have tasks", claimed, workers)
 				}
 				b.StartTimer()
 			}
--- a/internal/leader/candidate.go
+++ b/internal/leader/candidate.go
@@ -8,55 +8,55 @@
 	"rillflow/internal/wire"
 )
 
-// roundingTolerance forgives the rounding of sums of decimal amounts.
+// roundingTolerance absorbs floating-point errors in sums of resource amounts.
 const roundingTolerance = 1e-6
 
-// resources is an amount of what tasks take of a worker.
+// resources is an amount of CPUs, GPUs and memory.
 type resources struct {
 	cpus, gpus, memoryGB float64
 }
 
-// fit reports whether the amount is enough for a task of the job.
+// fit reports whether one task of the job fits into r.
 func (r resources) fit(spec *wire.Job) bool {
 	return spec.CPUs <= r.cpus+roundingTolerance &&
 		spec.GPUs <= r.gpus+roundingTolerance &&
 		spec.MemoryGB <= r.memoryGB+roundingTolerance
 }
 
-// slots is how many tasks of the job the amount is enough for, up to all of them.
+// slots returns how many tasks of the job fit into r, at most the job's task count.
 func (r resources) slots(spec *wire.Job) int {
 	count := spec.TaskCount
-	for _, of := range [...]struct{ free, needed float64 }{
+	for _, resource := range [...]struct{ free, needed float64 }{
 		{r.cpus, spec.CPUs}, {r.gpus, spec.GPUs}, {r.memoryGB, spec.MemoryGB},
 	} {
-		if of.needed > 0 {
-			count = min(count, int((of.free+roundingTolerance)/of.needed))
+		if resource.needed > 0 {
+			count = min(count, int((resource.free+roundingTolerance)/resource.needed))
 		}
 	}
 	return count
 }
 
-// plus is the amount with that of one task of the job added.
+// plus returns r plus the resources of one task of the job.
 func (r resources) plus(spec *wire.Job) resources {
 	return resources{r.cpus + spec.CPUs, r.gpus + spec.GPUs, r.memoryGB + spec.MemoryGB}
 }
 
-// minus is the amount with that of one task of the job taken away.
+// minus returns r minus the resources of one task of the job.
 func (r resources) minus(spec *wire.Job) resources {
 	return resources{r.cpus - spec.CPUs, r.gpus - spec.GPUs, r.memoryGB - spec.MemoryGB}
 }
 
-// candidate is a worker with its free capacity, as a scheduling pass or the autoscaler
-// counts it down while it places tasks. It is made anew for each and guarded by the term's
-// lock; changing it changes no claim.
+// candidate is a worker with its free capacity, which a scheduling pass or the autoscaler reduces
+// as it places tasks. Each pass makes its own candidates, guarded by the term's lock; changing one
+// changes no claim.
 type candidate struct {
 	worker       *agent.Worker
 	instanceType *wire.InstanceType
 	free         resources
-	reservedFor  *ledger.Job // the free capacity is kept for this job until it fits
+	reservedFor  *ledger.Job // the free capacity is reserved for this job until it fits
 }
 
-// newCandidate makes a candidate of a worker whose claims use an amount.
+// newCandidate returns a candidate for a worker whose claims use the given resources.
 func newCandidate(worker *agent.Worker, instanceType *wire.InstanceType, used ledger.Resources) *candidate {
 	return &candidate{worker: worker, instanceType: instanceType, free: resources{
 		cpus:     instanceType.CPUs - used.CPUs,
@@ -65,27 +65,27 @@
 	}}
 }
 
-// capacity is what the worker has when empty.
+// capacity returns the total resources of the worker.
 func (c *candidate) capacity() resources {
 	return resources{c.instanceType.CPUs, c.instanceType.GPUs, c.instanceType.MemoryGB}
 }
 
-// allocate takes the resources of one task of a job off the free capacity.
+// allocate subtracts the resources of one task of a job from the free capacity.
 func (c *candidate) allocate(job *ledger.Job) { c.free = c.free.minus(&job.Spec) }
 
-// deallocate gives back what allocate took.
+// deallocate reverts allocate.
 func (c *candidate) deallocate(job *ledger.Job) { c.free = c.free.plus(&job.Spec) }
 
-// fits reports whether a task of a job fits the free capacity and may go there.
+// fits reports whether a task of a job fits the free capacity and may run on the worker.
 func (c *candidate) fits(job *ledger.Job) bool { return c.free.fit(&job.Spec) && c.allows(job) }
 
-// fitsWhenEmpty reports whether a task of a job would fit the worker were it empty.
+// fitsWhenEmpty reports whether a task of a job would fit the worker if nothing else ran there.
 func (c *candidate) fitsWhenEmpty(job *ledger.Job) bool {
 	return c.capacity().fit(&job.Spec) && c.allows(job)
 }
 
-// allows reports whether a job may run on the worker at all: spot or on-demand, its zone, its
-// instance types, and not where it failed before.
+// allows reports whether a job may run on the worker, by the job's constraints on spot instances,
+// zone and instance type, and because it has not failed there before.
 func (c *candidate) allows(job *ledger.Job) bool {
 	spec := &job.Spec
 	return (spec.AllowSpot || !c.worker.Spot) &&
@@ -94,7 +94,7 @@
 		!job.FailedOn[c.worker.Name]
 }
 
-// pullSeconds is how long the worker would pull the job's image.
+// pullSeconds returns how long the worker would take to pull the job's image.
 func (c *candidate) pullSeconds(job *ledger.Job) float64 {
 	if c.instanceType.ImagePullGBPerSecond <= 0 || c.worker.HasImage(job.Spec.Image) {
 		return 0
@@ -102,8 +102,8 @@
 	return job.Spec.ImageGB / c.instanceType.ImagePullGBPerSecond
 }
 
-// candidateIndex holds what describing the jobs of a pass asks of all candidates, looked up
-// once.
+// candidateIndex indexes the candidates of a pass by zone and image, so that describing each
+// waiting job does not scan all of them.
 type candidateIndex struct {
 	candidates  []*candidate
 	zones       []string
@@ -127,7 +127,7 @@
 	return index
 }
 
-// zonesOf are the candidates' zones in the order in which they come.
+// zonesOf returns the distinct zones of the candidates, in order of first occurrence.
 func zonesOf(candidates []*candidate) []string {
 	var zones []string
 	for _, target := range candidates {
@@ -138,10 +138,10 @@
 	return zones
 }
 
-// onDemandSlots is how many tasks of a job the on-demand workers have free capacity for.
-func (x *candidateIndex) onDemandSlots(job *ledger.Job) int {
+// onDemandSlots returns how many tasks of a job fit the free capacity of the on-demand workers.
+func (index *candidateIndex) onDemandSlots(job *ledger.Job) int {
 	slots := 0
-	for _, target := range x.candidates {
+	for _, target := range index.candidates {
 		if !target.worker.Spot && target.fits(job) {
 			slots += target.free.slots(&job.Spec)
 		}
@@ -149,10 +149,10 @@
 	return slots
 }
 
-// warmZones are the zones in which a worker has the job's image and fits one more task.
-func (x *candidateIndex) warmZones(job *ledger.Job) []string {
+// warmZones returns the zones in which a worker has the job's image and room for one more task.
+func (index *candidateIndex) warmZones(job *ledger.Job) []string {
 	var zones []string
-	for _, target := range x.withImage[job.Spec.Image] {
+	for _, target := range index.withImage[job.Spec.Image] {
 		if !slices.Contains(zones, target.worker.Zone) && target.fits(job) {
 			zones = append(zones, target.worker.Zone)
 		}
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -10,10 +10,10 @@
 	"rillflow/internal/wire"
 )
 
-// planInstances shows the fleet to the planner.
+// planInstances describes the fleet to the planner.
 func (a *autoscaler) planInstances(now time.Time) []fleet.Instance {
 	instances := make([]fleet.Instance, 0, len(a.workers))
-	var candidates []*candidate // shared, so that no place is counted for two workers
+	var candidates []*candidate // shared, so that free capacity is not counted for two workers
 	for _, worker := range a.workersByName {
 		if worker.InstanceType == "" {
 			continue
@@ -30,9 +30,9 @@
 	return instances
 }
 
-// planInstance shows one worker to the planner.
+// planInstance describes one worker to the planner.
 func (a *autoscaler) planInstance(worker *agent.Worker, now time.Time) fleet.Instance {
-	_, leaving := a.released[worker.Name]
+	_, releasing := a.released[worker.Name]
 	claims := a.jobs.ClaimsOnWorker(worker.Name)
 	instance := fleet.Instance{
 		Name:         worker.Name,
@@ -41,7 +41,7 @@
 		Spot:         worker.Spot,
 		Up:           !worker.LastHeartbeat.IsZero(),
 		Booting:      worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero(),
-		Releasing:    leaving || !worker.ReclaimAt.IsZero() || a.faults.workerFaulty(worker),
+		Releasing:    releasing || !worker.ReclaimAt.IsZero() || a.faults.workerFaulty(worker),
 		Draining:     worker.Draining,
 		RequestedAt:  worker.RequestedAt,
 		Partitioned:  a.failures.unreachable(worker, now),
@@ -58,25 +58,25 @@
 	return instance
 }
 
-// demandSum adds up the work on hand.
+// demandSum accumulates the demand of all unfinished jobs.
 type demandSum struct {
 	fleet.Demand
 	spotCores     map[string]float64 // of unfinished tasks that may run on spot instances, by team
-	pacedCores    map[string]float64 // of these, as many as must run at once to be in time
-	shapeIndex    map[string]int     // of a task shape in TaskShapes
-	waitingShapes map[int]bool       // shapes in WaitingShapes
+	urgentCores   map[string]float64 // the part of spotCores that must run at once to meet deadlines
+	shapeIndex    map[string]int     // index in TaskShapes by the key of the shape
+	waitingShapes map[int]bool       // indexes in TaskShapes of the shapes in WaitingShapes
 }
 
-// demand sums up the work on hand, with what runs on unreachable workers left out.
+// demand sums up the demand of all unfinished jobs, without the tasks on unreachable workers.
 func (a *autoscaler) demand(instances []fleet.Instance, now time.Time) fleet.Demand {
 	sum := &demandSum{
-		Demand:     fleet.Demand{ZoneBoundCores: make(map[string]float64), FailoverCores: make(map[string]float64)},
-		spotCores:  make(map[string]float64),
-		pacedCores: make(map[string]float64),
-		shapeIndex: make(map[string]int), waitingShapes: make(map[int]bool),
+		Demand:      fleet.Demand{ZoneBoundCores: make(map[string]float64), FailoverCores: make(map[string]float64)},
+		spotCores:   make(map[string]float64),
+		urgentCores: make(map[string]float64),
+		shapeIndex:  make(map[string]int), waitingShapes: make(map[int]bool),
 	}
 	unreachable := a.unreachableTasks(instances)
-	a.noteScaledAheadTeams()
+	a.recordScaledAheadTeams()
 	zones := a.instanceTypes.Zones()
 	for _, job := range a.jobs.Jobs() {
 		if job.Cancelled || job.Finished || !job.DependenciesMet() {
@@ -92,14 +92,14 @@
 	}
 	for team, cores := range sum.spotCores {
 		sum.SpotCores += min(cores, a.jobs.Team(team).CPUsMax)
-		sum.UrgentCores += min(sum.pacedCores[team], a.jobs.Team(team).CPUsMax)
+		sum.UrgentCores += min(sum.urgentCores[team], a.jobs.Team(team).CPUsMax)
 	}
 	return sum.Demand
 }
 
-// unreachableTasks counts by job the tasks on unreachable workers. They cannot run elsewhere
-// as yet. A task of a service that no controller keeps alive there will have to, so there is
-// to be capacity for it: it is not counted.
+// unreachableTasks counts by job the tasks on unreachable workers, which cannot run elsewhere yet
+// and so need no capacity. Tasks of services in zones without a controller are not counted: no
+// controller there renews their worker's lease, so they will need capacity elsewhere.
 func (a *autoscaler) unreachableTasks(instances []fleet.Instance) map[*ledger.Job]int {
 	tasks := make(map[*ledger.Job]int)
 	for _, instance := range instances {
@@ -115,9 +115,9 @@
 	return tasks
 }
 
-// noteScaledAheadTeams notes the teams whose work is scaled out ahead of need, for the rest of
-// the term.
-func (a *autoscaler) noteScaledAheadTeams() {
+// recordScaledAheadTeams records the teams that have work for which instances are requested ahead
+// of demand. A team stays recorded for the rest of the term.
+func (a *autoscaler) recordScaledAheadTeams() {
 	for _, job := range a.jobs.Jobs() {
 		if !job.Cancelled && !job.Finished && job.DependenciesMet() && a.settings.ScalesAhead(job.Spec.Class) {
 			a.scaledAheadTeams[job.Spec.Team] = true
@@ -125,16 +125,16 @@
 	}
 }
 
-// addJobDemand adds the cores that a job's tasks want, by what they may run on.
+// addJobDemand adds the cores of a job's unfinished tasks to the spot or the on-demand demand.
 func (a *autoscaler) addJobDemand(
 	sum *demandSum, job *ledger.Job, cores float64, zones []string, now time.Time,
 ) {
 	spec := &job.Spec
 	switch {
-	case a.scaledAheadTeams[spec.Team]: // up to the team's limit, whatever is on hand
+	case a.scaledAheadTeams[spec.Team]: // demand adds the team's whole quota limit instead
 	case spec.AllowSpot:
 		sum.spotCores[spec.Team] += cores
-		sum.pacedCores[spec.Team] += cores * a.requiredConcurrency(job, now)
+		sum.urgentCores[spec.Team] += cores * a.requiredConcurrency(job, now)
 		sum.QueuedCores += spec.CPUs * float64(min(job.WaitingTasks(), a.jobs.QuotaHeadroom(job)))
 	default:
 		sum.OnDemandCores += cores
@@ -147,8 +147,7 @@
 	}
 }
 
-// addShape adds the tasks of a job to the shapes of the work on hand, and to those that wait
-// for spot instances if some of them do.
+// addShape adds a job's tasks to the task shapes, and to the waiting shapes if waiting is set.
 func (s *demandSum) addShape(spec *wire.Job, cores float64, waiting bool) {
 	key := fmt.Sprint(spec.CPUs, spec.GPUs, spec.MemoryGB, spec.InstanceTypes, spec.Zone, spec.AllowSpot)
 	index, ok := s.shapeIndex[key]
@@ -167,27 +166,28 @@
 	}
 }
 
-// addZoneDemand adds what a job's waiting tasks want of each zone because no other may take
-// them, and what it has in each that others would take were the zone lost.
-func (a *autoscaler) addZoneDemand(need *fleet.Demand, job *ledger.Job, zones []string) {
-	total := 0
+// addZoneDemand adds, for each zone, the cores of the job's waiting tasks that only this zone may
+// take, and the cores of its tasks there that would move to other zones if the zone were lost.
+func (a *autoscaler) addZoneDemand(demand *fleet.Demand, job *ledger.Job, zones []string) {
+	totalHeadroom := 0
 	for _, zone := range zones {
-		total += max(0, a.jobs.ZoneHeadroom(job, zone))
+		totalHeadroom += max(0, a.jobs.ZoneHeadroom(job, zone))
 	}
 	for _, zone := range zones {
-		// What the others may take, less what waits.
-		others := total - max(0, a.jobs.ZoneHeadroom(job, zone)) - job.WaitingTasks()
-		need.ZoneBoundCores[zone] += job.Spec.CPUs * float64(max(0, -others))
-		need.FailoverCores[zone] += job.Spec.CPUs * float64(min(job.ClaimsInZone(zone), max(0, others)))
+		// The headroom of the other zones that the waiting tasks do not use.
+		surplusElsewhere := totalHeadroom - max(0, a.jobs.ZoneHeadroom(job, zone)) - job.WaitingTasks()
+		demand.ZoneBoundCores[zone] += job.Spec.CPUs * float64(max(0, -surplusElsewhere))
+		demand.FailoverCores[zone] += job.Spec.CPUs * float64(min(job.ClaimsInZone(zone), max(0, surplusElsewhere)))
 	}
 }
 
-// deadlineSafety is the ratio by which the time to a deadline is to exceed a task's run time
-// for two rounds: run times are estimates, and the longest task of a job ends it.
+// deadlineSafety is the factor by which run times are extended when planning for a deadline: run
+// times are estimates, and a job ends only with its longest task. Tasks run in more than one round
+// only where the time to the deadline exceeds it.
 const deadlineSafety = 2
 
-// requiredConcurrency is the share of a job's unfinished tasks that must run at once for it to
-// be in time: all of them, or fewer where its time allows for more than one round.
+// requiredConcurrency returns the share of a job's unfinished tasks that must run at once to meet
+// its deadline: all of them, or fewer where the time allows for more than one round of tasks.
 func (a *autoscaler) requiredConcurrency(job *ledger.Job, now time.Time) float64 {
 	remaining := a.scheduler.ranking.secondsToDeadline(job, now)
 	if remaining > deadlineSafety*job.Spec.ExpectedSeconds {
--- a/internal/leader/demand_test.go
+++ b/internal/leader/demand_test.go
@@ -15,11 +15,11 @@
 	type cores = map[string]float64
 	ab, abc := []string{"a", "b"}, []string{"a", "b", "c"}
 	for _, tc := range []struct {
-		name          string
-		job           wire.Job
-		on            []string // workers that have a task: h0 and h2 in zone a, h1 and h3 in b
-		zones         []string
-		only, exposed cores
+		name                        string
+		job                         wire.Job
+		placedOn                    []string // workers that have a task: h0 and h2 in zone a, h1 and h3 in b
+		zones                       []string
+		wantZoneBound, wantFailover cores
 	}{
 		{"nothing placed: either may take half", wire.Job{TaskCount: 4, SpreadZones: true}, nil, ab,
 			cores{"a": 4, "b": 4}, nil},
@@ -38,15 +38,15 @@
 			leader := newTestTerm(t)
 			tc.job.Class, tc.job.Kind, tc.job.CPUs = "s", wire.KindService, 2
 			job := leader.addTestJob("req-1", tc.job)
-			for _, worker := range tc.on {
+			for _, worker := range tc.placedOn {
 				leader.runTestTask(t, job, worker, time.Minute)
 			}
-			need := fleet.Demand{ZoneBoundCores: cores{}, FailoverCores: cores{}}
-			leader.autoscaler.addZoneDemand(&need, job, tc.zones)
+			demand := fleet.Demand{ZoneBoundCores: cores{}, FailoverCores: cores{}}
+			leader.autoscaler.addZoneDemand(&demand, job, tc.zones)
 			for _, zone := range tc.zones {
-				if need.ZoneBoundCores[zone] != tc.only[zone] || need.FailoverCores[zone] != tc.exposed[zone] {
+				if demand.ZoneBoundCores[zone] != tc.wantZoneBound[zone] || demand.FailoverCores[zone] != tc.wantFailover[zone] {
 					t.Errorf("zone %s: %v wait for it alone, %v of it would move; want %v and %v", zone,
-						need.ZoneBoundCores[zone], need.FailoverCores[zone], tc.only[zone], tc.exposed[zone])
+						demand.ZoneBoundCores[zone], demand.FailoverCores[zone], tc.wantZoneBound[zone], tc.wantFailover[zone])
 				}
 			}
 		})
--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -11,15 +11,15 @@
 	"rillflow/internal/wire"
 )
 
-// Bounds of how many tasks of services are moved at once.
+// Limits on how many tasks of services are moved at once, and the weight of run time estimates.
 const (
-	minMoves         = 4
-	workersPerMove   = 32 // one more move at once for so many workers
-	priorSampleCount = 2  // finished tasks that the submitter's expected run time is worth
+	minMoves         = 4  // moves at once that any fleet allows
+	workersPerMove   = 32 // larger fleets allow one move at once per this many workers
+	priorSampleCount = 2  // the submitter's estimate weighs as much as this many finished tasks
 )
 
-// drainer moves tasks off workers that are to go: those that the cloud is about to reclaim,
-// and those that the autoscaler wants to empty.
+// drainer moves tasks off workers that the cloud is about to reclaim or that the autoscaler
+// drains.
 //
 // The failure monitor and the autoscaler call it with mu held. It stops tasks and wakes
 // their workers' senders; it frees no claim and releases no instance.
@@ -28,9 +28,9 @@
 	scheduler *scheduler
 }
 
-// drainReclaimed stops tasks on workers that the cloud is about to reclaim, where they
-// will not be done by then: they save what they can and start again elsewhere
-// now, and not only once the worker has been found to be gone.
+// drainReclaimed stops the tasks on workers with a termination notice that will not finish before
+// the instance is reclaimed. They save their progress and restart elsewhere now, instead of only
+// after the loss of the worker is detected.
 func (d *drainer) drainReclaimed(now time.Time) {
 	for _, worker := range d.workersByName {
 		if worker.ReclaimAt.IsZero() || worker.ReclaimAt.Before(now) {
@@ -50,30 +50,30 @@
 	}
 }
 
-// stoppable tells whether a task can be stopped by itself and started again elsewhere.
+// stoppable reports whether a task can be stopped on its own and restarted elsewhere.
 func stoppable(claim *ledger.Claim) bool {
 	return !claim.Finished && !claim.Stopping && claim.Committed && !claim.Job.Cancelled && !claim.Job.IsGang()
 }
 
-// remainingSeconds is how much longer a task is expected to run.
+// remainingSeconds returns how much longer a task is expected to run.
 func (d *drainer) remainingSeconds(claim *ledger.Claim, now time.Time) float64 {
-	run := expectedSeconds(claim.Job)
+	remaining := expectedSeconds(claim.Job)
 	if !claim.RunningSince.IsZero() {
-		run -= now.Sub(claim.RunningSince).Seconds()
+		remaining -= now.Sub(claim.RunningSince).Seconds()
 	}
-	return max(run, 0)
+	return max(remaining, 0)
 }
 
-// expectedSeconds is how long a task of a job runs: as its submitter expects, corrected by
-// those that are done.
+// expectedSeconds returns the expected run time of a job's tasks: the submitter's estimate,
+// averaged with the run times of the finished tasks.
 func expectedSeconds(job *ledger.Job) float64 {
 	return (priorSampleCount*job.Spec.ExpectedSeconds + job.RunSeconds.Sum) /
 		float64(priorSampleCount+job.RunSeconds.Count)
 }
 
-// drainWorkers marks workers that are to empty, and moves tasks of services off them, a few at
-// a time and each to a worker where it starts at once, so that little of the service
-// is gone and only for a moment.
+// drainWorkers marks the workers that the plan drains and moves tasks of services off all draining
+// workers. It moves a few at a time, each to a worker where it starts at once, so that a service
+// loses little capacity, and only briefly.
 func (d *drainer) drainWorkers(plan fleet.Plan, now time.Time) {
 	for _, name := range plan.Drain {
 		if worker := d.workers[name]; worker != nil {
@@ -99,17 +99,17 @@
 	}
 }
 
-// drainCancelled tells whether a draining worker is wanted after all.
+// drainCancelled reports whether the plan cancels the draining of a worker.
 func (d *drainer) drainCancelled(plan fleet.Plan, worker *agent.Worker) bool {
 	return plan.CancelDrains || slices.Contains(plan.CancelDrainZones, worker.Zone) ||
 		plan.ReuseDrained && !d.runsServices(worker)
 }
 
-// moveServices stops tasks of services on a draining worker that find a place elsewhere, at
-// most one of each job in moved, to which it adds them. Where smaller is set only a smaller
-// worker will do.
+// moveServices stops tasks of services on a draining worker for which another worker has capacity.
+// It stops no task of the jobs in moved, and adds the jobs of the stopped tasks to it, so that each
+// job has at most one task moved at a time. With smallerOnly, only smaller workers qualify.
 func (d *drainer) moveServices(
-	worker *agent.Worker, candidates []*candidate, moved map[string]bool, smaller bool, now time.Time,
+	worker *agent.Worker, candidates []*candidate, moved map[string]bool, smallerOnly bool, now time.Time,
 ) {
 	maxMoves := max(minMoves, len(d.workersByName)/workersPerMove)
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
@@ -118,7 +118,7 @@
 			job.Spec.Kind != wire.KindService || job.ClaimedTasks() < job.Spec.TaskCount {
 			continue
 		}
-		target := d.findReplacement(claim, candidates, smaller)
+		target := d.findReplacement(claim, candidates, smallerOnly)
 		if target == nil {
 			continue
 		}
@@ -130,11 +130,13 @@
 	}
 }
 
-// findReplacement finds a task of a service a place on another worker that has its image,
-// where it is back within some 30 ms. A fetch would take it away for a second.
+// findReplacement returns another worker with free capacity for a task of a service, or nil. The
+// worker must have the image, so that the task is back within some 30 ms; pulling the image would
+// take a second.
 //
-// Where it is moved to free capacity, only a smaller worker will do.
-func (d *drainer) findReplacement(claim *ledger.Claim, candidates []*candidate, smaller bool) *candidate {
+// With smallerOnly, only workers with fewer CPUs than the present one qualify: the others would not
+// reduce the capacity of the fleet.
+func (d *drainer) findReplacement(claim *ledger.Claim, candidates []*candidate, smallerOnly bool) *candidate {
 	job := claim.Job
 	currentCores := 0.0
 	if worker := d.workers[claim.Worker]; worker != nil {
@@ -142,25 +144,25 @@
 			currentCores = instanceType.CPUs
 		}
 	}
-	for _, candidate := range candidates {
-		worker := candidate.worker
-		if worker.Name == claim.Worker || worker.Draining || !candidate.fits(job) || !worker.HasImage(job.Spec.Image) ||
-			smaller && candidate.instanceType.CPUs >= currentCores {
+	for _, target := range candidates {
+		worker := target.worker
+		if worker.Name == claim.Worker || worker.Draining || !target.fits(job) || !worker.HasImage(job.Spec.Image) ||
+			smallerOnly && target.instanceType.CPUs >= currentCores {
 			continue
 		}
 		headroom := d.jobs.ZoneHeadroom(job, worker.Zone)
 		if worker.Zone == claim.Zone {
-			headroom++ // its own place comes free
+			headroom++ // stopping the task frees its own slot
 		}
 		if headroom > 0 {
-			return candidate
+			return target
 		}
 	}
 	return nil
 }
 
-// replicasMovable tells whether every task of a service on a worker has a place elsewhere, and
-// takes the places from the candidates. What it took is given back if one has none.
+// replicasMovable reports whether all tasks of services on a worker can move to other workers. If
+// so, it allocates their resources on the candidates; otherwise it leaves the candidates unchanged.
 func (d *drainer) replicasMovable(worker *agent.Worker, candidates []*candidate, now time.Time) bool {
 	var undo []func()
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
@@ -183,7 +185,7 @@
 	return true
 }
 
-// runsServices tells whether any task of a service is claimed on a worker.
+// runsServices reports whether any task of a service is claimed on a worker.
 func (d *drainer) runsServices(worker *agent.Worker) bool {
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Job.Spec.Kind == wire.KindService {
@@ -193,8 +195,8 @@
 	return false
 }
 
-// hasRunLongEnough tells whether a task has run long enough to be moved: one stopped
-// soon after its start was as good as never started to its users.
+// hasRunLongEnough reports whether a task has run long enough to be moved: to its users, a task
+// stopped soon after its start is as good as never started.
 func (d *drainer) hasRunLongEnough(claim *ledger.Claim, now time.Time) bool {
 	return !claim.RunningSince.IsZero() && now.Sub(claim.RunningSince) > 2*d.settings.WorkerLease()
 }
--- a/internal/leader/drainer_test.go
+++ b/internal/leader/drainer_test.go
@@ -10,12 +10,12 @@
 // On a worker with a termination notice only what will be done in time stays.
 func TestDrainOnTerminationNotice(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		job    wire.Job
-		ran    time.Duration
-		others []float64 // run times of the job's finished tasks
-		left   time.Duration
-		leaves bool
+		name            string
+		job             wire.Job
+		runningFor      time.Duration
+		finishedSeconds []float64 // run times of the job's finished tasks
+		reclaimIn       time.Duration
+		wantStopped     bool
 	}{
 		{"done before the machine goes", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, nil, 15 * time.Second, false},
 		{"not done by then", wire.Job{ExpectedSeconds: 30}, 10 * time.Second, nil, 15 * time.Second, true},
@@ -37,18 +37,18 @@
 				tc.job.Kind = wire.KindArray
 			}
 			tc.job.TaskCount, tc.job.CPUs, tc.job.AllowSpot = 2, 1, true
-			claim := leader.runTestTask(t, leader.addTestJob("req-1", tc.job), "h0", tc.ran)
-			if tc.ran == 0 {
+			claim := leader.runTestTask(t, leader.addTestJob("req-1", tc.job), "h0", tc.runningFor)
+			if tc.runningFor == 0 {
 				claim.RunningSince = time.Time{}
 			}
-			for _, seconds := range tc.others {
+			for _, seconds := range tc.finishedSeconds {
 				claim.Job.RunSeconds.Sum += seconds
 				claim.Job.RunSeconds.Count++
 			}
-			if tc.left > 0 {
-				leader.workers["h0"].ReclaimAt = now.Add(tc.left)
+			if tc.reclaimIn > 0 {
+				leader.workers["h0"].ReclaimAt = now.Add(tc.reclaimIn)
 			}
-			if leader.drainer.drainReclaimed(now); claim.Stopping != tc.leaves {
+			if leader.drainer.drainReclaimed(now); claim.Stopping != tc.wantStopped {
 				t.Errorf("stopped: %v", claim.Stopping)
 			}
 		})
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -13,13 +13,13 @@
 
 // Limits of the failure monitor.
 const (
-	minWorkersToJudge = 4 // workers that must fall silent together before this controller blames itself
-	bootPatience      = 4 // times the boot time after which an instance is taken to never come up
+	minWorkersForIsolation = 4 // with fewer workers, their silence does not show that this controller is isolated
+	bootTimeoutRatio       = 4 // boot timeout, as a multiple of the boot time of the instance type
 )
 
-// failureMonitor finds expired leases, and workers that have failed, fallen silent or cannot
-// be reached. It frees claims only where a lease is surely over by every clock; whatever else
-// it suspects leads to the release of the instance, whose answer is the proof.
+// failureMonitor detects expired leases and workers that are failed, silent or unreachable. It frees
+// claims only where a lease has expired by every clock; on any other suspicion it has the instance
+// released, and the cloud's answer proves that the tasks have ended.
 //
 // Its loops are runMonitor and runReleases. The autoscaler asks which workers are
 // unreachable. Its state is guarded by mu.
@@ -35,8 +35,8 @@
 	detector *failuredetector.Detector
 }
 
-// runMonitor looks after what only time brings: leases that expire, workers that do
-// not turn to this leader, commands to be given again.
+// runMonitor periodically handles everything that no message triggers: expired leases, termination
+// notices, workers to be polled, and the isolation of this controller.
 func (m *failureMonitor) runMonitor(ctx context.Context) error {
 	ticker := time.NewTicker(m.monitorInterval())
 	defer ticker.Stop()
@@ -65,21 +65,21 @@
 	}
 }
 
-// expireLeases frees the claims of workers whose lease is surely over: the worker has
-// shown an epoch since which nobody else may answer it, and both that and its last
-// answer are more than a lease ago by the slowest of clocks. Until it showed the
-// epoch, another controller may have renewed its lease under an earlier one: a shard owner
-// behind the same partition does, and a poll right after the partition brings the epoch.
+// expireLeases frees the claims of workers whose lease has expired by every clock: the worker has
+// reported an epoch since which only this controller may answer it, and both that report and the
+// last answer are more than a lease ago by the slowest clock. Before it reported that epoch, another
+// controller may have renewed its lease under an earlier one: a shard owner on the worker's side of
+// a partition does so, and the worker learns the epoch only from a poll after the partition.
 func (m *failureMonitor) expireLeases(now time.Time) {
-	leaseSpan := m.leaseOverAfter()
+	leaseTimeout := m.leaseOverAfter()
 	for _, worker := range m.workers {
 		soleOwner := worker.SoleOwnerEpoch != 0 && worker.SeenEpoch >= worker.SoleOwnerEpoch
 		if worker.LastHeartbeat.IsZero() || !soleOwner ||
-			now.Sub(worker.LastAnswered) < leaseSpan || now.Sub(worker.EpochSeenAt) < leaseSpan {
+			now.Sub(worker.LastAnswered) < leaseTimeout || now.Sub(worker.EpochSeenAt) < leaseTimeout {
 			continue
 		}
 		for _, claim := range m.jobs.ClaimsOnWorker(worker.Name) {
-			// A claim of an incarnation that was not heard of yet says nothing of this lease.
+			// A later incarnation than the one that reported has a lease of its own.
 			if claim.Incarnation <= worker.Incarnation {
 				m.freeClaim(claim, freedLeaseExpired)
 			}
@@ -87,27 +87,28 @@
 	}
 }
 
-// isolated tells whether this controller, and not the workers, is cut off: all
-// fell silent at about the same time though there are several. Where its peers
-// hear none either, another leader would be no better off.
+// isolated reports whether this controller, rather than the workers, is likely cut off: no worker
+// has sent a heartbeat for two intervals, although there are several. It is not considered isolated
+// if its peers receive no heartbeats either, since another leader would be no better off.
 func (m *failureMonitor) isolated(now time.Time) bool {
 	if len(m.settings.Peers) == 0 || m.heartbeats.lastHeartbeat.IsZero() {
 		return false
 	}
-	heardWorkers := 0
+	reportingWorkers := 0
 	for _, worker := range m.workers {
 		if !worker.LastHeartbeat.IsZero() {
-			heardWorkers++
+			reportingWorkers++
 		}
 	}
-	return heardWorkers >= minWorkersToJudge && now.Sub(m.heartbeats.lastHeartbeat) > 2*m.settings.HeartbeatInterval() &&
+	return reportingWorkers >= minWorkersForIsolation &&
+		now.Sub(m.heartbeats.lastHeartbeat) > 2*m.settings.HeartbeatInterval() &&
 		!m.shards.PeersHearNoWorkers()
 }
 
-// runReleases releases faulty instances. It is a loop of its own: what ran on a dead
-// worker waits for the release, and scaling out can take many requests. Where this leader
-// may have been replaced it releases only instances on which a cancelled task would outlive
-// its time: that ends tasks, and can start none.
+// runReleases releases faulty instances. It is a loop of its own because the tasks of a dead worker
+// wait for the release, and scaling out can take many requests. While this leader may have been
+// replaced, it releases only instances on which a cancelled task would outlive its
+// cancellation deadline: that ends tasks and cannot start any.
 func (m *failureMonitor) runReleases(ctx context.Context) error {
 	for retry.Sleep(ctx, m.monitorInterval()) {
 		m.mu.Lock()
@@ -122,7 +123,7 @@
 		names = names[:min(len(names), maxReleaseNames)]
 		for _, name := range names {
 			if m.released[name].IsZero() {
-				m.released[name] = time.Time{} // no new tasks from here on
+				m.released[name] = time.Time{} // the worker gets no new tasks from here on
 			}
 		}
 		m.mu.Unlock()
@@ -133,8 +134,8 @@
 	return ctx.Err()
 }
 
-// faultyWorkers returns the workers whose instances are to be released: failed or silent ones,
-// those that never come up, and those that fail what they start.
+// faultyWorkers returns the workers whose instances are to be released: failed and silent ones,
+// those that do not come up, and those that fail their tasks.
 func (m *failureMonitor) faultyWorkers(now time.Time) []string {
 	instanceTypes := m.instanceTypes.InstanceTypes()
 	m.observeSilence(now)
@@ -152,13 +153,13 @@
 	return names
 }
 
-// releaseReason tells why a worker's instance is to be released; empty: it is not.
+// releaseReason returns why a worker's instance is to be released, or "" if it is not.
 func (m *failureMonitor) releaseReason(worker *agent.Worker, instanceType *wire.InstanceType, now time.Time) string {
 	instance, listed := m.instances[worker.Name]
 	claims := m.jobs.ClaimsOnWorker(worker.Name)
-	releasedAt, leaving := m.released[worker.Name]
+	releasedAt, releasing := m.released[worker.Name]
 	switch {
-	case leaving && releasedAt.IsZero():
+	case releasing && releasedAt.IsZero():
 		return releaseUnanswered
 	case listed && instance.Phase == wire.InstanceFailed:
 		return releaseFailed
@@ -168,13 +169,13 @@
 		if len(claims) > 0 && m.likelyExpired(worker, now) {
 			return releaseExpired
 		}
-	case m.silentTooLong(worker, now),
+	case m.exceedsSilenceLimit(worker, now),
 		worker.LastHeartbeat.IsZero() && !listed && len(claims) > 0 && now.Sub(m.startedAt) > m.settings.WorkerLease():
 		return releaseSilent
-	case listed && instance.Phase == wire.InstanceStarting && len(claims) == 0 && neverUp(worker, instanceType, now):
+	case listed && instance.Phase == wire.InstanceStarting && len(claims) == 0 && bootTimedOut(worker, instanceType, now):
 		return releaseNeverUp
-	case m.faults.workerFaulty(worker) && !m.faults.mostWorkersFaulty() && !m.lastOfType(worker):
-		// Where a service runs it runs on; only new tasks fail.
+	case m.faults.workerFaulty(worker) && !m.faults.mostWorkersFaulty() && !m.lastHealthyOfType(worker):
+		// A service that runs there keeps running; only new tasks fail.
 		if !m.runsService(claims, now) {
 			return releaseFailsTasks
 		}
@@ -182,13 +183,13 @@
 	return ""
 }
 
-// lastOfType tells whether no other worker of a worker's instance type is up and well. The cloud
-// need not have another, and there may be tasks that fit no other type: a last one that fails tasks
-// is tried again once in a lease instead of being released.
-func (m *failureMonitor) lastOfType(worker *agent.Worker) bool {
+// lastHealthyOfType reports whether no other worker of the same instance type is up and healthy.
+// The cloud may have no replacement, and some tasks may fit no other type, so the last worker of a
+// type is not released for failing tasks; it is given tasks again once per lease.
+func (m *failureMonitor) lastHealthyOfType(worker *agent.Worker) bool {
 	for _, other := range m.workers {
-		_, leaving := m.released[other.Name]
-		if other != worker && other.InstanceType == worker.InstanceType && !leaving &&
+		_, releasing := m.released[other.Name]
+		if other != worker && other.InstanceType == worker.InstanceType && !releasing &&
 			!other.LastHeartbeat.IsZero() && !m.faults.workerFaulty(other) {
 			return false
 		}
@@ -196,9 +197,10 @@
 	return true
 }
 
-// silentTooLong tells whether a worker that was up has been silent for longer than is waited
-// for: less where the cloud said that it would take the instance, for there is less to doubt.
-func (m *failureMonitor) silentTooLong(worker *agent.Worker, now time.Time) bool {
+// exceedsSilenceLimit reports whether a worker that was up has been silent for longer than the
+// limit. The limit is shorter for a worker whose termination notice has expired, because its
+// silence leaves less doubt.
+func (m *failureMonitor) exceedsSilenceLimit(worker *agent.Worker, now time.Time) bool {
 	silenceLimit := time.Duration(m.settings.Operator.Fleet.FailureTimeout * float64(m.settings.HeartbeatInterval()))
 	wasUp := !worker.LastHeartbeat.IsZero() || !worker.ListedRunningAt.IsZero()
 	reclaimed := !worker.ReclaimAt.IsZero() && now.After(worker.ReclaimAt)
@@ -206,17 +208,18 @@
 		reclaimed && m.silentFor(worker, now) > m.heartbeatLateAfter()
 }
 
-// neverUp tells whether an instance has taken several times as long to boot as its type does.
-func neverUp(worker *agent.Worker, instanceType *wire.InstanceType, now time.Time) bool {
+// bootTimedOut reports whether an instance has taken several times the boot time of its type
+// without coming up.
+func bootTimedOut(worker *agent.Worker, instanceType *wire.InstanceType, now time.Time) bool {
 	if !worker.LastHeartbeat.IsZero() || !worker.ListedRunningAt.IsZero() ||
 		instanceType == nil || worker.RequestedAt.IsZero() {
 		return false
 	}
 	bootTime := time.Duration(instanceType.BootSeconds * float64(time.Second))
-	return now.Sub(worker.RequestedAt) > bootPatience*bootTime
+	return now.Sub(worker.RequestedAt) > bootTimeoutRatio*bootTime
 }
 
-// runsService tells whether some task of a service has run for more than a lease.
+// runsService reports whether any task of a service has run for more than a lease.
 func (m *failureMonitor) runsService(claims map[ledger.Task]*ledger.Claim, now time.Time) bool {
 	for _, claim := range claims {
 		if claim.Job.Spec.Kind == wire.KindService && !claim.RunningSince.IsZero() &&
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -12,10 +12,10 @@
 // A job that fails everywhere is told from a worker that fails everything.
 func TestBlame(t *testing.T) {
 	for _, tc := range []struct {
-		name       string
-		failures   [][2]string // job, worker
-		badWorkers string
-		badJobs    string
+		name        string
+		failures    [][2]string // job, worker
+		wantWorkers string
+		wantJobs    string
 	}{
 		{"one failure is nobody's fault", [][2]string{{"req-1", "h0"}}, "", ""},
 		{"a machine that fails several jobs", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}}, " h0", ""},
@@ -33,19 +33,19 @@
 			for _, failure := range tc.failures {
 				leader.faults.countFailure(leader.jobs.Job(failure[0]), leader.workers[failure[1]], now)
 			}
-			badWorkers, badJobs := "", ""
+			faultyWorkers, faultyJobs := "", ""
 			for _, worker := range leader.workersByName {
 				if leader.faults.workerFaulty(worker) {
-					badWorkers += " " + worker.Name
+					faultyWorkers += " " + worker.Name
 				}
 			}
 			for _, job := range jobs {
 				if leader.faults.jobFaulty(job) {
-					badJobs += " " + job.ID
+					faultyJobs += " " + job.ID
 				}
 			}
-			if badWorkers != tc.badWorkers || badJobs != tc.badJobs {
-				t.Errorf("blamed workers%s and jobs%s", badWorkers, badJobs)
+			if faultyWorkers != tc.wantWorkers || faultyJobs != tc.wantJobs {
+				t.Errorf("blamed workers%s and jobs%s", faultyWorkers, faultyJobs)
 			}
 		})
 	}
@@ -56,10 +56,10 @@
 // would never show.
 func TestQuarantineIsRetried(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		fails  int
-		since  time.Duration // the last failure; the lease is 30 s
-		usable bool
+		name           string
+		failures       int
+		lastFailureAgo time.Duration // the last failure; the lease is 30 s
+		wantAccepts    bool
 	}{
 		{"one failure", 1, time.Second, true},
 		{"two", 2, time.Second, false},
@@ -71,18 +71,18 @@
 			spec := wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}
 			for _, worker := range leader.workersByName { // most fail, of jobs that fail nowhere else: none is released
 				job := leader.addTestJob("req-"+worker.Name[1:], spec)
-				for range tc.fails {
-					leader.faults.countFailure(job, worker, now.Add(-tc.since))
+				for range tc.failures {
+					leader.faults.countFailure(job, worker, now.Add(-tc.lastFailureAgo))
 				}
 			}
 			if got := leader.failures.faultyWorkers(now); len(got) > 0 {
 				t.Errorf("released %v", got)
 			}
-			if got := leader.scheduler.acceptsTasks(leader.workers["h0"], now); got != tc.usable {
+			if got := leader.scheduler.acceptsTasks(leader.workers["h0"], now); got != tc.wantAccepts {
 				t.Errorf("usable: %v", got)
 			}
 			leader.faults.countFailure(leader.jobs.Job("req-0"), leader.workers["h0"], now)
-			if tc.fails > 1 && leader.scheduler.acceptsTasks(leader.workers["h0"], now) {
+			if tc.failures > 1 && leader.scheduler.acceptsTasks(leader.workers["h0"], now) {
 				t.Error("tried again at once after it failed once more")
 			}
 		})
@@ -93,10 +93,10 @@
 // cloud need not have another, and what fits nowhere else never runs.
 func TestLastOfItsTypeIsNotReleasedForFailures(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		types    [4]string // of the workers h0 to h3
-		failing  []string
-		released string
+		name          string
+		instanceTypes [4]string // of the workers h0 to h3
+		failing       []string
+		wantReleased  string
 	}{
 		{"one of several", [4]string{"m", "m", "m", "m"}, []string{"h0"}, "[h0]"},
 		{"the only one", [4]string{"large", "m", "m", "m"}, []string{"h0"}, "[]"},
@@ -105,17 +105,17 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			for i, instanceType := range tc.types {
+			for i, instanceType := range tc.instanceTypes {
 				leader.workersByName[i].InstanceType = instanceType
 			}
 			for _, name := range tc.failing {
-				for i := range faultyFailures {
+				for i := range faultyWorkerFailures {
 					job := leader.addTestJob(fmt.Sprint("req-", name, i), wire.Job{TaskCount: 9})
 					leader.faults.countFailure(job, leader.workers[name], now)
 				}
 			}
-			if got := fmt.Sprint(leader.failures.faultyWorkers(now)); got != tc.released {
-				t.Errorf("released %s, want %s", got, tc.released)
+			if got := fmt.Sprint(leader.failures.faultyWorkers(now)); got != tc.wantReleased {
+				t.Errorf("released %s, want %s", got, tc.wantReleased)
 			}
 		})
 	}
--- a/internal/leader/gang.go
+++ b/internal/leader/gang.go
@@ -7,9 +7,9 @@
 	"rillflow/internal/ledger"
 )
 
-// placeGangs claims for every gang whose waiting tasks all fit now, each gang whole or not at
-// all, and returns the number of tasks claimed. The leader does so itself, since a shard
-// owner sees only its own workers.
+// placeGangs claims workers for every gang whose waiting tasks all fit now, all tasks of a gang or
+// none, and returns the number of tasks claimed. The leader does so itself because a shard owner
+// sees only its own workers.
 func (s *scheduler) placeGangs(queues []*typeQueue, candidates []*candidate) int {
 	var gangs []*ledger.Job
 	for _, queue := range queues {
@@ -37,8 +37,8 @@
 	return claimed
 }
 
-// assembleGang finds a candidate for each waiting task of a gang, those with the image first,
-// or returns nil if not all fit. It changes no candidate.
+// assembleGang returns a candidate for each waiting task of a gang, preferring those with the
+// image, or nil if not all tasks fit. It changes no candidate.
 func assembleGang(job *ledger.Job, candidates []*candidate) []*candidate {
 	needed := job.WaitingTasks()
 	ordered := slices.Clone(candidates)
@@ -53,8 +53,8 @@
 	return nil
 }
 
-// assembleInZone finds candidates in a zone, or in all if zone is empty, for up to the needed
-// number of a gang's tasks, where a gang that spreads has no more than half in one zone.
+// assembleInZone returns candidates in a zone, or in all zones if zone is empty, for up to needed
+// tasks of a gang. A gang with SpreadZones gets at most half of its tasks into one zone.
 func assembleInZone(job *ledger.Job, candidates []*candidate, zone string, needed int) []*candidate {
 	maxPerZone := needed
 	if job.Spec.SpreadZones {
@@ -76,8 +76,8 @@
 	return targets
 }
 
-// zonesToTry are the zones to try one after the other for a job that is to be in a single
-// zone, or "" for all zones at once.
+// zonesToTry returns the zones to try one by one for a job that must run in a single zone, and
+// otherwise just "", which stands for all zones.
 func zonesToTry(job *ledger.Job, candidates []*candidate) []string {
 	if !job.Spec.SingleZone {
 		return []string{""}
--- a/internal/leader/gang_test.go
+++ b/internal/leader/gang_test.go
@@ -16,11 +16,11 @@
 func TestAssembleGang(t *testing.T) {
 	instanceType := &wire.InstanceType{Name: "m", CPUs: 4, MemoryGB: 8, ImagePullGBPerSecond: 1}
 	for _, tc := range []struct {
-		name  string
-		spec  wire.Job
-		zones string // of w0, w1, ... with four free CPUs each
-		image string // the worker that has the image
-		want  string
+		name            string
+		spec            wire.Job
+		zones           string // of w0, w1, ... with four free CPUs each
+		workerWithImage string // the worker that has the image
+		want            string
 	}{
 		{"all fit", wire.Job{TaskCount: 3, CPUs: 2}, "ab", "", "w0 w0 w1"},
 		{"one does not", wire.Job{TaskCount: 5, CPUs: 2}, "ab", "", ""},
@@ -36,7 +36,7 @@
 			for i, zone := range tc.zones {
 				worker := agent.NewWorker(fmt.Sprint("w", i))
 				worker.InstanceType, worker.Zone = "m", string(zone)
-				if worker.Name == tc.image {
+				if worker.Name == tc.workerWithImage {
 					worker.Images = []agent.Image{{Name: "image"}}
 				}
 				candidates = append(candidates, newCandidate(worker, instanceType, ledger.Resources{}))
--- a/internal/leader/inheritance.go
+++ b/internal/leader/inheritance.go
@@ -6,12 +6,12 @@
 	"rillflow/internal/ledger"
 )
 
-// longestTaskRatio is how long the longest of a job's tasks takes, as a ratio to the mean.
+// longestTaskRatio is the assumed ratio of the longest run time of a job's tasks to the mean.
 const longestTaskRatio = 1.5
 
-// inherited is what a job inherits from its dependents: the highest priority among them, and
-// for each deadline objective the time by which the job must be done for the last of them to
-// be in time, the steps between counted. It is kept with the job until its dependents change.
+// inherited returns what a job inherits from its dependents: the highest priority among them, and
+// for each deadline objective the latest time at which the job may finish so that all of them, with
+// the steps between, meet their deadlines. It is cached in the job until its dependents change.
 //
 // Callers hold mu.
 func (d *dependencies) inherited(job *ledger.Job) *ledger.InheritedPriority {
@@ -36,15 +36,15 @@
 		}
 	}
 	if origin := job.Origin; origin != nil && origin.MaxPriority != "" {
-		// However high its dependents: not above what whoever submitted it may have.
-		// That is at least what was asked for, or the job was not accepted.
+		// Whatever its dependents have, the priority does not exceed the submitter's limit. The
+		// limit is at least the requested priority, or the job would not have been accepted.
 		inherited.Priority = max(inherited.Priority, priorityLevel(origin.MaxPriority))
 	}
 	job.Inherited = inherited
 	return inherited
 }
 
-// ownPriority is the priority and the deadlines of a job that nothing depends on.
+// ownPriority returns the priority and the deadlines of a job without its dependents.
 func (d *dependencies) ownPriority(job *ledger.Job) *ledger.InheritedPriority {
 	objectives := d.settings.Facts.Objectives
 	own := &ledger.InheritedPriority{
@@ -59,12 +59,12 @@
 	return own
 }
 
-// stepDuration is how long a job is expected to take once it is ready: until its longest task
-// is done, and until that is known to the next step.
+// stepDuration returns how long a job is expected to take once it is ready: until its longest task
+// is done and the leader has learned of it, so that the next step can start.
 func (d *dependencies) stepDuration(job *ledger.Job) time.Duration {
 	longest := longestTaskRatio * job.Spec.ExpectedSeconds
 	return time.Duration(longest*float64(time.Second)) + d.settings.HeartbeatInterval()/2
 }
 
-// effectivePriority is the priority that a job is scheduled by.
+// effectivePriority returns the priority level by which a job is scheduled.
 func (d *dependencies) effectivePriority(job *ledger.Job) int { return d.inherited(job).Priority }
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -76,12 +76,12 @@
 }
 
 // runTestTask claims the next task of a job for a worker, as one that has run for some time.
-func (t *leaderTerm) runTestTask(tb *testing.T, job *ledger.Job, worker string, ran time.Duration) *ledger.Claim {
+func (t *leaderTerm) runTestTask(tb *testing.T, job *ledger.Job, worker string, runningFor time.Duration) *ledger.Claim {
 	tb.Helper()
 	claim, err := t.jobs.Claim(job, worker, 1, t.workers[worker].Zone)
 	if err != nil {
 		tb.Fatal(err)
 	}
-	claim.Committed, claim.RunningSince = true, now.Add(-ran)
+	claim.Committed, claim.RunningSince = true, now.Add(-runningFor)
 	return claim
 }
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -30,7 +30,7 @@
 type model struct {
 	t             *rapid.T
 	leader        *leaderTerm
-	term          *fakeLeadership
+	leadership    *fakeLeadership
 	now           time.Time
 	revision      uint64
 	workers       []*modelWorker
@@ -38,9 +38,9 @@
 	deposedLeader *leaderTerm       // an earlier leader that does not know that it was deposed
 	store         map[string][]byte
 	jobs          []string
-	completed     map[string]bool // tasks that ended well
-	limit         float64         // the team's quota, in CPUs and tasks
-	set           *settings.Settings
+	succeeded     map[string]bool // tasks that ended well
+	quotaCPUs     float64         // the team's quota, in CPUs and tasks
+	config        *settings.Settings
 }
 
 func newModel(t *rapid.T) *model {
@@ -48,14 +48,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{t: t, now: now, completed: map[string]bool{}, store: map[string][]byte{}, limit: 5}
-	m.term = &fakeLeadership{m.nextShardMap([]string{"m", "n"})}
-	m.knownShards = m.term.shards
-	m.set = &settings.Settings{
+	m := &model{t: t, now: now, succeeded: map[string]bool{}, store: map[string][]byte{}, quotaCPUs: 5}
+	m.leadership = &fakeLeadership{m.nextShardMap([]string{"m", "n"})}
+	m.knownShards = m.leadership.shards
+	m.config = &settings.Settings{
 		Name: "n", Zone: "a", Operator: operator, Peers: []settings.Peer{{Name: "m", Zone: "b"}},
 		Facts: settings.Facts{
 			Workers: settings.WorkerTimings{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 50},
-			Teams:   []settings.Team{{Name: "t", CPUs: m.limit, CPUsMax: m.limit}},
+			Teams:   []settings.Team{{Name: "t", CPUs: m.quotaCPUs, CPUsMax: m.quotaCPUs}},
 			Store:   settings.StoreLimits{TxnOps: 16, ValueKB: 16},
 		},
 	}
@@ -73,22 +73,22 @@
 
 // submit stores a job.
 func (m *model) submit(tasks int, kind string) {
-	ref := fmt.Sprint("req-", len(m.jobs))
-	m.jobs = append(m.jobs, ref)
+	jobID := fmt.Sprint("req-", len(m.jobs))
+	m.jobs = append(m.jobs, jobID)
 	data, err := ledger.Encode(ledger.JobRecord{ChunkTasks: 2, Job: wire.Job{
-		ID: ref, Team: "t", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 1, ExpectedSeconds: 5,
+		ID: jobID, Team: "t", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 1, ExpectedSeconds: 5,
 	}})
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.store[ledger.LiveKey(ref)] = data
+	m.store[ledger.LiveKey(jobID)] = data
 }
 
 // nextShardMap is the shard map of the next epoch with the given owners.
 func (m *model) nextShardMap(owners []string) election.ShardMap {
 	epoch := uint64(1)
-	if m.term != nil {
-		epoch += m.term.shards.Epoch
+	if m.leadership != nil {
+		epoch += m.leadership.shards.Epoch
 	}
 	return election.ShardMap{Epoch: epoch, Leader: "n", Owners: owners, ZoneFallback: true}
 }
@@ -100,18 +100,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m.t.Cleanup(cancel)
 	env := &environment{
-		settings: m.set, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1 << 20),
+		settings: m.config, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1 << 20),
 		log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now },
 	}
-	m.leader = newLeaderTerm(ctx, env, m.term, m.term.shards.Epoch, nil)
-	m.leader.jobs = ledger.New("w", m.set.Facts.Teams)
+	m.leader = newLeaderTerm(ctx, env, m.leadership, m.leadership.shards.Epoch, nil)
+	m.leader.jobs = ledger.New("w", m.config.Facts.Teams)
 	close(m.leader.ready)
 	m.loadTable()
 	for _, worker := range m.workers {
 		view := agent.NewWorker(worker.name) // a late heartbeat may come of one that was released
 		view.InstanceType = "m"
 		m.leader.addWorker(view)
-		m.leader.registry.assignOwner(view, m.term.shards)
+		m.leader.registry.assignOwner(view, m.leadership.shards)
 	}
 }
 
@@ -126,12 +126,12 @@
 		}
 	}
 	for _, key := range keys {
-		ref, ok := ledger.JobOfChunkKey(key)
+		jobID, ok := ledger.JobOfChunkKey(key)
 		if !ok || !strings.HasPrefix(key, ledger.ChunkPrefix) {
 			continue
 		}
-		if m.leader.jobs.Job(ref) == nil {
-			if err := m.leader.jobs.AddEndedJob(ref, m.store[ledger.EndedKey(ref)]); err != nil {
+		if m.leader.jobs.Job(jobID) == nil {
+			if err := m.leader.jobs.AddEndedJob(jobID, m.store[ledger.EndedKey(jobID)]); err != nil {
 				m.t.Fatal(err)
 			}
 		}
@@ -149,8 +149,8 @@
 		return
 	}
 	m.deposedLeader = m.leader
-	m.deposedLeader.leadership = &fakeLeadership{m.term.shards}
-	m.term = &fakeLeadership{m.nextShardMap(m.term.shards.Owners)}
+	m.deposedLeader.leadership = &fakeLeadership{m.leadership.shards}
+	m.leadership = &fakeLeadership{m.nextShardMap(m.leadership.shards.Owners)}
 	m.startTerm()
 }
 
@@ -176,8 +176,8 @@
 	if batch == nil {
 		return
 	}
-	for _, guard := range batch.Compares { // the live key of a cancelled job is gone
-		if _, ok := m.store[guard.Key]; !ok && strings.HasPrefix(guard.Key, ledger.LivePrefix) {
+	for _, compare := range batch.Compares { // the live key of a cancelled job is gone
+		if _, ok := m.store[compare.Key]; !ok && strings.HasPrefix(compare.Key, ledger.LivePrefix) {
 			m.leader.jobs.BatchFailed(batch)
 			return
 		}
@@ -196,13 +196,13 @@
 	if rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0 {
 		// The leader crashes without knowing that the batch was applied.
 		m.deposedLeader = nil
-		m.term = &fakeLeadership{m.nextShardMap(m.term.shards.Owners)}
+		m.leadership = &fakeLeadership{m.nextShardMap(m.leadership.shards.Owners)}
 		m.startTerm()
 		return
 	}
 	for _, job := range m.leader.jobs.BatchCommitted(batch, m.revision+10).Ended {
 		for i := range job.Spec.TaskCount {
-			if name := (ledger.Task{JobID: job.ID, Index: i}).String(); !m.completed[name] {
+			if name := (ledger.Task{JobID: job.ID, Index: i}).String(); !m.succeeded[name] {
 				m.t.Fatalf("not_done: %s ended without %s", job.ID, name)
 			}
 		}
@@ -220,14 +220,14 @@
 
 // setOwners raises the epoch with the given shard owners.
 func (m *model) setOwners(owners []string) {
-	m.term.shards = m.nextShardMap(owners)
+	m.leadership.shards = m.nextShardMap(owners)
 	for _, view := range m.leader.workers {
-		m.leader.registry.assignOwner(view, m.term.shards)
+		m.leader.registry.assignOwner(view, m.leadership.shards)
 	}
 }
 
 // learnShardMap has the second controller learn the present shard map.
-func (m *model) learnShardMap() { m.knownShards = m.term.shards }
+func (m *model) learnShardMap() { m.knownShards = m.leadership.shards }
 
 // wait lets some time pass.
 func (m *model) wait() {
@@ -250,19 +250,19 @@
 // cancelJob cancels a job as its user does, rarely.
 func (m *model) cancelJob() {
 	if rapid.IntRange(0, 9).Draw(m.t, "rarely") == 0 {
-		ref := rapid.SampledFrom(m.jobs).Draw(m.t, "job")
-		if data, ok := m.store[ledger.LiveKey(ref)]; ok {
+		jobID := rapid.SampledFrom(m.jobs).Draw(m.t, "job")
+		if data, ok := m.store[ledger.LiveKey(jobID)]; ok {
 			record, err := ledger.DecodeJobRecord(data)
 			if err != nil {
 				m.t.Fatal(err)
 			}
-			ending, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, m.now))
+			endRecord, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, m.now))
 			if err != nil {
 				m.t.Fatal(err)
 			}
-			delete(m.store, ledger.LiveKey(ref))
-			m.store[ledger.EndedKey(ref)] = ending
-			m.leader.cancellations.cancelJob(ref)
+			delete(m.store, ledger.LiveKey(jobID))
+			m.store[ledger.EndedKey(jobID)] = endRecord
+			m.leader.cancellations.cancelJob(jobID)
 		}
 	}
 }
--- a/internal/leader/modelworker_test.go
+++ b/internal/leader/modelworker_test.go
@@ -74,8 +74,8 @@
 			}
 		}
 	}
-	if used > m.limit {
-		m.t.Fatalf("quota: %v of %v", used, m.limit)
+	if used > m.quotaCPUs {
+		m.t.Fatalf("quota: %v of %v", used, m.quotaCPUs)
 	}
 }
 
@@ -144,7 +144,7 @@
 	err := errors.New("nobody")
 	switch route {
 	case "leader":
-		if m.term.shards.Owner(worker.name) == "n" {
+		if m.leadership.shards.Owner(worker.name) == "n" {
 			answer, err = m.askLeader(heartbeat)
 		}
 	case "forwarded":
@@ -172,7 +172,7 @@
 // deliverLateHeartbeat delivers a delayed heartbeat, whose answer the worker drops.
 func (m *model) deliverLateHeartbeat() {
 	worker := m.drawWorker()
-	if len(worker.lateHeartbeats) == 0 || m.term.shards.Owner(worker.name) != "n" {
+	if len(worker.lateHeartbeats) == 0 || m.leadership.shards.Owner(worker.name) != "n" {
 		return
 	}
 	heartbeat := worker.lateHeartbeats[0]
@@ -187,27 +187,27 @@
 	if view == nil || view.Incarnation == 0 || view.CommandInFlight {
 		return
 	}
-	epoch := m.term.Epoch()
+	epoch := m.leadership.Epoch()
 	commands := view.Commands(m.leader.jobs.ClaimsOnWorker(worker.name), epoch, false)
 	if len(commands) == 0 {
 		return
 	}
-	direct := wire.CommandBatch{Epoch: epoch, Incarnation: view.Incarnation, Commands: commands}
+	batch := wire.CommandBatch{Epoch: epoch, Incarnation: view.Incarnation, Commands: commands}
 	if rapid.Bool().Draw(m.t, "delayed") {
-		worker.lateCommands = append(worker.lateCommands, direct)
+		worker.lateCommands = append(worker.lateCommands, batch)
 		view.UnresolvedEpoch = max(view.UnresolvedEpoch, epoch)
 		return
 	}
-	m.deliverCommands(worker, direct)
+	m.deliverCommands(worker, batch)
 }
 
 // deliverCommands delivers direct commands; the heartbeat that answers them may be lost.
-func (m *model) deliverCommands(worker *modelWorker, direct wire.CommandBatch) {
-	if worker.released || direct.Epoch < worker.epoch || direct.Incarnation != worker.incarnation {
+func (m *model) deliverCommands(worker *modelWorker, batch wire.CommandBatch) {
+	if worker.released || batch.Epoch < worker.epoch || batch.Incarnation != worker.incarnation {
 		return
 	}
-	worker.epoch = direct.Epoch
-	m.execute(worker, direct.Commands)
+	worker.epoch = batch.Epoch
+	m.execute(worker, batch.Commands)
 	if heartbeat := worker.heartbeat(); rapid.Bool().Draw(m.t, "seen") {
 		m.leader.heartbeats.applyHeartbeat(&heartbeat)
 	}
@@ -217,9 +217,9 @@
 func (m *model) deliverLateCommands() {
 	worker := m.drawWorker()
 	if len(worker.lateCommands) > 0 {
-		direct := worker.lateCommands[0]
+		batch := worker.lateCommands[0]
 		worker.lateCommands = worker.lateCommands[1:]
-		m.deliverCommands(worker, direct)
+		m.deliverCommands(worker, batch)
 	}
 }
 
@@ -233,7 +233,7 @@
 	}
 	heartbeat := worker.heartbeat()
 	m.leader.heartbeats.applyHeartbeat(&heartbeat)
-	m.deliverCommands(worker, wire.CommandBatch{Epoch: m.term.Epoch(), Incarnation: worker.incarnation})
+	m.deliverCommands(worker, wire.CommandBatch{Epoch: m.leadership.Epoch(), Incarnation: worker.incarnation})
 }
 
 // finishTask ends a running task well.
@@ -242,7 +242,7 @@
 	for _, name := range slices.Sorted(maps.Keys(worker.tasks)) {
 		if task := worker.tasks[name]; task.Phase == wire.TaskRunning && !worker.released {
 			task.Phase, task.ExitReason = wire.TaskExited, wire.ExitDone
-			m.completed[name] = true
+			m.succeeded[name] = true
 			return
 		}
 	}
--- a/internal/leader/offer.go
+++ b/internal/leader/offer.go
@@ -12,32 +12,31 @@
 	"rillflow/internal/wire"
 )
 
-// maxOfferedJobs bounds the jobs of a type in one offer; the rest follow when these are placed.
+// maxOfferedJobs limits the jobs per type in one offer; the rest follow once these are placed.
 const maxOfferedJobs = 64
 
-// pickTimeoutsPerHeartbeat is the heartbeat interval over the time in which owners have to pick.
-const pickTimeoutsPerHeartbeat = 12
+// pickTimeoutDivisor divides the heartbeat interval into the time that shard owners have to pick.
+const pickTimeoutDivisor = 12
 
-// offerMaker describes free capacity and waiting jobs to the owners of the shards, and collects
-// what they pick.
+// offerMaker offers free capacity and waiting jobs to the shard owners and collects their picks.
 //
 // The scheduling pass calls it: makeOffers with mu held, requestPicks without, since owners are
-// other controllers. It must not claim: a pick counts only once the scheduler confirmed it.
+// other controllers. It must not claim: a pick takes effect only once the scheduler confirms it.
 type offerMaker struct {
 	*termScope
 	dependencies *dependencies
 	ranking      *jobRanking
 }
 
-// offeredWork is what an offer tells every shard owner, with the jobs that it is made of.
+// offeredWork is the part of an offer that is the same for all shard owners, with its jobs.
 type offeredWork struct {
-	queues []placement.Queue
-	jobs   []*ledger.Job
-	least  wire.Job // of each resource the least that any of the jobs asks for
+	queues     []placement.Queue
+	jobs       []*ledger.Job
+	minRequest wire.Job // the smallest request of any of the jobs, for each resource
 }
 
-// makeOffers makes the offer to each shard owner: those of its workers that something waiting
-// fits, and the queues.
+// makeOffers returns the offers by shard owner. Each holds the queues of waiting jobs and those
+// workers of the owner's shard that at least one waiting job fits.
 func (o *offerMaker) makeOffers(queues []*typeQueue, index *candidateIndex, now time.Time) map[string]*placement.Offer {
 	offers := make(map[string]*placement.Offer)
 	work := o.workToOffer(queues, index, now)
@@ -46,8 +45,8 @@
 	}
 	shards := o.leadership.ShardMap()
 	for _, target := range index.candidates {
-		// Most workers of a full fleet have no capacity for even the least task.
-		if !target.free.fit(&work.least) || !o.anyFits(work.jobs, target) {
+		// This check is cheap, and most workers of a full fleet fail it.
+		if !target.free.fit(&work.minRequest) || !o.anyFits(work.jobs, target) {
 			continue
 		}
 		owner := shards.Owner(target.worker.Name)
@@ -59,35 +58,35 @@
 	return offers
 }
 
-// workToOffer describes the jobs that have tasks to be placed by shard owners.
+// workToOffer collects the jobs that have tasks for shard owners to place.
 func (o *offerMaker) workToOffer(queues []*typeQueue, index *candidateIndex, now time.Time) offeredWork {
 	var work offeredWork
 	for _, queue := range queues {
-		offered := placement.Queue{Type: queue.jobType, Unfinished: queue.unfinished}
+		offeredQueue := placement.Queue{Type: queue.jobType, Unfinished: queue.unfinished}
 		for _, job := range queue.jobs {
-			if len(offered.Jobs) == maxOfferedJobs {
+			if len(offeredQueue.Jobs) == maxOfferedJobs {
 				break
 			}
 			if waiting := o.describeJob(job, index, now); waiting.Tasks > 0 {
-				offered.Jobs = append(offered.Jobs, waiting)
+				offeredQueue.Jobs = append(offeredQueue.Jobs, waiting)
 				work.add(job)
 			}
 		}
-		if len(offered.Jobs) > 0 {
-			work.queues = append(work.queues, offered)
+		if len(offeredQueue.Jobs) > 0 {
+			work.queues = append(work.queues, offeredQueue)
 		}
 	}
 	return work
 }
 
-// add takes a job into the offered work, beside its description in a queue.
+// add adds a job to the offered jobs. Its description is added to a queue separately.
 func (w *offeredWork) add(job *ledger.Job) {
 	if len(w.jobs) == 0 {
-		w.least = job.Spec
+		w.minRequest = job.Spec
 	}
-	w.least.CPUs = min(w.least.CPUs, job.Spec.CPUs)
-	w.least.GPUs = min(w.least.GPUs, job.Spec.GPUs)
-	w.least.MemoryGB = min(w.least.MemoryGB, job.Spec.MemoryGB)
+	w.minRequest.CPUs = min(w.minRequest.CPUs, job.Spec.CPUs)
+	w.minRequest.GPUs = min(w.minRequest.GPUs, job.Spec.GPUs)
+	w.minRequest.MemoryGB = min(w.minRequest.MemoryGB, job.Spec.MemoryGB)
 	w.jobs = append(w.jobs, job)
 }
 
@@ -98,7 +97,7 @@
 	})
 }
 
-// describeCandidate describes a worker's free capacity to its shard's owner.
+// describeCandidate describes a worker's free capacity for its shard owner.
 func (o *offerMaker) describeCandidate(target *candidate) placement.Candidate {
 	worker := target.worker
 	described := placement.Candidate{
@@ -120,8 +119,8 @@
 	return described
 }
 
-// describeJob describes a waiting job to the shard owners. It has no tasks for them where its
-// quota is used up, or where it is a gang, which the leader places itself.
+// describeJob describes a waiting job for the shard owners. The description has no tasks if the
+// quota is used up, or if the job is a gang, which the leader places itself.
 func (o *offerMaker) describeJob(job *ledger.Job, index *candidateIndex, now time.Time) placement.WaitingJob {
 	spec := &job.Spec
 	waiting := placement.WaitingJob{
@@ -131,8 +130,8 @@
 		ExcludedWorkers: slices.Sorted(maps.Keys(job.FailedOn)), StartWithinSeconds: o.ranking.startWithinSeconds(job),
 	}
 	if spec.AllowSpot && o.prefersOnDemand(job) {
-		// As many as half the on-demand capacity holds go there; what is left is offered
-		// anew, until that is too few to be worth a pass.
+		// Offer at most as many tasks as fit half the free on-demand capacity. The rest is
+		// offered in the next pass, until too few tasks fit to be worth a pass.
 		if slots := index.onDemandSlots(job) / 2; slots > waiting.Tasks/8 {
 			waiting.AllowSpot = false
 			index.moreWaiting = index.moreWaiting || slots < waiting.Tasks
@@ -155,9 +154,9 @@
 	return waiting
 }
 
-// prefersOnDemand reports whether a job had better run on workers that the cloud does not
-// reclaim: it has a deadline or others with one wait for it, so that one lost task holds all
-// up, and the users name no price.
+// prefersOnDemand reports whether a job is better placed on workers that the cloud does not reclaim.
+// This is so if it or a dependent has a deadline, since one lost task delays all of them, unless the
+// fleet is never scaled ahead of demand, as where the objectives price instances.
 func (o *offerMaker) prefersOnDemand(job *ledger.Job) bool {
 	return !o.settings.NeverScalesAhead() &&
 		slices.ContainsFunc(o.dependencies.inherited(job).Deadlines, func(deadline time.Time) bool {
@@ -165,8 +164,8 @@
 		})
 }
 
-// cloneQueues copies what picking changes: each owner picks as if alone, and the leader
-// confirms the best of all picks.
+// cloneQueues copies the parts of queues that picking changes. Each owner picks as if it were the
+// only one, and the leader confirms the best picks of all.
 func cloneQueues(queues []placement.Queue) []placement.Queue {
 	clones := slices.Clone(queues)
 	for i := range clones {
@@ -178,17 +177,17 @@
 	return clones
 }
 
-// requestPicks has the shard owners pick, all at once, and returns the picks of all in the
-// order in which they are to be confirmed. It is called without the term's lock.
+// requestPicks requests picks from all shard owners concurrently, and returns them in the order in
+// which they are to be confirmed. It is called without the term's lock.
 func (o *offerMaker) requestPicks(ctx context.Context, offers map[string]*placement.Offer) []placement.Pick {
-	ctx, cancel := context.WithTimeout(ctx, o.settings.HeartbeatInterval()/pickTimeoutsPerHeartbeat)
+	ctx, cancel := context.WithTimeout(ctx, o.settings.HeartbeatInterval()/pickTimeoutDivisor)
 	defer cancel()
 	var mu sync.Mutex
 	var all []placement.Pick
 	var wg sync.WaitGroup
 	for owner, offer := range offers {
 		wg.Go(func() {
-			picks := o.picksOf(ctx, owner, *offer)
+			picks := o.pickWithFallback(ctx, owner, *offer)
 			mu.Lock()
 			defer mu.Unlock()
 			all = append(all, picks...)
@@ -199,18 +198,19 @@
 	return all
 }
 
-// picksOf has a shard's owner pick. For one that does not answer soon the leader picks, by the
-// rates that it learned itself: the workers would stand idle until the shard map is without
-// the owner, which takes two heartbeat intervals where two owners are unreachable.
-func (o *offerMaker) picksOf(ctx context.Context, owner string, offer placement.Offer) []placement.Pick {
+// pickWithFallback requests picks from a shard owner. If the owner does not answer in time, the
+// leader picks instead, by the rates that it has learned itself: the workers would otherwise stay
+// idle until the owner is removed from the shard map, which takes two heartbeat intervals when two
+// owners are unreachable.
+func (o *offerMaker) pickWithFallback(ctx context.Context, owner string, offer placement.Offer) []placement.Pick {
 	picks, err := o.shards.Pick(ctx, owner, offer)
 	if err == nil {
 		return picks
 	}
-	o.log.Debug("shard owner did not pick", "owner", owner, "err", err)
+	o.log.Debug("shard owner did not pick; picking in its place", "owner", owner, "err", err)
 	picks, err = o.shards.Pick(ctx, o.settings.Name, offer)
 	if err != nil {
-		o.log.Debug("shard owner did not pick", "owner", o.settings.Name, "err", err)
+		o.log.Debug("picking in place of a shard owner failed", "owner", o.settings.Name, "err", err)
 	}
 	return picks
 }
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -12,12 +12,12 @@
 	"rillflow/internal/wire"
 )
 
-// ErrWorkersUnreported says that nothing is known of a job, but not all workers that may have its tasks
+// ErrWorkersUnreported means that a job is not known, but that not all workers that may run its tasks
 // have reported in this term.
 var ErrWorkersUnreported = errors.New("leader: not all workers have reported")
 
-// awaitOrphanReports waits for the workers that may have tasks of jobs that nobody remembers,
-// for no longer than their leases last.
+// awaitOrphanReports waits until all workers that may run tasks of jobs without a record have
+// reported, at most until their leases have expired.
 func (r *dataRecovery) awaitOrphanReports(ctx context.Context) error {
 	for r.progress.full {
 		r.mu.Lock()
@@ -33,9 +33,9 @@
 	return nil
 }
 
-// awaitEarlierEpochs waits until everybody was heard who might know of an earlier incarnation
-// of the store: all workers that are up, or for a lease. A worker that has seen an epoch of it
-// ends the term at once.
+// awaitEarlierEpochs waits until all workers that are up have reported, or for a lease, so that a
+// worker that knows an earlier incarnation of the store is found. A worker that has seen an epoch
+// of such an incarnation ends the term at once.
 func (r *dataRecovery) awaitEarlierEpochs(ctx context.Context) error {
 	for retry.Sleep(ctx, r.settings.HeartbeatInterval()/2) {
 		r.mu.Lock()
@@ -50,21 +50,21 @@
 	return ctx.Err()
 }
 
-// listLag is how long the cloud may take to list an instance, with a margin.
+// listLag returns how long the cloud may take to list an instance, with a margin.
 func (r *dataRecovery) listLag() time.Duration {
 	return settings.Seconds(2 * r.settings.Facts.Cloud.ListLagSeconds)
 }
 
-// allWorkersReported tells whether all workers that may have tasks have reported in this term,
-// or their leases are over: what only workers know is known by then. Callers hold mu.
+// allWorkersReported reports whether all workers that may run tasks have reported in this term, or
+// their leases have expired: after that, no unreported task can be running. Callers hold mu.
 func (r *dataRecovery) allWorkersReported(now time.Time) bool {
 	elapsed := now.Sub(r.startedAt)
 	return elapsed > r.settings.WorkerLease()+r.settings.HeartbeatInterval() ||
 		elapsed > max(r.listLag(), r.settings.HeartbeatInterval()) && len(r.unreportedWorkers()) == 0
 }
 
-// unreportedWorkers returns the workers that are up, or have claims, and have not come to this
-// leader yet: an earlier one may still command them. Callers hold mu.
+// unreportedWorkers returns the workers that are up or have claims, but have not reported under this
+// leader's epoch yet: an earlier leader may still command them. Callers hold mu.
 func (r *dataRecovery) unreportedWorkers() []string {
 	var names []string
 	for _, worker := range r.workersByName {
@@ -72,18 +72,18 @@
 			continue
 		}
 		instance, listed := r.instances[worker.Name]
-		up := listed && instance.Phase == wire.InstanceRunning || len(r.jobs.ClaimsOnWorker(worker.Name)) > 0
-		heard := !worker.LastHeartbeat.IsZero() || !worker.LastUpdate.IsZero()
-		if up && (!heard || worker.SeenEpoch < r.firstEpoch) {
+		expected := listed && instance.Phase == wire.InstanceRunning || len(r.jobs.ClaimsOnWorker(worker.Name)) > 0
+		hasReported := !worker.LastHeartbeat.IsZero() || !worker.LastUpdate.IsZero()
+		if expected && (!hasReported || worker.SeenEpoch < r.firstEpoch) {
 			names = append(names, worker.Name)
 		}
 	}
 	return names
 }
 
-// placementOnHold tells whether nothing may be placed yet: some worker may have a task that
-// nobody remembers. For a job that came after the loss no such task can be; see jobOnHold. The
-// hold is lifted for good by the first call that finds it over. Callers hold mu.
+// placementOnHold reports whether no task may be placed yet, because data was lost and some worker
+// may run a task that no record shows. Jobs that arrived after the loss cannot have such tasks; see
+// jobOnHold. The first call that finds the hold over ends it for good. Callers hold mu.
 func (r *dataRecovery) placementOnHold(now time.Time) bool {
 	progress := r.progress
 	if progress == nil || !progress.full || !progress.placementResumedAt.IsZero() {
@@ -100,22 +100,22 @@
 		}
 	}
 	if len(unreported) > 0 && !progress.exact {
-		return false // jobOnHold still withholds the jobs of before the loss
+		return false // jobOnHold still holds back the jobs from before the loss
 	}
 	progress.placementResumedAt = now
 	r.log.Info("placement resumed", "after_s", elapsed.Seconds(), "unreported", len(unreported))
 	return false
 }
 
-// jobOnHold tells whether a job's tasks may be on a worker that has not reported since data was
-// lost, though nobody remembers them. Callers hold mu.
+// jobOnHold reports whether a worker that has not reported since data was lost may run tasks of the
+// job that no record shows. Callers hold mu.
 func (r *dataRecovery) jobOnHold(job *ledger.Job) bool {
 	progress := r.progress
 	return progress != nil && progress.full && progress.placementResumedAt.IsZero() && !job.ArrivalSeen
 }
 
-// adoptReported takes in what a worker shows of a task whose claim may have been lost: what the
-// worker shows is there, whatever is remembered of it. Callers hold mu.
+// adoptReported restores the claim of a reported task if it may have been lost with the data: a
+// worker's report is valid, whatever the records show. Callers hold mu.
 func (r *dataRecovery) adoptReported(worker *agent.Worker, task ledger.Task, status wire.TaskStatus) {
 	job := r.jobs.Job(task.JobID)
 	if job == nil {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -10,9 +10,9 @@
 
 // preemptor stops tasks of lower priority for waiting jobs of a higher one.
 //
-// The scheduling pass calls preempt, with mu held, after it confirmed all picks. It marks claims
-// as stopping and must not free them: their capacity counts as used until a heartbeat proves
-// that the task has ended.
+// The scheduling pass calls preempt, with mu held, after it has confirmed all picks. The preemptor
+// marks claims as stopping and must not free them: their capacity counts as used until a heartbeat
+// proves that the task has ended.
 type preemptor struct {
 	*termScope
 	dependencies *dependencies
@@ -21,21 +21,21 @@
 }
 
 const (
-	// preemptionWaitsPerHeartbeat is the heartbeat interval over the time that a job waits
-	// before it preempts, in which it would have got capacity that is free.
-	preemptionWaitsPerHeartbeat = 16
-	// preemptionsPerHeartbeat is the heartbeat interval over the time between two preemptions
-	// for a job. Once tasks are stopped, their capacity comes free within a moment; the time
-	// is for it to be taken before more are stopped.
-	preemptionsPerHeartbeat = 2
-	// preemptionPullWeight is what a second of pulling the image for the waiting task costs, in
-	// seconds of work lost.
+	// preemptionWaitDivisor divides the heartbeat interval into the time that a job waits before
+	// it preempts others. If there were free capacity, the job would get it within that time.
+	preemptionWaitDivisor = 16
+	// preemptionIntervalDivisor divides the heartbeat interval into the time between two
+	// preemptions for a job. Stopped tasks end quickly; the time is for the job to claim the
+	// freed capacity before more tasks are stopped.
+	preemptionIntervalDivisor = 2
+	// preemptionPullWeight is the cost of a second of pulling the waiting task's image, in seconds
+	// of lost work.
 	preemptionPullWeight = 4
 )
 
-// preempt stops tasks of lower priority for waiting ones that found no free capacity: those that
-// lose the least work, and never one that is about to finish by itself. The stop is only
-// decided here; the commander sends it, and the capacity comes free once it is proved.
+// preempt stops tasks of lower priority for waiting tasks that found no free capacity. It selects
+// the tasks that lose the least work, and none that is about to finish. It only marks the claims;
+// the commander sends the stop commands, and capacity is free once a task is proved to have ended.
 func (p *preemptor) preempt(queues []*typeQueue, now time.Time) {
 	var candidates []*candidate
 	for _, queue := range queues {
@@ -43,7 +43,7 @@
 			if !p.mayPreempt(job, now) {
 				continue
 			}
-			job.NextPreemptionAt = now.Add(p.settings.HeartbeatInterval() / preemptionsPerHeartbeat)
+			job.NextPreemptionAt = now.Add(p.settings.HeartbeatInterval() / preemptionIntervalDivisor)
 			if candidates == nil {
 				candidates = p.scheduler.candidates(now)
 			}
@@ -52,14 +52,14 @@
 	}
 }
 
-// mayPreempt reports whether others may be stopped for a job now.
+// mayPreempt reports whether tasks of other jobs may be stopped for a job now.
 func (p *preemptor) mayPreempt(job *ledger.Job, now time.Time) bool {
 	return p.dependencies.effectivePriority(job) < standardPriority && job.WaitingTasks() > 0 && !job.IsGang() &&
-		now.Sub(job.WaitingSince) >= p.settings.HeartbeatInterval()/preemptionWaitsPerHeartbeat &&
+		now.Sub(job.WaitingSince) >= p.settings.HeartbeatInterval()/preemptionWaitDivisor &&
 		!now.Before(job.NextPreemptionAt)
 }
 
-// preemptFor stops a task for each waiting task of a job for which one may be.
+// preemptFor stops one task for each waiting task of a job, as far as quota and victims allow.
 func (p *preemptor) preemptFor(job *ledger.Job, candidates []*candidate, now time.Time) {
 	preemptedInZone := make(map[string]int)
 	for range min(job.WaitingTasks(), p.jobs.QuotaHeadroom(job)) {
@@ -77,8 +77,8 @@
 	}
 }
 
-// selectVictim finds the task whose stop makes room for a task of a job at the least cost, with
-// its worker, or returns nil. preemptedInZone counts the tasks stopped for the job already.
+// selectVictim returns the task whose stop makes room for a task of a job at the least cost, and its
+// worker, or nil if there is none. preemptedInZone counts the tasks already stopped for the job.
 func (p *preemptor) selectVictim(
 	job *ledger.Job, candidates []*candidate, preemptedInZone map[string]int, now time.Time,
 ) (*candidate, *ledger.Claim) {
@@ -92,14 +92,14 @@
 			continue
 		}
 		for _, claim := range p.jobs.ClaimsOnWorker(target.worker.Name) {
-			if !p.givesWay(claim, priority, tier) || !target.free.plus(&claim.Job.Spec).fit(&job.Spec) {
+			if !p.isPreemptible(claim, priority, tier) || !target.free.plus(&claim.Job.Spec).fit(&job.Spec) {
 				continue
 			}
-			ran := runningTime(claim, now)
-			if p.aboutToFinish(claim, ran) {
+			ranSeconds := runningSeconds(claim, now)
+			if p.aboutToFinish(claim, ranSeconds) {
 				continue
 			}
-			cost := lostWork(claim, ran) + preemptionPullWeight*target.pullSeconds(job)
+			cost := lostWorkSeconds(claim, ranSeconds) + preemptionPullWeight*target.pullSeconds(job)
 			if bestClaim == nil || cost < lowestCost {
 				bestTarget, bestClaim, lowestCost = target, claim, cost
 			}
@@ -108,33 +108,33 @@
 	return bestTarget, bestClaim
 }
 
-// givesWay reports whether a claim's task may be stopped for a job of a priority and tier: it can
-// be stopped at all, and it stands behind by priority and by tier.
-func (p *preemptor) givesWay(claim *ledger.Claim, priority, tier int) bool {
+// isPreemptible reports whether a claim's task may be stopped for a job of the given priority and
+// tier: it is stoppable, and ranks behind the job both by priority and by tier.
+func (p *preemptor) isPreemptible(claim *ledger.Claim, priority, tier int) bool {
 	return stoppable(claim) &&
 		p.dependencies.effectivePriority(claim.Job) > priority && p.ranking.tier(claim.Job) > tier
 }
 
-// runningTime is for how many seconds a claim's task has been running.
-func runningTime(claim *ledger.Claim, now time.Time) float64 {
+// runningSeconds returns how long a claim's task has been running.
+func runningSeconds(claim *ledger.Claim, now time.Time) float64 {
 	if claim.RunningSince.IsZero() {
 		return 0
 	}
 	return now.Sub(claim.RunningSince).Seconds()
 }
 
-// aboutToFinish reports whether a task that ran for some seconds is expected to finish within a
-// heartbeat interval, or should have within the last.
-func (p *preemptor) aboutToFinish(claim *ledger.Claim, ran float64) bool {
-	expected, heartbeat := claim.Job.Spec.ExpectedSeconds, p.settings.Facts.Workers.HeartbeatSeconds
-	return expected > 0 && ran > expected-heartbeat && ran < expected+heartbeat
+// aboutToFinish reports whether a task that has run for ranSeconds is expected to finish within a
+// heartbeat interval, or should have finished within the last.
+func (p *preemptor) aboutToFinish(claim *ledger.Claim, ranSeconds float64) bool {
+	expected, interval := claim.Job.Spec.ExpectedSeconds, p.settings.Facts.Workers.HeartbeatSeconds
+	return expected > 0 && ranSeconds > expected-interval && ranSeconds < expected+interval
 }
 
-// lostWork is how many seconds of work are lost when a task that ran for some seconds is
-// stopped: no more than saving a checkpoint takes, where it has checkpoints.
-func lostWork(claim *ledger.Claim, ran float64) float64 {
+// lostWorkSeconds returns how much work is lost when a task that has run for ranSeconds is stopped.
+// For a task with checkpoints it is at most the time to save one.
+func lostWorkSeconds(claim *ledger.Claim, ranSeconds float64) float64 {
 	if claim.Job.Spec.CheckpointIntervalSeconds > 0 {
-		return min(ran, claim.Job.Spec.CheckpointSaveSeconds)
+		return min(ranSeconds, claim.Job.Spec.CheckpointSaveSeconds)
 	}
-	return ran
+	return ranSeconds
 }
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -15,10 +15,10 @@
 	const s = time.Second
 	type seconds = []time.Duration
 	for _, tc := range []struct {
-		name  string
-		tweak func(leader *leaderTerm, array, service *wire.Job)
-		ran   []time.Duration // array tasks on h0, h1, ...
-		want  string          // the worker of the victim
+		name       string
+		modify     func(leader *leaderTerm, array, service *wire.Job)
+		runningFor []time.Duration // array tasks on h0, h1, ...
+		want       string          // the worker of the victim
 	}{
 		{"the least work lost", nil, seconds{20 * s, 10 * s, 30 * s}, "h1"},
 		{"not one about to finish", nil, seconds{20 * s, 49 * s}, "h0"},
@@ -46,11 +46,11 @@
 			leader := newTestTerm(t)
 			array := wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 8, CPUs: 8, ExpectedSeconds: 50}
 			service := wire.Job{Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 2}
-			if tc.tweak != nil {
-				tc.tweak(leader, &array, &service)
+			if tc.modify != nil {
+				tc.modify(leader, &array, &service)
 			}
 			arrayJob, serviceJob := leader.addTestJob("req-1", array), leader.addTestJob("req-2", service)
-			for i, ran := range tc.ran {
+			for i, ran := range tc.runningFor {
 				leader.runTestTask(t, arrayJob, fmt.Sprint("h", i), ran)
 			}
 			got, candidates := "", leader.scheduler.candidates(now)
@@ -68,11 +68,11 @@
 // TestLostWork: what a checkpoint saves is not lost.
 func TestLostWork(t *testing.T) {
 	claim := &ledger.Claim{Job: &ledger.Job{}}
-	if got := lostWork(claim, 30); got != 30 {
+	if got := lostWorkSeconds(claim, 30); got != 30 {
 		t.Errorf("without checkpoints %v s are lost, want 30", got)
 	}
 	claim.Job.Spec = wire.Job{CheckpointIntervalSeconds: 5, CheckpointSaveSeconds: 1}
-	if got := lostWork(claim, 30); got != 1 {
+	if got := lostWorkSeconds(claim, 30); got != 1 {
 		t.Errorf("with checkpoints %v s are lost, want 1", got)
 	}
 }
--- a/internal/leader/priority.go
+++ b/internal/leader/priority.go
@@ -2,7 +2,7 @@
 
 import "rillflow/internal/wire"
 
-// Levels of the priorities: the lower, the sooner a job goes.
+// Priority levels; jobs of a lower level are scheduled first.
 const (
 	productionPriority = iota
 	urgentPriority
@@ -11,10 +11,10 @@
 	lowestPriority = idlePriority
 )
 
-// priorityName is the name of a priority level.
+// priorityName returns the name of a priority level.
 func priorityName(level int) string { return wire.Priorities()[level] }
 
-// priorityLevel is the level of a priority by its name; what is unknown counts as idle.
+// priorityLevel returns the level of the priority with the given name; unknown names count as idle.
 func priorityLevel(name string) int {
 	switch name {
 	case "production":
--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -8,19 +8,19 @@
 	"rillflow/internal/ledger"
 )
 
-// typeQueue holds the waiting jobs of one type, in the order in which their tasks go.
+// typeQueue holds the waiting jobs of one type, in scheduling order.
 type typeQueue struct {
 	jobType    string
 	unfinished int // unfinished tasks of the type, waiting and running
 	jobs       []*ledger.Job
 }
 
-// waitingQueues groups the waiting jobs by type, ordered by name.
+// waitingQueues returns the queues of the types that have waiting jobs, sorted by type.
 func (s *scheduler) waitingQueues(now time.Time) []*typeQueue {
 	byType := make(map[string]*typeQueue)
 	for _, job := range s.jobs.Jobs() {
 		if job.Cancelled || job.Finished || !job.DependenciesMet() {
-			continue // what waits for another job is in no queue yet
+			continue // a job that waits for its dependencies is in no queue yet
 		}
 		if job.PlacementType == "" {
 			job.PlacementType = s.jobType(job)
@@ -47,8 +47,8 @@
 	return queues
 }
 
-// jobType is the type of a job for the placement rule, made of the fields of its specification
-// that the settings name.
+// jobType returns the type of a job for the placement rule: the values of those fields of its
+// specification that the settings name.
 func (s *scheduler) jobType(job *ledger.Job) string {
 	var key []byte
 	for _, field := range s.settings.Operator.Placement.Fields() {
--- a/internal/leader/ranking.go
+++ b/internal/leader/ranking.go
@@ -8,11 +8,11 @@
 	"rillflow/internal/ledger"
 )
 
-// jobRanking decides in which order waiting jobs go: across types by tier, within a type also
-// by starvation and by the slack to their deadlines.
+// jobRanking decides the scheduling order of waiting jobs: across types by tier, and within a type
+// also by starvation and by the slack to their deadlines.
 //
-// The scheduling pass calls it, and the autoscaler asks it for deadlines; all with mu held.
-// It reads the job table and keeps the deficits of starved jobs, and changes nothing else.
+// The scheduling pass calls it, and the autoscaler queries it for deadlines, all with mu held. It
+// reads the job table, and writes only the deficits of starved jobs.
 type jobRanking struct {
 	*termScope
 	dependencies *dependencies
@@ -20,8 +20,8 @@
 	starvation starvationTracker
 }
 
-// tier orders jobs of all types: what is within its team's guaranteed quota goes before what
-// is borrowed, and in each the higher priority first.
+// tier returns the rank of a job across all types, lower first: jobs within their team's guaranteed
+// quota come before jobs on borrowed quota, and in both groups the higher priority comes first.
 func (r *jobRanking) tier(job *ledger.Job) int {
 	if r.jobs.WithinGuaranteedQuota(job) {
 		return r.dependencies.effectivePriority(job)
@@ -29,16 +29,16 @@
 	return lowestPriority + 1 + r.dependencies.effectivePriority(job)
 }
 
-// orderedJob is a job with what it is ordered by.
+// orderedJob is a job with its sort keys.
 type orderedJob struct {
 	job     *ledger.Job
-	tier    int // teams of one type may stand differently to their guaranteed quotas
+	tier    int // differs within a type if only some of its teams are within their guaranteed quota
 	slack   deadlineSlack
-	starved bool // it goes first in its tier
+	starved bool // goes first in its tier
 }
 
-// compare orders jobs of one type: by tier, starved ones first and the longest waiting of them
-// first, then by slack, then by who was ready first.
+// compare orders jobs of one type: by tier, then starved jobs first and the longest waiting first
+// among them, then by slack, then by the time at which they became ready.
 func (a orderedJob) compare(b orderedJob) int {
 	switch {
 	case a.tier != b.tier:
@@ -53,7 +53,7 @@
 	return cmp.Or(a.slack.compare(b.slack), a.job.ReadyAt.Compare(b.job.ReadyAt), cmp.Compare(a.job.ID, b.job.ID))
 }
 
-// orderJobs sorts jobs of one type in the order in which their tasks go.
+// orderJobs sorts jobs of one type into scheduling order.
 func (r *jobRanking) orderJobs(jobs []*ledger.Job, now time.Time) {
 	entries := make([]orderedJob, len(jobs))
 	agingThreshold := r.agingThreshold()
@@ -61,21 +61,21 @@
 		entries[i] = orderedJob{job, r.tier(job), r.deadlineSlack(job, now), isStarved(job, agingThreshold, now)}
 	}
 	limitLastChances(entries, r.jobs, r.lastChanceMargin())
-	r.starvation.share(entries)
+	r.starvation.applyDeficit(entries)
 	slices.SortFunc(entries, orderedJob.compare)
 	for i, entry := range entries {
 		jobs[i] = entry.job
 	}
 }
 
-// limitLastChances lets only as many jobs go first for being about to miss a deadline as there
-// will be capacity for in that moment, the least work first. In a long overload nearly all are
-// about to miss one: the largest would go before all others, and most would miss it all the
-// same. A job that there is no capacity for counts as having missed its deadline already.
+// limitLastChances limits the jobs that go first because they are about to miss a deadline to as
+// many as there will be capacity for, the least work first. In a long overload nearly all jobs are
+// about to miss one: the largest would go before all others, and most would still miss it. A job
+// without capacity counts as having missed its deadline already.
 func limitLastChances(entries []orderedJob, table *ledger.Table, margin time.Duration) {
 	var lastChances []*orderedJob
 	for i := range entries {
-		if entries[i].slack.lastChance {
+		if entries[i].slack.isLastChance {
 			lastChances = append(lastChances, &entries[i])
 		}
 	}
@@ -83,18 +83,18 @@
 		return
 	}
 	slices.SortFunc(lastChances, func(a, b *orderedJob) int {
-		return cmp.Or(cmp.Compare(a.slack.work, b.slack.work), cmp.Compare(a.job.ID, b.job.ID))
+		return cmp.Or(cmp.Compare(a.slack.cpuSecondsLeft, b.slack.cpuSecondsLeft), cmp.Compare(a.job.ID, b.job.ID))
 	})
 	freeCPUs := make(map[string]float64) // by team
 	for _, entry := range lastChances {
 		spec := &entry.job.Spec
 		if _, ok := freeCPUs[spec.Team]; !ok {
 			limit, used := table.Team(spec.Team).CPUsMax, table.Usage(spec.Team).CPUs
-			// Of what the team uses now, the share that ends within the margin.
+			// Unused quota, plus the share of the team's usage that ends within the margin.
 			freeCPUs[spec.Team] = limit - used + used*min(1, margin.Seconds()/max(spec.ExpectedSeconds, 1))
 		}
 		if freeCPUs[spec.Team] <= 0 {
-			entry.slack.lastChance = false
+			entry.slack.isLastChance = false
 			entry.slack.missed++
 			continue
 		}
--- a/internal/leader/ranking_test.go
+++ b/internal/leader/ranking_test.go
@@ -13,10 +13,10 @@
 // for the class, a lease of 30 s and runs of 10 s.
 func TestOrderOfLateJobs(t *testing.T) {
 	for _, tc := range []struct {
-		name          string
-		first, second time.Duration // since when each is ready
-		small         bool          // the second has less work
-		want          bool          // the first goes first
+		name                          string
+		firstReadyFor, secondReadyFor time.Duration // since when each is ready
+		secondSmaller                 bool          // the second has less work
+		wantFirst                     bool          // the first goes first
 	}{
 		{"the least work, both in time", 10 * time.Second, 10 * time.Second, true, false},
 		{"about to miss its first deadline", 35 * time.Second, 10 * time.Second, true, true},
@@ -30,14 +30,14 @@
 			leader := newTestTerm(t)
 			spec := wire.Job{Class: "f", Kind: wire.KindArray, ExpectedSeconds: 10, TaskCount: 20, CPUs: 1}
 			first := leader.addTestJob("req-1", spec)
-			if tc.small {
+			if tc.secondSmaller {
 				spec.TaskCount = 2
 			}
 			second := leader.addTestJob("req-2", spec)
-			first.ReadyAt, second.ReadyAt = now.Add(-tc.first), now.Add(-tc.second)
+			first.ReadyAt, second.ReadyAt = now.Add(-tc.firstReadyFor), now.Add(-tc.secondReadyFor)
 			jobs := []*ledger.Job{second, first}
 			leader.scheduler.ranking.orderJobs(jobs, now)
-			if got := jobs[0] == first; got != tc.want {
+			if got := jobs[0] == first; got != tc.wantFirst {
 				t.Errorf("the first goes first: %v", got)
 			}
 		})
@@ -49,11 +49,11 @@
 // goes before all that is not.
 func TestOrderOfServices(t *testing.T) {
 	for _, tc := range []struct {
-		name          string
-		first, second time.Duration // since when each is ready
-		lost          time.Duration // since when the first waits again, if it ran
-		other         bool          // the second is of a team past its guaranteed quota
-		want          bool          // the first goes first
+		name                          string
+		firstReadyFor, secondReadyFor time.Duration // since when each is ready
+		firstLostFor                  time.Duration // since when the first waits again, if it ran
+		secondOverQuota               bool          // the second is of a team past its guaranteed quota
+		wantFirst                     bool          // the first goes first
 	}{
 		{"both in time: who came first", 10 * time.Second, 5 * time.Second, 0, false, true},
 		{"the first late", 13 * time.Second, 5 * time.Second, 0, false, false},
@@ -66,20 +66,20 @@
 			leader := newTestTerm(t)
 			spec := wire.Job{Class: "s", Kind: wire.KindService, Priority: "production", TaskCount: 2, CPUs: 2}
 			first := leader.addTestJob("req-1", spec)
-			if tc.other {
+			if tc.secondOverQuota {
 				spec.Team = "u"
 				leader.runTestTask(t, leader.addTestJob("req-3", spec), "h0", time.Minute)
 				leader.runTestTask(t, leader.jobs.Job("req-3"), "h1", time.Minute)
 			}
 			second := leader.addTestJob("req-2", spec)
-			first.ReadyAt, second.ReadyAt = now.Add(-tc.first), now.Add(-tc.second)
+			first.ReadyAt, second.ReadyAt = now.Add(-tc.firstReadyFor), now.Add(-tc.secondReadyFor)
 			first.WaitingSince, second.WaitingSince = first.ReadyAt, second.ReadyAt
-			if tc.lost > 0 {
-				first.WaitingSince = now.Add(-tc.lost)
+			if tc.firstLostFor > 0 {
+				first.WaitingSince = now.Add(-tc.firstLostFor)
 			}
 			jobs := []*ledger.Job{second, first}
 			leader.scheduler.ranking.orderJobs(jobs, now)
-			if got := jobs[0] == first; got != tc.want {
+			if got := jobs[0] == first; got != tc.wantFirst {
 				t.Errorf("the first goes first: %v", got)
 			}
 		})
@@ -91,10 +91,10 @@
 // those with time left.
 func TestLimitLastChances(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		tasks  []int // of the jobs that are about to miss their deadline, 10 CPUs each
-		last   int
-		expect float64 // of a run, in seconds
+		name            string
+		tasks           []int // of the jobs that are about to miss their deadline, 10 CPUs each
+		wantAhead       int
+		expectedSeconds float64 // of a run, in seconds
 	}{
 		{"capacity for all", []int{4, 3, 2}, 3, 20},
 		{"capacity for some", []int{9, 8, 3}, 2, 20},
@@ -104,10 +104,10 @@
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
 			at := now.Add(40 * time.Second) // of 60, with 1.5 times 20 to run and half a lease to spare
-			spec := wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", CPUs: 10, ExpectedSeconds: tc.expect}
+			spec := wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", CPUs: 10, ExpectedSeconds: tc.expectedSeconds}
 			var jobs []*ledger.Job
-			for i, n := range tc.tasks {
-				spec.TaskCount = n
+			for i, taskCount := range tc.tasks {
+				spec.TaskCount = taskCount
 				jobs = append(jobs, leader.addTestJob(fmt.Sprint("req-", i), spec))
 			}
 			spec.TaskCount, spec.CPUs, spec.ExpectedSeconds = 400, 1, 20 // more work than any of them
@@ -115,10 +115,10 @@
 			early.SubmittedAt, early.ReadyAt = at, at
 			jobs = append(jobs, early)
 			leader.scheduler.ranking.orderJobs(jobs, at)
-			for i, j := range jobs {
-				first := tc.tasks[len(tc.tasks)-1-min(i, len(tc.tasks)-1)]
-				if i < tc.last && j.Spec.TaskCount != first || i == tc.last && j != early {
-					t.Errorf("place %d has %s with %d tasks", i, j.ID, j.Spec.TaskCount)
+			for i, job := range jobs {
+				wantTasks := tc.tasks[len(tc.tasks)-1-min(i, len(tc.tasks)-1)]
+				if i < tc.wantAhead && job.Spec.TaskCount != wantTasks || i == tc.wantAhead && job != early {
+					t.Errorf("place %d has %s with %d tasks", i, job.ID, job.Spec.TaskCount)
 				}
 			}
 		})
--- a/internal/leader/registry.go
+++ b/internal/leader/registry.go
@@ -5,16 +5,16 @@
 	"rillflow/internal/election"
 )
 
-// workerRegistry finds or adds the workers of the cluster state, and keeps which controller
-// answers each. All components that learn of a worker call it, and hold mu. It must not
-// remove workers: only an answered release does.
+// workerRegistry looks up and adds workers in the cluster state, and records which controller
+// answers each. All components that learn of a worker call it, with mu held. It must not remove
+// workers: that happens only when the cloud has answered the release of the instance.
 type workerRegistry struct {
 	*termScope
 	commander *commander
 }
 
-// worker returns the worker of a name. It adds one that is not known yet, and starts its
-// command loop.
+// worker returns the worker with the given name. If it is new, it is added and its command loop is
+// started.
 func (r *workerRegistry) worker(name string) *agent.Worker {
 	worker := r.workers[name]
 	if worker == nil {
@@ -26,7 +26,7 @@
 	return worker
 }
 
-// setZone sets the zone of a worker, and with it who may answer the worker.
+// setZone sets the zone of a worker, which also affects which controllers may answer it.
 func (r *workerRegistry) setZone(worker *agent.Worker, zone string) {
 	if worker.Zone != zone {
 		worker.Zone, worker.SoleOwnerEpoch = zone, 0
@@ -34,10 +34,10 @@
 	}
 }
 
-// assignOwner notes which controller answers a worker, and since which epoch nobody but this
-// one may: it owns the worker's shard, and no other shard owner is in the worker's zone,
-// where it might stand in while the zone is cut off. It is to be called again once the zone
-// is known.
+// assignOwner records which controller answers a worker, and since which epoch only this controller
+// may. That is so if this controller owns the worker's shard and no other shard owner is in the
+// worker's zone, where it might answer as a fallback while the zone is partitioned. It is called
+// again once the zone is known.
 func (r *workerRegistry) assignOwner(worker *agent.Worker, shardMap election.ShardMap) {
 	if owner := shardMap.Owner(worker.Name); owner != worker.ShardOwner {
 		worker.ShardOwner, worker.ShardOwnerSince = owner, r.now()
--- a/internal/leader/reservation.go
+++ b/internal/leader/reservation.go
@@ -8,9 +8,9 @@
 	"rillflow/internal/ledger"
 )
 
-// reserveCapacity keeps free capacity for the longest waiting job past the aging threshold that
-// fits nowhere, so that large tasks and gangs are not starved by small ones: as tasks on the
-// reserved workers end, their free capacity adds up until the job fits.
+// reserveCapacity reserves workers for the longest waiting job that is past the aging threshold and
+// fits nowhere, so that small tasks do not starve large tasks and gangs: as tasks on the reserved
+// workers end, free capacity accumulates until the job fits.
 func (s *scheduler) reserveCapacity(queues []*typeQueue, candidates []*candidate, now time.Time) {
 	job := oldestWithoutCapacity(s.jobs, queues, candidates, now.Add(-s.ranking.agingThreshold()))
 	if job == nil {
@@ -21,8 +21,8 @@
 	}
 }
 
-// oldestWithoutCapacity is the longest waiting of the jobs that have waited since a time and
-// that fit nowhere, or nil if there is none. Gangs that fit were placed before.
+// oldestWithoutCapacity returns the longest waiting job that has waited since the given time or
+// longer and fits nowhere, or nil if there is none. Gangs that fit have been placed before.
 func oldestWithoutCapacity(
 	table *ledger.Table, queues []*typeQueue, candidates []*candidate, since time.Time,
 ) *ledger.Job {
@@ -56,9 +56,9 @@
 	return fitsSomewhere
 }
 
-// workersToReserve are the candidates that together would hold the job when empty, a gang whole
-// and of other jobs one task, the freest first, for they come free soonest. It returns nil
-// if there are not enough.
+// workersToReserve returns candidates that, when empty, can run all waiting tasks of a gang, or one
+// task of another job. It prefers those with the most free CPUs, which are empty soonest. It
+// returns nil if there are not enough.
 func workersToReserve(table *ledger.Table, job *ledger.Job, candidates []*candidate) []*candidate {
 	needed := 1
 	if job.IsGang() {
--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -1,17 +1,16 @@
-// Package leader is the runtime of the elected leader: for the length of a term it keeps the
-// job table and the workers together, and runs the loops that write claims, place tasks,
-// command workers and scale the fleet.
+// Package leader is the runtime of the elected leader: for one term, it reconciles the job table
+// with the workers and runs the loops that write claims, place tasks, command workers and scale the
+// fleet.
 //
-// It owns the state of the term: the job table, the workers and instances, and what the
-// components of a term remember, all under one lock (see clusterState). What must outlive a
-// term is in the store; a new leader begins from there, or from replicas where the store has
-// lost data.
+// It owns the state of the term: the job table, the workers and instances, and the state of the
+// term's components, all under one lock (see clusterState). State that must outlive a term is in
+// the store; a new leader starts from there, or from replicas if the store has lost data.
 //
-// The elector calls Runner.Serve for each term that this controller wins. The shard owner
-// passes heartbeats on to Runner.Heartbeat, the cancellation broadcast and the job API ask
-// the other methods of Runner. The package does not elect, does not answer HTTP, and must not
-// write to the store without the compares of its leadership, start a task before its claim is
-// committed, or free a claim without proof that its task is gone.
+// The elector calls Runner.Serve for each term that this controller wins. The shard owner forwards
+// heartbeats to Runner.Heartbeat; the cancellation broadcast and the job API call the other methods
+// of Runner. The package does not run elections or serve HTTP, and must not write to the store
+// without the compares of its leadership, start a task before its claim is committed, or free a
+// claim without proof that its task has ended.
 package leader
 
 import (
@@ -38,10 +37,10 @@
 	"rillflow/internal/wire"
 )
 
-// ErrNotLeading means that this controller may not act for the others.
+// ErrNotLeading means that this controller is not the leader.
 var ErrNotLeading = errors.New("leader: not leading")
 
-// Options are what a Runner works with.
+// Options are the dependencies of a Runner.
 type Options struct {
 	Settings      *settings.Settings
 	Store         *kvstore.Client
@@ -50,23 +49,23 @@
 	Elector       *election.Elector
 	InstanceTypes *fleet.Catalogue
 	Shards        Shards
-	MemoryFull    func() bool   // whether this controller is short of memory
-	AuditKeys     *keyring.Ring // what the audit log is sealed with; nil: none is kept
+	MemoryFull    func() bool   // reports whether this controller is short of memory
+	AuditKeys     *keyring.Ring // keys that seal the audit log; nil: no audit log is written
 	DataLoss      *dataloss.Detector
 	Replica       *replica.Replica
 	ReplicaPeers  replica.Peers
-	Cancellations *cancellation.Set // jobs that were cancelled lately
+	Cancellations *cancellation.Set // recently cancelled jobs
 	Log           *slog.Logger
 }
 
-// Runner serves leader terms, one at a time, and answers for the current one. Its methods
-// may be called by any goroutine, also while this controller does not lead.
+// Runner serves leader terms, one at a time, and gives access to the current one. Its methods are
+// safe for concurrent use and may be called while this controller does not lead.
 type Runner struct {
 	*environment
 	current atomic.Pointer[leaderTerm] // nil while this controller does not lead
 }
 
-// New makes a Runner.
+// New returns a Runner.
 func New(options Options) *Runner {
 	return &Runner{environment: &environment{
 		settings:            options.Settings,
@@ -87,7 +86,7 @@
 	}}
 }
 
-// Serve leads for one term, and returns when it is over.
+// Serve leads for one term and returns when the term ends.
 func (r *Runner) Serve(ctx context.Context, leadership *election.Term) error {
 	group, groupCtx := errgroup.WithContext(kvstore.WithPriority(ctx, kvstore.PriorityLeader))
 	term := newLeaderTerm(groupCtx, r.environment, leadership, leadership.FirstEpoch, group)
@@ -118,8 +117,8 @@
 	return group.Wait()
 }
 
-// begin reads the jobs and claims and opens the audit log. Once it returns heartbeats are
-// answered. It returns the revision from which on jobs are to be watched.
+// begin loads the jobs and claims, opens the audit log, and lets heartbeats be answered. It returns
+// the store revision from which jobs are to be watched.
 func (t *leaderTerm) begin(ctx context.Context) (uint64, error) {
 	revision, err := t.loader.load(ctx)
 	if err != nil {
@@ -141,16 +140,16 @@
 	return revision, nil
 }
 
-// startLoops runs loops until the term ends. The first that fails ends the term.
+// startLoops starts loops that run until the term ends. The first one that fails ends the term.
 func (t *leaderTerm) startLoops(loops ...func(context.Context) error) {
 	for _, loop := range loops {
 		t.group.Go(func() error { return loop(t.ctx) })
 	}
 }
 
-// Heartbeat takes in a worker's heartbeat and returns the commands for the worker. It also
-// returns the run times that the worker's tasks have shown, if another controller owns the
-// worker's shard. ErrNotLeading means that the heartbeat was not taken in.
+// Heartbeat applies a worker's heartbeat and returns the commands for the worker. If another
+// controller owns the worker's shard, it also returns the run times measured on the worker.
+// ErrNotLeading means that the heartbeat was not applied.
 func (r *Runner) Heartbeat(
 	ctx context.Context, heartbeat *wire.Heartbeat,
 ) (wire.CommandBatch, []agent.RuntimeSample, error) {
@@ -170,8 +169,8 @@
 	return term.heartbeats.answer(heartbeat)
 }
 
-// NoWorkersOfOwn tells whether this controller leads, and no worker of its own shard is up:
-// that it hears none then says nothing about whether it is isolated.
+// NoWorkersOfOwn reports whether this controller leads and no worker of its own shard is up. In
+// that case, the lack of heartbeats does not show that the controller is isolated.
 func (r *Runner) NoWorkersOfOwn() bool {
 	term := r.current.Load()
 	if term == nil {
@@ -180,7 +179,7 @@
 	term.mu.Lock()
 	defer term.mu.Unlock()
 	return !slices.ContainsFunc(term.workersByName, func(worker *agent.Worker) bool {
-		_, leaving := term.released[worker.Name]
-		return worker.ShardOwner == term.settings.Name && !leaving && !worker.LastHeartbeat.IsZero()
+		_, releasing := term.released[worker.Name]
+		return worker.ShardOwner == term.settings.Name && !releasing && !worker.LastHeartbeat.IsZero()
 	})
 }
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -12,19 +12,19 @@
 
 // scheduler places waiting tasks on workers with free capacity.
 //
-// Its loop, runScheduler, makes a scheduling pass whenever scheduleSignal was notified. A pass
-// has three steps: prepare (under mu: order the queues, claim for gangs, reserve capacity,
-// describe the rest to the shard owners), requestPicks (without the lock, since owners are
-// other controllers) and confirm (under mu again: claim what the owners picked and still fits,
-// then preempt for what found no place).
+// Its loop, runScheduler, runs a scheduling pass whenever scheduleSignal is notified. A pass has
+// three steps: prepare (under mu: order the queues, place gangs, reserve capacity, make the offers
+// to the shard owners), requestPicks (without the lock, since owners are other controllers) and
+// confirm (under mu again: claim the picks that still fit, then preempt for tasks that found no
+// capacity).
 //
-// Apart from these steps, methods are called with mu held: by the pass itself, by the
-// autoscaler and the drainer, which look for capacity in the same way, and by the heartbeat
-// reconciler, which asks acceptsTasks. The lock is the term's, because a claim must see the job
-// table, the workers' leases and the quotas at one moment.
+// All other methods are called with mu held: by the pass itself, by the autoscaler and the drainer,
+// which use the same candidates, and by the heartbeat reconciler, which calls acceptsTasks. The
+// lock is the term's, because a claim needs a consistent view of the job table, the workers' leases
+// and the quotas.
 //
-// The scheduler claims; it must not write to the store or command workers. A task is started
-// by the commander once the claim writer has made its claim durable.
+// The scheduler makes claims; it must not write to the store or command workers. The commander
+// starts a task once the claim writer has made its claim durable.
 type scheduler struct {
 	*termScope
 	recovery *dataRecovery
@@ -35,7 +35,7 @@
 	preemptor *preemptor
 }
 
-// connect gives the scheduler the components that it calls, and makes its own.
+// connect sets the components that the scheduler calls, and creates its own.
 func (s *scheduler) connect(recovery *dataRecovery, dependencies *dependencies, faults *faultTracker) {
 	s.recovery, s.faults = recovery, faults
 	s.ranking = &jobRanking{termScope: s.termScope, dependencies: dependencies}
@@ -43,11 +43,11 @@
 	s.preemptor = &preemptor{termScope: s.termScope, dependencies: dependencies, ranking: s.ranking, scheduler: s}
 }
 
-// passesPerHeartbeat bounds the passes in a heartbeat interval: heartbeats come in bursts, and
-// one pass serves several.
+// passesPerHeartbeat limits the passes per heartbeat interval: heartbeats come in bursts, and one
+// pass serves several.
 const passesPerHeartbeat = 64
 
-// runScheduler makes passes until the term ends.
+// runScheduler runs scheduling passes until ctx ends.
 func (s *scheduler) runScheduler(ctx context.Context) error {
 	for {
 		select {
@@ -63,15 +63,15 @@
 	}
 }
 
-// preparedPass is what the first locked step of a pass hands to the second.
+// preparedPass is the state of a pass between prepare and confirm.
 type preparedPass struct {
-	queues      []*typeQueue
-	offers      map[string]*placement.Offer // by shard owner
-	claimed     int                         // tasks of gangs claimed already
-	moreWaiting bool                        // some waiting tasks were left out of the offers
+	queues            []*typeQueue
+	offers            map[string]*placement.Offer // by shard owner
+	claimed           int                         // tasks already claimed for gangs
+	hasUnofferedTasks bool                        // some waiting tasks were left out of the offers
 }
 
-// pass is one scheduling pass. It reports whether another may find more.
+// pass runs one scheduling pass. It reports whether another pass may place more tasks.
 func (s *scheduler) pass(ctx context.Context) bool {
 	prepared := s.prepare()
 	if prepared == nil {
@@ -80,8 +80,8 @@
 	return s.confirm(prepared, s.offers.requestPicks(ctx, prepared.offers))
 }
 
-// prepare decides what the leader decides alone and makes the offers for the rest. It takes mu
-// itself, and returns nil if nothing waits or nothing may be placed yet.
+// prepare places gangs and reserves capacity, which the leader does alone, and makes the offers to
+// the shard owners. It locks mu. It returns nil if no task waits or placement is on hold.
 func (s *scheduler) prepare() *preparedPass {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -98,28 +98,28 @@
 	s.reserveCapacity(queues, candidates, now)
 	index := newCandidateIndex(candidates)
 	offers := s.offers.makeOffers(queues, index, now)
-	return &preparedPass{queues: queues, offers: offers, claimed: claimed, moreWaiting: index.moreWaiting}
+	return &preparedPass{queues: queues, offers: offers, claimed: claimed, hasUnofferedTasks: index.moreWaiting}
 }
 
-// confirm claims what the owners picked, as far as it still fits: heartbeats came in since the
-// offers were made. It takes mu itself, and reports whether another pass may find more.
+// confirm claims the picks that still fit; heartbeats may have changed the candidates since the
+// offers were made. It locks mu. It reports whether another pass may place more tasks.
 func (s *scheduler) confirm(prepared *preparedPass, picks []placement.Pick) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
 	claimed, tierChanged := prepared.claimed, false
-	fresh := make(map[string]*candidate)
+	targets := make(map[string]*candidate)
 	for _, pick := range picks {
-		job, target := s.jobs.Job(pick.JobID), fresh[pick.Worker]
+		job, target := s.jobs.Job(pick.JobID), targets[pick.Worker]
 		if target == nil {
 			target = s.candidate(s.workers[pick.Worker], now)
-			fresh[pick.Worker] = target
+			targets[pick.Worker] = target
 		}
 		if job == nil || target == nil || !target.fits(job) {
 			continue
 		}
 		if s.ranking.tier(job) != pick.Tier {
-			tierChanged = true // its team's guaranteed quota is used up: others may come first
+			tierChanged = true // the guaranteed quota is used up meanwhile: other jobs may come first
 			continue
 		}
 		if s.claimTask(target, job) {
@@ -132,16 +132,16 @@
 	if !tierChanged {
 		s.preemptor.preempt(prepared.queues, now)
 	}
-	return claimed > 0 && (tierChanged || prepared.moreWaiting)
+	return claimed > 0 && (tierChanged || prepared.hasUnofferedTasks)
 }
 
-// claimTask claims the job's next task for a worker and takes the resources off its free
-// capacity. It reports whether the job table granted the claim.
+// claimTask claims the job's next task for a worker and subtracts its resources from the worker's
+// free capacity. It reports whether the job table granted the claim.
 func (s *scheduler) claimTask(target *candidate, job *ledger.Job) bool {
 	worker := target.worker
 	claim, err := s.jobs.Claim(job, worker.Name, worker.Incarnation, worker.Zone)
 	if err != nil {
-		return false // quota, zone or the last waiting task went to an earlier pick
+		return false // an earlier pick took the quota, the zone's slot or the last waiting task
 	}
 	worker.IdleSince = time.Time{}
 	worker.RecordPull(job.Spec.Image, job.Spec.ImageGB)
@@ -153,12 +153,12 @@
 
 // acceptsTasks reports whether a worker may take new tasks.
 func (s *scheduler) acceptsTasks(worker *agent.Worker, now time.Time) bool {
-	_, leaving := s.released[worker.Name]
-	return !leaving && s.leaseRenewed(worker, now) && worker.ReclaimAt.IsZero() && !worker.Draining &&
+	_, releasing := s.released[worker.Name]
+	return !releasing && s.leaseRenewed(worker, now) && worker.ReclaimAt.IsZero() && !worker.Draining &&
 		!now.Before(worker.StartBackoffUntil) && !s.faults.quarantined(worker, now)
 }
 
-// candidates are the workers that may take new tasks, with their free capacity, by name.
+// candidates returns the workers that may take new tasks, with their free capacity, sorted by name.
 func (s *scheduler) candidates(now time.Time) []*candidate {
 	candidates := make([]*candidate, 0, len(s.workersByName))
 	for _, worker := range s.workersByName {
@@ -169,7 +169,7 @@
 	return candidates
 }
 
-// candidate is a worker with its free capacity, or nil if it may not take new tasks.
+// candidate returns a worker with its free capacity, or nil if the worker may not take new tasks.
 func (s *scheduler) candidate(worker *agent.Worker, now time.Time) *candidate {
 	if worker == nil || worker.HasUnclaimedTask || !s.acceptsTasks(worker, now) {
 		return nil
--- a/internal/leader/scope.go
+++ b/internal/leader/scope.go
@@ -20,8 +20,8 @@
 	"rillflow/internal/settings"
 )
 
-// environment is what a Runner was made with: settings, clients and the services of the
-// process. It does not change, and each part has its own guard.
+// environment holds the dependencies of a Runner: settings, clients and the services of the
+// process. It does not change, and each part does its own locking.
 type environment struct {
 	settings            *settings.Settings
 	store               *kvstore.Client
@@ -40,13 +40,13 @@
 	now                 func() time.Time
 }
 
-// signals wake the loops of a term. Each holds at most one notification, so that notifying
-// never blocks and a loop that is busy runs once more.
+// signals wake the loops of a term. Each holds at most one notification, so that notifying never
+// blocks, and a busy loop runs once more.
 type signals struct {
 	writeSignal       chan struct{} // the job table has changes to write
 	scheduleSignal    chan struct{} // capacity or tasks may be free to place
 	dependencySignal  chan struct{} // a dependency may be resolved
-	propagationSignal chan struct{} // a dependent may be to be cancelled
+	propagationSignal chan struct{} // a dependent may have to be cancelled
 	epochSignal       chan struct{} // a higher epoch is needed
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// notify wakes the loop that waits for a signal.
+// notify wakes the loop that waits for the signal.
 func notify(signal chan struct{}) {
 	select {
 	case signal <- struct{}{}:
@@ -68,9 +68,9 @@
 	}
 }
 
-// termScope is what the components of a term share; each embeds a pointer to it. Its fields
-// are set when the term begins and do not change. clusterState and auditLog are guarded by
-// mu, everything else has its own guard or needs none.
+// termScope is shared by the components of a term; each embeds a pointer to it. Its fields are set
+// when the term begins and do not change. clusterState and auditLog are guarded by mu; everything
+// else does its own locking or needs none.
 //
 // A method belongs here only if several components need it and it uses no component's state.
 type termScope struct {
@@ -82,14 +82,14 @@
 	startedAt  time.Time
 	group      *errgroup.Group // runs the loops of the term
 	ctx        context.Context // ends with the term
-	auditLog   *auditWriter    // nil: no audit log is kept
+	auditLog   *auditWriter    // nil: no audit log is written
 }
 
-// roundsPerHeartbeat is how often within a heartbeat interval a repeated round runs at least.
+// roundsPerHeartbeat is the minimum number of rounds of a repeated loop per heartbeat interval.
 const roundsPerHeartbeat = 6
 
-// repeat runs a round of a loop whenever its signal comes, and at intervals without one, until ctx
-// ends or a round fails.
+// repeat runs a round of a loop on each signal, and periodically without one, until ctx ends or a
+// round fails.
 func (s *termScope) repeat(ctx context.Context, signal <-chan struct{}, round func() error) error {
 	ticker := time.NewTicker(s.settings.HeartbeatInterval() / roundsPerHeartbeat)
 	defer ticker.Stop()
@@ -106,13 +106,13 @@
 	}
 }
 
-// dependenciesChanged wakes the loops that look after jobs that wait for others.
+// dependenciesChanged wakes the loops that process dependencies between jobs.
 func (s *termScope) dependenciesChanged() {
 	notify(s.dependencySignal)
 	notify(s.propagationSignal)
 }
 
-// freeClaim frees a claim on proof that its task is gone. Callers hold mu.
+// freeClaim frees a claim whose task is proved to have ended. Callers hold mu.
 func (s *termScope) freeClaim(claim *ledger.Claim, reason string) {
 	s.log.Debug("claim freed", "task", claim.Task(), "worker", claim.Worker, "reason", reason)
 	now := s.now()
@@ -120,17 +120,17 @@
 	s.jobs.Free(claim, now)
 }
 
-// adoptClaim claims a task for the worker that has it, under the epoch of before the term. It
-// returns nil if the task cannot be claimed. Callers hold mu.
+// adoptClaim claims a task for the worker that already runs it, under the epoch before this term's
+// first. It returns nil if the task cannot be claimed. Callers hold mu.
 func (s *termScope) adoptClaim(job *ledger.Job, index int, worker *agent.Worker, attempt uint64) *ledger.Claim {
 	return s.jobs.AdoptOrphan(job, index, ledger.ClaimRecord{
 		Worker: worker.Name, Incarnation: worker.Incarnation, Attempt: attempt, Zone: worker.Zone,
 	}, s.firstEpoch-1)
 }
 
-// attemptEpochShift is where an attempt number of a recovering leader holds its epoch.
+// attemptEpochShift is the bit position of the epoch in the attempt numbers of a recovering leader.
 const attemptEpochShift = 16
 
-// baseAttempt is the number above which a recovering leader gives out attempts: epochs never
-// come again, so that no attempt number does.
+// baseAttempt returns the number above which a recovering leader assigns attempt numbers. It
+// contains the epoch, which is never reused, so no attempt number is.
 func (s *termScope) baseAttempt() uint64 { return s.firstEpoch << attemptEpochShift }
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -9,49 +9,50 @@
 	"rillflow/internal/wire"
 )
 
-// missedHeartbeatRatio is the silence from which on a worker has missed a heartbeat, as a ratio
-// to the interval, which varies by a quarter.
+// missedHeartbeatRatio is the silence after which a heartbeat counts as missed, as a ratio to the
+// heartbeat interval, which varies by a quarter.
 const missedHeartbeatRatio = 1.3
 
-// newFailureDetector makes the detector that judges who is at fault for silence.
+// newFailureDetector returns the detector that attributes silence to workers, zones or controllers.
 func newFailureDetector(config *settings.Settings) *failuredetector.Detector {
 	interval := float64(config.HeartbeatInterval())
 	return failuredetector.New(time.Duration(missedHeartbeatRatio*interval), config.WorkerLease())
 }
 
-// silentFor is for how long a worker that should be heard was not. It has had no way
-// to be heard before this term began, its boot was over, or its owner took over. What it
-// answers to direct commands tells that it is up, but not for longer than a lease: then
-// whatever it had is gone, since only an answered heartbeat renews the lease.
+// silentFor returns how long a worker that should send heartbeats has not. The time counts at the
+// earliest from the beginning of this term, the end of the worker's boot, and the last change of
+// its shard owner. An answer to a direct command also counts as a sign of life, but not for longer
+// than a lease: only an answered heartbeat renews the lease, and after that the worker's tasks have
+// ended.
 func (m *failureMonitor) silentFor(worker *agent.Worker, now time.Time) time.Duration {
-	last := m.startedAt
-	for _, seen := range []time.Time{worker.LastHeartbeat, worker.ListedRunningAt, worker.ShardOwnerSince} {
-		if seen.After(last) {
-			last = seen
+	lastSeen := m.startedAt
+	for _, seenAt := range []time.Time{worker.LastHeartbeat, worker.ListedRunningAt, worker.ShardOwnerSince} {
+		if seenAt.After(lastSeen) {
+			lastSeen = seenAt
 		}
 	}
-	silent := now.Sub(last)
-	if worker.LastUpdate.After(last) && silent <= m.leaseOverAfter() {
+	silence := now.Sub(lastSeen)
+	if worker.LastUpdate.After(lastSeen) && silence <= m.leaseOverAfter() {
 		return now.Sub(worker.LastUpdate)
 	}
-	return silent
+	return silence
 }
 
-// observeSilence has the detector judge who is at fault for what is not heard.
+// observeSilence passes the silence of all workers to the failure detector and logs new outages.
 func (m *failureMonitor) observeSilence(now time.Time) {
 	observations := make([]failuredetector.Observation, 0, len(m.workersByName))
 	for _, worker := range m.workersByName {
-		_, leaving := m.released[worker.Name]
+		_, releasing := m.released[worker.Name]
 		neverSeen := worker.LastHeartbeat.IsZero() && worker.ListedRunningAt.IsZero()
-		if leaving || m.instances[worker.Name].Phase == wire.InstanceFailed || neverSeen {
+		if releasing || m.instances[worker.Name].Phase == wire.InstanceFailed || neverSeen {
 			continue
 		}
 		observations = append(observations, m.observation(worker, now))
 	}
-	before := len(m.detector.Outages())
+	outagesBefore := len(m.detector.Outages())
 	m.detector.Observe(observations, now)
 	outages := m.detector.Outages()
-	if len(outages) == before {
+	if len(outages) == outagesBefore {
 		return
 	}
 	for _, outage := range outages {
@@ -60,29 +61,29 @@
 	}
 }
 
-// observation is what the detector is told of a worker.
+// observation returns the failure detector's input for a worker.
 func (m *failureMonitor) observation(worker *agent.Worker, now time.Time) failuredetector.Observation {
 	return failuredetector.Observation{
 		Zone: worker.Zone, ShardOwner: worker.ShardOwner, Spot: worker.Spot, SilentFor: m.silentFor(worker, now),
 	}
 }
 
-// unreachable tells whether a silent worker is more likely behind a partition than dead: its
-// instance is neither released nor counted on until that has lasted for longer than
-// partitions do.
+// unreachable reports whether a silent worker is more likely partitioned than dead. Until that has
+// lasted for longer than partitions usually do, its instance is not released, and does not count
+// as available capacity either.
 func (m *failureMonitor) unreachable(worker *agent.Worker, now time.Time) bool {
 	observation := m.observation(worker, now)
 	if !m.detector.Suspected(observation) {
 		return false
 	}
 	fault, since := m.detector.FaultOf(observation)
-	patience := time.Duration(m.settings.Operator.Fleet.GroupOutageGrace * float64(m.settings.WorkerLease()))
-	return fault >= failuredetector.FaultShardOwner && now.Sub(since) < patience
+	grace := time.Duration(m.settings.Operator.Fleet.GroupOutageGrace * float64(m.settings.WorkerLease()))
+	return fault >= failuredetector.FaultShardOwner && now.Sub(since) < grace
 }
 
-// likelyExpired tells whether an unreachable worker has most likely ended its tasks: no
-// controller is in its zone to answer it, and it was last heard more than a lease ago. That
-// is no proof where another controller owns it, but the release of its instance is.
+// likelyExpired reports whether an unreachable worker has most likely ended its tasks: no controller
+// in its zone can answer it, and it has been silent for more than a lease. If another controller
+// owns it, this is no proof, but the release of its instance is.
 func (m *failureMonitor) likelyExpired(worker *agent.Worker, now time.Time) bool {
 	return !m.settings.HasControllerInZone(worker.Zone) && m.silentFor(worker, now) > m.leaseOverAfter()
 }
--- a/internal/leader/slack.go
+++ b/internal/leader/slack.go
@@ -11,64 +11,63 @@
 
 // Kinds of objectives in the settings.
 const (
-	objectiveWait     = "wait"     // tasks start within a time of the job being ready
-	objectiveFinished = "finished" // the job is done within a time of being ready
+	objectiveWait     = "wait"     // tasks start within a given time after the job is ready
+	objectiveFinished = "finished" // the job is done within a given time after it is ready
 )
 
-// deadlineSlack says how a job stands to the times by which its users want it. It orders
-// jobs within a type.
+// deadlineSlack summarizes how a job stands relative to its deadlines. It orders jobs within a type.
 type deadlineSlack struct {
-	lastChance bool    // a deadline will be missed unless the job starts about now
-	missed     int     // how many deadlines can no longer be met
-	work       float64 // CPU-seconds left
+	isLastChance   bool    // a deadline will be missed unless the job starts about now
+	missed         int     // deadlines that can no longer be met
+	cpuSecondsLeft float64 // remaining work
 }
 
-// compare puts first the job that goes first.
+// compare sorts the job to be scheduled first to the front.
 //
-// A deadline that can no longer be met is past helping, so jobs that still can meet theirs go
-// first; among them the one with the least work left, for then the most jobs are in time when
-// capacity is short. But a job goes first when it is about to miss a deadline, and before all
-// others if it has missed one already: large arrays would otherwise wait for as long as small
-// ones keep coming.
+// Jobs that can still meet their deadlines go before jobs that cannot; among them, the one with the
+// least remaining work goes first, because then the most jobs are in time when capacity is short.
+// But a job that is about to miss a deadline goes first, and before all others if it has already
+// missed one: large arrays would otherwise wait for as long as small ones keep arriving.
 func (s deadlineSlack) compare(other deadlineSlack) int {
 	switch {
-	case s.lastChance != other.lastChance && s.lastChance:
+	case s.isLastChance != other.isLastChance && s.isLastChance:
 		return -1
-	case s.lastChance != other.lastChance:
+	case s.isLastChance != other.isLastChance:
 		return 1
-	case s.lastChance:
-		return cmp.Or(-cmp.Compare(min(s.missed, 1), min(other.missed, 1)), cmp.Compare(s.work, other.work))
+	case s.isLastChance:
+		return cmp.Or(-cmp.Compare(min(s.missed, 1), min(other.missed, 1)), cmp.Compare(s.cpuSecondsLeft, other.cpuSecondsLeft))
 	}
-	return cmp.Or(cmp.Compare(s.missed, other.missed), cmp.Compare(s.work, other.work))
+	return cmp.Or(cmp.Compare(s.missed, other.missed), cmp.Compare(s.cpuSecondsLeft, other.cpuSecondsLeft))
 }
 
-// jobWork is what is left to do of a job, in CPU-seconds.
-func jobWork(job *ledger.Job) float64 {
+// cpuSecondsLeft returns the remaining work of a job.
+func cpuSecondsLeft(job *ledger.Job) float64 {
 	return float64(job.UnfinishedTasks()) * max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)
 }
 
-// consider takes in one deadline of the job, with the latest start by which it can be met.
-func (s *deadlineSlack) consider(
+// addDeadline accounts for one deadline of the job and the latest start at which it can be met.
+func (s *deadlineSlack) addDeadline(
 	job *ledger.Job, deadline, latestStart time.Time, margin time.Duration, now time.Time,
 ) {
 	switch {
 	case deadline.IsZero():
 	case now.Add(settings.Seconds(job.Spec.ExpectedSeconds)).After(deadline):
-		// Of replicas too: late, they start late whenever they do, and where capacity of a
-		// kind is short for good they would keep all others waiting as well.
+		// This applies to replicas too: a late replica is late whenever it starts, and where
+		// some kind of capacity is permanently short, late ones would delay all others as well.
 		s.missed++
 	case job.Spec.Kind != wire.KindService && now.Add(margin).After(latestStart):
-		s.lastChance = true
+		s.isLastChance = true
 	}
 }
 
-// lastChanceMargin is how long before the latest start a job counts as having its last chance.
+// lastChanceMargin returns how long before the latest start a job counts as about to miss its
+// deadline.
 func (r *jobRanking) lastChanceMargin() time.Duration { return r.settings.WorkerLease() / 2 }
 
-// deadlineSlack looks at all times by which the job's users want it: its deadline, and the
-// objectives of its class.
+// deadlineSlack computes a job's slack over all its deadlines: its own, those of its dependents, and
+// those from the objectives of its class.
 func (r *jobRanking) deadlineSlack(job *ledger.Job, now time.Time) deadlineSlack {
-	slack := deadlineSlack{work: jobWork(job)}
+	slack := deadlineSlack{cpuSecondsLeft: cpuSecondsLeft(job)}
 	runTime := settings.Seconds(job.Spec.ExpectedSeconds)
 	for i, objective := range r.settings.Facts.Objectives {
 		deadline := r.objectiveDeadline(i, job)
@@ -77,13 +76,13 @@
 			latestStart = waitingSince(job).Add(settings.Seconds(objective.WithinSeconds))
 			deadline = latestStart.Add(runTime)
 		}
-		slack.consider(job, deadline, latestStart, r.lastChanceMargin(), now)
+		slack.addDeadline(job, deadline, latestStart, r.lastChanceMargin(), now)
 	}
 	return slack
 }
 
-// waitingSince is from when an objective on waiting counts. A replica that ran and was lost
-// waits like a new one.
+// waitingSince returns the start of the time that a wait objective limits. A replica that ran and
+// was lost waits like a new one.
 func waitingSince(job *ledger.Job) time.Time {
 	if job.Spec.Kind == wire.KindService {
 		return job.WaitingSince
@@ -91,9 +90,9 @@
 	return job.ReadyAt
 }
 
-// objectiveDeadline is the time by which an objective, given by its index, wants a job done;
-// zero if it names none. A deadline counts from the submission and binds what the job depends
-// on too; all else counts from when the job was ready.
+// objectiveDeadline returns the time by which the objective with the given index requires a job to
+// be done, or zero if it sets none. A deadline objective counts from the submission and also applies
+// to the job's dependencies; a finished objective counts from when the job was ready.
 func (r *jobRanking) objectiveDeadline(index int, job *ledger.Job) time.Time {
 	objective := &r.settings.Facts.Objectives[index]
 	if objective.Kind == objectiveFinished && objective.Class == job.Spec.Class {
@@ -102,21 +101,22 @@
 	return r.dependencies.inherited(job).Deadlines[index]
 }
 
-// secondsToDeadline is the time until the first deadline that the job can still meet; 0 if
+// secondsToDeadline returns the time until the first deadline that the job can still meet, or 0 if
 // there is none.
 func (r *jobRanking) secondsToDeadline(job *ledger.Job, now time.Time) float64 {
-	least := 0.0
+	earliest := 0.0
 	for i := range r.settings.Facts.Objectives {
 		deadline := r.objectiveDeadline(i, job)
-		left := deadline.Sub(now).Seconds()
-		if !deadline.IsZero() && left >= job.Spec.ExpectedSeconds && (least == 0 || left < least) {
-			least = left
+		secondsLeft := deadline.Sub(now).Seconds()
+		if !deadline.IsZero() && secondsLeft >= job.Spec.ExpectedSeconds && (earliest == 0 || secondsLeft < earliest) {
+			earliest = secondsLeft
 		}
 	}
-	return least
+	return earliest
 }
 
-// startWithinSeconds is how soon a job's users want its tasks started; 0 if no objective says.
+// startWithinSeconds returns the time within which a job's tasks are to start, or 0 if no objective
+// limits it.
 func (r *jobRanking) startWithinSeconds(job *ledger.Job) float64 {
 	for _, objective := range r.settings.Facts.Objectives {
 		if objective.Kind == objectiveWait && objective.Class == job.Spec.Class {
--- a/internal/leader/slack_test.go
+++ b/internal/leader/slack_test.go
@@ -11,10 +11,10 @@
 // 120 s for class f and one of 1.5 times the deadline for class d.
 func TestDeadlineSlack(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		job    wire.Job
-		after  time.Duration
-		missed int
+		name       string
+		job        wire.Job
+		elapsed    time.Duration
+		wantMissed int
 	}{
 		{"in time for both", wire.Job{Class: "f", ExpectedSeconds: 20}, 30 * time.Second, 0},
 		{"too late for the first", wire.Job{Class: "f", ExpectedSeconds: 20}, 50 * time.Second, 1},
@@ -26,9 +26,9 @@
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
 			tc.job.TaskCount, tc.job.CPUs = 2, 3
-			slack := leader.scheduler.ranking.deadlineSlack(leader.addTestJob("req-1", tc.job), now.Add(tc.after))
-			if slack.missed != tc.missed || slack.work != 2*3*20 {
-				t.Errorf("got %+v, want %d missed", slack, tc.missed)
+			slack := leader.scheduler.ranking.deadlineSlack(leader.addTestJob("req-1", tc.job), now.Add(tc.elapsed))
+			if slack.missed != tc.wantMissed || slack.cpuSecondsLeft != 2*3*20 {
+				t.Errorf("got %+v, want %d missed", slack, tc.wantMissed)
 			}
 		})
 	}
--- a/internal/leader/starvation.go
+++ b/internal/leader/starvation.go
@@ -8,45 +8,45 @@
 	"rillflow/internal/wire"
 )
 
-// Starvation avoidance. Within a type, arrays go by their deadlines and by the least work,
-// which serves the most of them; but the largest would wait for as long as small ones keep
-// coming. So the arrays of which nothing has begun after a good aging threshold share the
-// workers with the rest, as in deficit round robin: each side is given as much work as the
-// other, on the starved side the longest waiting first. An array that waits for much longer
-// still is as good as lost in that overload, and is left to the rest.
+// Starvation avoidance. Within a type, arrays are ordered by their deadlines and by the least work,
+// which serves the most of them; but the largest would wait for as long as small ones keep arriving.
+// Therefore arrays that have not started any task for well over the aging threshold share the
+// workers with the others, as in deficit round robin: both sides get the same amount of work, on the
+// starved side the longest waiting array first. An array that has waited for much longer has no
+// chance to be in time in that overload, and is ordered with the others again.
 const (
-	starvedFromRatio  = 1.4 // the wait, as a ratio to the aging threshold, from which an array is starved
-	starvedUntilRatio = 2.1 // and until which it is
+	starvedMinWaitRatio = 1.4 // wait from which an array is starved, as a ratio to the aging threshold
+	starvedMaxWaitRatio = 2.1 // wait from which it is no longer, as a ratio to the aging threshold
 )
 
-// agingThreshold is from which wait on a job goes first among the types.
+// agingThreshold returns the wait after which a job goes first across the types.
 func (r *jobRanking) agingThreshold() time.Duration {
 	return time.Duration(r.settings.Operator.Placement.WaitAge * float64(r.settings.WorkerLease()))
 }
 
-// isStarved reports whether an array has waited for so long, with nothing of it begun, that
-// it has a share of its own.
+// isStarved reports whether an array has waited so long without starting any task that it belongs
+// to the starved side.
 func isStarved(job *ledger.Job, agingThreshold time.Duration, now time.Time) bool {
 	waitRatio := float64(now.Sub(job.WaitingSince)) / float64(agingThreshold)
 	return job.Spec.Kind != wire.KindService && job.ClaimedTasks() == 0 && job.DoneTasks() == 0 &&
-		waitRatio > starvedFromRatio && waitRatio < starvedUntilRatio
+		waitRatio > starvedMinWaitRatio && waitRatio < starvedMaxWaitRatio
 }
 
-// starvationTracker keeps the deficits between starved arrays and the others, by job type. The
-// scheduler owns it, under the term's lock; the zero value is ready to use.
+// starvationTracker tracks the deficits between starved arrays and the others, by job type. It is
+// guarded by the term's lock; the zero value is ready to use.
 type starvationTracker struct {
 	deficits map[string]*deficit // only of types with a starved array
 }
 
-// deficit is what starved arrays of a type were given beyond the others.
+// deficit is the balance between the starved arrays of a type and the others.
 type deficit struct {
-	surplus     float64         // CPU-seconds given to starved arrays less those given to others
-	starvedJobs map[string]bool // by job, as of the last ordering
+	surplusCPUSeconds float64         // CPU-seconds given to starved arrays less those given to others
+	starvedJobs       map[string]bool // by job ID, as of the last ordering
 }
 
-// share lets the starved jobs of a type's ordering go first only while they were given no
-// more work than the others. It forgets the deficit of a type with no starved job.
-func (tracker *starvationTracker) share(entries []orderedJob) {
+// applyDeficit lets the starved jobs of a type go first only while they have been given no more work
+// than the others. It drops the deficit of a type without starved jobs.
+func (tracker *starvationTracker) applyDeficit(entries []orderedJob) {
 	if len(entries) == 0 {
 		return
 	}
@@ -67,7 +67,7 @@
 	for i := range entries {
 		if entries[i].starved {
 			current.starvedJobs[entries[i].job.ID] = true
-			entries[i].starved = current.surplus <= 0
+			entries[i].starved = current.surplusCPUSeconds <= 0
 		}
 	}
 }
@@ -78,9 +78,9 @@
 	if current == nil || job.Spec.Kind == wire.KindService {
 		return
 	}
-	work := max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)
+	cpuSeconds := max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)
 	if !current.starvedJobs[job.ID] {
-		work = -work
+		cpuSeconds = -cpuSeconds
 	}
-	current.surplus += work
+	current.surplusCPUSeconds += cpuSeconds
 }
--- a/internal/leader/starvation_test.go
+++ b/internal/leader/starvation_test.go
@@ -18,12 +18,12 @@
 	bySize := []string{"req-1", "req-2", "req-3"}
 	largestFirst := []string{"req-3", "req-1", "req-2"}
 	for _, tc := range []struct {
-		name  string
-		waits seconds
-		begun string   // one of which a task runs
-		given []string // tasks placed before, after an order with these waits
-		tweak func(largest *wire.Job)
-		want  []string
+		name          string
+		waits         seconds
+		running       string   // one of which a task runs
+		placed        []string // tasks placed before, after an order with these waits
+		modifyLargest func(largest *wire.Job)
+		want          []string
 	}{
 		{"the least work first", seconds{10, 20, 30}, "", nil, nil, bySize},
 		{"the largest is starved", seconds{10, 20, 169}, "", nil, nil, largestFirst},
@@ -49,23 +49,23 @@
 					Team: "t", Class: "f", Kind: wire.KindArray, Priority: "standard",
 					TaskCount: i + 1, CPUs: 1, ExpectedSeconds: 10,
 				}
-				if i == 2 && tc.tweak != nil {
-					tc.tweak(&spec)
+				if i == 2 && tc.modifyLargest != nil {
+					tc.modifyLargest(&spec)
 				}
 				job := leader.addTestJob(bySize[i], spec)
 				job.WaitingSince = now.Add(-time.Duration(wait) * time.Second)
 				jobs = append(jobs, job)
 			}
-			if tc.begun != "" {
-				leader.runTestTask(t, leader.jobs.Job(tc.begun), "h0", time.Second)
+			if tc.running != "" {
+				leader.runTestTask(t, leader.jobs.Job(tc.running), "h0", time.Second)
 			}
 			ranking := leader.scheduler.ranking
 			ranking.orderJobs(jobs, now)
-			for _, ref := range tc.given {
-				ranking.starvation.recordPlacement(leader.jobs.Job(ref))
+			for _, jobID := range tc.placed {
+				ranking.starvation.recordPlacement(leader.jobs.Job(jobID))
 			}
 			ranking.orderJobs(jobs, now)
-			if got := refsOf(jobs); !slices.Equal(got, tc.want) {
+			if got := jobIDsOf(jobs); !slices.Equal(got, tc.want) {
 				t.Errorf("%v, want %v", got, tc.want)
 			}
 		})
@@ -73,10 +73,10 @@
 }
 
 // refsOf are the references of jobs, in order.
-func refsOf(jobs []*ledger.Job) []string {
-	var refs []string
+func jobIDsOf(jobs []*ledger.Job) []string {
+	var jobIDs []string
 	for _, job := range jobs {
-		refs = append(refs, job.ID)
+		jobIDs = append(jobIDs, job.ID)
 	}
-	return refs
+	return jobIDs
 }
--- a/internal/leader/term.go
+++ b/internal/leader/term.go
@@ -15,61 +15,63 @@
 	"rillflow/internal/wire"
 )
 
-// Leadership is the won election that a leader term rests on.
+// Leadership is the won election on which a leader term is based.
 type Leadership interface {
-	// Epoch is the fencing token of the leadership. It only rises.
+	// Epoch returns the fencing token of the leadership. It only increases.
 	Epoch() uint64
-	// ShardMap is the shard map of the current epoch.
+	// ShardMap returns the shard map of the current epoch.
 	ShardMap() election.ShardMap
-	// Compares go with every write to the store: they hold only while this controller leads.
+	// Compares returns the compares that every write to the store must carry. They hold only
+	// while this controller leads.
 	Compares() []wire.Compare
 	// CheckCompares returns an error if the failed compares show that the leadership is lost.
 	CheckCompares(failed []string) error
-	// Incarnation is the incarnation of the stored data, and how far its recovery is.
+	// Incarnation returns the incarnation of the stored data and the phase of its recovery.
 	Incarnation() dataloss.IncarnationState
-	// PreviousMap is the shard map of the leader before.
+	// PreviousMap returns the shard map of the previous leader.
 	PreviousMap() election.ShardMap
-	// AdvancePhase takes the recovery of lost data to its next phase.
+	// AdvancePhase moves the recovery of lost data to the given phase.
 	AdvancePhase(ctx context.Context, phase dataloss.Phase) error
-	// LeaseHeld tells whether nobody else can lead at the given time.
+	// LeaseHeld reports whether no other controller can lead at the given time.
 	LeaseHeld(now time.Time) bool
-	// SteppedDown is since when the term only waits for its successor, if it does.
+	// SteppedDown returns since when the term only waits for its successor. ok is false if it
+	// has not stepped down.
 	SteppedDown() (since time.Time, ok bool)
-	// RaiseEpoch raises the epoch, and with it announces the shard owners.
+	// RaiseEpoch raises the epoch and publishes the shard owners with it.
 	RaiseEpoch(ctx context.Context, owners []string) error
 }
 
-// leaderTerm is the runtime of one leader term: the shared scope, and one component for
-// each concern. Components refer to one another by pointers that newLeaderTerm sets.
+// leaderTerm is the runtime of one leader term: the shared scope, and one component for each
+// concern. Components refer to each other by pointers that newLeaderTerm sets.
 type leaderTerm struct {
 	*termScope
-	ready chan struct{} // closed once the claims are read
+	ready chan struct{} // closed once the claims are loaded and the audit log is open
 
 	registry      *workerRegistry      // finds and adds workers
 	heartbeats    *heartbeatReconciler // compares reported tasks with claims
 	commander     *commander           // sends commands between heartbeats
-	failures      *failureMonitor      // expired leases; failed, silent and unreachable workers
-	faults        *faultTracker        // workers and jobs that fail tasks
-	drainer       *drainer             // moves tasks off workers that are to go
+	failures      *failureMonitor      // detects expired leases and failed, silent and unreachable workers
+	faults        *faultTracker        // tracks workers and jobs that fail tasks
+	drainer       *drainer             // moves tasks off workers that are reclaimed or drained
 	autoscaler    *autoscaler          // requests and releases instances
-	shardKeeper   *shardKeeper         // epoch and shard map
-	jobWatcher    *jobWatcher          // new and ended jobs, as they are committed
+	shardKeeper   *shardKeeper         // maintains the epoch and the shard map
+	jobWatcher    *jobWatcher          // watches the store for new and ended jobs
 	scheduler     *scheduler           // places waiting tasks
-	claimWriter   *claimWriter         // writes claims and ends
-	collector     *auditCollector      // takes in audit entries that other controllers leave
-	cancellations *cancellations       // cancelled jobs
-	dependencies  *dependencies        // jobs that wait for others
+	claimWriter   *claimWriter         // writes claims and end records
+	collector     *auditCollector      // collects pending audit entries of other controllers
+	cancellations *cancellations       // applies cancellations of jobs
+	dependencies  *dependencies        // resolves dependencies between jobs
 	propagator    *propagator          // cancels the dependents of cancelled jobs
-	storeReader   *storeReader         // reads until the store answers
-	loader        *loader              // fills the cluster state at the start
-	recovery      *dataRecovery        // writes back lost data
+	storeReader   *storeReader         // reads from the store, with retries
+	loader        *loader              // loads the cluster state at the beginning of the term
+	recovery      *dataRecovery        // restores lost data to the store
 	replicaFeeder *replicaFeeder       // sends the replica to followers
-	orphans       *orphanTracker       // tasks of jobs that no record tells of
-	scrubber      *scrubber            // looks for lost keys
-	status        *statusView          // what operators and users are shown
+	orphans       *orphanTracker       // tracks tasks of jobs without a record
+	scrubber      *scrubber            // checks the store for lost keys
+	status        *statusView          // builds the status for operators and users
 }
 
-// newLeaderTerm makes the components of a term and connects them. It starts nothing.
+// newLeaderTerm creates the components of a term and connects them. It starts no loops.
 func newLeaderTerm(
 	ctx context.Context, env *environment, leadership Leadership, firstEpoch uint64, group *errgroup.Group,
 ) *leaderTerm {
@@ -109,11 +111,11 @@
 	return t
 }
 
-// newTermScope makes what the components of a term share.
+// newTermScope creates the state that the components of a term share.
 func newTermScope(
 	ctx context.Context, env *environment, leadership Leadership, firstEpoch uint64, group *errgroup.Group,
 ) *termScope {
-	writer := fmt.Sprintf("%s.%d", env.settings.Name, firstEpoch) // names this term in claim records
+	writer := fmt.Sprintf("%s.%d", env.settings.Name, firstEpoch) // identifies this term in claim records
 	scope := &termScope{
 		environment: env,
 		clusterState: &clusterState{
@@ -135,7 +137,7 @@
 	return scope
 }
 
-// connectFleet tells the components that look after workers and instances of one another.
+// connectFleet sets the references between components for workers and instances.
 func (t *leaderTerm) connectFleet() {
 	t.registry.commander = t.commander
 
@@ -155,7 +157,7 @@
 	t.shardKeeper.registry = t.registry
 }
 
-// connectJobs tells the components that look after jobs, claims and what is stored of others.
+// connectJobs sets the references between components for jobs, claims and stored data.
 func (t *leaderTerm) connectJobs() {
 	t.jobWatcher.cancellations, t.jobWatcher.orphans = t.cancellations, t.orphans
 	t.jobWatcher.storeReader = t.storeReader
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -8,42 +8,43 @@
 	"rillflow/internal/retry"
 )
 
-// The time spans of a term are ratios to two settings of the platform: the interval in which
-// workers send heartbeats, and the lease after which a worker ends its tasks.
+// The durations of a term are derived from two settings of the platform: the heartbeat interval of
+// workers, and the lease after which a worker without an answer ends its tasks.
 
-// clockDriftDivisor bounds how fast clocks run apart: by one part in so many.
+// clockDriftDivisor bounds the clock drift: clocks run apart by at most one part in this many.
 const clockDriftDivisor = 500
 
-// monitorInterval is how often a term looks for what only time brings: a few times between
-// two heartbeats of a worker.
+// monitorInterval returns the interval of the periodic checks of a term, several per heartbeat
+// interval.
 func (s *termScope) monitorInterval() time.Duration { return s.settings.HeartbeatInterval() / 6 }
 
-// heartbeatLateAfter is when a heartbeat is late: half an interval after it was due.
+// heartbeatLateAfter returns the time since the last heartbeat after which the next one is late:
+// half an interval after it was due.
 func (s *termScope) heartbeatLateAfter() time.Duration { return 3 * s.settings.HeartbeatInterval() / 2 }
 
-// leaseOverAfter is after which time without an answer a lease is over by any clock.
+// leaseOverAfter returns the time without an answer after which a lease has expired by any clock.
 func (s *termScope) leaseOverAfter() time.Duration {
 	return s.settings.WorkerLease() + s.settings.WorkerLease()/clockDriftDivisor + s.settings.HeartbeatInterval()/3
 }
 
-// leaseRenewed tells whether a worker's heartbeat was answered within the last two intervals
-// and a half. Nothing else renews its lease: a worker that answers direct commands but
-// reaches no controller loses whatever it is given. Callers hold mu.
+// leaseRenewed reports whether a worker's heartbeat was answered within the last two and a half
+// intervals. Nothing else renews its lease: a worker that answers direct commands but reaches no
+// controller ends whatever tasks it is given. Callers hold mu.
 func (s *termScope) leaseRenewed(worker *agent.Worker, now time.Time) bool {
 	return !worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) < 5*s.settings.HeartbeatInterval()/2
 }
 
-// successorPatience is how long a term that was given up waits for its successor, and how long
-// this controller stays out of the election once the store refused it.
+// successorPatience returns how long a term that has stepped down waits for its successor, and how
+// long this controller does not campaign after the store has refused it.
 func (s *termScope) successorPatience() time.Duration { return s.settings.WorkerLease() / 4 }
 
-// backOffRead waits before the store is asked once more, and reports false if ctx ended first.
+// backOffRead waits before a read from the store is retried. It returns false if ctx ended first.
 func (s *termScope) backOffRead(ctx context.Context, attempt int) bool {
 	return retry.Backoff(ctx, attempt, s.settings.HeartbeatInterval()/32, s.settings.HeartbeatInterval()/4)
 }
 
-// backOffWrite waits before a transaction is sent once more, and reports false if ctx ended
-// first. It begins with shorter waits than backOffRead: others wait for what is written.
+// backOffWrite waits before a transaction is retried. It returns false if ctx ended first. Its first
+// waits are shorter than those of backOffRead, because other work waits for the write.
 func (s *termScope) backOffWrite(ctx context.Context, attempt int) bool {
 	return retry.Backoff(ctx, attempt, s.settings.HeartbeatInterval()/64, s.settings.HeartbeatInterval()/4)
 }
