--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -13,7 +13,7 @@
 	"rillflow/internal/wire"
 )
 
-// ruleOwner picks by the placement rule, as the owner of a shard does.
+// placementRuleOwner picks by the placement rule, as a shard owner does.
 type placementRuleOwner struct {
 	idleOwners
 	table *placement.Table
@@ -23,8 +23,8 @@
 	return o.table.Choose(offer, placement.Tuning{AgingThreshold: 2 * time.Minute, NearTie: 0.1}, now), nil
 }
 
-// newBenchTerm makes a leader term with workers of 8 free CPUs and twice as many tasks as fit,
-// of four types in jobs of 40.
+// newBenchTerm returns a leader term with idle workers of 8 CPUs and twice as many tasks as fit them,
+// in jobs of 40 tasks and of four types.
 func newBenchTerm(b *testing.B, workers int) *leaderTerm {
 	b.Helper()
 	leader := newTestTerm(b)
@@ -49,7 +49,7 @@
 	return leader
 }
 
-// BenchmarkSchedulingPass is one pass over free workers.
+// BenchmarkSchedulingPass measures one scheduling pass over idle workers.
 func BenchmarkSchedulingPass(b *testing.B) {
 	for _, workers := range []int{50, 500} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
--- a/internal/leader/demand_test.go
+++ b/internal/leader/demand_test.go
@@ -9,8 +9,8 @@
 	"rillflow/internal/wire"
 )
 
-// What of a job waits for one zone alone, and what the other zones would take were one
-// lost; both in cores, in two zones and in three.
+// TestZoneDemand checks the cores of a job that only one zone may take, and the cores that would move
+// to other zones if a zone were lost, with two zones and with three.
 func TestZoneDemand(t *testing.T) {
 	type cores = map[string]float64
 	ab, abc := []string{"a", "b"}, []string{"a", "b", "c"}
@@ -21,18 +21,18 @@
 		zones                       []string
 		wantZoneBound, wantFailover cores
 	}{
-		{"nothing placed: either may take half", wire.Job{TaskCount: 4, SpreadZones: true}, nil, ab,
+		{"nothing placed: each zone may take half", wire.Job{TaskCount: 4, SpreadZones: true}, nil, ab,
 			cores{"a": 4, "b": 4}, nil},
-		{"one zone has all it may", wire.Job{TaskCount: 4, SpreadZones: true}, []string{"h0", "h2"}, ab,
+		{"one zone is at its limit", wire.Job{TaskCount: 4, SpreadZones: true}, []string{"h0", "h2"}, ab,
 			cores{"b": 4}, nil},
-		{"all placed, both full", wire.Job{TaskCount: 4, SpreadZones: true}, []string{"h0", "h2", "h1", "h3"}, ab,
+		{"all placed, both zones at their limits", wire.Job{TaskCount: 4, SpreadZones: true}, []string{"h0", "h2", "h1", "h3"}, ab,
 			nil, nil},
-		{"of an odd number one may move", wire.Job{TaskCount: 3, SpreadZones: true}, []string{"h0", "h2", "h1"}, ab,
+		{"one of an odd number may move", wire.Job{TaskCount: 3, SpreadZones: true}, []string{"h0", "h2", "h1"}, ab,
 			nil, cores{"a": 2}},
-		{"a third zone takes what one loses", wire.Job{TaskCount: 4, SpreadZones: true},
+		{"a third zone takes the tasks of a lost one", wire.Job{TaskCount: 4, SpreadZones: true},
 			[]string{"h0", "h2", "h1", "h3"}, abc, nil, cores{"a": 4, "b": 4}},
-		{"not spread: anywhere", wire.Job{TaskCount: 2}, []string{"h0", "h1"}, ab, nil, cores{"a": 2, "b": 2}},
-		{"its only zone", wire.Job{TaskCount: 2, Zone: "a"}, []string{"h0"}, ab, cores{"a": 2}, nil},
+		{"not spread: any zone", wire.Job{TaskCount: 2}, []string{"h0", "h1"}, ab, nil, cores{"a": 2, "b": 2}},
+		{"bound to a zone", wire.Job{TaskCount: 2, Zone: "a"}, []string{"h0"}, ab, cores{"a": 2}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -45,7 +45,7 @@
 			leader.autoscaler.addZoneDemand(&demand, job, tc.zones)
 			for _, zone := range tc.zones {
 				if demand.ZoneBoundCores[zone] != tc.wantZoneBound[zone] || demand.FailoverCores[zone] != tc.wantFailover[zone] {
-					t.Errorf("zone %s: %v wait for it alone, %v of it would move; want %v and %v", zone,
+					t.Errorf("zone %s: zone-bound cores %v, failover cores %v; want %v and %v", zone,
 						demand.ZoneBoundCores[zone], demand.FailoverCores[zone], tc.wantZoneBound[zone], tc.wantFailover[zone])
 				}
 			}
@@ -53,7 +53,8 @@
 	}
 }
 
-// Work with time for several rounds needs fewer instances at once.
+// TestRequiredConcurrency checks that a job with time for several rounds of tasks before its deadline
+// requests fewer instances at once.
 func TestRequiredConcurrency(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -61,13 +62,13 @@
 		after time.Duration
 		want  float64
 	}{
-		{"no time stated: all at once", wire.Job{Class: "x", ExpectedSeconds: 20}, 0, 1},
-		{"time for two rounds and a half, half of it counted on",
+		{"no deadline: all at once", wire.Job{Class: "x", ExpectedSeconds: 20}, 0, 1},
+		{"time for six rounds, with a safety factor of two",
 			wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 80}, 0, 1. / 3},
-		{"less as it runs out", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 80}, time.Minute, 2. / 3},
-		{"none to spare", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 80}, 90 * time.Second, 1},
-		{"too late: the next time counts", wire.Job{Class: "f", ExpectedSeconds: 20}, 50 * time.Second, 40. / 70},
-		{"all missed", wire.Job{Class: "f", ExpectedSeconds: 20}, time.Hour, 1},
+		{"more at once as time runs out", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 80}, time.Minute, 2. / 3},
+		{"time for one round only", wire.Job{Class: "d", ExpectedSeconds: 20, DeadlineSeconds: 80}, 90 * time.Second, 1},
+		{"first deadline missed: the next one counts", wire.Job{Class: "f", ExpectedSeconds: 20}, 50 * time.Second, 40. / 70},
+		{"all deadlines missed", wire.Job{Class: "f", ExpectedSeconds: 20}, time.Hour, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
--- a/internal/leader/drainer_test.go
+++ b/internal/leader/drainer_test.go
@@ -7,7 +7,8 @@
 	"rillflow/internal/wire"
 )
 
-// On a worker with a termination notice only what will be done in time stays.
+// TestDrainOnTerminationNotice checks that on a worker with a termination notice only the tasks that
+// finish in time, replicas and gangs keep running.
 func TestDrainOnTerminationNotice(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -17,17 +18,17 @@
 		reclaimIn       time.Duration
 		wantStopped     bool
 	}{
-		{"done before the machine goes", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, nil, 15 * time.Second, false},
-		{"not done by then", wire.Job{ExpectedSeconds: 30}, 10 * time.Second, nil, 15 * time.Second, true},
-		{"fetching still", wire.Job{ExpectedSeconds: 30}, 0, nil, 15 * time.Second, true},
-		{"others show that it takes longer", wire.Job{ExpectedSeconds: 30}, 20 * time.Second,
+		{"finishes before the reclaim", wire.Job{ExpectedSeconds: 30}, 20 * time.Second, nil, 15 * time.Second, false},
+		{"does not finish before the reclaim", wire.Job{ExpectedSeconds: 30}, 10 * time.Second, nil, 15 * time.Second, true},
+		{"still pulling its image", wire.Job{ExpectedSeconds: 30}, 0, nil, 15 * time.Second, true},
+		{"finished tasks took longer", wire.Job{ExpectedSeconds: 30}, 20 * time.Second,
 			[]float64{80, 80, 80, 80}, 15 * time.Second, true},
-		{"others show that it is about to be done", wire.Job{ExpectedSeconds: 60}, 20 * time.Second,
+		{"finished tasks took less time", wire.Job{ExpectedSeconds: 60}, 20 * time.Second,
 			[]float64{20, 22, 24, 20, 22}, 15 * time.Second, false},
-		{"overdue", wire.Job{ExpectedSeconds: 30}, time.Minute, nil, time.Second, false},
-		{"a replica is looked after elsewhere", wire.Job{Kind: wire.KindService}, time.Minute, nil,
+		{"running for longer than expected", wire.Job{ExpectedSeconds: 30}, time.Minute, nil, time.Second, false},
+		{"a replica is not stopped", wire.Job{Kind: wire.KindService}, time.Minute, nil,
 			15 * time.Second, false},
-		{"a gang stops whole or not at all", wire.Job{Kind: wire.KindGang, ExpectedSeconds: 30}, time.Second, nil,
+		{"a gang task is not stopped alone", wire.Job{Kind: wire.KindGang, ExpectedSeconds: 30}, time.Second, nil,
 			15 * time.Second, false},
 		{"no notice", wire.Job{ExpectedSeconds: 300}, time.Second, nil, 0, false},
 	} {
@@ -49,7 +50,7 @@
 				leader.workers["h0"].ReclaimAt = now.Add(tc.reclaimIn)
 			}
 			if leader.drainer.drainReclaimed(now); claim.Stopping != tc.wantStopped {
-				t.Errorf("stopped: %v", claim.Stopping)
+				t.Errorf("stopped: %v, want %v", claim.Stopping, tc.wantStopped)
 			}
 		})
 	}
--- a/internal/leader/failures_test.go
+++ b/internal/leader/failures_test.go
@@ -9,30 +9,31 @@
 	"rillflow/internal/wire"
 )
 
-// Until proof, the claims of a silent worker stand: another controller may have
-// renewed its lease.
+// TestExpireLeases guards against freeing the claims of a silent worker without proof that its lease
+// has expired: another controller may have renewed it.
 func TestExpireLeases(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
 		soleOwnerEpoch uint64
 		seenEpoch      uint64
 		silentFor      time.Duration
-		epochSeenAgo   time.Duration // since it showed its epoch
+		epochSeenAgo   time.Duration // since the worker reported the epoch
 		wantFreed      bool
 	}{
 		{"within the lease", 5, 5, 29 * time.Second, time.Hour, false},
-		{"over, and nobody else may answer", 5, 5, 32 * time.Second, time.Hour, true},
-		{"over by a drifting clock only", 5, 5, 30 * time.Second, time.Hour, false},
+		{"expired, and only this controller may answer", 5, 5, 32 * time.Second, time.Hour, true},
+		{"expired only by a drifting clock", 5, 5, 30 * time.Second, time.Hour, false},
 		{"the worker has not seen the epoch", 5, 4, time.Hour, time.Hour, false},
-		{"it saw the epoch only now", 5, 5, time.Hour, 29 * time.Second, false},
-		{"another owns it", 0, 9, time.Hour, time.Hour, false},
+		{"the worker has just seen the epoch", 5, 5, time.Hour, 29 * time.Second, false},
+		{"another controller owns the worker", 0, 9, time.Hour, time.Hour, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
 			job := leader.addTestJob("req-1", wire.Job{Kind: wire.KindService, TaskCount: 1, CPUs: 1})
 			leader.runTestTask(t, job, "h0", time.Minute)
 			worker := leader.workers["h0"]
-			worker.SoleOwnerEpoch, worker.SeenEpoch, worker.EpochSeenAt = tc.soleOwnerEpoch, tc.seenEpoch, now.Add(-tc.epochSeenAgo)
+			worker.SoleOwnerEpoch, worker.SeenEpoch = tc.soleOwnerEpoch, tc.seenEpoch
+			worker.EpochSeenAt = now.Add(-tc.epochSeenAgo)
 			worker.LastHeartbeat, worker.LastAnswered = now.Add(-tc.silentFor), now.Add(-tc.silentFor)
 			leader.failures.expireLeases(now)
 			if got := job.ClaimedTasks() == 0; got != tc.wantFreed {
@@ -42,36 +43,36 @@
 	}
 }
 
-// What is done about workers that fall silent goes by who is at fault, and by what
-// would be lost or would outlive its time.
+// TestWorkersSilentTogether checks which silent workers are released: it depends on whether a worker,
+// a zone or this controller is at fault, on the lease, and on cancelled tasks that must end in time.
 func TestWorkersSilentTogether(t *testing.T) {
-	const heartbeatInterval = 3 * time.Second // lease 30 s, cancel 50 s
+	const heartbeatInterval = 3 * time.Second // with a lease of 30 s and a cancellation deadline of 50 s
 	for _, tc := range []struct {
 		name         string
 		isSilent     func(i int) bool // of 24 workers, in zones a, b and c
 		silentFor    time.Duration
 		modify       func(leader *leaderTerm)
 		wantReleased int
-		wantFirst    string
+		wantFirst    string // the first released worker; "": not checked
 	}{
-		{"a few are returned", func(i int) bool { return i == 1 || i == 2 }, 3 * heartbeatInterval, nil, 2, ""},
-		{"a zone is kept", func(i int) bool { return i%3 == 1 }, 3 * heartbeatInterval, nil, 0, ""},
-		{"well past the lease, where a controller keeps it alive", func(i int) bool { return i%3 == 1 },
+		{"a few silent workers are released", func(i int) bool { return i == 1 || i == 2 }, 3 * heartbeatInterval, nil, 2, ""},
+		{"a silent zone is not released", func(i int) bool { return i%3 == 1 }, 3 * heartbeatInterval, nil, 0, ""},
+		{"well past the lease, where a controller in the zone may renew it", func(i int) bool { return i%3 == 1 },
 			20 * heartbeatInterval, nil, 0, ""},
-		{"not for ever", func(i int) bool { return i%3 == 1 }, 50 * heartbeatInterval, nil, 8, ""},
-		{"no controller there, within the lease", func(i int) bool { return i%3 == 2 }, 9 * heartbeatInterval, nil, 0, ""},
-		{"no controller there, past it: the one with a task", func(i int) bool { return i%3 == 2 }, 11 * heartbeatInterval,
+		{"a zone is released after the outage grace", func(i int) bool { return i%3 == 1 }, 50 * heartbeatInterval, nil, 8, ""},
+		{"no controller in the zone, within the lease", func(i int) bool { return i%3 == 2 }, 9 * heartbeatInterval, nil, 0, ""},
+		{"no controller in the zone, past the lease: only the worker with a task", func(i int) bool { return i%3 == 2 }, 11 * heartbeatInterval,
 			nil, 1, "h2"},
-		{"everything is kept: this node is cut off", func(int) bool { return true }, 9 * heartbeatInterval, nil, 0, ""},
-		{"a withdrawn task must be gone in time", func(i int) bool { return i%3 == 1 }, 20 * heartbeatInterval,
+		{"all silent: this controller is isolated, nothing is released", func(int) bool { return true }, 9 * heartbeatInterval, nil, 0, ""},
+		{"a cancelled task is near its deadline", func(i int) bool { return i%3 == 1 }, 20 * heartbeatInterval,
 			cancelledFor(45 * time.Second), 1, "h1"},
-		{"and has time still", func(i int) bool { return i%3 == 1 }, 20 * heartbeatInterval,
+		{"a cancelled task has time left", func(i int) bool { return i%3 == 1 }, 20 * heartbeatInterval,
 			cancelledFor(43 * time.Second), 0, ""},
-		{"one that answers commands, within the lease", func(i int) bool { return i == 1 }, 9 * heartbeatInterval,
+		{"one worker answers commands, within the lease", func(i int) bool { return i == 1 }, 9 * heartbeatInterval,
 			answersCommands("h1"), 0, ""},
-		{"one that answers commands, past it", func(i int) bool { return i == 1 }, 11 * heartbeatInterval,
+		{"one worker answers commands, past the lease", func(i int) bool { return i == 1 }, 11 * heartbeatInterval,
 			answersCommands("h1"), 1, "h1"},
-		{"a zone that answers commands is kept", func(i int) bool { return i%3 == 1 }, 11 * heartbeatInterval,
+		{"a zone that answers commands is not released", func(i int) bool { return i%3 == 1 }, 11 * heartbeatInterval,
 			answersCommands("h1", "h4", "h7", "h10", "h13", "h16", "h19", "h22"), 0, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -99,22 +100,22 @@
 			if tc.modify != nil {
 				tc.modify(leader)
 			}
-			// It has been so since it began: the judgement is not of this moment.
-			at := now
-			leader.now = func() time.Time { return at }
-			for at = now.Add(-tc.silentFor + 2*heartbeatInterval); at.Before(now); at = at.Add(heartbeatInterval) {
-				leader.failures.observeSilence(at)
+			// The detector observes the silence from its beginning, as it does in operation.
+			clock := now
+			leader.now = func() time.Time { return clock }
+			for clock = now.Add(-tc.silentFor + 2*heartbeatInterval); clock.Before(now); clock = clock.Add(heartbeatInterval) {
+				leader.failures.observeSilence(clock)
 			}
-			at = now
+			clock = now
 			got := leader.failures.faultyWorkers(now)
 			if len(got) != tc.wantReleased || tc.wantFirst != "" && got[0] != tc.wantFirst {
-				t.Errorf("released %v", got)
+				t.Errorf("released %v, want %d workers, first %q", got, tc.wantReleased, tc.wantFirst)
 			}
 		})
 	}
 }
 
-// cancelledFor has the job req-2 cancelled for some time.
+// cancelledFor returns a modification by which the job req-2 was cancelled the given time ago.
 func cancelledFor(since time.Duration) func(leader *leaderTerm) {
 	return func(leader *leaderTerm) {
 		leader.jobs.Job("req-2").CancelledAt = now.Add(-since)
@@ -122,7 +123,7 @@
 	}
 }
 
-// answersCommands has workers answer direct commands.
+// answersCommands returns a modification by which the workers have just answered direct commands.
 func answersCommands(names ...string) func(leader *leaderTerm) {
 	return func(leader *leaderTerm) {
 		for _, name := range names {
@@ -131,21 +132,21 @@
 	}
 }
 
-// An instance that the cloud had announced to reclaim is released sooner once its worker is
-// silent than one that nobody expected to go, and never while the worker is heard.
+// TestSilentAfterTerminationNotice checks that a silent worker is released sooner if its termination
+// notice has expired, and never while it sends heartbeats.
 func TestSilentAfterTerminationNotice(t *testing.T) {
 	heartbeatInterval := 3 * time.Second
 	for _, tc := range []struct {
 		name             string
-		noticeExpiredAgo time.Duration // the notice runs out this long ago; 0: there was none
+		noticeExpiredAgo time.Duration // since the notice expired; 0: there was no notice
 		silentFor        time.Duration
 		wantReleased     bool
 	}{
 		{"no notice", 0, 2 * heartbeatInterval, false},
 		{"no notice, silent for long", 0, 3 * heartbeatInterval, true},
-		{"its time is over", heartbeatInterval, 2 * heartbeatInterval, true},
-		{"its time is over, but it is heard", heartbeatInterval, heartbeatInterval, false},
-		{"its time is still to come", -heartbeatInterval, 2 * heartbeatInterval, false},
+		{"notice expired", heartbeatInterval, 2 * heartbeatInterval, true},
+		{"notice expired, but heartbeats arrive", heartbeatInterval, heartbeatInterval, false},
+		{"notice not yet expired", -heartbeatInterval, 2 * heartbeatInterval, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -156,7 +157,7 @@
 				worker.ReclaimAt = now.Add(-tc.noticeExpiredAgo)
 			}
 			if got := leader.failures.faultyWorkers(now); (len(got) == 1) != tc.wantReleased {
-				t.Errorf("to be released: %v", got)
+				t.Errorf("to be released: %v, want one: %v", got, tc.wantReleased)
 			}
 		})
 	}
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -9,19 +9,20 @@
 	"rillflow/internal/wire"
 )
 
-// A job that fails everywhere is told from a worker that fails everything.
-func TestBlame(t *testing.T) {
+// TestFailureAttribution checks that a job that fails on every worker is distinguished from a worker
+// that fails every job.
+func TestFailureAttribution(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		failures    [][2]string // job, worker
 		wantWorkers string
 		wantJobs    string
 	}{
-		{"one failure is nobody's fault", [][2]string{{"req-1", "h0"}}, "", ""},
-		{"a machine that fails several jobs", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}}, " h0", ""},
-		{"a job that fails on several machines", [][2]string{{"req-1", "h0"}, {"req-1", "h1"}, {"req-1", "h2"}}, "",
+		{"one failure is not attributed", [][2]string{{"req-1", "h0"}}, "", ""},
+		{"a worker that fails several jobs", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}}, " h0", ""},
+		{"a job that fails on several workers", [][2]string{{"req-1", "h0"}, {"req-1", "h1"}, {"req-1", "h2"}}, "",
 			" req-1"},
-		{"a job caught on a bad machine is not bad", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}, {"req-1", "h1"}},
+		{"a job that fails on one faulty worker is not faulty", [][2]string{{"req-1", "h0"}, {"req-2", "h0"}, {"req-1", "h1"}},
 			" h0", ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -45,31 +46,32 @@
 				}
 			}
 			if faultyWorkers != tc.wantWorkers || faultyJobs != tc.wantJobs {
-				t.Errorf("blamed workers%s and jobs%s", faultyWorkers, faultyJobs)
+				t.Errorf("faulty workers%s and jobs%s; want%s and%s", faultyWorkers, faultyJobs, tc.wantWorkers, tc.wantJobs)
 			}
 		})
 	}
 }
 
-// A worker that fails what it starts is quarantined, and tried again once in a lease where its
-// instance is not released: where most workers fail tasks, none is, and a fault that is over
-// would never show.
+// TestQuarantineIsRetried checks that a faulty worker whose instance is not released is tried again
+// once per lease. When most workers fail tasks, none is released, and without the retry a worker that
+// has recovered would never get a task again.
 func TestQuarantineIsRetried(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
 		failures       int
-		lastFailureAgo time.Duration // the last failure; the lease is 30 s
+		lastFailureAgo time.Duration // the lease is 30 s
 		wantAccepts    bool
 	}{
 		{"one failure", 1, time.Second, true},
-		{"two", 2, time.Second, false},
-		{"two, nearly a lease ago", 2, 29 * time.Second, false},
-		{"two, a lease ago", 2, 30 * time.Second, true},
+		{"two failures", 2, time.Second, false},
+		{"two failures, nearly a lease ago", 2, 29 * time.Second, false},
+		{"two failures, a lease ago", 2, 30 * time.Second, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
 			spec := wire.Job{Class: "f", Kind: wire.KindArray, TaskCount: 4, CPUs: 1}
-			for _, worker := range leader.workersByName { // most fail, of jobs that fail nowhere else: none is released
+			// All workers fail, each a job of its own that fails nowhere else, so none is released.
+			for _, worker := range leader.workersByName {
 				job := leader.addTestJob("req-"+worker.Name[1:], spec)
 				for range tc.failures {
 					leader.faults.countFailure(job, worker, now.Add(-tc.lastFailureAgo))
@@ -79,18 +81,19 @@
 				t.Errorf("released %v", got)
 			}
 			if got := leader.scheduler.acceptsTasks(leader.workers["h0"], now); got != tc.wantAccepts {
-				t.Errorf("usable: %v", got)
+				t.Errorf("accepts tasks: %v, want %v", got, tc.wantAccepts)
 			}
 			leader.faults.countFailure(leader.jobs.Job("req-0"), leader.workers["h0"], now)
 			if tc.failures > 1 && leader.scheduler.acceptsTasks(leader.workers["h0"], now) {
-				t.Error("tried again at once after it failed once more")
+				t.Error("accepts tasks right after another failure")
 			}
 		})
 	}
 }
 
-// Guards against fleets that give their only large workers away because tasks failed there: the
-// cloud need not have another, and what fits nowhere else never runs.
+// TestLastOfItsTypeIsNotReleasedForFailures guards against releasing the only large worker because
+// tasks failed there: the cloud may have no replacement, and tasks that fit no other worker would
+// never run.
 func TestLastOfItsTypeIsNotReleasedForFailures(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -100,8 +103,8 @@
 	}{
 		{"one of several", [4]string{"m", "m", "m", "m"}, []string{"h0"}, "[h0]"},
 		{"the only one", [4]string{"large", "m", "m", "m"}, []string{"h0"}, "[]"},
-		{"the last one that is well", [4]string{"large", "large", "m", "m"}, []string{"h0", "h1"}, "[]"},
-		{"one while another is well", [4]string{"large", "large", "m", "m"}, []string{"h1"}, "[h1]"},
+		{"the last healthy one", [4]string{"large", "large", "m", "m"}, []string{"h0", "h1"}, "[]"},
+		{"one while another is healthy", [4]string{"large", "large", "m", "m"}, []string{"h1"}, "[h1]"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -15,11 +15,11 @@
 	"rillflow/internal/wire"
 )
 
-// now is the time at which tests begin.
+// now is the time at the beginning of a test.
 var now = time.Unix(9000, 0)
 
-// newTestTerm makes a leader term with four workers of 8 cores in zones a and b, for which
-// no network is needed.
+// newTestTerm returns a leader term with four workers of 8 cores in zones a and b. It needs no
+// network.
 func newTestTerm(t testing.TB) *leaderTerm {
 	t.Helper()
 	operator, err := settings.ParseOperator(nil)
@@ -55,19 +55,19 @@
 	return leader
 }
 
-// runnerOf makes a Runner whose current term is the given one.
+// runnerOf returns a Runner whose current term is the given one.
 func runnerOf(term *leaderTerm) *Runner {
 	runner := &Runner{environment: term.environment}
 	runner.current.Store(term)
 	return runner
 }
 
-// testPeer is another controller.
+// testPeer returns the settings of another controller.
 func testPeer(node, zone string) settings.Peer {
 	return settings.Peer{Name: node, Zone: zone, Endpoint: node + ":1"}
 }
 
-// addTestJob adds a live job, of team t unless the spec names one.
+// addTestJob adds a live job, of team t unless the spec names another.
 func (t *leaderTerm) addTestJob(jobID string, spec wire.Job) *ledger.Job {
 	if spec.Team == "" {
 		spec.Team = "t"
@@ -75,8 +75,11 @@
 	return t.jobs.AddJob(jobID, ledger.JobRecord{Job: spec, SubmittedMS: now.UnixMilli(), ChunkTasks: 8}, 1)
 }
 
-// runTestTask claims the next task of a job for a worker, as one that has run for some time.
-func (t *leaderTerm) runTestTask(tb *testing.T, job *ledger.Job, worker string, runningFor time.Duration) *ledger.Claim {
+// runTestTask claims the next task of a job for a worker, with a committed claim and the task running
+// for the given time.
+func (t *leaderTerm) runTestTask(
+	tb *testing.T, job *ledger.Job, worker string, runningFor time.Duration,
+) *ledger.Claim {
 	tb.Helper()
 	claim, err := t.jobs.Claim(job, worker, 1, t.workers[worker].Zone)
 	if err != nil {
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -24,9 +24,9 @@
 	"rillflow/internal/wire"
 )
 
-// model drives a leader against workers, a second controller in the zone of half of them,
-// and a network that loses, delays and reorders messages. It checks the protocol's
-// invariants against the tasks that really run.
+// model drives a leader against simulated workers, a second controller in the zone of half of them,
+// and a network that loses, delays and reorders messages. It checks the safety invariants of the
+// protocol against the tasks that the workers actually run.
 type model struct {
 	t             *rapid.T
 	leader        *leaderTerm
@@ -34,8 +34,8 @@
 	now           time.Time
 	revision      uint64
 	workers       []*modelWorker
-	knownShards   election.ShardMap // what the second controller knows
-	deposedLeader *leaderTerm       // an earlier leader that does not know that it was deposed
+	knownShards   election.ShardMap // the shard map as the second controller last learned it
+	deposedLeader *leaderTerm       // an earlier leader that has not learned that it was deposed
 	store         map[string][]byte
 	jobs          []string
 	succeeded     map[string]bool // tasks that ended well
@@ -71,7 +71,7 @@
 	return m
 }
 
-// submit stores a job.
+// submit stores the record of a new job.
 func (m *model) submit(tasks int, kind string) {
 	jobID := fmt.Sprint("req-", len(m.jobs))
 	m.jobs = append(m.jobs, jobID)
@@ -84,7 +84,7 @@
 	m.store[ledger.LiveKey(jobID)] = data
 }
 
-// nextShardMap is the shard map of the next epoch with the given owners.
+// nextShardMap returns the shard map of the next epoch with the given owners.
 func (m *model) nextShardMap(owners []string) election.ShardMap {
 	epoch := uint64(1)
 	if m.leadership != nil {
@@ -93,7 +93,7 @@
 	return election.ShardMap{Epoch: epoch, Leader: "n", Owners: owners, ZoneFallback: true}
 }
 
-// startTerm makes a leader term from what is stored, as a new leader does.
+// startTerm starts a leader term from the stored data, as a new leader does.
 func (m *model) startTerm() {
 	catalogue := fleet.NewCatalogue(nil, time.Minute, nil)
 	catalogue.Set([]wire.InstanceType{{Name: "m", CPUs: 4, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
@@ -108,7 +108,7 @@
 	close(m.leader.ready)
 	m.loadTable()
 	for _, worker := range m.workers {
-		view := agent.NewWorker(worker.name) // a late heartbeat may come of one that was released
+		view := agent.NewWorker(worker.name) // also for released workers, whose late heartbeats may arrive
 		view.InstanceType = "m"
 		m.leader.addWorker(view)
 		m.leader.registry.assignOwner(view, m.leadership.shards)
@@ -142,8 +142,8 @@
 	m.leader.jobs.FinishLoading()
 }
 
-// changeLeader puts a new leader in place of the present one, which goes on answering
-// workers that have not seen the new epoch, but whose writes all fail.
+// changeLeader rarely replaces the leader. The deposed leader keeps answering workers that have not
+// seen the new epoch, but all its writes fail.
 func (m *model) changeLeader() {
 	if rapid.IntRange(0, 3).Draw(m.t, "rarely") > 0 {
 		return
@@ -156,7 +156,7 @@
 
 func (m *model) drawWorker() *modelWorker { return rapid.SampledFrom(m.workers).Draw(m.t, "worker") }
 
-// place claims tasks of a job for a worker that may take them.
+// place claims up to four tasks of a random job for a random worker.
 func (m *model) place() {
 	job := m.leader.jobs.Job(rapid.SampledFrom(m.jobs).Draw(m.t, "job"))
 	worker := m.drawWorker()
@@ -168,7 +168,7 @@
 	}
 }
 
-// write writes a batch of the job table's changes, unless the write fails or its answer is lost.
+// write writes a batch of the job table's changes. The write may fail, or its answer may be lost.
 func (m *model) write() {
 	operations := rapid.IntRange(3, 16).Draw(m.t, "ops")
 	limits := ledger.BatchLimits{MaxOperations: operations, MaxBytes: 1 << 16, MaxValueBytes: 1 << 14}
@@ -176,7 +176,7 @@
 	if batch == nil {
 		return
 	}
-	for _, compare := range batch.Compares { // the live key of a cancelled job is gone
+	for _, compare := range batch.Compares { // fails if a job was cancelled, which deletes its live key
 		if _, ok := m.store[compare.Key]; !ok && strings.HasPrefix(compare.Key, ledger.LivePrefix) {
 			m.leader.jobs.BatchFailed(batch)
 			return
@@ -209,7 +209,7 @@
 	}
 }
 
-// raiseEpoch raises the epoch, with the second controller a shard owner or not.
+// raiseEpoch raises the epoch, with or without the second controller as a shard owner.
 func (m *model) raiseEpoch() {
 	owners := []string{"m", "n"}
 	if rapid.Bool().Draw(m.t, "alone") {
@@ -226,16 +226,15 @@
 	}
 }
 
-// learnShardMap has the second controller learn the present shard map.
+// learnShardMap lets the second controller learn the current shard map.
 func (m *model) learnShardMap() { m.knownShards = m.leadership.shards }
 
-// wait lets some time pass.
+// wait advances the clock by 1 to 32 s.
 func (m *model) wait() {
 	m.advance(rapid.SampledFrom([]int{1, 1, 2, 2, 3, 8, 32}).Draw(m.t, "seconds"))
 }
 
-// advance moves the clock on and expires leases; a worker's clock may be slow by one part in
-// 2,000.
+// advance advances the clock and expires leases. A worker's clock may be slow by one part in 2,000.
 func (m *model) advance(seconds int) {
 	m.now = m.now.Add(time.Duration(seconds) * time.Second)
 	for _, worker := range m.workers {
@@ -247,7 +246,7 @@
 	m.leader.failures.expireLeases(m.now)
 }
 
-// cancelJob cancels a job as its user does, rarely.
+// cancelJob rarely cancels a job, as a user does.
 func (m *model) cancelJob() {
 	if rapid.IntRange(0, 9).Draw(m.t, "rarely") == 0 {
 		jobID := rapid.SampledFrom(m.jobs).Draw(m.t, "job")
@@ -267,7 +266,7 @@
 	}
 }
 
-// releaseFaulty releases the workers that the leader finds faulty: the cloud ends them at once.
+// releaseFaulty releases the workers that the leader finds faulty. The cloud ends them at once.
 func (m *model) releaseFaulty() {
 	for _, name := range m.leader.failures.faultyWorkers(m.now) {
 		for _, worker := range m.workers {
@@ -285,9 +284,9 @@
 	}
 }
 
-// TestSafetyInvariants: whatever is lost, delayed or reordered, and whoever answers behind a
-// partition, no task runs on two workers, no team exceeds its quota, and no job ends before
-// its tasks are done.
+// TestSafetyInvariants checks that no task runs on two workers, no team exceeds its quota, and no job
+// ends before its tasks are done, whichever messages are lost, delayed or reordered, and whichever
+// controller answers behind a partition.
 func TestSafetyInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -295,8 +294,8 @@
 	})
 }
 
-// actions are the steps that a run draws from, the frequent ones more than once. The number
-// before a name keeps the order, by which rapid draws.
+// actions returns the actions that rapid draws from; frequent ones are listed more than once. The
+// number before a name keeps the order of the actions, on which the draws depend.
 func (m *model) actions() map[string]func(*rapid.T) {
 	actions := make(map[string]func(*rapid.T))
 	for _, action := range []struct {
@@ -327,8 +326,8 @@
 	return actions
 }
 
-// TestMain has the property tests draw the same cases every time unless told
-// otherwise: -rapid.seed and -rapid.checks search further.
+// TestMain makes the property tests reproducible by fixing their seed. Use -rapid.seed and
+// -rapid.checks to search further.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
--- a/internal/leader/modelworker_test.go
+++ b/internal/leader/modelworker_test.go
@@ -12,18 +12,18 @@
 	"rillflow/internal/wire"
 )
 
-// modelWorker is a worker as it really is, whatever the leader knows of it.
+// modelWorker is the actual state of a worker, which the leader's view may lag behind.
 type modelWorker struct {
 	name, zone                   string
 	epoch, incarnation, sequence uint64
 	answeredAt                   time.Time // when the last answered heartbeat was sent
 	tasks                        map[string]*wire.TaskStatus
-	lateCommands                 []wire.CommandBatch // held in the network
-	lateHeartbeats               []wire.Heartbeat    // held in the network
+	lateCommands                 []wire.CommandBatch // delayed in the network
+	lateHeartbeats               []wire.Heartbeat    // delayed in the network
 	released                     bool
 }
 
-// heartbeat is what a worker reports now; its lease may have expired.
+// heartbeat returns the worker's current heartbeat. The worker's lease may have expired.
 func (w *modelWorker) heartbeat() wire.Heartbeat {
 	w.sequence++
 	heartbeat := wire.Heartbeat{
@@ -37,7 +37,7 @@
 	return heartbeat
 }
 
-// execute carries commands out and checks the invariants that a start can break.
+// execute executes commands and checks the invariants that a start can break.
 func (m *model) execute(worker *modelWorker, commands []wire.Command) {
 	for _, command := range commands {
 		task := worker.tasks[command.Task]
@@ -60,7 +60,7 @@
 	}
 }
 
-// checkStart fails the test if a task starts while it runs elsewhere or beyond the quota.
+// checkStart fails the test if the started task already runs elsewhere or the quota is exceeded.
 func (m *model) checkStart(worker *modelWorker, command wire.Command) {
 	used := 1.0
 	for _, other := range m.workers {
@@ -88,15 +88,15 @@
 	m.execute(worker, answer.Commands)
 }
 
-// askLeader has the leader answer a heartbeat, which may be a late one.
+// askLeader returns the leader's answer to a heartbeat, which may be a late one.
 func (m *model) askLeader(heartbeat wire.Heartbeat) (wire.CommandBatch, error) {
 	answer, _, err := runnerOf(m.leader).Heartbeat(context.Background(), &heartbeat)
 	return answer, err
 }
 
-// sendHeartbeats has workers send heartbeats to their owner as far as the network allows: to
-// the leader itself, to the second controller, which asks the leader, or to that one while it
-// is partitioned and answers its own and its zone's workers under the shard map that it knows.
+// sendHeartbeats lets some workers send heartbeats by random routes: to the leader itself, to the
+// second controller, which forwards them to the leader, or to the second controller while it is
+// partitioned and answers the workers of its shard and zone under the shard map that it knows.
 func (m *model) sendHeartbeats() {
 	routes := []string{"leader", "leader", "forwarded", "forwarded", "partitioned", "delayed", "deposed"}
 	for _, worker := range m.workers {
@@ -106,9 +106,10 @@
 	}
 }
 
-// partitionZone partitions the second controller's zone: for some time that controller alone
-// answers there, while the leader hears the rest and goes on with its work. The leader may
-// have noticed that the other is unreachable; once the partition heals it polls the workers.
+// partitionZone partitions the second controller's zone: for some rounds only that controller answers
+// there, while the leader receives the other workers' heartbeats and keeps placing tasks. The leader
+// may have noticed that the other controller is unreachable. Once the partition heals, it polls the
+// workers.
 func (m *model) partitionZone() {
 	if rapid.Bool().Draw(m.t, "noticed") {
 		m.setOwners([]string{"n"})
@@ -136,12 +137,12 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat by a route; its answer may be lost.
+// sendHeartbeat sends one heartbeat by the given route. Its answer may be lost.
 func (m *model) sendHeartbeat(worker *modelWorker, route string) {
 	heartbeat := worker.heartbeat()
-	lost := rapid.IntRange(0, 4).Draw(m.t, "answer lost") == 0
+	answerLost := rapid.IntRange(0, 4).Draw(m.t, "answer lost") == 0
 	var answer wire.CommandBatch
-	err := errors.New("nobody")
+	err := errors.New("no controller answers")
 	switch route {
 	case "leader":
 		if m.leadership.shards.Owner(worker.name) == "n" {
@@ -152,9 +153,9 @@
 			answer, err = m.askLeader(heartbeat)
 		}
 	case "partitioned":
-		owned := m.knownShards.Owner(worker.name) == "m" ||
+		mayAnswer := m.knownShards.Owner(worker.name) == "m" ||
 			m.knownShards.ZoneFallback && worker.zone == "b" && slices.Contains(m.knownShards.Owners, "m")
-		if owned && heartbeat.Epoch <= m.knownShards.Epoch {
+		if mayAnswer && heartbeat.Epoch <= m.knownShards.Epoch {
 			answer, err = wire.CommandBatch{Epoch: m.knownShards.Epoch}, nil
 		}
 	case "deposed":
@@ -164,7 +165,7 @@
 	case "delayed":
 		worker.lateHeartbeats = append(worker.lateHeartbeats, heartbeat)
 	}
-	if err == nil && !lost {
+	if err == nil && !answerLost {
 		m.deliverAnswer(worker, heartbeat, answer)
 	}
 }
@@ -180,7 +181,7 @@
 	_, _ = m.askLeader(heartbeat)
 }
 
-// sendCommands sends the commands that are due directly to a worker, or delays them.
+// sendCommands sends a worker's due commands directly to it, or delays them.
 func (m *model) sendCommands() {
 	worker := m.drawWorker()
 	view := m.leader.workers[worker.name]
@@ -201,7 +202,7 @@
 	m.deliverCommands(worker, batch)
 }
 
-// deliverCommands delivers direct commands; the heartbeat that answers them may be lost.
+// deliverCommands delivers direct commands. The heartbeat that answers them may be lost.
 func (m *model) deliverCommands(worker *modelWorker, batch wire.CommandBatch) {
 	if worker.released || batch.Epoch < worker.epoch || batch.Incarnation != worker.incarnation {
 		return
@@ -226,7 +227,7 @@
 // poll polls any worker.
 func (m *model) poll() { m.pollWorker(m.drawWorker()) }
 
-// pollWorker shows a worker the epoch and takes in its heartbeat.
+// pollWorker applies a worker's heartbeat and sends the worker the current epoch.
 func (m *model) pollWorker(worker *modelWorker) {
 	if worker.released {
 		return
@@ -236,7 +237,7 @@
 	m.deliverCommands(worker, wire.CommandBatch{Epoch: m.leadership.Epoch(), Incarnation: worker.incarnation})
 }
 
-// finishTask ends a running task well.
+// finishTask lets a running task finish successfully.
 func (m *model) finishTask() {
 	worker := m.drawWorker()
 	for _, name := range slices.Sorted(maps.Keys(worker.tasks)) {
--- a/internal/leader/offer_test.go
+++ b/internal/leader/offer_test.go
@@ -8,7 +8,7 @@
 	"rillflow/internal/placement"
 )
 
-// partitionedOwners are shards of which one owner is unreachable.
+// partitionedOwners is a Shards in which one shard owner is unreachable.
 type partitionedOwners struct {
 	idleOwners
 	unreachable string
@@ -27,8 +27,8 @@
 	return picks, nil
 }
 
-// TestPicksWhenOwnerUnreachable: the workers of an unreachable owner do not stand idle until the
-// shard map is without it: the leader picks for them.
+// TestPicksWhenOwnerUnreachable guards against workers that stay idle while their shard owner is
+// unreachable: the leader must pick for them until the shard map has a new owner.
 func TestPicksWhenOwnerUnreachable(t *testing.T) {
 	leader := newTestTerm(t)
 	owners := &partitionedOwners{unreachable: "far"}
@@ -37,6 +37,6 @@
 		"far": {Candidates: []placement.Candidate{{Worker: "h0"}, {Worker: "h1"}}},
 	})
 	if len(picks) != 2 || len(owners.asked) != 2 || owners.asked[1] != leader.settings.Name {
-		t.Errorf("%d picks, asked %v", len(picks), owners.asked)
+		t.Errorf("%d picks, want 2; asked %v, want far, then %s", len(picks), owners.asked, leader.settings.Name)
 	}
 }
--- a/internal/leader/preemption_test.go
+++ b/internal/leader/preemption_test.go
@@ -9,8 +9,8 @@
 	"rillflow/internal/wire"
 )
 
-// TestSelectVictim: of an array's tasks, the one whose stop loses the least work gives way to a
-// service of a higher priority.
+// TestSelectVictim checks that a service of a higher priority preempts the array task that loses the
+// least work, within the limits of priority, quota and zone.
 func TestSelectVictim(t *testing.T) {
 	const s = time.Second
 	type seconds = []time.Duration
@@ -20,7 +20,7 @@
 		runningFor []time.Duration // array tasks on h0, h1, ...
 		want       string          // the worker of the victim
 	}{
-		{"the least work lost", nil, seconds{20 * s, 10 * s, 30 * s}, "h1"},
+		{"the one that loses the least work", nil, seconds{20 * s, 10 * s, 30 * s}, "h1"},
 		{"not one about to finish", nil, seconds{20 * s, 49 * s}, "h0"},
 		{"not one about to finish, if it is the only one", nil, seconds{49 * s}, ""},
 		{"not of the same priority, though past its guaranteed quota", func(_ *leaderTerm, array, _ *wire.Job) {
@@ -32,10 +32,10 @@
 		{"not for a team past its guaranteed quota against one within its own", func(_ *leaderTerm, _, service *wire.Job) {
 			service.Team, service.CPUs = "u", 5
 		}, seconds{s}, ""},
-		{"not where the job may not be", func(_ *leaderTerm, _, service *wire.Job) {
+		{"not in a zone where the job may not run", func(_ *leaderTerm, _, service *wire.Job) {
 			service.Zone = "b"
 		}, seconds{s, 20 * s}, "h1"},
-		{"a checkpoint saves the work", func(_ *leaderTerm, array, _ *wire.Job) {
+		{"a checkpoint limits the lost work", func(_ *leaderTerm, array, _ *wire.Job) {
 			array.CheckpointIntervalSeconds, array.CheckpointSaveSeconds = 5, 1
 		}, seconds{30 * s}, "h0"},
 		{"not on a spot worker", func(leader *leaderTerm, array, _ *wire.Job) {
@@ -59,13 +59,13 @@
 				got = target.worker.Name
 			}
 			if got != tc.want {
-				t.Errorf("stops on %q, want %q", got, tc.want)
+				t.Errorf("victim on %q, want %q", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestLostWork: what a checkpoint saves is not lost.
+// TestLostWork checks that a task with checkpoints loses at most the time to save one.
 func TestLostWork(t *testing.T) {
 	claim := &ledger.Claim{Job: &ledger.Job{}}
 	if got := lostWorkSeconds(claim, 30); got != 30 {
--- a/internal/leader/ranking_test.go
+++ b/internal/leader/ranking_test.go
@@ -9,22 +9,22 @@
 	"rillflow/internal/wire"
 )
 
-// TestOrderOfLateJobs: what goes before what within a type, with two objectives of 60 and 120 s
-// for the class, a lease of 30 s and runs of 10 s.
+// TestOrderOfLateJobs checks the order of two jobs of a type by their deadlines, with two objectives
+// of 60 and 120 s for the class, a lease of 30 s and run times of 10 s.
 func TestOrderOfLateJobs(t *testing.T) {
 	for _, tc := range []struct {
 		name                          string
 		firstReadyFor, secondReadyFor time.Duration // since when each is ready
-		secondSmaller                 bool          // the second has less work
-		wantFirst                     bool          // the first goes first
+		secondSmaller                 bool          // the second job has less work
+		wantFirst                     bool          // the first job goes first
 	}{
 		{"the least work, both in time", 10 * time.Second, 10 * time.Second, true, false},
 		{"about to miss its first deadline", 35 * time.Second, 10 * time.Second, true, true},
-		{"missed it: behind", 70 * time.Second, 10 * time.Second, false, false},
-		{"about to miss the next: first again", 95 * time.Second, 10 * time.Second, true, true},
-		{"and before one that has missed none", 95 * time.Second, 35 * time.Second, true, true},
-		{"both about to miss the same: the least work", 95 * time.Second, 97 * time.Second, true, false},
-		{"nothing left to miss: last", 200 * time.Second, 70 * time.Second, false, false},
+		{"missed its first deadline: last", 70 * time.Second, 10 * time.Second, false, false},
+		{"about to miss its second deadline: first again", 95 * time.Second, 10 * time.Second, true, true},
+		{"about to miss its second deadline: before one about to miss its first", 95 * time.Second, 35 * time.Second, true, true},
+		{"both about to miss the second deadline: the least work", 95 * time.Second, 97 * time.Second, true, false},
+		{"missed both deadlines: last", 200 * time.Second, 70 * time.Second, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -44,22 +44,22 @@
 	}
 }
 
-// TestOrderOfServices: among replicas that wait for capacity that is short, those that can still
-// start in time go first, whatever their teams; but what is within its team's guaranteed quota
-// goes before all that is not.
+// TestOrderOfServices checks the order of services whose replicas wait for scarce capacity: those that
+// can still start in time go first, whatever their teams, but jobs within their team's guaranteed
+// quota go before all others.
 func TestOrderOfServices(t *testing.T) {
 	for _, tc := range []struct {
 		name                          string
 		firstReadyFor, secondReadyFor time.Duration // since when each is ready
-		firstLostFor                  time.Duration // since when the first waits again, if it ran
-		secondOverQuota               bool          // the second is of a team past its guaranteed quota
-		wantFirst                     bool          // the first goes first
+		firstLostFor                  time.Duration // since when the first waits again after it ran; 0: it did not run
+		secondOverQuota               bool          // the second job's team is past its guaranteed quota
+		wantFirst                     bool          // the first job goes first
 	}{
-		{"both in time: who came first", 10 * time.Second, 5 * time.Second, 0, false, true},
+		{"both in time: the earlier one", 10 * time.Second, 5 * time.Second, 0, false, true},
 		{"the first late", 13 * time.Second, 5 * time.Second, 0, false, false},
-		{"both late: who came first", 60 * time.Second, 13 * time.Second, 0, false, true},
-		{"lost just now, of a job long ready", 60 * time.Second, 5 * time.Second, 2 * time.Second, false, true},
-		{"lost long ago", 60 * time.Second, 5 * time.Second, 20 * time.Second, false, false},
+		{"both late: the earlier one", 60 * time.Second, 13 * time.Second, 0, false, true},
+		{"a replica just lost, of a job long ready", 60 * time.Second, 5 * time.Second, 2 * time.Second, false, true},
+		{"a replica lost long ago", 60 * time.Second, 5 * time.Second, 20 * time.Second, false, false},
 		{"late, but the other is past its guaranteed quota", 13 * time.Second, 5 * time.Second, 0, true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -86,25 +86,28 @@
 	}
 }
 
-// TestLimitLastChances: of the jobs that are about to miss a deadline, those with the least work
-// go first, as many as there is capacity for; the rest count as having missed it and stand behind
-// those with time left.
+// TestLimitLastChances checks that of the jobs that are about to miss a deadline, only those that
+// there is capacity for go first, the least work first. The others count as having missed it and go
+// behind jobs with time left.
 func TestLimitLastChances(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		tasks           []int // of the jobs that are about to miss their deadline, 10 CPUs each
-		wantAhead       int
-		expectedSeconds float64 // of a run, in seconds
+		wantAhead       int   // jobs that go before one with time left
+		expectedSeconds float64
 	}{
 		{"capacity for all", []int{4, 3, 2}, 3, 20},
 		{"capacity for some", []int{9, 8, 3}, 2, 20},
-		{"a single one is not judged", []int{40}, 1, 20},
+		{"a single one is not limited", []int{40}, 1, 20},
 		{"no capacity", []int{30, 20, 12, 11}, 1, 20},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
-			at := now.Add(40 * time.Second) // of 60, with 1.5 times 20 to run and half a lease to spare
-			spec := wire.Job{Class: "f", Kind: wire.KindArray, Priority: "standard", CPUs: 10, ExpectedSeconds: tc.expectedSeconds}
+			// 40 s of the 60 s objective are over, with 1.5 times 20 s to run and a margin of half a lease.
+			clock := now.Add(40 * time.Second)
+			spec := wire.Job{
+				Class: "f", Kind: wire.KindArray, Priority: "standard", CPUs: 10, ExpectedSeconds: tc.expectedSeconds,
+			}
 			var jobs []*ledger.Job
 			for i, taskCount := range tc.tasks {
 				spec.TaskCount = taskCount
@@ -112,13 +115,13 @@
 			}
 			spec.TaskCount, spec.CPUs, spec.ExpectedSeconds = 400, 1, 20 // more work than any of them
 			early := leader.addTestJob("req-9", spec)
-			early.SubmittedAt, early.ReadyAt = at, at
+			early.SubmittedAt, early.ReadyAt = clock, clock
 			jobs = append(jobs, early)
-			leader.scheduler.ranking.orderJobs(jobs, at)
+			leader.scheduler.ranking.orderJobs(jobs, clock)
 			for i, job := range jobs {
 				wantTasks := tc.tasks[len(tc.tasks)-1-min(i, len(tc.tasks)-1)]
 				if i < tc.wantAhead && job.Spec.TaskCount != wantTasks || i == tc.wantAhead && job != early {
-					t.Errorf("place %d has %s with %d tasks", i, job.ID, job.Spec.TaskCount)
+					t.Errorf("position %d: got %s with %d tasks", i, job.ID, job.Spec.TaskCount)
 				}
 			}
 		})
--- a/internal/leader/reservation_test.go
+++ b/internal/leader/reservation_test.go
@@ -8,7 +8,8 @@
 	"rillflow/internal/wire"
 )
 
-// TestReserveCapacity: free capacity adds up for a large task that small ones would starve.
+// TestReserveCapacity guards against a large task being starved by small ones: past the aging
+// threshold, one worker is reserved for it until enough capacity is free.
 func TestReserveCapacity(t *testing.T) {
 	leader := newTestTerm(t)
 	small := leader.addTestJob("req-1", wire.Job{Kind: wire.KindArray, Priority: "standard", TaskCount: 99, CPUs: 2})
@@ -22,7 +23,7 @@
 	leader.scheduler.reserveCapacity(queues, candidates, now)
 	for _, target := range candidates {
 		if target.reservedFor != nil {
-			t.Fatal("capacity is reserved for a task that just came")
+			t.Fatal("capacity is reserved for a job that has just arrived")
 		}
 	}
 	late := now.Add(5 * leader.settings.WorkerLease())
@@ -33,11 +34,11 @@
 		if target.reservedFor == large {
 			reserved++
 			if target.free.cpus != 2 {
-				t.Error("a fuller worker is reserved while another has free capacity")
+				t.Errorf("%s with %v free CPUs is reserved, want the one with 2", target.worker.Name, target.free.cpus)
 			}
 		}
 	}
 	if reserved != 1 {
-		t.Errorf("%d workers reserved for one task", reserved)
+		t.Errorf("%d workers reserved for one task, want 1", reserved)
 	}
 }
--- a/internal/leader/slack.go
+++ b/internal/leader/slack.go
@@ -35,7 +35,10 @@
 	case s.isLastChance != other.isLastChance:
 		return 1
 	case s.isLastChance:
-		return cmp.Or(-cmp.Compare(min(s.missed, 1), min(other.missed, 1)), cmp.Compare(s.cpuSecondsLeft, other.cpuSecondsLeft))
+		return cmp.Or(
+			-cmp.Compare(min(s.missed, 1), min(other.missed, 1)),
+			cmp.Compare(s.cpuSecondsLeft, other.cpuSecondsLeft),
+		)
 	}
 	return cmp.Or(cmp.Compare(s.missed, other.missed), cmp.Compare(s.cpuSecondsLeft, other.cpuSecondsLeft))
 }
--- a/internal/leader/starvation_test.go
+++ b/internal/leader/starvation_test.go
@@ -10,32 +10,33 @@
 	"rillflow/internal/wire"
 )
 
-// TestStarved: an array that has waited for too long, with nothing of it begun, shares the workers
-// with the rest of its type: it goes first, the longest waiting first, while it was given no more
-// work; not a service, not ahead of what is within a guaranteed quota, and not for ever.
-func TestStarved(t *testing.T) {
-	type seconds = [3]int // of the waits of req-1, req-2 and req-3, of one, two and three tasks
-	bySize := []string{"req-1", "req-2", "req-3"}
+// TestStarvationAvoidance checks that an array that has waited too long without starting any task
+// goes first in its type, the longest waiting first, while it has been given no more work than the
+// others. This does not apply to services, does not put it ahead of jobs within a guaranteed quota,
+// and ends after a longer wait.
+func TestStarvationAvoidance(t *testing.T) {
+	type seconds = [3]int // waits of req-1, req-2 and req-3, which have one, two and three tasks
+	smallestFirst := []string{"req-1", "req-2", "req-3"}
 	largestFirst := []string{"req-3", "req-1", "req-2"}
 	for _, tc := range []struct {
 		name          string
 		waits         seconds
-		running       string   // one of which a task runs
-		placed        []string // tasks placed before, after an order with these waits
+		running       string   // a job of which one task runs
+		placed        []string // jobs of which a task is placed between two orderings
 		modifyLargest func(largest *wire.Job)
 		want          []string
 	}{
-		{"the least work first", seconds{10, 20, 30}, "", nil, nil, bySize},
+		{"none is starved: the least work first", seconds{10, 20, 30}, "", nil, nil, smallestFirst},
 		{"the largest is starved", seconds{10, 20, 169}, "", nil, nil, largestFirst},
-		{"not yet", seconds{10, 20, 167}, "", nil, nil, bySize},
-		{"it has begun", seconds{10, 20, 169}, "req-3", nil, nil, bySize},
-		{"not for ever", seconds{10, 20, 253}, "", nil, nil, bySize},
-		{"of two the oldest", seconds{10, 170, 190}, "", nil, nil, []string{"req-3", "req-2", "req-1"}},
-		{"it was given more", seconds{10, 20, 169}, "", []string{"req-3"}, nil, bySize},
-		{"and then the others", seconds{10, 20, 169}, "", []string{"req-3", "req-1"}, nil, largestFirst},
-		{"a service", seconds{10, 20, 169}, "", nil, func(job *wire.Job) { job.Kind = wire.KindService }, bySize},
+		{"not yet starved", seconds{10, 20, 167}, "", nil, nil, smallestFirst},
+		{"it has a running task", seconds{10, 20, 169}, "req-3", nil, nil, smallestFirst},
+		{"no longer starved", seconds{10, 20, 253}, "", nil, nil, smallestFirst},
+		{"two are starved: the longest waiting first", seconds{10, 170, 190}, "", nil, nil, []string{"req-3", "req-2", "req-1"}},
+		{"it was given more work", seconds{10, 20, 169}, "", []string{"req-3"}, nil, smallestFirst},
+		{"it was given more work, then the others", seconds{10, 20, 169}, "", []string{"req-3", "req-1"}, nil, largestFirst},
+		{"a service", seconds{10, 20, 169}, "", nil, func(job *wire.Job) { job.Kind = wire.KindService }, smallestFirst},
 		{"past its team's guaranteed quota", seconds{10, 20, 169}, "", nil, func(job *wire.Job) { job.Team = "u" },
-			bySize},
+			smallestFirst},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			leader := newTestTerm(t)
@@ -52,7 +53,7 @@
 				if i == 2 && tc.modifyLargest != nil {
 					tc.modifyLargest(&spec)
 				}
-				job := leader.addTestJob(bySize[i], spec)
+				job := leader.addTestJob(smallestFirst[i], spec)
 				job.WaitingSince = now.Add(-time.Duration(wait) * time.Second)
 				jobs = append(jobs, job)
 			}
@@ -66,13 +67,13 @@
 			}
 			ranking.orderJobs(jobs, now)
 			if got := jobIDsOf(jobs); !slices.Equal(got, tc.want) {
-				t.Errorf("%v, want %v", got, tc.want)
+				t.Errorf("order %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// refsOf are the references of jobs, in order.
+// jobIDsOf returns the IDs of jobs, in order.
 func jobIDsOf(jobs []*ledger.Job) []string {
 	var jobIDs []string
 	for _, job := range jobs {
--- a/internal/leader/term_test.go
+++ b/internal/leader/term_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// Each component has all the components that it calls.
+// TestComponentsAreConnected guards against a component whose reference to another one is not set.
 func TestComponentsAreConnected(t *testing.T) {
-	optional := map[string]bool{"progress": true} // set only while lost data is written back
+	optional := map[string]bool{"progress": true} // set only while lost data is restored
 	term := reflect.ValueOf(newTestTerm(t)).Elem()
 	for i := range term.NumField() {
 		component := term.Field(i)
@@ -16,13 +16,13 @@
 		}
 		name := term.Type().Field(i).Name
 		if component.IsNil() {
-			t.Errorf("no %s", name)
+			t.Errorf("component %s is nil", name)
 			continue
 		}
 		for k := range component.Elem().NumField() {
 			field := component.Elem().Type().Field(k)
 			if field.Type.Kind() == reflect.Pointer && !optional[field.Name] && component.Elem().Field(k).IsNil() {
-				t.Errorf("%s has no %s", name, field.Name)
+				t.Errorf("component %s: reference %s is nil", name, field.Name)
 			}
 		}
 	}
