--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -16,7 +16,7 @@
 const (
 	maxReleaseNames     = 100 // instance names per release request, a limit of the protocol
 	maxRequestsPerRound = 32  // scale-out requests before the instance list is read again
-	requestsPerInterval = 4   // a round runs at most once per this many requests of the cloud's rate limit
+	requestsPerInterval = 4   // rounds are at least as far apart as this many requests at the cloud's rate limit
 )
 
 // autoscaler requests and releases instances.
@@ -192,7 +192,7 @@
 		listed[instance.Name] = true
 		releasedAt := a.released[instance.Name]
 		if !releasedAt.IsZero() && now.Sub(releasedAt) < 3*listLag+a.settings.HeartbeatInterval() {
-			continue // the list still shows an instance that was released
+			continue // the list may not reflect the release yet
 		}
 		a.instances[instance.Name] = instance
 		worker := a.registry.worker(instance.Name)
--- a/internal/leader/candidate.go
+++ b/internal/leader/candidate.go
@@ -84,8 +84,8 @@
 	return c.capacity().fit(&job.Spec) && c.allows(job)
 }
 
-// allows reports whether a job may run on the worker, by the job's constraints on spot instances,
-// zone and instance type, and because it has not failed there before.
+// allows reports whether a job may run on the worker: its constraints on spot instances, zone and
+// instance type hold, and it has not failed there before.
 func (c *candidate) allows(job *ledger.Job) bool {
 	spec := &job.Spec
 	return (spec.AllowSpot || !c.worker.Spot) &&
--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -183,7 +183,7 @@
 
 // deadlineSafety is the factor by which run times are extended when planning for a deadline: run
 // times are estimates, and a job ends only with its longest task. Tasks run in more than one round
-// only where the time to the deadline exceeds it.
+// only where the time to the deadline exceeds the extended run time.
 const deadlineSafety = 2
 
 // requiredConcurrency returns the share of a job's unfinished tasks that must run at once to meet
--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -13,8 +13,8 @@
 
 // Limits on how many tasks of services are moved at once, and the weight of run time estimates.
 const (
-	minMoves         = 4  // moves at once that any fleet allows
-	workersPerMove   = 32 // larger fleets allow one move at once per this many workers
+	minMoves         = 4  // tasks moved at once in a small fleet
+	workersPerMove   = 32 // a large fleet moves one task at once per this many workers
 	priorSampleCount = 2  // the submitter's estimate weighs as much as this many finished tasks
 )
 
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -21,8 +21,8 @@
 // claims only where a lease has expired by every clock; on any other suspicion it has the instance
 // released, and the cloud's answer proves that the tasks have ended.
 //
-// Its loops are runMonitor and runReleases. The autoscaler asks which workers are
-// unreachable. Its state is guarded by mu.
+// Its loops are runMonitor and runReleases. The autoscaler calls unreachable. Its state is guarded by
+// mu.
 type failureMonitor struct {
 	*termScope
 	commander     *commander
@@ -35,8 +35,9 @@
 	detector *failuredetector.Detector
 }
 
-// runMonitor periodically handles everything that no message triggers: expired leases, termination
-// notices, workers to be polled, and the isolation of this controller.
+// runMonitor periodically handles what no message triggers: cancelled tasks, expired leases,
+// termination notices, the isolation of this controller, and polls of workers that are late with a
+// heartbeat or have not reported to this leader.
 func (m *failureMonitor) runMonitor(ctx context.Context) error {
 	ticker := time.NewTicker(m.monitorInterval())
 	defer ticker.Stop()
@@ -107,8 +108,8 @@
 
 // runReleases releases faulty instances. It is a loop of its own because the tasks of a dead worker
 // wait for the release, and scaling out can take many requests. While this leader may have been
-// replaced, it releases only instances on which a cancelled task would outlive its
-// cancellation deadline: that ends tasks and cannot start any.
+// replaced, it releases only instances on which a cancelled task would outlive its cancellation
+// deadline: that ends tasks and cannot start any.
 func (m *failureMonitor) runReleases(ctx context.Context) error {
 	for retry.Sleep(ctx, m.monitorInterval()) {
 		m.mu.Lock()
--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -37,7 +37,7 @@
 	"rillflow/internal/wire"
 )
 
-// ErrNotLeading means that this controller is not the leader.
+// ErrNotLeading means that this controller does not lead, or has not loaded its term's state yet.
 var ErrNotLeading = errors.New("leader: not leading")
 
 // Options are the dependencies of a Runner.
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -19,11 +19,11 @@
 	return failuredetector.New(time.Duration(missedHeartbeatRatio*interval), config.WorkerLease())
 }
 
-// silentFor returns how long a worker that should send heartbeats has not. The time counts at the
-// earliest from the beginning of this term, the end of the worker's boot, and the last change of
-// its shard owner. An answer to a direct command also counts as a sign of life, but not for longer
-// than a lease: only an answered heartbeat renews the lease, and after that the worker's tasks have
-// ended.
+// silentFor returns how long a worker that should send heartbeats has been silent. Time before this
+// term, before the end of the worker's boot and before the last change of its shard owner does not
+// count, because no heartbeat could arrive then. An answer to a direct command shows that the worker
+// is up, but counts for no longer than a lease: only an answered heartbeat renews the lease, so the
+// worker's tasks have ended by then.
 func (m *failureMonitor) silentFor(worker *agent.Worker, now time.Time) time.Duration {
 	lastSeen := m.startedAt
 	for _, seenAt := range []time.Time{worker.LastHeartbeat, worker.ListedRunningAt, worker.ShardOwnerSince} {
--- a/internal/leader/slack.go
+++ b/internal/leader/slack.go
@@ -22,7 +22,7 @@
 	cpuSecondsLeft float64 // remaining work
 }
 
-// compare sorts the job to be scheduled first to the front.
+// compare returns a negative number if s goes first, and a positive one if other does.
 //
 // Jobs that can still meet their deadlines go before jobs that cannot; among them, the one with the
 // least remaining work goes first, because then the most jobs are in time when capacity is short.
@@ -43,8 +43,8 @@
 	return cmp.Or(cmp.Compare(s.missed, other.missed), cmp.Compare(s.cpuSecondsLeft, other.cpuSecondsLeft))
 }
 
-// cpuSecondsLeft returns the remaining work of a job.
-func cpuSecondsLeft(job *ledger.Job) float64 {
+// remainingCPUSeconds returns the remaining work of a job.
+func remainingCPUSeconds(job *ledger.Job) float64 {
 	return float64(job.UnfinishedTasks()) * max(job.Spec.CPUs, 1) * max(job.Spec.ExpectedSeconds, 1)
 }
 
@@ -70,7 +70,7 @@
 // deadlineSlack computes a job's slack over all its deadlines: its own, those of its dependents, and
 // those from the objectives of its class.
 func (r *jobRanking) deadlineSlack(job *ledger.Job, now time.Time) deadlineSlack {
-	slack := deadlineSlack{cpuSecondsLeft: cpuSecondsLeft(job)}
+	slack := deadlineSlack{cpuSecondsLeft: remainingCPUSeconds(job)}
 	runTime := settings.Seconds(job.Spec.ExpectedSeconds)
 	for i, objective := range r.settings.Facts.Objectives {
 		deadline := r.objectiveDeadline(i, job)
