--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -13,24 +13,24 @@
 	"rillflow/internal/wire"
 )
 
-// ruleOwner picks by the placement rule, as the owner of a shard does.
-type ruleOwner struct {
+// placementRuleOwner picks by the placement rule, as a shard owner does.
+type placementRuleOwner struct {
 	idleOwners
 	table *placement.Table
 }
 
-func (o ruleOwner) Pick(_ context.Context, _ string, offer placement.Offer) ([]placement.Pick, error) {
+func (o placementRuleOwner) Pick(_ context.Context, _ string, offer placement.Offer) ([]placement.Pick, error) {
 	return o.table.Choose(offer, placement.Tuning{AgingThreshold: 2 * time.Minute, NearTie: 0.1}, now), nil
 }
 
-// newBenchTerm makes a leader term with workers of 8 free CPUs and twice as many tasks as fit,
-// of four types in jobs of 40.
+// newBenchTerm returns a leader term with idle workers of 8 CPUs and twice as many tasks as fit them,
+// in jobs of 40 tasks and of four types.
 func newBenchTerm(b *testing.B, workers int) *leaderTerm {
 	b.Helper()
 	leader := newTestTerm(b)
 	leader.leadership = &fakeLeadership{election.ShardMap{Epoch: 1, Leader: "n", Owners: []string{"n"}}}
 	params := placement.Params{Horizon: 512, Bonus: 0.05, RunBound: 8, Tick: 12 * time.Second}
-	leader.shards = ruleOwner{table: placement.NewTable(params, now)}
+	leader.shards = placementRuleOwner{table: placement.NewTable(params, now)}
 	team := &leader.settings.Facts.Teams[0]
 	team.CPUs, team.CPUsMax = 1e6, 1e6
 	leader.jobs = ledger.New("w", leader.settings.Facts.Teams)
@@ -49,7 +49,7 @@
 	return leader
 }
 
-// BenchmarkSchedulingPass is one pass over free workers.
+// BenchmarkSchedulingPass measures one scheduling pass over idle workers.
 func BenchmarkSchedulingPass(b *testing.B) {
 	for _, workers := range []int{50, 500} {
 		b.Run(fmt.Sprint(workers), func(b *testing.B) {
@@ -60,8 +60,8 @@
 				b.StartTimer()
 				leader.scheduler.pass(b.Context())
 				b.StopTimer()
-				if n := len(leader.jobs.ClaimedWorkers()); n < workers {
-					b.Fatalf("%d of %d workers have tasks", n, workers)
+				if claimed := len(leader.jobs.ClaimedWorkers()); claimed < workers {
+					b.Fatalf("%d of %d workers have tasks", claimed, workers)
 				}
 				b.StartTimer()
 			}
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -24,23 +24,23 @@
 	"rillflow/internal/wire"
 )
 
-// model drives a leader against workers, a second controller in the zone of half of them,
-// and a network that loses, delays and reorders messages. It checks the protocol's
-// invariants against the tasks that really run.
+// model drives a leader against simulated workers, a second controller in the zone of half of them,
+// and a network that loses, delays and reorders messages. It checks the safety invariants of the
+// protocol against the tasks that the workers actually run.
 type model struct {
 	t             *rapid.T
 	leader        *leaderTerm
-	term          *fakeLeadership
+	leadership    *fakeLeadership
 	now           time.Time
 	revision      uint64
 	workers       []*modelWorker
-	knownShards   election.ShardMap // what the second controller knows
-	deposedLeader *leaderTerm       // an earlier leader that does not know that it was deposed
+	knownShards   election.ShardMap // the shard map as the second controller last learned it
+	deposedLeader *leaderTerm       // an earlier leader that has not learned that it was deposed
 	store         map[string][]byte
 	jobs          []string
-	completed     map[string]bool // tasks that ended well
-	limit         float64         // the team's quota, in CPUs and tasks
-	set           *settings.Settings
+	succeeded     map[string]bool // tasks that finished successfully
+	quotaCPUs     float64         // the team's quota, in CPUs and tasks
+	config        *settings.Settings
 }
 
 func newModel(t *rapid.T) *model {
@@ -48,14 +48,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{t: t, now: now, completed: map[string]bool{}, store: map[string][]byte{}, limit: 5}
-	m.term = &fakeLeadership{m.nextShardMap([]string{"m", "n"})}
-	m.knownShards = m.term.shards
-	m.set = &settings.Settings{
+	m := &model{t: t, now: now, succeeded: map[string]bool{}, store: map[string][]byte{}, quotaCPUs: 5}
+	m.leadership = &fakeLeadership{m.nextShardMap([]string{"m", "n"})}
+	m.knownShards = m.leadership.shards
+	m.config = &settings.Settings{
 		Name: "n", Zone: "a", Operator: operator, Peers: []settings.Peer{{Name: "m", Zone: "b"}},
 		Facts: settings.Facts{
 			Workers: settings.WorkerTimings{HeartbeatSeconds: 3, LeaseSeconds: 30, CancelSeconds: 50},
-			Teams:   []settings.Team{{Name: "t", CPUs: m.limit, CPUsMax: m.limit}},
+			Teams:   []settings.Team{{Name: "t", CPUs: m.quotaCPUs, CPUsMax: m.quotaCPUs}},
 			Store:   settings.StoreLimits{TxnOps: 16, ValueKB: 16},
 		},
 	}
@@ -71,47 +71,47 @@
 	return m
 }
 
-// submit stores a job.
+// submit stores the record of a new job.
 func (m *model) submit(tasks int, kind string) {
-	ref := fmt.Sprint("req-", len(m.jobs))
-	m.jobs = append(m.jobs, ref)
+	jobID := fmt.Sprint("req-", len(m.jobs))
+	m.jobs = append(m.jobs, jobID)
 	data, err := ledger.Encode(ledger.JobRecord{ChunkTasks: 2, Job: wire.Job{
-		ID: ref, Team: "t", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 1, ExpectedSeconds: 5,
+		ID: jobID, Team: "t", Kind: kind, Priority: "standard", TaskCount: tasks, CPUs: 1, ExpectedSeconds: 5,
 	}})
 	if err != nil {
 		m.t.Fatal(err)
 	}
-	m.store[ledger.LiveKey(ref)] = data
+	m.store[ledger.LiveKey(jobID)] = data
 }
 
-// nextShardMap is the shard map of the next epoch with the given owners.
+// nextShardMap returns the shard map of the next epoch with the given owners.
 func (m *model) nextShardMap(owners []string) election.ShardMap {
 	epoch := uint64(1)
-	if m.term != nil {
-		epoch += m.term.shards.Epoch
+	if m.leadership != nil {
+		epoch += m.leadership.shards.Epoch
 	}
 	return election.ShardMap{Epoch: epoch, Leader: "n", Owners: owners, ZoneFallback: true}
 }
 
-// startTerm makes a leader term from what is stored, as a new leader does.
+// startTerm starts a leader term from the stored data, as a new leader does.
 func (m *model) startTerm() {
 	catalogue := fleet.NewCatalogue(nil, time.Minute, nil)
 	catalogue.Set([]wire.InstanceType{{Name: "m", CPUs: 4, MemoryGB: 64, ImagePullGBPerSecond: 1, DiskGB: 20}})
 	ctx, cancel := context.WithCancel(context.Background())
 	m.t.Cleanup(cancel)
 	env := &environment{
-		settings: m.set, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1 << 20),
+		settings: m.config, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1 << 20),
 		log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now },
 	}
-	m.leader = newLeaderTerm(ctx, env, m.term, m.term.shards.Epoch, nil)
-	m.leader.jobs = ledger.New("w", m.set.Facts.Teams)
+	m.leader = newLeaderTerm(ctx, env, m.leadership, m.leadership.shards.Epoch, nil)
+	m.leader.jobs = ledger.New("w", m.config.Facts.Teams)
 	close(m.leader.ready)
 	m.loadTable()
 	for _, worker := range m.workers {
-		view := agent.NewWorker(worker.name) // a late heartbeat may come of one that was released
+		view := agent.NewWorker(worker.name) // also for released workers, whose late heartbeats may arrive
 		view.InstanceType = "m"
 		m.leader.addWorker(view)
-		m.leader.registry.assignOwner(view, m.term.shards)
+		m.leader.registry.assignOwner(view, m.leadership.shards)
 	}
 }
 
@@ -126,12 +126,12 @@
 		}
 	}
 	for _, key := range keys {
-		ref, ok := ledger.JobIDOfChunkKey(key)
+		jobID, ok := ledger.JobIDOfChunkKey(key)
 		if !ok || !strings.HasPrefix(key, ledger.ChunkPrefix) {
 			continue
 		}
-		if m.leader.jobs.Job(ref) == nil {
-			if err := m.leader.jobs.AddEndedJob(ref, m.store[ledger.EndedKey(ref)]); err != nil {
+		if m.leader.jobs.Job(jobID) == nil {
+			if err := m.leader.jobs.AddEndedJob(jobID, m.store[ledger.EndedKey(jobID)]); err != nil {
 				m.t.Fatal(err)
 			}
 		}
@@ -142,21 +142,21 @@
 	m.leader.jobs.FinishLoading()
 }
 
-// changeLeader puts a new leader in place of the present one, which goes on answering
-// workers that have not seen the new epoch, but whose writes all fail.
+// changeLeader rarely replaces the leader. The deposed leader keeps answering workers that have not
+// seen the new epoch, but all its writes fail.
 func (m *model) changeLeader() {
 	if rapid.IntRange(0, 3).Draw(m.t, "rarely") > 0 {
 		return
 	}
 	m.deposedLeader = m.leader
-	m.deposedLeader.leadership = &fakeLeadership{m.term.shards}
-	m.term = &fakeLeadership{m.nextShardMap(m.term.shards.Owners)}
+	m.deposedLeader.leadership = &fakeLeadership{m.leadership.shards}
+	m.leadership = &fakeLeadership{m.nextShardMap(m.leadership.shards.Owners)}
 	m.startTerm()
 }
 
 func (m *model) drawWorker() *modelWorker { return rapid.SampledFrom(m.workers).Draw(m.t, "worker") }
 
-// place claims tasks of a job for a worker that may take them.
+// place claims up to four tasks of a random job for a random worker.
 func (m *model) place() {
 	job := m.leader.jobs.Job(rapid.SampledFrom(m.jobs).Draw(m.t, "job"))
 	worker := m.drawWorker()
@@ -168,7 +168,7 @@
 	}
 }
 
-// write writes a batch of the job table's changes, unless the write fails or its answer is lost.
+// write writes a batch of the job table's changes. The write may fail, or its answer may be lost.
 func (m *model) write() {
 	operations := rapid.IntRange(3, 16).Draw(m.t, "ops")
 	limits := ledger.BatchLimits{MaxOperations: operations, MaxBytes: 1 << 16, MaxValueBytes: 1 << 14}
@@ -176,8 +176,8 @@
 	if batch == nil {
 		return
 	}
-	for _, guard := range batch.Compares { // the live key of a cancelled job is gone
-		if _, ok := m.store[guard.Key]; !ok && strings.HasPrefix(guard.Key, ledger.LivePrefix) {
+	for _, compare := range batch.Compares { // fails if a job was cancelled, which deletes its live key
+		if _, ok := m.store[compare.Key]; !ok && strings.HasPrefix(compare.Key, ledger.LivePrefix) {
 			m.leader.jobs.BatchFailed(batch)
 			return
 		}
@@ -196,20 +196,20 @@
 	if rapid.IntRange(0, 5).Draw(m.t, "answer lost") == 0 {
 		// The leader crashes without knowing that the batch was applied.
 		m.deposedLeader = nil
-		m.term = &fakeLeadership{m.nextShardMap(m.term.shards.Owners)}
+		m.leadership = &fakeLeadership{m.nextShardMap(m.leadership.shards.Owners)}
 		m.startTerm()
 		return
 	}
 	for _, job := range m.leader.jobs.BatchCommitted(batch, m.revision+10).Ended {
 		for i := range job.Spec.TaskCount {
-			if name := (ledger.Task{JobID: job.ID, Index: i}).String(); !m.completed[name] {
+			if name := (ledger.Task{JobID: job.ID, Index: i}).String(); !m.succeeded[name] {
 				m.t.Fatalf("not_done: %s ended without %s", job.ID, name)
 			}
 		}
 	}
 }
 
-// raiseEpoch raises the epoch, with the second controller a shard owner or not.
+// raiseEpoch raises the epoch, with or without the second controller as a shard owner.
 func (m *model) raiseEpoch() {
 	owners := []string{"m", "n"}
 	if rapid.Bool().Draw(m.t, "alone") {
@@ -220,22 +220,21 @@
 
 // setOwners raises the epoch with the given shard owners.
 func (m *model) setOwners(owners []string) {
-	m.term.shards = m.nextShardMap(owners)
+	m.leadership.shards = m.nextShardMap(owners)
 	for _, view := range m.leader.workers {
-		m.leader.registry.assignOwner(view, m.term.shards)
+		m.leader.registry.assignOwner(view, m.leadership.shards)
 	}
 }
 
-// learnShardMap has the second controller learn the present shard map.
-func (m *model) learnShardMap() { m.knownShards = m.term.shards }
+// learnShardMap lets the second controller learn the current shard map.
+func (m *model) learnShardMap() { m.knownShards = m.leadership.shards }
 
-// wait lets some time pass.
+// wait advances the clock by 1 to 32 s.
 func (m *model) wait() {
 	m.advance(rapid.SampledFrom([]int{1, 1, 2, 2, 3, 8, 32}).Draw(m.t, "seconds"))
 }
 
-// advance moves the clock on and expires leases; a worker's clock may be slow by one part in
-// 2,000.
+// advance advances the clock and expires leases. A worker's clock may be slow by one part in 2,000.
 func (m *model) advance(seconds int) {
 	m.now = m.now.Add(time.Duration(seconds) * time.Second)
 	for _, worker := range m.workers {
@@ -247,27 +246,27 @@
 	m.leader.failures.expireLeases(m.now)
 }
 
-// cancelJob cancels a job as its user does, rarely.
+// cancelJob rarely cancels a job, as a user does.
 func (m *model) cancelJob() {
 	if rapid.IntRange(0, 9).Draw(m.t, "rarely") == 0 {
-		ref := rapid.SampledFrom(m.jobs).Draw(m.t, "job")
-		if data, ok := m.store[ledger.LiveKey(ref)]; ok {
+		jobID := rapid.SampledFrom(m.jobs).Draw(m.t, "job")
+		if data, ok := m.store[ledger.LiveKey(jobID)]; ok {
 			record, err := ledger.DecodeJobRecord(data)
 			if err != nil {
 				m.t.Fatal(err)
 			}
-			ending, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, m.now))
+			endRecord, err := ledger.Encode(ledger.NewCancelledEndRecord(&record, m.now))
 			if err != nil {
 				m.t.Fatal(err)
 			}
-			delete(m.store, ledger.LiveKey(ref))
-			m.store[ledger.EndedKey(ref)] = ending
-			m.leader.cancellations.cancelJob(ref)
+			delete(m.store, ledger.LiveKey(jobID))
+			m.store[ledger.EndedKey(jobID)] = endRecord
+			m.leader.cancellations.cancelJob(jobID)
 		}
 	}
 }
 
-// releaseFaulty releases the workers that the leader finds faulty: the cloud ends them at once.
+// releaseFaulty releases the workers that the leader finds faulty. The cloud ends them at once.
 func (m *model) releaseFaulty() {
 	for _, name := range m.leader.failures.faultyWorkers(m.now) {
 		for _, worker := range m.workers {
@@ -285,9 +284,9 @@
 	}
 }
 
-// TestSafetyInvariants: whatever is lost, delayed or reordered, and whoever answers behind a
-// partition, no task runs on two workers, no team exceeds its quota, and no job ends before
-// its tasks are done.
+// TestSafetyInvariants checks that no task runs on two workers, no team exceeds its quota, and no job
+// ends before its tasks are done, whichever messages are lost, delayed or reordered, and whichever
+// controller answers behind a partition.
 func TestSafetyInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -295,8 +294,8 @@
 	})
 }
 
-// actions are the steps that a run draws from, the frequent ones more than once. The number
-// before a name keeps the order, by which rapid draws.
+// actions returns the actions that rapid draws from; frequent ones are listed more than once. The
+// number before a name keeps the order of the actions, on which the draws depend.
 func (m *model) actions() map[string]func(*rapid.T) {
 	actions := make(map[string]func(*rapid.T))
 	for _, action := range []struct {
@@ -327,8 +326,8 @@
 	return actions
 }
 
-// TestMain has the property tests draw the same cases every time unless told
-// otherwise: -rapid.seed and -rapid.checks search further.
+// TestMain makes the property tests reproducible by fixing their seed. Use -rapid.seed and
+// -rapid.checks to search further.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if f := flag.Lookup("rapid.seed"); f.Value.String() == "0" {
