--- a/internal/intake/backpressure.go
+++ b/internal/intake/backpressure.go
@@ -7,38 +7,39 @@
 	"time"
 )
 
-// SubmissionRefusals counts submissions that were refused for want of room since the process
-// began.
+// SubmissionRefusals counts the submissions refused under load since the process started, by
+// reason.
 type SubmissionRefusals struct {
-	Memory       int64 // memory is short
-	WriteBacklog int64 // ends of jobs wait for long to be stored
+	Memory       int64 // the process is short of memory
+	WriteBacklog int64 // ends of jobs wait too long to be stored
 }
 
 // refusalCounters counts SubmissionRefusals. It is safe for concurrent use.
 type refusalCounters struct{ memory, writeBacklog atomic.Int64 }
 
-// SubmissionRefusals returns how many submissions were refused so far.
+// SubmissionRefusals returns the counts of submissions refused so far.
 func (api *API) SubmissionRefusals() SubmissionRefusals {
 	return SubmissionRefusals{
 		Memory: api.refusals.memory.Load(), WriteBacklog: api.refusals.writeBacklog.Load(),
 	}
 }
 
-// endDelayLimit is how long ends of jobs may wait to be stored while new jobs are accepted: what
-// is accepted beyond what can be stored is told late to all.
+// endDelayLimit is the longest time that ends of jobs may wait to be stored before submissions are
+// refused. Jobs accepted beyond the store's write rate would delay the results of all jobs.
 func (api *API) endDelayLimit() time.Duration { return api.settings.WorkerLease() }
 
-// refuseForLoad answers a submission that is to come again later, and reports whether it did. What
-// was accepted is served on, also where the same job is submitted once more.
+// refuseForLoad reports whether the controller is overloaded, and then answers a submission with
+// 503 and a Retry-After header. The repeated submission of a live job is not refused for a write
+// backlog.
 func (api *API) refuseForLoad(ctx context.Context, w http.ResponseWriter, id string) bool {
 	if api.memoryFull() {
-		// A process that ends for memory serves nobody, and the next leader would be no
-		// better off.
+		// A process that runs out of memory serves nobody, and the next leader would run
+		// out as well.
 		api.refusals.memory.Add(1)
 		replyRetryAfter(w, "memory is short", api.settings.HeartbeatInterval())
 		return true
 	}
-	delay := api.waitingEnds.longest(time.Now(), api.settings.WorkerLease(), api.liveJobs.Lacks)
+	delay := api.waitingEnds.longestWait(time.Now(), api.settings.WorkerLease(), api.liveJobs.Lacks)
 	if delay <= api.endDelayLimit() {
 		return false
 	}
--- a/internal/intake/backpressure_test.go
+++ b/internal/intake/backpressure_test.go
@@ -22,41 +22,41 @@
 		want time.Duration
 	}{
 		{"nothing is known", func() {}, 0, 0},
-		{"found once", func() { tracker.note("a", after(0)) }, 1, 0},
-		{"found again", func() { tracker.note("a", after(5)) }, 6, 5 * time.Second},
-		{"another", func() { tracker.note("b", after(6)); tracker.note("b", after(9)) }, 9, 5 * time.Second},
+		{"found once", func() { tracker.observe("a", after(0)) }, 1, 0},
+		{"found again", func() { tracker.observe("a", after(5)) }, 6, 5 * time.Second},
+		{"another", func() { tracker.observe("b", after(6)); tracker.observe("b", after(9)) }, 9, 5 * time.Second},
 		{"the first has ended", func() { tracker.forget("a") }, 10, 3 * time.Second},
-		{"a third", func() { tracker.note("c", after(1)); tracker.note("c", after(10)) }, 10, 9 * time.Second},
+		{"a third", func() { tracker.observe("c", after(1)); tracker.observe("c", after(10)) }, 10, 9 * time.Second},
 		{"its user was told by another controller", func() { ended["c"] = true }, 11, 3 * time.Second},
 		{"nobody asks any more", func() {}, 30, 0},
-		{"asked again after that", func() { tracker.note("b", after(31)) }, 31, 0},
+		{"asked again after that", func() { tracker.observe("b", after(31)) }, 31, 0},
 	} {
 		step.do()
-		if got := tracker.longest(after(step.at), within, hasEnded); got != step.want {
+		if got := tracker.longestWait(after(step.at), within, hasEnded); got != step.want {
 			t.Errorf("%s: %v, want %v", step.name, got, step.want)
 		}
 	}
-	for i := range 2 * trackedEnds {
-		tracker.note(fmt.Sprint(i), after(32))
+	for i := range 2 * maxTrackedEnds {
+		tracker.observe(fmt.Sprint(i), after(32))
 	}
-	if len(tracker.ends) > trackedEnds {
+	if len(tracker.ends) > maxTrackedEnds {
 		t.Errorf("%d ends are tracked", len(tracker.ends))
 	}
 }
 
 // Guards against jobs that are accepted for minutes beyond what can be stored of them.
 func TestSubmissionsRefusedWhileEndsWait(t *testing.T) {
-	api, mux := users(t, &keys{m: map[string]string{"d/req-3": `{"phase":"done","tasks":4}`}})
+	api, mux := newAPIWithStore(t, &fakeStore{values: map[string]string{"d/req-3": `{"phase":"done","tasks":4}`}})
 	api.settings.Facts.Workers.HeartbeatSeconds, api.settings.Facts.Workers.LeaseSeconds = 2.5, 20
 	now := time.Now()
-	api.waitingEnds.note("req-1", now.Add(-20*time.Second))
-	api.waitingEnds.note("req-1", now)
-	if answer := submit(mux, "req-10", nil, "", ""); answer.Code != http.StatusCreated {
+	api.waitingEnds.observe("req-1", now.Add(-20*time.Second))
+	api.waitingEnds.observe("req-1", now)
+	if answer := submitJob(mux, "req-10", nil, "", ""); answer.Code != http.StatusCreated {
 		t.Errorf("at the limit: %d", answer.Code)
 	}
-	api.waitingEnds.note("req-2", now.Add(-21*time.Second))
-	api.waitingEnds.note("req-2", now)
-	answer := submit(mux, "req-11", nil, "", "")
+	api.waitingEnds.observe("req-2", now.Add(-21*time.Second))
+	api.waitingEnds.observe("req-2", now)
+	answer := submitJob(mux, "req-11", nil, "", "")
 	if answer.Code != http.StatusServiceUnavailable || answer.Header().Get("Retry-After") != "3" {
 		t.Errorf("beyond it: %d, Retry-After %q", answer.Code, answer.Header().Get("Retry-After"))
 	}
@@ -68,11 +68,11 @@
 	if poll.Code != http.StatusOK {
 		t.Errorf("a poll meanwhile: %d", poll.Code)
 	}
-	if answer := submit(mux, "req-3", nil, "", ""); answer.Code != http.StatusOK {
+	if answer := submitJob(mux, "req-3", nil, "", ""); answer.Code != http.StatusOK {
 		t.Errorf("a job that is known to have ended, submitted again: %d", answer.Code)
 	}
 	api.waitingEnds.forget("req-2")
-	if answer := submit(mux, "req-11", nil, "", ""); answer.Code != http.StatusCreated {
+	if answer := submitJob(mux, "req-11", nil, "", ""); answer.Code != http.StatusCreated {
 		t.Errorf("once the end is stored: %d", answer.Code)
 	}
 }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -15,7 +15,7 @@
 	"rillflow/internal/wire"
 )
 
-// cancel cancels a job, or answers how it ended before.
+// cancel cancels a job. If the job has ended already, it answers with that end.
 func (api *API) cancel(w http.ResponseWriter, r *http.Request) {
 	id, caller, ok := api.requestedJob(w, r)
 	if !ok {
@@ -44,22 +44,23 @@
 	}
 }
 
-// errJobChanged says that a job was changed while it was being cancelled: try again.
+// errJobChanged reports that a job changed while it was being cancelled; the caller retries.
 var errJobChanged = errors.New("intake: the job changed meanwhile")
 
-// cancelJob moves a live job to its end, once. The compare on the live key's revision
-// guards against the leader's claims and its last finish: whichever commits first holds.
-func (api *API) cancelJob(ctx context.Context, caller identity.Caller, id string) (knownJob, error) {
+// cancelJob replaces a job's live key by an end record, in one transaction. The compare on the
+// live key's revision orders it against the leader's claims and the job's last finish: the
+// transaction that commits first takes effect.
+func (api *API) cancelJob(ctx context.Context, caller identity.Caller, id string) (jobState, error) {
 	if job, ok := api.finishedState(id); ok {
 		_, err := api.authorize(caller, rights.Cancel, job.team, id)
 		return job, err
 	}
 	if api.storeUnavailable() {
-		return knownJob{}, kvstore.ErrRefused
+		return jobState{}, kvstore.ErrRefused
 	}
-	incarnation, err := api.compareIncarnation()
+	incarnation, err := api.incarnationCompares()
 	if err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	before := api.replicaView(id)
 	item, err := api.store.Get(ctx, ledger.LiveKey(id))
@@ -67,7 +68,7 @@
 		return api.cancelNotLive(ctx, caller, id, incarnation, before)
 	}
 	if err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	if job, ok := api.finishedButStoredLive(id, before); ok {
 		_, err := api.authorize(caller, rights.Cancel, job.team, id)
@@ -76,10 +77,10 @@
 	return api.cancelLive(ctx, caller, id, item, incarnation)
 }
 
-// cancelNotLive answers the cancellation of a job that has no live key.
+// cancelNotLive handles the cancellation of a job that has no live key.
 func (api *API) cancelNotLive(
 	ctx context.Context, caller identity.Caller, id string, incarnation []wire.Compare, before replicaView,
-) (knownJob, error) {
+) (jobState, error) {
 	job, err := api.readStored(ctx, id, before)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return api.cancelLostJob(ctx, caller, id, incarnation, before)
@@ -90,75 +91,75 @@
 	return job, err
 }
 
-// cancelLive cancels the job of a live key that was read.
+// cancelLive cancels a job whose live key was read.
 func (api *API) cancelLive(
 	ctx context.Context, caller identity.Caller, id string, live wire.KeyValue, incarnation []wire.Compare,
-) (knownJob, error) {
+) (jobState, error) {
 	record, err := ledger.DecodeJobRecord(live.Value)
 	if err != nil {
 		api.dataLoss.SuspectDataLoss(fmt.Sprintf("the record of job %s cannot be read", id))
-		return knownJob{}, fmt.Errorf("intake: record of job %s: %w: %w", id, dataloss.ErrDataLossSuspected, err)
+		return jobState{}, fmt.Errorf("intake: record of job %s: %w: %w", id, dataloss.ErrDataLossSuspected, err)
 	}
 	decision, err := api.authorize(caller, rights.Cancel, record.Job.Team, id)
 	if err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	end := ledger.NewCancelledEndRecord(&record, api.now())
 	data, err := ledger.Encode(end)
 	if err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
-	audit, err := api.authorizer.AuditCancellation(record, caller, decision)
+	auditOperations, err := api.authorizer.AuditCancellation(record, caller, decision)
 	if err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	operations := []wire.Operation{{Delete: ledger.LiveKey(id)}, {Put: ledger.EndedKey(id), Value: data}}
 	unchanged := wire.Compare{Key: ledger.LiveKey(id), ModRevision: live.ModRevision}
 	revision, failed, err := api.store.Commit(ctx, wire.Txn{
 		Compares:   slices.Concat([]wire.Compare{unchanged}, incarnation, caller.Compares),
-		Operations: append(slices.Clone(operations), audit...),
+		Operations: append(slices.Clone(operations), auditOperations...),
 	})
 	switch {
 	case err != nil:
-		return knownJob{}, err
+		return jobState{}, err
 	case dataloss.CompareFailed(failed):
 		api.dataLoss.RecheckStore()
-		return knownJob{}, dataloss.ErrDataLossSuspected
+		return jobState{}, dataloss.ErrDataLossSuspected
 	case slices.Contains(failed, ledger.LiveKey(id)):
-		return knownJob{}, errJobChanged
+		return jobState{}, errJobChanged
 	case len(failed) > 0:
-		return knownJob{}, identity.ErrToken
+		return jobState{}, identity.ErrToken
 	}
 	api.replica.RecordOwnWrites(revision, operations...)
 	return api.remember(id, end), nil
 }
 
-// cancelLostJob cancels a job of which there is nothing but tasks on workers.
+// cancelLostJob cancels a job whose record is lost, so that only its tasks on workers are known.
 func (api *API) cancelLostJob(
 	ctx context.Context, caller identity.Caller, id string, incarnation []wire.Compare, before replicaView,
-) (knownJob, error) {
+) (jobState, error) {
 	if _, err := api.lookupLost(ctx, id, before); err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	if _, err := api.authorize(caller, rights.Cancel, "", id); err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	end := ledger.NewLostEndRecord(id, api.now())
 	data, err := ledger.Encode(end)
 	if err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	put := wire.Operation{Put: ledger.EndedKey(id), Value: data}
 	revision, failed, err := api.store.Commit(ctx, wire.Txn{
-		Compares:   slices.Concat(compareAbsent(ledger.LiveKey(id), ledger.EndedKey(id)), incarnation, caller.Compares),
+		Compares:   slices.Concat(absentCompares(ledger.LiveKey(id), ledger.EndedKey(id)), incarnation, caller.Compares),
 		Operations: []wire.Operation{put},
 	})
 	if err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	if len(failed) > 0 {
 		api.dataLoss.RecheckStore()
-		return knownJob{}, errJobChanged
+		return jobState{}, errJobChanged
 	}
 	api.replica.RecordOwnWrites(revision, put)
 	return api.remember(id, end), nil
--- a/internal/intake/cancel_test.go
+++ b/internal/intake/cancel_test.go
@@ -12,11 +12,11 @@
 // That a job is withdrawn is told, in whatever answer, only once those know who may keep
 // its tasks alive; what was told once is told again from memory.
 func TestWithdrawnIsTold(t *testing.T) {
-	k := &keys{m: map[string]string{}}
-	u, mux := users(t, k)
-	h := &herald{err: errors.New("the leader does not know")}
+	k := &fakeStore{values: map[string]string{}}
+	u, mux := newAPIWithStore(t, k)
+	h := &fakeBroadcaster{err: errors.New("the leader does not know")}
 	u.broadcaster = h
-	if rec := submit(mux, "req-1", nil, "", ""); rec.Code != 201 {
+	if rec := submitJob(mux, "req-1", nil, "", ""); rec.Code != 201 {
 		t.Fatalf("submitted: %d", rec.Code)
 	}
 	ask := map[string]func() int{
@@ -30,7 +30,7 @@
 			mux.ServeHTTP(rec, httptest.NewRequest("GET", "/v1/jobs/req-1", nil))
 			return rec.Code
 		},
-		"submit": func() int { return submit(mux, "req-1", nil, "", "").Code },
+		"submit": func() int { return submitJob(mux, "req-1", nil, "", "").Code },
 	}
 	for _, how := range []string{"withdraw", "withdraw", "poll", "submit"} {
 		if code := ask[how](); code != 503 {
@@ -41,10 +41,10 @@
 	if code := ask["poll"](); code != 200 {
 		t.Errorf("once it knows: %d", code)
 	}
-	h.err, h.told = errors.New("asked again"), nil
+	h.err, h.broadcasts = errors.New("asked again"), nil
 	for how, f := range ask {
-		if code := f(); code != 200 || len(h.told) > 0 {
-			t.Errorf("%s once it was told: %d, %v", how, code, h.told)
+		if code := f(); code != 200 || len(h.broadcasts) > 0 {
+			t.Errorf("%s once it was told: %d, %v", how, code, h.broadcasts)
 		}
 	}
 	if p, ok := u.finished.get("req-1"); !ok || p.JobStatus.Phase != wire.PhaseCancelled {
@@ -55,15 +55,15 @@
 // A job is done while its user withdraws it, between the read and the write: the end that
 // was first stands, and is told.
 func TestWithdrawMeetsEnd(t *testing.T) {
-	k := &keys{m: map[string]string{}}
-	_, mux := users(t, k)
-	if rec := submit(mux, "req-1", nil, "", ""); rec.Code != 201 {
+	k := &fakeStore{values: map[string]string{}}
+	_, mux := newAPIWithStore(t, k)
+	if rec := submitJob(mux, "req-1", nil, "", ""); rec.Code != 201 {
 		t.Fatalf("submitted: %d", rec.Code)
 	}
-	k.late = func() {
-		if _, live := k.m["j/req-1"]; live {
-			delete(k.m, "j/req-1")
-			k.m["d/req-1"] = `{"phase":"done","tasks":16}`
+	k.onRead = func() {
+		if _, live := k.values["j/req-1"]; live {
+			delete(k.values, "j/req-1")
+			k.values["d/req-1"] = `{"phase":"done","tasks":16}`
 		}
 	}
 	rec := httptest.NewRecorder()
@@ -71,7 +71,7 @@
 	if rec.Code != 200 || !strings.Contains(rec.Body.String(), wire.PhaseDone) {
 		t.Errorf("%d %s", rec.Code, rec.Body)
 	}
-	if end := k.m["d/req-1"]; !strings.Contains(end, wire.PhaseDone) {
+	if end := k.values["d/req-1"]; !strings.Contains(end, wire.PhaseDone) {
 		t.Errorf("stored: %s", end)
 	}
 }
--- a/internal/intake/dataloss.go
+++ b/internal/intake/dataloss.go
@@ -14,31 +14,30 @@
 	"rillflow/internal/wire"
 )
 
-// DataLossState tells what a request must know of the store's data before it decides.
+// DataLossState describes how far the store's data can be relied on when a request is decided.
 type DataLossState interface {
-	// Fence returns the compares of the present incarnation of the store's data, which
-	// every write carries, and its recovery phase; an error while data may have been lost.
+	// Fence returns the compares on the current incarnation of the store's data, which
+	// every write includes, and its recovery phase. It fails while data loss is suspected.
 	Fence() ([]wire.Compare, dataloss.Phase, error)
-	// SuspectDataLoss notes that a key is gone that nobody deleted.
-	SuspectDataLoss(why string)
-	// RecheckStore has the incarnation read anew: a compare on it failed.
+	// SuspectDataLoss records that a key is missing that nobody deleted.
+	SuspectDataLoss(reason string)
+	// RecheckStore triggers another read of the incarnation, after a compare on it failed.
 	RecheckStore()
-	// DataLost tells whether data of an earlier incarnation was lost.
+	// DataLost reports whether data of an earlier incarnation was lost.
 	DataLost() bool
-	// NeverInitialized tells whether this controller knows of no incarnation at all and
-	// suspects no loss.
+	// NeverInitialized reports whether this controller has never seen an incarnation and
+	// suspects no data loss.
 	NeverInitialized() bool
-	// ReplicaCurrent tells whether this controller's replica is of the present incarnation
-	// and up to date.
+	// ReplicaCurrent reports whether this controller's replica belongs to the current
+	// incarnation and is up to date.
 	ReplicaCurrent() bool
-	// JustStarted tells whether this controller has just begun and has no replica yet.
+	// JustStarted reports whether this controller has just started and has no replica yet.
 	JustStarted() bool
 }
 
-// replicaView is what this controller's replica held of a job before the store was asked.
-// Only what was known by then can be contradicted by the answer: while it is on its way,
-// and for long where the store answers slowly, the job may be accepted, or end, and this
-// controller hear of that first.
+// replicaView is what this controller's replica held about a job before the store was read.
+// The store's answer can contradict only that. While a read is in flight, which may take long
+// with a slow store, the job may be accepted or end, and the replica may learn of it first.
 type replicaView struct{ knowsJob, knowsEnd bool }
 
 func (api *API) replicaView(id string) replicaView {
@@ -46,8 +45,9 @@
 	return replicaView{knowsJob: api.replica.KnowsJob(id), knowsEnd: knowsEnd}
 }
 
-// confirmUnknown returns nil if a job that is not stored never was accepted, as far as can
-// be known. It may have been while data is recovered, and where the replica has the job.
+// confirmUnknown returns nil if a job that the store lacks was never accepted, as far as this
+// controller can tell. It fails with ErrDataLossSuspected during recovery, without a current
+// replica, and if the replica has the job.
 func (api *API) confirmUnknown(id string, before replicaView) error {
 	_, phase, err := api.dataLoss.Fence()
 	switch {
@@ -57,38 +57,38 @@
 		api.dataLoss.SuspectDataLoss("job " + id + " is gone without an end")
 		return dataloss.ErrDataLossSuspected
 	case api.replica.KnowsJob(id):
-		return dataloss.ErrDataLossSuspected // it has come since: asked again, it is there
+		return dataloss.ErrDataLossSuspected // accepted during the read, so the retry finds it
 	case phase != dataloss.PhaseComplete, !api.dataLoss.ReplicaCurrent():
-		// Not all who may know were heard; and a controller that has just begun has no
-		// replica yet.
+		// The recovery has not read all sources yet, or this controller has just started
+		// and has no replica.
 		return dataloss.ErrDataLossSuspected
 	}
 	return nil
 }
 
-// finishedState returns how a job ended where this controller knows it: from what it told
-// before, or from its replica while the store may lack it.
-func (api *API) finishedState(id string) (knownJob, bool) {
+// finishedState returns how a job ended if this controller knows: from its cache, or from its
+// replica while the store may lack the end.
+func (api *API) finishedState(id string) (jobState, bool) {
 	if job, ok := api.finished.get(id); ok {
 		return job, true
 	}
 	return api.finishedDuringRecovery(id)
 }
 
-// finishedDuringRecovery returns how a job ended from the replica, while the store may
-// lack it.
-func (api *API) finishedDuringRecovery(id string) (knownJob, bool) {
+// finishedDuringRecovery returns how a job ended according to the replica, while the store
+// may lack the end.
+func (api *API) finishedDuringRecovery(id string) (jobState, bool) {
 	_, phase, err := api.dataLoss.Fence()
 	if err == nil && phase != dataloss.PhaseRestoringResults && phase != dataloss.PhaseRecovering {
-		return knownJob{}, false
+		return jobState{}, false
 	}
 	return api.finishedInReplica(id)
 }
 
-// finishedButStoredLive returns how a job ended that is stored as live though the replica
-// has its end: the store went back behind it, which the answer to a read of a key does
-// not show.
-func (api *API) finishedButStoredLive(id string, before replicaView) (knownJob, bool) {
+// finishedButStoredLive returns how a job ended that the store has as live although the
+// replica has its end: the store went back to an earlier state, which the answer to the read
+// of a single key does not show.
+func (api *API) finishedButStoredLive(id string, before replicaView) (jobState, bool) {
 	job, ok := api.finishedInReplica(id)
 	if ok && before.knowsEnd {
 		api.dataLoss.SuspectDataLoss("job " + id + " is alive again")
@@ -96,21 +96,21 @@
 	return job, ok
 }
 
-func (api *API) finishedInReplica(id string) (knownJob, bool) {
+func (api *API) finishedInReplica(id string) (jobState, bool) {
 	data, ok := api.replica.Get(ledger.EndedKey(id))
 	if !ok {
-		return knownJob{}, false
+		return jobState{}, false
 	}
 	var end ledger.EndRecord
-	if json.Unmarshal(data, &end) != nil { // the store has it too, and is asked next
-		return knownJob{}, false
+	if json.Unmarshal(data, &end) != nil { // the store has it too and is read next
+		return jobState{}, false
 	}
 	return api.remember(id, end), true
 }
 
-// compareIncarnation returns the compares that every write carries, or ErrDataLossSuspected:
-// nothing is written while data is recovered.
-func (api *API) compareIncarnation() ([]wire.Compare, error) {
+// incarnationCompares returns the compares that every write includes. It fails with
+// ErrDataLossSuspected during recovery, when nothing may be written.
+func (api *API) incarnationCompares() ([]wire.Compare, error) {
 	compares, phase, err := api.dataLoss.Fence()
 	if err == nil && phase == dataloss.PhaseRecovering {
 		err = dataloss.ErrDataLossSuspected
@@ -118,22 +118,22 @@
 	return compares, err
 }
 
-// longestFirstLeaderDelay bounds the delay between attempts while the first leader of all
-// is awaited.
-const longestFirstLeaderDelay = 100 * time.Millisecond
+// maxFirstLeaderDelay bounds the delay between attempts while a new deployment has no leader
+// yet.
+const maxFirstLeaderDelay = 100 * time.Millisecond
 
-// awaitFirstLeader reports, after a delay, whether to try again because the first leader
-// of all has yet to begin an incarnation: until then there is nothing to lose, and a
-// user's first job is not to be turned away.
+// awaitFirstLeader reports, after a backoff delay, whether to retry because the first leader
+// of a new deployment has not initialized the store yet. No data can have been lost then, and
+// the first job of a user should not be refused.
 func (api *API) awaitFirstLeader(ctx context.Context, err error, attempt int) bool {
 	if !errors.Is(err, dataloss.ErrDataLossSuspected) || api.storeUnavailable() || !api.dataLoss.NeverInitialized() {
 		return false
 	}
-	return retry.Backoff(ctx, attempt, firstRetryDelay, longestFirstLeaderDelay)
+	return retry.Backoff(ctx, attempt, firstRetryDelay, maxFirstLeaderDelay)
 }
 
-// endNotRestored reports whether the job's end may have to be stored again, so that the
-// store would take the job for new.
+// endNotRestored reports whether recovery may still have to store the job's end, so that a
+// submission of the ended job would create it again.
 func (api *API) endNotRestored(id string) bool {
 	_, phase, err := api.dataLoss.Fence()
 	if err != nil || phase != dataloss.PhaseRestoringResults {
@@ -145,21 +145,21 @@
 	return !api.dataLoss.ReplicaCurrent()
 }
 
-// lookupLost returns what is told of a job that is not stored. One of which workers have
-// tasks was accepted, though nothing else is known of it.
-func (api *API) lookupLost(ctx context.Context, id string, before replicaView) (knownJob, error) {
+// lookupLost returns the state of a job that the store lacks. After a data loss, a job with
+// tasks on workers counts as running: it was accepted, although its record is lost.
+func (api *API) lookupLost(ctx context.Context, id string, before replicaView) (jobState, error) {
 	if err := api.confirmUnknown(id, before); err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	if !api.dataLoss.DataLost() {
-		return knownJob{}, kvstore.ErrNotFound
+		return jobState{}, kvstore.ErrNotFound
 	}
 	_, running, ok, err := api.taskCounts(ctx, id)
 	if err != nil {
-		return knownJob{}, fmt.Errorf("%w: the leader cannot be asked: %w", kvstore.ErrRefused, err)
+		return jobState{}, fmt.Errorf("%w: the leader cannot be asked: %w", kvstore.ErrRefused, err)
 	}
 	if !ok {
-		return knownJob{}, kvstore.ErrNotFound
+		return jobState{}, kvstore.ErrNotFound
 	}
-	return knownJob{JobStatus: wire.JobStatus{ID: id, Phase: wire.PhaseRunning, Running: &running}}, nil
+	return jobState{JobStatus: wire.JobStatus{ID: id, Phase: wire.PhaseRunning, Running: &running}}, nil
 }
--- a/internal/intake/dataloss_test.go
+++ b/internal/intake/dataloss_test.go
@@ -14,12 +14,12 @@
 // again, or contradicts what this node remembers.
 func TestLostData(t *testing.T) {
 	const live, done = `{"job":{"ref":"req-1","members":1},"at":1,"chunk":8}`, `{"phase":"done","tasks":4}`
-	whole := past{phase: dataloss.PhaseComplete, fed: true}
-	ends := past{phase: dataloss.PhaseRestoringResults, fed: true}
-	lost := past{phase: dataloss.PhaseComplete, fed: true, lost: true}
+	whole := fakeDataLossState{phase: dataloss.PhaseComplete, replicaCurrent: true}
+	ends := fakeDataLossState{phase: dataloss.PhaseRestoringResults, replicaCurrent: true}
+	lost := fakeDataLossState{phase: dataloss.PhaseComplete, replicaCurrent: true, dataLost: true}
 	for _, tc := range []struct {
 		name    string
-		past    past
+		past    fakeDataLossState
 		stored  map[string]string
 		copied  map[string]string
 		ask     string // method and path, or a job to submit
@@ -27,23 +27,23 @@
 		phase   string
 		doubted bool
 	}{
-		{"doubt, nothing known", past{err: dataloss.ErrDataLossSuspected}, nil, nil, "GET req-1", 503, "", false},
-		{"doubt, alive as stored: it may be older than what was told", past{err: dataloss.ErrDataLossSuspected}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
-		{"doubt, an end in memory", past{err: dataloss.ErrDataLossSuspected}, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, false},
-		{"doubt, a new job", past{err: dataloss.ErrDataLossSuspected}, nil, nil, "POST req-1", 503, "", false},
-		{"doubt, a withdrawal", past{err: dataloss.ErrDataLossSuspected}, map[string]string{"j/req-1": live}, nil, "END req-1", 503, "", false},
-		{"doubt, a withdrawal of what is over", past{err: dataloss.ErrDataLossSuspected}, nil, map[string]string{"d/req-1": done}, "END req-1", 200, wire.PhaseDone, false},
-		{"rebuild, a new job", past{phase: dataloss.PhaseRecovering, fed: true}, nil, nil, "POST req-1", 503, "", false},
-		{"rebuild, alive", past{phase: dataloss.PhaseRecovering, fed: true}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
-		{"open, nothing known yet", past{phase: dataloss.PhaseProvisional, fed: true}, nil, nil, "GET req-1", 503, "", false},
-		{"open, a new job", past{phase: dataloss.PhaseProvisional, fed: true}, nil, nil, "POST req-1", 201, wire.PhaseQueued, false},
+		{"doubt, nothing known", fakeDataLossState{err: dataloss.ErrDataLossSuspected}, nil, nil, "GET req-1", 503, "", false},
+		{"doubt, alive as stored: it may be older than what was told", fakeDataLossState{err: dataloss.ErrDataLossSuspected}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
+		{"doubt, an end in memory", fakeDataLossState{err: dataloss.ErrDataLossSuspected}, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, false},
+		{"doubt, a new job", fakeDataLossState{err: dataloss.ErrDataLossSuspected}, nil, nil, "POST req-1", 503, "", false},
+		{"doubt, a withdrawal", fakeDataLossState{err: dataloss.ErrDataLossSuspected}, map[string]string{"j/req-1": live}, nil, "END req-1", 503, "", false},
+		{"doubt, a withdrawal of what is over", fakeDataLossState{err: dataloss.ErrDataLossSuspected}, nil, map[string]string{"d/req-1": done}, "END req-1", 200, wire.PhaseDone, false},
+		{"rebuild, a new job", fakeDataLossState{phase: dataloss.PhaseRecovering, replicaCurrent: true}, nil, nil, "POST req-1", 503, "", false},
+		{"rebuild, alive", fakeDataLossState{phase: dataloss.PhaseRecovering, replicaCurrent: true}, map[string]string{"j/req-1": live}, nil, "GET req-1", 503, "", false},
+		{"open, nothing known yet", fakeDataLossState{phase: dataloss.PhaseProvisional, replicaCurrent: true}, nil, nil, "GET req-1", 503, "", false},
+		{"open, a new job", fakeDataLossState{phase: dataloss.PhaseProvisional, replicaCurrent: true}, nil, nil, "POST req-1", 201, wire.PhaseQueued, false},
 		{"ends, nothing known: not all were heard", ends, nil, nil, "GET req-1", 503, "", false},
 		{"ends, a new job", ends, nil, nil, "POST req-1", 201, wire.PhaseQueued, false},
-		{"ends, no copy yet", past{phase: dataloss.PhaseRestoringResults}, nil, nil, "GET req-1", 503, "", false},
+		{"ends, no copy yet", fakeDataLossState{phase: dataloss.PhaseRestoringResults}, nil, nil, "GET req-1", 503, "", false},
 		{"ends, an end to be stored", ends, nil, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, false},
 		{"ends, the same submitted again", ends, nil, map[string]string{"d/req-1": done}, "POST req-1", 200, wire.PhaseDone, false},
 		{"whole, never there", whole, nil, nil, "GET req-1", 404, "", false},
-		{"whole, a node that has just begun", past{phase: dataloss.PhaseComplete}, nil, nil, "GET req-1", 503, "", false},
+		{"whole, a node that has just begun", fakeDataLossState{phase: dataloss.PhaseComplete}, nil, nil, "GET req-1", 503, "", false},
 		{"whole, gone without an end", whole, nil, map[string]string{"j/req-1": live}, "GET req-1", 503, "", true},
 		{"whole, an end is gone", whole, nil, map[string]string{"d/req-1": done}, "GET req-1", 503, "", true},
 		{"whole, alive again", whole, map[string]string{"j/req-1": live}, map[string]string{"d/req-1": done}, "GET req-1", 200, wire.PhaseDone, true},
@@ -54,11 +54,11 @@
 		{"not lost, no trace is asked for", whole, nil, nil, "GET req-7", 404, "", false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			k := &keys{m: map[string]string{}}
+			k := &fakeStore{values: map[string]string{}}
 			for key, v := range tc.stored {
-				k.m[key] = v
+				k.values[key] = v
 			}
-			u, mux := users(t, k)
+			u, mux := newAPIWithStore(t, k)
 			u.dataLoss = &tc.past
 			u.taskCounts = func(_ context.Context, ref string) (int, int, bool, error) { return 0, 3, ref == "req-7", nil }
 			for key, v := range tc.copied {
@@ -68,7 +68,7 @@
 			rec := httptest.NewRecorder()
 			switch verb {
 			case "POST":
-				rec = submit(mux, ref, nil, "", "")
+				rec = submitJob(mux, ref, nil, "", "")
 			case "END":
 				mux.ServeHTTP(rec, httptest.NewRequest("POST", "/v1/jobs/"+ref+"/withdraw", nil))
 			default:
@@ -77,13 +77,13 @@
 			if rec.Code != tc.status || tc.phase != "" && !strings.Contains(rec.Body.String(), `"`+tc.phase+`"`) {
 				t.Errorf("%d %s, want %d %s", rec.Code, rec.Body, tc.status, tc.phase)
 			}
-			if (tc.past.doubted != "") != tc.doubted {
-				t.Errorf("doubted: %q", tc.past.doubted)
+			if (tc.past.suspicionReason != "") != tc.doubted {
+				t.Errorf("doubted: %q", tc.past.suspicionReason)
 			}
 			if rec.Code == 503 && rec.Header().Get("Retry-After") == "" {
 				t.Error("not told when to come back")
 			}
-			if tc.phase == wire.PhaseCancelled && k.m["d/"+ref] == "" {
+			if tc.phase == wire.PhaseCancelled && k.values["d/"+ref] == "" {
 				t.Error("the withdrawal is not stored")
 			}
 		})
@@ -110,14 +110,14 @@
 		{"withdrawn, accepted meanwhile", nil, wire.Operation{Put: "j/req-1", Value: []byte(live)}, "POST", 503, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			k := &keys{m: map[string]string{}}
+			k := &fakeStore{values: map[string]string{}}
 			for key, v := range tc.stored {
-				k.m[key] = v
+				k.values[key] = v
 			}
-			u, mux := users(t, k)
-			p := &past{phase: dataloss.PhaseComplete, fed: true}
+			u, mux := newAPIWithStore(t, k)
+			p := &fakeDataLossState{phase: dataloss.PhaseComplete, replicaCurrent: true}
 			u.dataLoss = p
-			k.late = func() {
+			k.onRead = func() {
 				if tc.meanwhile.Put == "" {
 					p.err = dataloss.ErrDataLossSuspected
 				}
@@ -132,8 +132,8 @@
 			if rec.Code != tc.status || tc.phase != "" && !strings.Contains(rec.Body.String(), `"`+tc.phase+`"`) {
 				t.Errorf("%d %s, want %d %s", rec.Code, rec.Body, tc.status, tc.phase)
 			}
-			if p.doubted != "" {
-				t.Errorf("doubted: %s", p.doubted)
+			if p.suspicionReason != "" {
+				t.Errorf("doubted: %s", p.suspicionReason)
 			}
 		})
 	}
--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -17,22 +17,22 @@
 	"rillflow/internal/wire"
 )
 
-// maxDependencies bounds the jobs that one job may depend on, so that they can be looked
-// up while its user waits. That they fit a value is checked with the record.
+// maxDependencies bounds the jobs that one job may depend on, so that all of them can be
+// looked up while the user waits. encodeRecord checks that they fit in a value of the store.
 const maxDependencies = 128
 
-// maxParallelLookups bounds the reads that one submission has under way.
+// maxParallelLookups bounds the concurrent reads of one submission.
 const maxParallelLookups = 8
 
-// dependency is a job that a submission depends on, as it was found.
+// dependency is the result of looking up a job that a submission depends on.
 type dependency struct {
 	team   string
-	isOpen bool // still to be waited for
+	isOpen bool // not done yet
 }
 
-// resolveDependencies looks up the jobs that a submission depends on. Those that are done
-// are left out of what is stored, for they will stay so. The error is a *rejectedError
-// where the job can never run; any other says that it cannot be decided now.
+// resolveDependencies looks up the jobs that a submission depends on and removes those that
+// are done, a final state, from the job. The error is a *rejectedError if the job can never
+// run; with any other error this cannot be decided now.
 func (api *API) resolveDependencies(ctx context.Context, caller identity.Caller, job *wire.Job) error {
 	if len(job.DependsOn) == 0 {
 		return nil
@@ -51,12 +51,13 @@
 		group.Go(func() (err error) {
 			found[i], err = api.resolveDependency(ctx, id)
 			if err == nil {
-				// What is waited for inherits the priority of what waits: not everybody may.
+				// The dependency inherits the priority of this job, so the caller needs the
+				// right to depend on it.
 				err = api.authorizeDependency(caller, job, id, found[i].team)
 			}
 			if rejected := (*rejectedError)(nil); errors.As(err, &rejected) {
 				rejections[i] = rejected.reason
-				return nil // the others are looked up all the same, and told together
+				return nil // the others are still looked up, to report all faults at once
 			}
 			return err
 		})
@@ -67,11 +68,11 @@
 	if err := errors.Join(rejections...); err != nil {
 		return rejectDependency(err)
 	}
-	job.DependsOn = openOnly(job.DependsOn, found)
+	job.DependsOn = openDependencies(job.DependsOn, found)
 	return nil
 }
 
-func openOnly(ids []string, found []dependency) []string {
+func openDependencies(ids []string, found []dependency) []string {
 	open := ids[:0:0]
 	for i, id := range ids {
 		if found[i].isOpen {
@@ -89,8 +90,8 @@
 	return &rejectedError{status: status, reason: reason}
 }
 
-// authorizeDependency returns a *rejectedError where a submission may not name a job that
-// it depends on.
+// authorizeDependency returns a *rejectedError if the caller may not let its job depend on
+// another one.
 func (api *API) authorizeDependency(caller identity.Caller, job *wire.Job, id, team string) error {
 	request := rights.Request{Action: rights.DependOn, Team: team, Priority: job.Priority}
 	decision := api.authorizer.DecideAndAudit(caller, request, job.ID, "waits_on "+id+": ")
@@ -100,8 +101,8 @@
 	return rejectDependency(fmt.Errorf("%w: waits_on %s: %s", errDenied, id, decision.Rule))
 }
 
-// resolveDependency looks one job up. A cancelled one is still open: the leader sees to
-// what becomes of those after it.
+// resolveDependency looks up one job. A cancelled job counts as open: the leader then cancels
+// its dependents.
 func (api *API) resolveDependency(ctx context.Context, id string) (dependency, error) {
 	if job, ok := api.finished.get(id); ok && job.Phase == wire.PhaseDone {
 		return dependency{team: job.team}, nil
@@ -110,7 +111,7 @@
 		return dependency{team: job.team}, nil
 	}
 	if job, ok := api.accepted.get(id); ok {
-		// That it was accepted stays true; whether it has ended, the leader sees.
+		// An accepted job may have ended since; the leader finds that out.
 		return dependency{team: job.team, isOpen: true}, nil
 	}
 	if api.storeUnavailable() {
@@ -137,13 +138,13 @@
 		if record.Job.Kind == wire.KindService {
 			return dependency{}, rejectService(id)
 		}
-		api.accepted.put(id, knownJob{team: record.Job.Team})
+		api.accepted.put(id, jobState{team: record.Job.Team})
 		return dependency{team: record.Job.Team, isOpen: true}, nil
 	}
 	if !errors.Is(err, kvstore.ErrNotFound) {
 		return dependency{}, err
 	}
-	// A job goes from live to ended, so what is neither was never accepted.
+	// A job only changes from live to ended, so one that is neither was never accepted.
 	item, err = api.store.Get(ctx, ledger.EndedKey(id))
 	if errors.Is(err, kvstore.ErrNotFound) {
 		if err := api.confirmUnknown(id, before); err != nil {
--- a/internal/intake/endtracker.go
+++ b/internal/intake/endtracker.go
@@ -5,26 +5,26 @@
 	"time"
 )
 
-// trackedEnds is how many ends are tracked at most; more do not change the longest wait by much.
-const trackedEnds = 4096
+// maxTrackedEnds bounds the tracked ends; more would hardly change the longest wait.
+const maxTrackedEnds = 4096
 
-// endTracker knows the jobs whose ends wait to be stored, from what status requests find: all
-// tasks are done, and the job is still live. It is safe for concurrent use.
+// endTracker tracks the jobs whose ends wait to be stored. Status requests find them: all tasks of
+// such a job are done, but the job is still live. It is safe for concurrent use.
 type endTracker struct {
 	mu   sync.Mutex
 	ends map[string]waitingEnd
 }
 
-// waitingEnd is when an end was first and last found waiting.
+// waitingEnd holds when an end was first and last observed waiting.
 type waitingEnd struct{ first, last time.Time }
 
-// note notes that the end of a job was found waiting.
-func (t *endTracker) note(id string, now time.Time) {
+// observe records that the end of a job was found waiting.
+func (t *endTracker) observe(id string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	end, isKnown := t.ends[id]
 	switch {
-	case !isKnown && len(t.ends) >= trackedEnds:
+	case !isKnown && len(t.ends) >= maxTrackedEnds:
 		return
 	case !isKnown:
 		end.first = now
@@ -36,22 +36,23 @@
 	t.ends[id] = end
 }
 
-// forget notes that a job has ended.
+// forget removes a job whose end is stored.
 func (t *endTracker) forget(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.ends, id)
 }
 
-// longest is for how long an end has been found waiting. Jobs that have ended, as another controller
-// may have told their users, are forgotten, and those that nobody asked about within a time.
-func (t *endTracker) longest(
-	now time.Time, within time.Duration, hasEnded func(id string) bool,
+// longestWait returns the longest time for which an end has been observed waiting. It first removes
+// jobs that hasEnded reports, which may have ended through another controller, and jobs that were
+// last observed longer ago than maxAge.
+func (t *endTracker) longestWait(
+	now time.Time, maxAge time.Duration, hasEnded func(id string) bool,
 ) (longest time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, end := range t.ends {
-		if now.Sub(end.last) > within || hasEnded(id) {
+		if now.Sub(end.last) > maxAge || hasEnded(id) {
 			delete(t.ends, id)
 			continue
 		}
--- a/internal/intake/fieldchecker.go
+++ b/internal/intake/fieldchecker.go
@@ -15,7 +15,7 @@
 	maxAmount    = 1e9
 )
 
-// What a field can be told to be.
+// Faults of a field, as answered to users.
 const (
 	missing   = "missing"
 	invalid   = "invalid"
@@ -23,14 +23,14 @@
 	wrongForm = "wrong form"
 )
 
-// fieldChecker checks the fields of a submission, by the protocol's names, and collects
-// what is wrong with them.
+// fieldChecker checks the fields of a submission and collects their faults, under the
+// protocol's field names.
 type fieldChecker struct {
 	faults []error
 }
 
-func (check *fieldChecker) fault(field, what string) {
-	check.faults = append(check.faults, fmt.Errorf("%s: %s", field, what))
+func (check *fieldChecker) fault(field, fault string) {
+	check.faults = append(check.faults, fmt.Errorf("%s: %s", field, fault))
 }
 
 func (check *fieldChecker) text(field string, value *string) string {
@@ -75,8 +75,8 @@
 	return 0
 }
 
-// words checks the fields that have a form or a set of words of their own.
-func (check *fieldChecker) words(job *wire.Job) {
+// idAndEnums checks the fields that have a form or a set of idAndEnums of their own.
+func (check *fieldChecker) idAndEnums(job *wire.Job) {
 	if !ValidJobID(job.ID) {
 		check.fault("ref", wrongForm)
 	}
--- a/internal/intake/golden_test.go
+++ b/internal/intake/golden_test.go
@@ -11,10 +11,10 @@
 
 // What users are answered stays as it is: status, headers and body.
 func TestGoldenAnswers(t *testing.T) {
-	k := &keys{m: map[string]string{
+	k := &fakeStore{values: map[string]string{
 		"d/req-3": `{"phase":"done","tasks":4}`, "d/req-4": `{"phase":"withdrawn","tasks":4,"job":{"ref":"req-4"}}`,
 	}}
-	_, mux := users(t, k)
+	_, mux := newAPIWithStore(t, k)
 	var out strings.Builder
 	ask := func(name, method, path, body string) {
 		rec := httptest.NewRecorder()
@@ -24,7 +24,7 @@
 			h.Get("Retry-After"), h.Get("Allow"), strings.TrimSpace(rec.Body.String()))
 	}
 	post := func(name, old, new string) {
-		ask(name, "POST", "/v1/jobs", strings.Replace(goodJob, old, new, 1))
+		ask(name, "POST", "/v1/jobs", strings.Replace(validJob, old, new, 1))
 	}
 	post("accepted", "", "")
 	post("accepted before", "", "")
@@ -33,8 +33,8 @@
 	post("known, whatever its body", `"cores":8.0`, `"cores":-1`)
 	for i, c := range [][3]string{
 		{"not JSON", `{"ref"`, `{ref`},
-		{"an array", goodJob, `[1]`},
-		{"null", goodJob, `null`},
+		{"an array", validJob, `[1]`},
+		{"null", validJob, `null`},
 		{"no reference", `"ref":"req-000412",`, ""},
 		{"reference of another form", "req-000412", "job-1"},
 		{"missing", `"cores":8.0,`, ""},
@@ -53,7 +53,7 @@
 		{"waits for itself", `"ref"`, `"waits_on":["req-000412"],"ref"`},
 		{"waits for a withdrawn job", `"ref"`, `"waits_on":["req-4"],"ref"`},
 	} {
-		body := strings.Replace(goodJob, c[1], c[2], 1)
+		body := strings.Replace(validJob, c[1], c[2], 1)
 		for _, field := range []string{`"locale":null,`, `"scatter":false,`, `"expect_s":240.0,`} {
 			if name, _, _ := strings.Cut(field, ":"); strings.Contains(c[2], name) {
 				body = strings.Replace(body, field, "", 1)
@@ -71,7 +71,7 @@
 	ask("withdrawal of an unknown job", "POST", "/v1/jobs/req-8/withdraw", "")
 	ask("another method", "DELETE", "/v1/jobs/req-3", "")
 	k.mu.Lock()
-	k.down = true
+	k.unavailable = true
 	k.mu.Unlock()
 	ask("poll while the state service refuses", "GET", "/v1/jobs/req-11", "")
 	post("submission while it refuses", "req-000412", "req-12")
--- a/internal/intake/jobcache.go
+++ b/internal/intake/jobcache.go
@@ -2,27 +2,27 @@
 
 import "sync"
 
-// jobCache keeps what never changes of jobs, up to a number of them: the oldest makes
-// room. It is safe for concurrent use.
+// jobCache caches immutable facts about a bounded number of jobs. It evicts the job that was
+// added first. It is safe for concurrent use.
 type jobCache struct {
 	mu    sync.Mutex
-	jobs  map[string]knownJob
-	order []string // a ring of IDs in the order in which they came
-	next  int      // where the next ID goes
+	jobs  map[string]jobState
+	order []string // ring buffer of IDs in insertion order
+	next  int      // index of the next ID in the ring
 }
 
 func newJobCache(size int) *jobCache {
-	return &jobCache{jobs: make(map[string]knownJob), order: make([]string, size)}
+	return &jobCache{jobs: make(map[string]jobState), order: make([]string, size)}
 }
 
-func (cache *jobCache) get(id string) (knownJob, bool) {
+func (cache *jobCache) get(id string) (jobState, bool) {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
 	job, ok := cache.jobs[id]
 	return job, ok
 }
 
-func (cache *jobCache) put(id string, job knownJob) {
+func (cache *jobCache) put(id string, job jobState) {
 	cache.mu.Lock()
 	defer cache.mu.Unlock()
 	if _, ok := cache.jobs[id]; !ok {
--- a/internal/intake/livejobs.go
+++ b/internal/intake/livejobs.go
@@ -9,20 +9,20 @@
 	"rillflow/internal/readindex"
 )
 
-// Parts of a heartbeat interval that the rounds of status reads go by.
+// Pace of the rounds of status reads, as parts of a heartbeat interval.
 const (
 	roundsPerHeartbeat     = 64
 	roundWaitsPerHeartbeat = 8
 )
 
-// maxLiveJobs is how many live jobs are read from memory; it bounds the memory.
+// maxLiveJobs bounds the live jobs held in memory. With more, status is read from the store.
 const maxLiveJobs = 1 << 16
 
-// liveJob is what is kept of a live job's record.
+// liveJob is the summary of a live job's record that the view holds.
 type liveJob struct {
 	team  string
 	tasks int
-	err   error // why the record cannot be read
+	err   error // why the record cannot be decoded
 }
 
 func newLiveJob(record []byte) liveJob {
@@ -33,7 +33,7 @@
 	return liveJob{team: decoded.Job.Team, tasks: decoded.Job.TaskCount}
 }
 
-// liveJobsOptions are those of the view of live jobs.
+// liveJobsOptions returns the options of the view of live jobs.
 func (api *API) liveJobsOptions() readindex.Options[liveJob] {
 	heartbeat := api.settings.HeartbeatInterval()
 	return readindex.Options[liveJob]{
@@ -46,25 +46,25 @@
 // Run keeps the view of live jobs up to date until ctx ends.
 func (api *API) Run(ctx context.Context) error { return api.liveJobs.Run(ctx) }
 
-// LiveJobStats tells how the view of live jobs is used.
+// LiveJobStats returns usage counts of the view of live jobs.
 func (api *API) LiveJobStats() readindex.Stats { return api.liveJobs.Stats() }
 
-// read reads a job's status: that of a live job from the view, all else from the store. That a
-// job is not there is always found by reading both of its keys.
-func (api *API) read(ctx context.Context, id string, before replicaView) (knownJob, error) {
+// read reads a job's status: that of a live job from the view, any other from the store. A job
+// is reported as not found only after both of its keys were read.
+func (api *API) read(ctx context.Context, id string, before replicaView) (jobState, error) {
 	job, isLive, err := api.liveJobs.Read(ctx, id)
 	switch {
 	case errors.Is(err, readindex.ErrUnavailable):
 		return api.readStored(ctx, id, before)
 	case err != nil:
-		return knownJob{}, err
+		return jobState{}, err
 	case isLive:
 		return api.liveStatus(ctx, id, job, before)
 	}
-	// A job goes only from live to ended.
-	ended, err := api.readEnd(admitted(ctx), id)
+	// A job only changes from live to ended.
+	ended, err := api.readEnd(withAdmittedPriority(ctx), id)
 	if errors.Is(err, kvstore.ErrNotFound) {
-		return api.readStored(admitted(ctx), id, before)
+		return api.readStored(withAdmittedPriority(ctx), id, before)
 	}
 	return ended, err
 }
--- a/internal/intake/pollstats.go
+++ b/internal/intake/pollstats.go
@@ -7,12 +7,12 @@
 	"rillflow/internal/kvstore"
 )
 
-// PollStats counts polls by what they were answered since the process began.
+// PollStats counts polls by outcome since the process started.
 type PollStats struct {
 	Answered int64 // with a status
-	Unknown  int64 // that there is no such job
-	Shed     int64 // refused, for too many status reads wait
-	Refused  int64 // refused because the store could not be asked, or did not answer
+	Unknown  int64 // no such job
+	Shed     int64 // refused because too many status reads wait
+	Refused  int64 // refused because the store could not be read
 }
 
 // pollCounters counts PollStats. It is safe for concurrent use.
@@ -32,7 +32,7 @@
 	}
 }
 
-// PollStats returns what polls were answered so far.
+// PollStats returns the counts of polls answered so far.
 func (api *API) PollStats() PollStats {
 	return PollStats{
 		Answered: api.polls.answered.Load(), Unknown: api.polls.unknown.Load(),
--- a/internal/intake/reply.go
+++ b/internal/intake/reply.go
@@ -15,28 +15,28 @@
 	"rillflow/internal/wire"
 )
 
-// Texts of answers.
+// Error texts and the default delay of answers.
 const (
-	noSuchJob  = "no such job"
-	storeBusy  = "state service"
-	retryAfter = time.Second // the least that a Retry-After header can say
+	noSuchJob     = "no such job"
+	storeBusy     = "state service"
+	minRetryAfter = time.Second // smallest value of a Retry-After header
 )
 
 func replyError(w http.ResponseWriter, status int, reason string) {
 	jsonhttp.Answer(w, status, wire.ErrorResponse{Error: reason})
 }
 
-// replyBusy tells the user to come back after the least time there is.
-func replyBusy(w http.ResponseWriter, reason string) { replyRetryAfter(w, reason, retryAfter) }
+// replyBusy answers 503 with the shortest possible Retry-After header.
+func replyBusy(w http.ResponseWriter, reason string) { replyRetryAfter(w, reason, minRetryAfter) }
 
-// replyRetryAfter tells the user to come back after some time.
+// replyRetryAfter answers 503 with a Retry-After header, in whole seconds rounded up.
 func replyRetryAfter(w http.ResponseWriter, reason string, after time.Duration) {
 	w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(after.Seconds()))))
 	replyError(w, http.StatusServiceUnavailable, reason)
 }
 
-// replyUnauthorized answers a request whose token is not valid, or cannot be checked. It
-// reports whether err says so.
+// replyUnauthorized reports whether err means that a token is invalid or cannot be checked,
+// and then answers the request.
 func (api *API) replyUnauthorized(w http.ResponseWriter, err error) bool {
 	switch {
 	case errors.Is(err, identity.ErrToken):
@@ -50,8 +50,8 @@
 	return true
 }
 
-// replyIfAllowed answers with a job's status, if the caller may know it.
-func (api *API) replyIfAllowed(ctx context.Context, w http.ResponseWriter, caller identity.Caller, job knownJob) {
+// replyIfAllowed answers with a job's status if the caller may read it, and with 403 otherwise.
+func (api *API) replyIfAllowed(ctx context.Context, w http.ResponseWriter, caller identity.Caller, job jobState) {
 	request := rights.Request{Action: rights.Read, Team: job.team}
 	if decision := api.authorizer.DecideAndAudit(caller, request, job.ID, ""); !decision.Allowed {
 		replyError(w, http.StatusForbidden, decision.Rule)
@@ -60,10 +60,10 @@
 	api.replyStatus(ctx, w, job)
 }
 
-// replyStatus answers with a job's status. That it is cancelled is a promise about its
-// tasks, so it is told only once all controllers know that have to keep it; until then the
-// user comes back.
-func (api *API) replyStatus(ctx context.Context, w http.ResponseWriter, job knownJob) {
+// replyStatus answers with a job's status. The status of a cancelled job promises that its
+// tasks stop, so it is given only after all controllers that have to keep that promise have
+// acknowledged the cancellation; until then the answer is 503.
+func (api *API) replyStatus(ctx context.Context, w http.ResponseWriter, job jobState) {
 	if job.Phase == wire.PhaseCancelled && !job.cancellationAcknowledged {
 		if err := api.broadcaster.Broadcast(ctx, job.ID); err != nil {
 			api.log.Info("cancelled, not yet acknowledged by all controllers", "job", job.ID, "err", err)
@@ -77,8 +77,8 @@
 	jsonhttp.Answer(w, http.StatusOK, job.JobStatus)
 }
 
-// replyRejected answers a submission that cannot be accepted. A job that is known is never
-// rejected, whatever this body says.
+// replyRejected answers a submission that cannot be accepted. If the job exists, the answer is
+// its status, whatever the faults of this submission.
 func (api *API) replyRejected(
 	ctx context.Context, w http.ResponseWriter, caller identity.Caller, id string, rejected *rejectedError,
 ) {
--- a/internal/intake/runnable.go
+++ b/internal/intake/runnable.go
@@ -9,11 +9,11 @@
 	"rillflow/internal/wire"
 )
 
-// ErrUndecided says that it cannot be told yet whether a job could run.
+// ErrUndecided reports that it cannot be decided yet whether a job can run.
 var ErrUndecided = errors.New("machine types are not known yet")
 
-// amountSlack is what amounts may differ by and still count as equal.
-const amountSlack = 1e-6
+// amountTolerance is the difference up to which resource amounts count as equal.
+const amountTolerance = 1e-6
 
 // Runnable returns why a job can never run, or nil if it can, or ErrUndecided while the
 // instance types are not known.
@@ -22,11 +22,11 @@
 	if !ok {
 		return fmt.Errorf("unknown team %q", job.Team)
 	}
-	atOnce := 1.0 // tasks that must run at the same time
+	concurrentTasks := 1.0 // tasks that must run at the same time
 	if job.Kind != wire.KindArray {
-		atOnce = float64(job.TaskCount)
+		concurrentTasks = float64(job.TaskCount)
 	}
-	if job.CPUs*atOnce > team.CPUsMax+amountSlack || job.GPUs*atOnce > team.GPUsMax+amountSlack {
+	if job.CPUs*concurrentTasks > team.CPUsMax+amountTolerance || job.GPUs*concurrentTasks > team.GPUsMax+amountTolerance {
 		return fmt.Errorf("more than the limit of team %q", job.Team)
 	}
 	if types == nil {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// zonesThatFit returns the allowed zones in which an allowed instance type has room for a
-// task.
+// zonesThatFit returns the allowed zones that offer an allowed instance type large enough for
+// a task.
 func zonesThatFit(job *wire.Job, types map[string]*wire.InstanceType) map[string]bool {
 	zones := make(map[string]bool)
 	for _, instanceType := range types {
@@ -62,6 +62,6 @@
 
 func typeFits(job *wire.Job, instanceType *wire.InstanceType) bool {
 	allowed := len(job.InstanceTypes) == 0 || slices.Contains(job.InstanceTypes, instanceType.Name)
-	return allowed && job.CPUs <= instanceType.CPUs+amountSlack && job.GPUs <= instanceType.GPUs+amountSlack &&
-		job.MemoryGB <= instanceType.MemoryGB+amountSlack
+	return allowed && job.CPUs <= instanceType.CPUs+amountTolerance && job.GPUs <= instanceType.GPUs+amountTolerance &&
+		job.MemoryGB <= instanceType.MemoryGB+amountTolerance
 }
--- a/internal/intake/status.go
+++ b/internal/intake/status.go
@@ -14,11 +14,11 @@
 	"rillflow/internal/wire"
 )
 
-// knownJob is what is told of a job, with its team, by which is decided who may know it.
-type knownJob struct {
+// jobState is the status of a job with its team, which decides who may read it.
+type jobState struct {
 	wire.JobStatus
 	team                     string
-	cancellationAcknowledged bool // of a cancelled job: a user may be told
+	cancellationAcknowledged bool // by the controllers, so a user may be told of the cancellation
 }
 
 // poll answers with a job's status.
@@ -33,7 +33,7 @@
 	api.polls.add(err)
 	switch {
 	case err == nil:
-		api.replyIfAllowed(admitted(ctx), w, caller, job)
+		api.replyIfAllowed(withAdmittedPriority(ctx), w, caller, job)
 	case errors.Is(err, kvstore.ErrNotFound):
 		replyError(w, http.StatusNotFound, noSuchJob)
 	default:
@@ -41,21 +41,21 @@
 	}
 }
 
-// admitted is the context of what is left of a request whose first read was made. Were it shed like
-// the first, that read would be wasted, and the status of an ended job takes two.
-func admitted(ctx context.Context) context.Context {
+// withAdmittedPriority returns the context for the rest of a poll whose first read was made. The
+// status of an ended job takes two reads; if the second could be shed, the first would be wasted.
+func withAdmittedPriority(ctx context.Context) context.Context {
 	return kvstore.WithPriority(ctx, kvstore.PriorityUserWrite)
 }
 
-// lookup finds a job's status, from this controller's memory or the store. ErrNotFound
-// means that the job was not accepted when its live key was read: a job goes only from
-// live to ended. Any other error means that nothing can be told now.
-func (api *API) lookup(ctx context.Context, id string) (knownJob, error) {
+// lookup returns a job's status from this controller's memory or the store. ErrNotFound means
+// that the job had not been accepted when its live key was read, since a job only changes from
+// live to ended. Any other error means that the status cannot be determined now.
+func (api *API) lookup(ctx context.Context, id string) (jobState, error) {
 	if job, ok := api.finishedState(id); ok {
 		return job, nil
 	}
 	if api.storeUnavailable() {
-		return knownJob{}, kvstore.ErrRefused
+		return jobState{}, kvstore.ErrRefused
 	}
 	for attempt := 0; ; attempt++ {
 		job, err := api.lookupOnce(ctx, id)
@@ -65,10 +65,10 @@
 	}
 }
 
-func (api *API) lookupOnce(ctx context.Context, id string) (job knownJob, err error) {
-	// What is stored while data may have been lost may be older than what was told,
-	// and a controller that has just begun cannot tell whether any was.
-	_, err = api.compareIncarnation()
+func (api *API) lookupOnce(ctx context.Context, id string) (job jobState, err error) {
+	// While data loss is suspected, the store may hold an older state than users were
+	// given. A controller that has just started cannot tell whether data was lost.
+	_, err = api.incarnationCompares()
 	if err == nil && api.dataLoss.JustStarted() {
 		err = dataloss.ErrDataLossSuspected
 	}
@@ -83,44 +83,44 @@
 }
 
 // readStored reads a job's status from the store.
-func (api *API) readStored(ctx context.Context, id string, before replicaView) (knownJob, error) {
+func (api *API) readStored(ctx context.Context, id string, before replicaView) (jobState, error) {
 	item, err := api.store.GetByListing(ctx, ledger.LiveKey(id))
 	if err == nil {
 		return api.liveStatus(ctx, id, newLiveJob(item.Value), before)
 	}
 	if !errors.Is(err, kvstore.ErrNotFound) {
-		return knownJob{}, err
+		return jobState{}, err
 	}
-	return api.readEnd(admitted(ctx), id)
+	return api.readEnd(withAdmittedPriority(ctx), id)
 }
 
-// readEnd reads how a job ended. The error is ErrNotFound if it has not.
-func (api *API) readEnd(ctx context.Context, id string) (knownJob, error) {
+// readEnd reads how a job ended. The error is ErrNotFound if the store has no end of the job.
+func (api *API) readEnd(ctx context.Context, id string) (jobState, error) {
 	item, err := api.store.Get(ctx, ledger.EndedKey(id))
 	if err != nil {
-		return knownJob{}, err
+		return jobState{}, err
 	}
 	var end ledger.EndRecord
 	if err := json.Unmarshal(item.Value, &end); err != nil {
-		return knownJob{}, fmt.Errorf("intake: end record of job %s: %w", id, err)
+		return jobState{}, fmt.Errorf("intake: end record of job %s: %w", id, err)
 	}
 	return api.remember(id, end), nil
 }
 
-// liveStatus is the status of a job that was found live.
-func (api *API) liveStatus(ctx context.Context, id string, live liveJob, before replicaView) (knownJob, error) {
+// liveStatus returns the status of a job that was read as live.
+func (api *API) liveStatus(ctx context.Context, id string, live liveJob, before replicaView) (jobState, error) {
 	if job, ok := api.finishedButStoredLive(id, before); ok {
 		return job, nil
 	}
-	// The answer may be the one that showed that the store lost data, behind an end
-	// that another controller told of and this one never heard of.
-	if _, err := api.compareIncarnation(); err != nil {
-		return knownJob{}, err
+	// The read itself may have revealed that the store lost data. The job may then have
+	// ended, as another controller has answered, without this one having its end.
+	if _, err := api.incarnationCompares(); err != nil {
+		return jobState{}, err
 	}
-	job := knownJob{JobStatus: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}}
+	job := jobState{JobStatus: wire.JobStatus{ID: id, Phase: wire.PhaseQueued}}
 	if !api.authorizer.AllowsEverybody() {
 		if live.err != nil {
-			return knownJob{}, fmt.Errorf("intake: record of job %s: %w", id, live.err)
+			return jobState{}, fmt.Errorf("intake: record of job %s: %w", id, live.err)
 		}
 		job.team = live.team
 	}
@@ -130,17 +130,17 @@
 			job.Phase = wire.PhaseRunning
 		}
 		if done == live.tasks && running == 0 {
-			api.waitingEnds.note(id, time.Now())
+			api.waitingEnds.observe(id, time.Now())
 		}
 	}
 	return job, nil
 }
 
 // remember caches how a job ended.
-func (api *API) remember(id string, end ledger.EndRecord) knownJob {
+func (api *API) remember(id string, end ledger.EndRecord) jobState {
 	api.waitingEnds.forget(id)
 	noneRunning := 0
-	job := knownJob{JobStatus: wire.JobStatus{ID: id, Phase: end.Phase, Running: &noneRunning}, team: end.Team}
+	job := jobState{JobStatus: wire.JobStatus{ID: id, Phase: end.Phase, Running: &noneRunning}, team: end.Team}
 	if end.Phase == wire.PhaseDone {
 		job.Done = &end.Tasks
 	}
--- a/internal/intake/submission.go
+++ b/internal/intake/submission.go
@@ -14,13 +14,13 @@
 
 var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,40}$`)
 
-// ValidJobID reports whether a job ID has the form that users give it.
-func ValidJobID(ref string) bool { return jobIDPattern.MatchString(ref) }
+// ValidJobID reports whether a job ID has the form that the protocol prescribes.
+func ValidJobID(id string) bool { return jobIDPattern.MatchString(id) }
 
 // maxTasks is the protocol's limit on the tasks of a job.
 const maxTasks = 100_000
 
-// submission is a job as it arrives: nil pointers tell what is missing.
+// submission is a job as submitted. A nil pointer stands for a missing field.
 type submission struct {
 	ID                        *string
 	Class                     *string
@@ -45,7 +45,7 @@
 	DependsOn                 []string
 }
 
-// fields returns where the fields of a submission go, by the protocol's names.
+// fields returns the decoding targets of a submission's fields, by the protocol's names.
 func (submission *submission) fields() map[string]any {
 	return map[string]any{
 		"ref":          &submission.ID,
@@ -72,11 +72,11 @@
 	}
 }
 
-// Parse reads and checks a submission. The ID is returned also with an error when it
-// could be read: a job that is known is answered whatever the body says.
+// Parse decodes and checks a submission. The ID is also returned with an error if it could be
+// decoded, because the submission of an existing job is answered whatever its faults.
 func Parse(body []byte) (job wire.Job, id string, err error) {
 	var submission submission
-	err = submission.read(body)
+	err = submission.decode(body)
 	if submission.ID != nil && ValidJobID(*submission.ID) {
 		id = *submission.ID
 	}
@@ -87,10 +87,10 @@
 	return job, id, err
 }
 
-// read takes in a body, field by field: encoding/json would take Cores for cores when it
+// decode takes in a body, field by field: encoding/json would take Cores for cores when it
 // decodes into a struct, and of two fields of one name the last. With an error the
-// submission holds what could be read.
-func (submission *submission) read(body []byte) error {
+// submission holds what could be decode.
+func (submission *submission) decode(body []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if token, err := decoder.Token(); err != nil {
 		return err
@@ -108,9 +108,9 @@
 		if err := decoder.Decode(&value); err != nil {
 			return errors.Join(append(errs, err)...)
 		}
-		name, _ := token.(string) // the name of a field is nothing else
+		name, _ := token.(string) // a field name is always a string
 		switch target := targets[name]; {
-		case target == nil: // not known, so ignored
+		case target == nil: // unknown fields are ignored
 		case seen[name]:
 			errs = append(errs, fmt.Errorf("%s: twice", name))
 		default:
@@ -128,8 +128,8 @@
 	return errors.Join(errs...)
 }
 
-// job checks a submission and returns the job it describes. The error joins all faults,
-// in the order of the checks.
+// job checks a submission and returns the job that it describes. The error joins all faults, in
+// the order of the checks.
 func (submission *submission) job() (job wire.Job, err error) {
 	var check fieldChecker
 	job = wire.Job{
@@ -146,7 +146,7 @@
 		CheckpointIntervalSeconds: check.amount("snapshot_s", submission.CheckpointIntervalSeconds),
 		CheckpointSaveSeconds:     check.amount("flush_s", submission.CheckpointSaveSeconds),
 	}
-	check.words(&job)
+	check.idAndEnums(&job)
 	job.TaskCount = check.taskCount(submission.TaskCount)
 	if submission.InstanceTypes != nil {
 		job.InstanceTypes = *submission.InstanceTypes
--- a/internal/intake/submission_test.go
+++ b/internal/intake/submission_test.go
@@ -10,7 +10,7 @@
 	"rillflow/internal/wire"
 )
 
-const goodJob = `{"ref":"req-000412","jobclass":"train","owner":"vision","shape":"batch","rank":"urgent","members":16,
+const validJob = `{"ref":"req-000412","jobclass":"train","owner":"vision","shape":"batch","rank":"urgent","members":16,
 "cores":8.0,"accelerators":1.0,"ram_gb":64.0,"bundle":"img-07","size_gb":6.2,"flavors":["g8"],"locale":null,
 "same_place":false,"scatter":false,"loaners":true,"expect_s":240.0,"snapshot_s":30.0,"flush_s":4.0,"due_s":900.0}`
 
@@ -20,8 +20,8 @@
 		{"unknown field", `"ref"`, `"hue":1,"ref"`, "req-000412", ""},
 		{"nulls left out", `"locale":null,`, "", "req-000412", ""},
 		{"not JSON", `{"ref"`, `{ref`, "", "malformed"},
-		{"not an object", goodJob, `[1]`, "", "malformed"},
-		{"null", goodJob, `null`, "", "not an object"},
+		{"not an object", validJob, `[1]`, "", "malformed"},
+		{"null", validJob, `null`, "", "not an object"},
 		{"null instead of a list", `["g8"]`, `null`, "req-000412", ""},
 		{"a member in another case is not known", `"ref"`, `"Cores":1,"ref"`, "req-000412", ""},
 		{"another case", `"cores"`, `"Cores"`, "req-000412", "cores: missing"},
@@ -53,7 +53,7 @@
 		{"waits for what is no reference", `"ref"`, `"waits_on":["job-1"],"ref"`, "req-000412", "waits_on"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			_, ref, err := Parse([]byte(strings.Replace(goodJob, tc.old, tc.new, 1)))
+			_, ref, err := Parse([]byte(strings.Replace(validJob, tc.old, tc.new, 1)))
 			if ref != tc.ref {
 				t.Errorf("reference %q, want %q", ref, tc.ref)
 			}
@@ -105,7 +105,7 @@
 func TestMemoryIsBounded(t *testing.T) {
 	m := newJobCache(3)
 	for _, r := range []string{"a", "b", "a", "c", "d"} {
-		m.put(r, knownJob{JobStatus: wire.JobStatus{ID: r}})
+		m.put(r, jobState{JobStatus: wire.JobStatus{ID: r}})
 	}
 	if _, ok := m.get("a"); ok || len(m.jobs) != 3 {
 		t.Errorf("%d kept", len(m.jobs))
@@ -116,7 +116,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(goodJob))
+	f.Add([]byte(validJob))
 	f.Add([]byte(`{"ref":1}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		j, ref, err := Parse(body)
@@ -135,9 +135,9 @@
 // Whatever a body lacks, a job that is known is answered as it stands; of one that is not,
 // nothing is stored.
 func TestOddBodies(t *testing.T) {
-	k := &keys{m: map[string]string{}}
-	_, mux := users(t, k)
-	if rec := submit(mux, "req-1", nil, "", ""); rec.Code != 201 {
+	k := &fakeStore{values: map[string]string{}}
+	_, mux := newAPIWithStore(t, k)
+	if rec := submitJob(mux, "req-1", nil, "", ""); rec.Code != 201 {
 		t.Fatalf("submitted: %d", rec.Code)
 	}
 	for _, tc := range []struct{ name, old, new string }{
@@ -153,13 +153,13 @@
 			if tc.name == "fits no machine" {
 				want = 422
 			}
-			if rec := submit(mux, "req-2", nil, tc.old, tc.new); rec.Code != want {
+			if rec := submitJob(mux, "req-2", nil, tc.old, tc.new); rec.Code != want {
 				t.Errorf("not known: %d %s", rec.Code, rec.Body)
 			}
-			if rec := submit(mux, "req-1", nil, tc.old, tc.new); rec.Code != 200 || !strings.Contains(rec.Body.String(), wire.PhaseQueued) {
+			if rec := submitJob(mux, "req-1", nil, tc.old, tc.new); rec.Code != 200 || !strings.Contains(rec.Body.String(), wire.PhaseQueued) {
 				t.Errorf("known: %d %s", rec.Code, rec.Body)
 			}
-			if _, ok := k.m["j/req-2"]; ok {
+			if _, ok := k.values["j/req-2"]; ok {
 				t.Error("stored")
 			}
 		})
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -17,8 +17,8 @@
 	"rillflow/internal/wire"
 )
 
-// submit accepts a job, or answers with the status of one that is known already: a
-// submission is idempotent by its job's ID.
+// submit accepts a job, or answers with the status of the job if it exists: submissions are
+// idempotent by job ID.
 func (api *API) submit(w http.ResponseWriter, r *http.Request) {
 	body, bodyErr := io.ReadAll(http.MaxBytesReader(w, r.Body, MaxBody))
 	ctx, cancel := context.WithTimeout(r.Context(), submitTimeout)
@@ -46,7 +46,7 @@
 	if api.refuseForLoad(ctx, w, id) {
 		return
 	}
-	began := api.now()
+	startedAt := api.now()
 	created, err := api.accept(ctx, &job, caller, decision)
 	switch {
 	case errors.As(err, &rejected):
@@ -56,15 +56,15 @@
 		api.log.Debug("submission failed", "job", id, "err", err)
 		replyBusy(w, storeBusy)
 	case created:
-		api.logAccepted(&job, caller, api.now().Sub(began))
+		api.logAccepted(&job, caller, api.now().Sub(startedAt))
 		jsonhttp.Answer(w, http.StatusCreated, wire.JobStatus{ID: id, Phase: wire.PhaseQueued})
 	default:
 		api.replyRepeated(ctx, w, caller, id)
 	}
 }
 
-// parse reads a submission and finds out whether the job could ever run. The ID is
-// returned whenever it can be read.
+// parse decodes a submission and checks whether the job could ever run. The ID is returned
+// whenever it could be decoded.
 func (api *API) parse(body []byte, bodyErr error) (job wire.Job, id string, rejected *rejectedError) {
 	job, id, err := Parse(body)
 	if bodyErr != nil {
@@ -79,7 +79,7 @@
 	return job, id, nil
 }
 
-// replyRepeated answers the submission of a job that was stored already.
+// replyRepeated answers the submission of a job that is already stored.
 func (api *API) replyRepeated(ctx context.Context, w http.ResponseWriter, caller identity.Caller, id string) {
 	job, err := api.lookup(ctx, id)
 	if err != nil {
@@ -96,12 +96,11 @@
 		"image_gb", job.ImageGB, "took_ms", took.Milliseconds())
 }
 
-// errTooLarge says that what must be remembered of a job does not fit a value of the store.
+// errTooLarge reports that a job's record exceeds the value size limit of the store.
 var errTooLarge = errors.New("the job is too large to be stored")
 
-// accept resolves a job's dependencies and stores it unless it is there already. It
-// reports whether it was this call that stored it. The error is a *rejectedError where the
-// job can never be accepted.
+// accept resolves a job's dependencies and stores the job unless it exists. created reports
+// whether this call stored it. The error is a *rejectedError if the job can never be accepted.
 func (api *API) accept(
 	ctx context.Context, job *wire.Job, caller identity.Caller, decision rights.Decision,
 ) (created bool, err error) {
@@ -127,8 +126,8 @@
 	}
 }
 
-// encodeRecord encodes what is stored of a job, under the lower of the limits in force and
-// those announced.
+// encodeRecord encodes a job's record, within the lower of the store's current and announced
+// limits.
 func (api *API) encodeRecord(job *wire.Job, caller identity.Caller, decision rights.Decision) ([]byte, error) {
 	limits := api.settings.Facts.Store
 	lowest := limits.Lowest()
@@ -148,14 +147,13 @@
 	return data, nil
 }
 
-// create stores a job once: compares on both of its keys decide between concurrent calls,
-// and between an answer that was lost and its repetition. The error is identity.ErrToken
-// where the caller was changed since the token was checked: the next request is judged by
-// what the caller is then.
+// create stores a job at most once: compares on both of its keys order concurrent calls, and
+// retries after a lost answer. The error is identity.ErrToken if the caller's identity or token
+// has changed since the token was checked; the next request is then decided anew.
 func (api *API) create(
 	ctx context.Context, job *wire.Job, caller identity.Caller, put wire.Operation,
 ) (created bool, err error) {
-	incarnation, err := api.compareIncarnation()
+	incarnation, err := api.incarnationCompares()
 	if err != nil {
 		return false, err
 	}
@@ -164,7 +162,7 @@
 	}
 	live, ended := ledger.LiveKey(job.ID), ledger.EndedKey(job.ID)
 	revision, failed, err := api.store.Commit(ctx, wire.Txn{
-		Compares:   slices.Concat(compareAbsent(live, ended), incarnation, caller.Compares),
+		Compares:   slices.Concat(absentCompares(live, ended), incarnation, caller.Compares),
 		Operations: []wire.Operation{put},
 	})
 	if err != nil {
@@ -181,7 +179,7 @@
 		api.replica.RecordOwnWrites(revision, put)
 	}
 	if len(failed) == 0 && job.Kind != wire.KindService {
-		api.accepted.put(job.ID, knownJob{team: job.Team})
+		api.accepted.put(job.ID, jobState{team: job.Team})
 	}
 	return len(failed) == 0, nil
 }
