--- a/internal/access/authorizer.go
+++ b/internal/access/authorizer.go
@@ -1,12 +1,11 @@
-// Package access stands between users and what they ask for: it finds out who asks,
-// decides by the operator's rules, and sees to it that what is done gets into the
-// audit log. Where identities and the audit log are off it lets everybody in and
-// writes nothing.
+// Package access authenticates and authorizes users' requests: it identifies the caller,
+// decides by the operator's rules, and creates the audit entries of requests. With
+// identities off it allows everything; with the audit log off it writes nothing.
 //
 // An Authorizer owns the refusals that wait to be written and the controller's copy of the
-// identities. The job API and the status page ask it ahead of anything else. It must not
-// refuse what identities that are known may do only because the store does not answer,
-// for as long as the operator's setting says.
+// identities. The job API and the status page consult it before anything else. While the
+// store does not answer, it must go on allowing the requests of known identities, up to the
+// cache lifetime that the operator sets.
 package access
 
 import (
@@ -28,27 +27,27 @@
 	"rillflow/internal/wire"
 )
 
-// refusalsPerLease is how often within a worker's lease refusals are written.
+// refusalsPerLease is how often refusals are written within a worker's lease.
 const refusalsPerLease = 4
 
 // Authorizer decides who may do what at one controller. It is safe for concurrent use.
 type Authorizer struct {
-	controller string
-	rules      *rights.Rules      // nil: identities are off
-	identities *identity.Registry // nil: identities are off
-	keys       *keyring.Ring      // nil: neither identities nor the audit log are on
-	auditing   bool               // the audit log is on
-	store      *kvstore.Client
-	log        *slog.Logger
-	now        func() time.Time
-	refusals   refusals
+	controller   string
+	rules        *rights.Rules      // nil: identities are off
+	identities   *identity.Registry // nil: identities are off
+	keys         *keyring.Ring      // nil: neither identities nor the audit log are on
+	auditEnabled bool               // the audit log is on
+	store        *kvstore.Client
+	log          *slog.Logger
+	now          func() time.Time
+	refusals     refusals
 }
 
-// New makes an authorizer. keys may be nil where neither identities nor the audit log are on.
+// New creates an authorizer. keys may be nil if both identities and the audit log are off.
 func New(settings *settings.Settings, store *kvstore.Client, keys *keyring.Ring, log *slog.Logger) *Authorizer {
 	access := &settings.Operator.Access
 	authorizer := &Authorizer{
-		controller: settings.Name, keys: keys, auditing: access.AuditEnabled(), store: store, log: log, now: time.Now,
+		controller: settings.Name, keys: keys, auditEnabled: access.AuditEnabled(), store: store, log: log, now: time.Now,
 		refusals: refusals{interval: settings.WorkerLease() / refusalsPerLease, startedAt: time.Now().UnixNano()},
 	}
 	if access.IdentitiesEnabled() {
@@ -59,10 +58,10 @@
 	return authorizer
 }
 
-// Run follows the stored identities, asking at the interval, and writes refusals until
-// ctx ends.
+// Run keeps the copy of the identities up to date and writes refusals until ctx ends. interval
+// is the longest time between updates of the copy.
 func (authorizer *Authorizer) Run(ctx context.Context, interval time.Duration) error {
-	if authorizer.auditing {
+	if authorizer.auditEnabled {
 		var wg sync.WaitGroup
 		wg.Go(func() { authorizer.writeRefusals(ctx) })
 		defer wg.Wait()
@@ -74,8 +73,8 @@
 	return authorizer.identities.Follow(ctx, authorizer.store, interval)
 }
 
-// Identify tells who makes a request. The error is identity.ErrToken where the token is
-// not valid, and identity.ErrStale where that cannot be checked now.
+// Identify returns the caller of a request. The error is identity.ErrToken if the token is
+// invalid, and identity.ErrStale if it cannot be checked now.
 func (authorizer *Authorizer) Identify(r *http.Request) (identity.Caller, error) {
 	header := r.Header.Get("Authorization")
 	if authorizer.identities == nil || header == "" {
@@ -88,10 +87,10 @@
 	return authorizer.identities.Check(strings.TrimSpace(token))
 }
 
-// AllowsEverybody tells whether identities are off.
+// AllowsEverybody reports whether identities are off.
 func (authorizer *Authorizer) AllowsEverybody() bool { return authorizer.rules == nil }
 
-// Decide decides on a request. Where identities are off, everything is allowed.
+// Decide decides on a request. With identities off, every request is allowed.
 func (authorizer *Authorizer) Decide(caller identity.Caller, request rights.Request) rights.Decision {
 	if authorizer.rules == nil {
 		return rights.Decision{Allowed: true}
@@ -99,20 +98,20 @@
 	return authorizer.rules.Decide(&caller.Identity, request)
 }
 
-// DecideAndAudit decides on a request about a job, and has a refusal logged and audited;
-// about goes before its reason.
+// DecideAndAudit decides on a request about a job. A refusal is logged and audited;
+// reasonPrefix is put before its reason.
 func (authorizer *Authorizer) DecideAndAudit(
-	caller identity.Caller, request rights.Request, job, about string,
+	caller identity.Caller, request rights.Request, job, reasonPrefix string,
 ) rights.Decision {
 	decision := authorizer.Decide(caller, request)
 	if !decision.Allowed {
-		authorizer.noteRefusal(caller, request, job, about+decision.Rule)
+		authorizer.recordRefusal(caller, request, job, reasonPrefix+decision.Rule)
 	}
 	return decision
 }
 
-// SignSubmission puts a caller's name on the record of a job that it may submit, under a
-// seal.
+// SignSubmission records who submitted a job and which rule allowed it, and seals the job's
+// record. It does nothing without keys.
 func (authorizer *Authorizer) SignSubmission(
 	record *ledger.JobRecord, caller identity.Caller, decision rights.Decision,
 ) error {
@@ -126,13 +125,13 @@
 	return record.Sign(authorizer.keys)
 }
 
-// AuditCancellation returns the operations that tell the audit log of a cancellation, for
-// the transaction that makes it; none where the log is off. The acceptance is told too: a
-// job that never had a claim is in no other entry yet.
+// AuditCancellation returns the operations that audit a cancellation, to be part of its
+// transaction; none if the audit log is off. They include an entry of the job's acceptance,
+// because a job that never had a claim has no entry yet.
 func (authorizer *Authorizer) AuditCancellation(
 	record ledger.JobRecord, caller identity.Caller, decision rights.Decision,
 ) ([]wire.Operation, error) {
-	if !authorizer.auditing {
+	if !authorizer.auditEnabled {
 		return nil, nil
 	}
 	return authorizer.sealEntries(audit.PendingPrefix+record.Job.ID, []audit.Entry{
@@ -144,8 +143,8 @@
 	})
 }
 
-// sealEntries returns the operation that stores entries for the leader to take into the
-// audit log.
+// sealEntries returns the operation that stores sealed entries until the leader moves them to
+// the audit log.
 func (authorizer *Authorizer) sealEntries(key string, entries []audit.Entry) ([]wire.Operation, error) {
 	pending := audit.PendingEntries{Entries: entries}
 	put, err := pending.Put(authorizer.keys, key)
--- a/internal/access/authorizer_test.go
+++ b/internal/access/authorizer_test.go
@@ -38,7 +38,7 @@
 	d := New(set, st, keyringtest.New(t), slog.New(slog.DiscardHandler))
 	refuse := func(n int) {
 		for range n {
-			d.noteRefusal(identity.Caller{}, rights.Request{Action: rights.Submit, Team: "museum", Priority: "urgent"}, "req-1", "no rule allows it")
+			d.recordRefusal(identity.Caller{}, rights.Request{Action: rights.Submit, Team: "museum", Priority: "urgent"}, "req-1", "no rule allows it")
 		}
 	}
 	refuse(maxPendingRefusals + 1000)
--- a/internal/access/refusals.go
+++ b/internal/access/refusals.go
@@ -15,37 +15,37 @@
 	"rillflow/internal/wire"
 )
 
-// maxPendingRefusals bounds the refusals that wait to be written; the rest are counted.
+// maxPendingRefusals bounds the refusals that wait to be written; further ones are only counted.
 const maxPendingRefusals = 64
 
-// refusals wait to be written to the audit log. Nothing else is committed for a refusal,
-// so they are written a little later, and only so many at a time: nobody can fill the
-// log, or use up the store, by being refused.
+// refusals holds the refusals that wait to be written to the audit log. They are written
+// later and in bounded batches, so that refused requests can neither fill the log nor use up
+// the store's write rate.
 type refusals struct {
 	interval  time.Duration // between two writes
-	startedAt int64         // of the process, for keys that no other process uses
+	startedAt int64         // start of the process in Unix nanoseconds, for unique keys
 
-	mu      sync.Mutex // guards the rest but inFlight
-	pending []audit.Entry
-	omitted int    // refused while maxPendingRefusals were pending
-	written uint64 // batches
+	mu             sync.Mutex // guards the fields below, except inFlight
+	pending        []audit.Entry
+	omitted        int    // refusals not recorded because maxPendingRefusals were pending
+	batchesWritten uint64 // used in the keys of batches
 
 	inFlight *refusalBatch // used by writeRefusals alone
 }
 
-// refusalBatch is a batch of refusals that is being written.
+// refusalBatch is a batch of refusals to be written.
 type refusalBatch struct {
 	key        string
 	operations []wire.Operation
-	count      int // refusals in it
-	omitted    int // counted in it
+	count      int // recorded refusals in the batch
+	omitted    int // omitted refusals that its last entry counts
 }
 
-// noteRefusal logs that something was not allowed, and has it audited.
-func (authorizer *Authorizer) noteRefusal(caller identity.Caller, request rights.Request, job, reason string) {
+// recordRefusal logs a refusal and, if the audit log is on, queues it for the log.
+func (authorizer *Authorizer) recordRefusal(caller identity.Caller, request rights.Request, job, reason string) {
 	authorizer.log.Info("request refused", "caller", caller.Name, "action", request.Action, "job", job,
 		"team", request.Team, "priority", request.Priority, "reason", reason)
-	if !authorizer.auditing {
+	if !authorizer.auditEnabled {
 		return
 	}
 	refusals := &authorizer.refusals
@@ -77,8 +77,8 @@
 	}
 }
 
-// writeBatch writes one batch of the pending refusals. One whose fate is unknown is
-// written again just as it was, under the same key: it is written when that is taken.
+// writeBatch writes one batch of the pending refusals. A batch with unknown outcome is written
+// again unchanged under the same key; it counts as written if the key then exists.
 func (authorizer *Authorizer) writeBatch(ctx context.Context) error {
 	refusals := &authorizer.refusals
 	if refusals.inFlight == nil {
@@ -93,7 +93,7 @@
 		Compares: []wire.Compare{{Key: batch.key}}, Operations: batch.operations,
 	})
 	if errors.Is(err, kvstore.ErrTooLarge) {
-		refusals.inFlight = nil // made again, for the limits in force
+		refusals.inFlight = nil // rebuilt for the current limits
 	}
 	if err != nil {
 		return err
@@ -102,22 +102,22 @@
 	defer refusals.mu.Unlock()
 	refusals.pending = append(refusals.pending[:0], refusals.pending[batch.count:]...)
 	refusals.omitted -= batch.omitted
-	refusals.written++
+	refusals.batchesWritten++
 	refusals.inFlight = nil
 	return nil
 }
 
-// sealBatch makes a batch of as many pending refusals as a value holds with room to spare;
-// nil where none is pending.
+// sealBatch builds a batch from as many pending refusals as fit in half the maximum value size.
+// It returns nil if none is pending.
 func (authorizer *Authorizer) sealBatch() (*refusalBatch, error) {
 	refusals := &authorizer.refusals
 	refusals.mu.Lock()
 	defer refusals.mu.Unlock()
 	batch := &refusalBatch{key: fmt.Sprintf(
-		"%s%s.%x.%d", audit.PendingPrefix, authorizer.controller, refusals.startedAt, refusals.written)}
+		"%s%s.%x.%d", audit.PendingPrefix, authorizer.controller, refusals.startedAt, refusals.batchesWritten)}
 	entries := append([]audit.Entry(nil), refusals.pending...)
 	for audit.Size(entries) > authorizer.store.MaxValueBytes()/2 && len(entries) > 1 {
-		entries = entries[:len(entries)/2] // the rest takes its turn
+		entries = entries[:len(entries)/2] // the rest goes into later batches
 	}
 	batch.count = len(entries)
 	if batch.count == len(refusals.pending) && refusals.omitted > 0 {
--- a/internal/intake/fieldchecker.go
+++ b/internal/intake/fieldchecker.go
@@ -29,8 +29,8 @@
 	faults []error
 }
 
-func (check *fieldChecker) fault(field, fault string) {
-	check.faults = append(check.faults, fmt.Errorf("%s: %s", field, fault))
+func (check *fieldChecker) fault(field, problem string) {
+	check.faults = append(check.faults, fmt.Errorf("%s: %s", field, problem))
 }
 
 func (check *fieldChecker) text(field string, value *string) string {
--- a/internal/serve/connectionlimiter.go
+++ b/internal/serve/connectionlimiter.go
@@ -6,24 +6,24 @@
 	"sync/atomic"
 )
 
-// connectionLimiter counts the open connections of the front address. Workers keep theirs,
-// so a controller that answers for all workers, with the others down, could be held by
-// more than it has sockets for: those that find no place time out, and their leases expire.
+// connectionLimiter counts the open connections at the front address. Workers keep their
+// connections open. A controller that serves all workers while the others are down could
+// therefore run out of sockets: the remaining workers would time out and their leases expire.
 // It is safe for concurrent use.
 type connectionLimiter struct {
 	open           atomic.Int64
-	keepAliveLimit int64 // from here on answers to workers end their connections
+	keepAliveLimit int64 // with more open connections, answers to workers close theirs
 }
 
-// keepAliveShare is up to which share of the front's sockets connections are kept open. The
-// rest is for those that come and go.
+// keepAliveShare is the share of the front's sockets up to which connections are kept open.
+// The rest is left for short-lived connections.
 const keepAliveShare = 0.9
 
 func newConnectionLimiter(limit int) *connectionLimiter {
 	return &connectionLimiter{keepAliveLimit: int64(keepAliveShare * float64(limit))}
 }
 
-// track follows a connection; it is an http.Server's ConnState.
+// track counts a connection as it opens and closes. It is the http.Server's ConnState hook.
 func (limiter *connectionLimiter) track(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
@@ -33,7 +33,7 @@
 	}
 }
 
-// closeIfCrowded ends the connection behind an answer where there are too many to keep.
+// closeIfCrowded makes the answer close its connection if too many connections are open.
 func (limiter *connectionLimiter) closeIfCrowded(w http.ResponseWriter) {
 	if limiter.open.Load() > limiter.keepAliveLimit {
 		w.Header().Set("Connection", "close")
--- a/internal/serve/controller.go
+++ b/internal/serve/controller.go
@@ -26,32 +26,32 @@
 	"rillflow/internal/shard"
 )
 
-// Shares and intervals of a controller's parts.
+// Shares and intervals of a controller's components.
 const (
-	// usableShare of a limit of the platform is what a controller uses at a time: nearly
-	// all, for any controller may lead.
+	// usableShare is the share of a platform limit that one controller may use. It is high
+	// because any controller may become the leader.
 	usableShare = 0.8
-	// requestShare of the store's request rate is what all controllers use together.
+	// requestShare is the share of the store's request rate that all controllers use together.
 	requestShare = 0.9
-	// leaderWeight is the leader's part of it, as a multiple of a follower's.
+	// leaderWeight is the leader's request rate as a multiple of a follower's.
 	leaderWeight = 2
-	// idleWorkerConnections is how many connections to workers are kept open unused, as a
-	// ratio to the sockets: the front has most of those.
-	idleWorkerConnections = 0.1
+	// idleWorkerConnectionShare is the share of the sockets for idle connections to workers.
+	// Most sockets are left to the front address.
+	idleWorkerConnectionShare = 0.1
 	// pingsPerHeartbeat is how often peers are pinged within a heartbeat interval.
 	pingsPerHeartbeat = 6
-	// memoryChecksPerHeartbeat is how often the memory held is read within one.
+	// memoryChecksPerHeartbeat is how often memory use is read within a heartbeat interval.
 	memoryChecksPerHeartbeat = 16
-	// broadcastBackoffsPerHeartbeat is how many first delays of the cancellation broadcast
-	// make up one.
+	// broadcastBackoffsPerHeartbeat is the heartbeat interval as a multiple of the initial
+	// backoff of cancellation broadcasts.
 	broadcastBackoffsPerHeartbeat = 256
 
 	bytesPerMB = 1 << 20
 	bytesPerKB = 1 << 10
 )
 
-// controller is a running controller: its parts, made by newController and not changed
-// after. Each is safe for concurrent use.
+// controller holds the components of a controller. newController sets them; they do not
+// change afterwards. Each is safe for concurrent use.
 type controller struct {
 	settings      *settings.Settings
 	network       Network
@@ -63,8 +63,8 @@
 	shard         *shard.Owner
 	peers         *peer.Mesh
 	memory        *pressure.Gauge
-	users         http.Handler  // the job API
-	jobs          *intake.API   // what users serves
+	userHandler   http.Handler  // the job API
+	jobAPI        *intake.API   // served by userHandler
 	certs         *certs.Keeper // nil: no address has TLS
 	keys          *keyring.Ring // nil: neither identities nor the audit log are on
 	authorizer    *access.Authorizer
@@ -72,14 +72,14 @@
 	replica       *replica.Replica
 	cancellations *cancellation.Set
 	broadcaster   *cancellation.Broadcaster
-	connections   *connectionLimiter // set when the addresses are listened at
-	unknownEpochs chan uint64        // epochs that workers show and this controller does not know
+	connections   *connectionLimiter // set by listen
+	unknownEpochs chan uint64        // epochs of workers above the highest one known here
 	log           *slog.Logger
 	startedAt     time.Time
 }
 
-// newController makes a controller's parts and connects them. Nothing runs yet. Some parts
-// ask others that are made after them; they do so only once all run.
+// newController creates a controller's components and connects them, but starts none. Some
+// components call others that are created after them, which they do only once all run.
 func newController(settings *settings.Settings, network Network, log *slog.Logger) (*controller, error) {
 	controller := &controller{
 		settings: settings, network: network, log: log, startedAt: time.Now(), unknownEpochs: make(chan uint64, 1),
@@ -99,70 +99,71 @@
 	return controller, nil
 }
 
-// connectPlatform makes the clients of the store and the cloud, and what keeps their data.
+// connectPlatform creates the clients of the store and the cloud, the memory gauge, the catalogue
+// of instance types and the replica.
 func (controller *controller) connectPlatform() {
-	set, limits := controller.settings, controller.settings.Facts
-	followerRate, leaderRate := requestShares(limits.Store.RPS, len(set.Peers))
+	config, limits := controller.settings, controller.settings.Facts
+	followerRate, leaderRate := requestShares(limits.Store.RPS, len(config.Peers))
 	controller.store = kvstore.New(kvstore.Options{
-		Addr: set.Services.Store,
-		// The leader and the followers together stay within what the store allows.
+		Addr: config.Services.Store,
+		// The rates of the leader and the followers add up to less than the store's limit.
 		RequestsPerSecond: followerRate, LeaderRequestsPerSecond: leaderRate,
 		HoldsLease: func() bool { return controller.elector.LeaseHeld() },
 		Limits:     storeLimits(limits.Store), AnnouncedLimits: storeLimits(limits.Store.Lowest()),
-		Timeout: set.HeartbeatInterval() / 2, Dial: controller.network.Dial, Log: controller.log,
+		Timeout: config.HeartbeatInterval() / 2, Dial: controller.network.Dial, Log: controller.log,
 	})
 	cloudRate := limits.Cloud.RPS * usableShare
 	controller.cloud = fleet.NewCloudClient(
-		set.Services.Cloud, cloudRate, set.HeartbeatInterval(), controller.network.Dial)
+		config.Services.Cloud, cloudRate, config.HeartbeatInterval(), controller.network.Dial)
 	memory := limits.Resources.MemoryMB * bytesPerMB
-	refuseAbove := uint64(set.Operator.Limits.RefuseAbove * memory)
-	controller.memory = pressure.New(refuseAbove, set.HeartbeatInterval()/memoryChecksPerHeartbeat)
-	controller.types = fleet.NewCatalogue(controller.cloud, 2*set.WorkerLease(), controller.log)
-	controller.replica = replica.New(int(set.Operator.Recovery.FinishedJobsMemory * memory))
+	refuseAbove := uint64(config.Operator.Limits.RefuseAbove * memory)
+	controller.memory = pressure.New(refuseAbove, config.HeartbeatInterval()/memoryChecksPerHeartbeat)
+	controller.types = fleet.NewCatalogue(controller.cloud, 2*config.WorkerLease(), controller.log)
+	controller.replica = replica.New(int(config.Operator.Recovery.FinishedJobsMemory * memory))
 }
 
-// requestShares are the request rates of a follower and of the leader where the store allows so
-// many requests a second to a controller and its peers together.
+// requestShares returns the request rates of a follower and of the leader, in requests a second.
+// allowed is the store's limit for a controller and its peers together.
 func requestShares(allowed float64, peers int) (follower, leader float64) {
 	follower = allowed * requestShare / float64(leaderWeight+peers)
 	return follower, leaderWeight * follower
 }
 
-// storeLimits is what a controller may use of the store at a time.
+// storeLimits returns the part of the store's limits that one controller may use.
 func storeLimits(limits settings.StoreLimits) kvstore.Limits {
 	return kvstore.Limits{
 		WritesPerSecond: limits.WriteRPS * usableShare, MaxValueBytes: int(limits.ValueKB * bytesPerKB),
 	}
 }
 
-// connectElection makes what decides who leads, who owns which shard, and whether either
-// may still be trusted.
+// connectElection creates the components for leader election, shard ownership, cancellations
+// and the detection of data loss.
 func (controller *controller) connectElection() {
-	set := controller.settings
+	config := controller.settings
 	controller.dataLoss = dataloss.NewDetector(controller.store, func(reason string) {
 		controller.elector.EndTermForDataLoss(reason)
 	}, controller.log)
 	controller.elector = election.New(election.Options{
-		Store: controller.store, Controller: set.Name,
-		LeaseDuration:        time.Duration(set.Operator.Election.LeaseRatio * float64(set.WorkerLease())),
+		Store: controller.store, Controller: config.Name,
+		LeaseDuration:        time.Duration(config.Operator.Election.LeaseRatio * float64(config.WorkerLease())),
 		ShardOwners:          func() []string { return controller.shard.EligibleOwners(nil) },
 		Detector:             controller.dataLoss,
 		RemembersIncarnation: func() bool { return !controller.replica.Empty() },
 		Log:                  controller.log,
 	})
-	stopDeadline := settings.Seconds(set.Facts.Workers.CancelSeconds)
+	stopDeadline := settings.Seconds(config.Facts.Workers.CancelSeconds)
 	controller.cancellations = cancellation.New(cancellation.Options{
 		StopDeadline:     stopDeadline,
-		Capacity:         cancellation.Capacity(set.Facts.Store.WriteRPS, stopDeadline),
-		Peers:            set.PeerNames(),
+		Capacity:         cancellation.Capacity(config.Facts.Store.WriteRPS, stopDeadline),
+		Peers:            config.PeerNames(),
 		StoreUnavailable: func() bool { return controller.shard.StoreRefuses() },
 		Now:              time.Now,
 	})
 	controller.shard = shard.New(
-		set, controller.elector.ShardMap, controller.store.SinceLastAnswer, controller.cancellations, time.Now)
+		config, controller.elector.ShardMap, controller.store.SinceLastAnswer, controller.cancellations, time.Now)
 }
 
-// loadCertificates reads the certificates where either address has TLS.
+// loadCertificates reads the certificates if TLS is enabled for either address.
 func (controller *controller) loadCertificates() error {
 	tls := controller.settings.Operator.TLS
 	if !tls.Enabled() {
@@ -173,15 +174,16 @@
 	return err
 }
 
-// connectPeers makes the links to the other controllers.
+// connectPeers creates the links to the other controllers.
 func (controller *controller) connectPeers() {
-	set := controller.settings
-	controller.peers = peer.NewMesh(set.Peers, peerHandler{controller}, set.HeartbeatInterval()/pingsPerHeartbeat,
+	config := controller.settings
+	controller.peers = peer.NewMesh(config.Peers, peerHandler{controller}, config.HeartbeatInterval()/pingsPerHeartbeat,
 		controller.frontConnections()/2, controller.dialPeer(), controller.log)
 	controller.shard.SetPeerLinks(controller.peers)
 }
 
-// dialPeer returns how other controllers are reached: with TLS, each must show its name.
+// dialPeer returns the dial function for peers. With TLS, a peer's certificate must carry its
+// name.
 func (controller *controller) dialPeer() peer.DialFunc {
 	plain := controller.network.Dial
 	mode := controller.settings.Operator.TLS.Peers
@@ -199,11 +201,11 @@
 			}
 		}
 		conn.Close()
-		return nil, fmt.Errorf("%s is no member", addr)
+		return nil, fmt.Errorf("address %s belongs to no peer", addr)
 	}
 }
 
-// loadKeys reads the operator's keys where identities or the audit log need them.
+// loadKeys reads the operator's keys if identities or the audit log are enabled.
 func (controller *controller) loadKeys() error {
 	access := &controller.settings.Operator.Access
 	if !access.IdentitiesEnabled() && !access.AuditEnabled() {
@@ -214,19 +216,19 @@
 	return err
 }
 
-// connectLeader makes the leader's runtime, idle until this controller is elected.
+// connectLeader creates the leader's runtime, which is idle until this controller is elected.
 func (controller *controller) connectLeader() {
-	set := controller.settings
+	config := controller.settings
 	auditKeys := controller.keys
-	if !set.Operator.Access.AuditEnabled() {
+	if !config.Operator.Access.AuditEnabled() {
 		auditKeys = nil
 	}
-	idle := int(idleWorkerConnections * float64(set.Facts.Resources.Sockets))
+	maxIdleConnections := int(idleWorkerConnectionShare * float64(config.Facts.Resources.Sockets))
 	controller.leader = leader.New(leader.Options{
-		Settings:      set,
+		Settings:      config,
 		Store:         controller.store,
 		Cloud:         controller.cloud,
-		WorkerClient:  agent.NewCommandClient(set.HeartbeatInterval(), idle, controller.network.Dial),
+		WorkerClient:  agent.NewCommandClient(config.HeartbeatInterval(), maxIdleConnections, controller.network.Dial),
 		Elector:       controller.elector,
 		InstanceTypes: controller.types,
 		Shards:        controller.shard,
@@ -239,13 +241,13 @@
 		Log:           controller.log,
 	})
 	controller.broadcaster = &cancellation.Broadcaster{
-		Controller: set.Name, Cancellations: controller.cancellations, Link: controller.peers,
+		Controller: config.Name, Cancellations: controller.cancellations, Link: controller.peers,
 		LocalLeader: controller.leader, CurrentLeader: controller.readLeader,
-		InitialBackoff: set.HeartbeatInterval() / broadcastBackoffsPerHeartbeat,
+		InitialBackoff: config.HeartbeatInterval() / broadcastBackoffsPerHeartbeat,
 	}
 }
 
-// connectUsers makes the job API.
+// connectUsers creates the job API.
 func (controller *controller) connectUsers() {
 	now := controller.network.WallClock
 	if now == nil {
@@ -257,16 +259,16 @@
 		controller.replica, controller.broadcaster, now, controller.log)
 	mux := http.NewServeMux()
 	api.Routes(mux)
-	controller.users, controller.jobs = mux, api
+	controller.userHandler, controller.jobAPI = mux, api
 }
 
-// readLeader reads from the store who leads now. The error says that this controller and
-// the store do not agree on that yet.
+// readLeader reads the current leader from the store. It fails if the stored shard map has
+// another epoch than the one this controller knows.
 func (controller *controller) readLeader(ctx context.Context) (string, error) {
 	stored, err := controller.elector.ReadShardMap(ctx)
 	if known := controller.elector.ShardMap().Epoch; err == nil && stored.Epoch != known {
-		// Another was elected since, or the store is behind what is known.
-		err = fmt.Errorf("epoch %d is stored, %d is known", stored.Epoch, known)
+		// A new leader has been elected, or the store is behind the known epoch.
+		err = fmt.Errorf("store has epoch %d, this controller knows %d", stored.Epoch, known)
 	}
 	return stored.Leader, err
 }
--- a/internal/serve/datalossstate.go
+++ b/internal/serve/datalossstate.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/wire"
 )
 
-// dataLossState tells the API what it must know of the store's data before it decides.
+// dataLossState implements intake.DataLossState for the job API.
 type dataLossState struct{ *controller }
 
 // Fence implements intake.DataLossState.
@@ -37,7 +37,7 @@
 // ReplicaCurrent implements intake.DataLossState.
 func (state dataLossState) ReplicaCurrent() bool {
 	if state.elector.LegacyLeader() {
-		return true // such a leader replicates to nobody, and nothing better is to be had
+		return true // leaders of such versions send no replicas
 	}
 	if state.replica.Head().Incarnation != state.dataLoss.Current().ID {
 		return false
--- a/internal/serve/golden_test.go
+++ b/internal/serve/golden_test.go
@@ -8,7 +8,7 @@
 	"rillflow/internal/leader"
 )
 
-// The operator's status page keeps its fields, their names and their order.
+// Guards against changes to the fields of the operator's status page: their names and order.
 func TestGoldenStatus(t *testing.T) {
 	goldentest.Check(t, "status.txt", strings.Join([]string{
 		goldentest.JSON(t, goldentest.Filled[Status]()),
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -9,10 +9,10 @@
 	"rillflow/internal/kvstore"
 )
 
-// metricsNamespace is the first part of each metric's name.
+// metricsNamespace is the prefix of each metric's name.
 const metricsNamespace = "rillflow"
 
-// metricName joins the parts of a metric's name.
+// metricName returns the full name of a metric; subsystem may be empty.
 func metricName(subsystem, name string) string {
 	return prometheus.BuildFQName(metricsNamespace, subsystem, name)
 }
@@ -63,7 +63,7 @@
 		nil, nil)
 )
 
-// metricsCollector reads a controller's metrics when they are asked for.
+// metricsCollector reads a controller's metrics on each scrape.
 type metricsCollector struct{ *controller }
 
 // Describe implements prometheus.Collector.
@@ -102,17 +102,17 @@
 		}
 		counter(storeOperationsMetric, float64(operations.Count), operations.Prefix, change, operations.Outcome)
 	}
-	polls := c.jobs.PollStats()
+	polls := c.jobAPI.PollStats()
 	counter(pollsMetric, float64(polls.Answered), "answered")
 	counter(pollsMetric, float64(polls.Unknown), "unknown_job")
 	counter(pollsMetric, float64(polls.Shed), "shed")
 	counter(pollsMetric, float64(polls.Refused), "refused")
-	reads := c.jobs.LiveJobStats()
+	reads := c.jobAPI.LiveJobStats()
 	counter(readRoundsMetric, float64(reads.Rounds))
 	counter(failedRoundsMetric, float64(reads.FailedRounds))
 	counter(memoryReadsMetric, float64(reads.Reads))
 	gauge(liveJobsMetric, float64(reads.Keys))
-	refusals := c.jobs.SubmissionRefusals()
+	refusals := c.jobAPI.SubmissionRefusals()
 	counter(refusalsMetric, float64(refusals.Memory), "memory")
 	counter(refusalsMetric, float64(refusals.WriteBacklog), "write_backlog")
 	backlog := c.leader.WriteBacklog()
@@ -123,8 +123,9 @@
 	gauge(oldestEndMetric, backlog.OldestEndAge.Seconds())
 }
 
-// metrics answers an operator who may see the status with the metrics in the Prometheus text format.
-func (controller *controller) metrics() http.HandlerFunc {
+// metricsHandler returns the handler that serves the metrics in the Prometheus text format to
+// operators who may read the status.
+func (controller *controller) metricsHandler() http.HandlerFunc {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(metricsCollector{controller})
 	handler := promhttp.HandlerFor(registry, promhttp.HandlerOpts{})
--- a/internal/serve/peerhandler.go
+++ b/internal/serve/peerhandler.go
@@ -13,7 +13,7 @@
 	"rillflow/internal/wire"
 )
 
-// peerHandler serves what peers ask of a controller.
+// peerHandler serves the requests of peers to a controller.
 type peerHandler struct{ *controller }
 
 // OwnStatus implements peer.Handler.
@@ -69,13 +69,13 @@
 }
 
 // PeerStoreIncarnation implements peer.Handler.
-func (handler peerHandler) PeerStoreIncarnation(name string, known peer.StoreIncarnation) {
+func (handler peerHandler) PeerStoreIncarnation(name string, theirs peer.StoreIncarnation) {
 	handler.dataLoss.ObservePeer(name, dataloss.Suspicion{
-		Active: known.DataLossSuspected, IncarnationID: known.ID, Reason: known.Reason,
+		Active: theirs.DataLossSuspected, IncarnationID: theirs.ID, Reason: theirs.Reason,
 	})
-	suspected := handler.dataLoss.Suspicion().Active || known.DataLossSuspected
-	if !suspected && known.ID != "" && known.ID == handler.dataLoss.Current().ID {
-		handler.store.ObserveRevision(known.Revision)
+	suspected := handler.dataLoss.Suspicion().Active || theirs.DataLossSuspected
+	if !suspected && theirs.ID != "" && theirs.ID == handler.dataLoss.Current().ID {
+		handler.store.ObserveRevision(theirs.Revision)
 	}
 }
 
@@ -104,17 +104,18 @@
 	handler.broadcaster.SyncPeer(ctx, peer)
 }
 
-// HandleUserRequest implements peer.Handler: the request is served as if it had come here.
+// HandleUserRequest implements peer.Handler: the request is served as if the user had sent it
+// to this controller.
 func (handler peerHandler) HandleUserRequest(ctx context.Context, request peer.UserRequest) peer.UserAnswer {
-	response := &recorder{header: make(http.Header), status: http.StatusOK}
-	r, err := http.NewRequestWithContext(ctx, request.Method, request.Path, newBody(request.Body))
+	response := &responseRecorder{header: make(http.Header), status: http.StatusOK}
+	userRequest, err := http.NewRequestWithContext(ctx, request.Method, request.Path, requestBody(request.Body))
 	if err != nil {
 		return peer.UserAnswer{Status: http.StatusBadRequest, Body: []byte("{}")}
 	}
 	if request.Auth != "" {
-		r.Header.Set("Authorization", request.Auth)
+		userRequest.Header.Set("Authorization", request.Auth)
 	}
-	handler.users.ServeHTTP(response, r)
+	handler.userHandler.ServeHTTP(response, userRequest)
 	return peer.UserAnswer{
 		Status: response.status, RetryAfter: response.header.Get("Retry-After"), Body: response.body,
 	}
--- a/internal/serve/probe.go
+++ b/internal/serve/probe.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// probesPerHeartbeat is how often within a heartbeat interval the store is asked for a
-// sign of life where nothing else asks it.
+// probesPerHeartbeat is how often within a heartbeat interval the store is probed if no other
+// request reaches it.
 const probesPerHeartbeat = 4
 
-// probeStore sees to it that this controller knows whether the store answers it, and
-// steps down as leader where workers reach other controllers but not this one.
+// probeStore probes the store while no other request does, so that this controller knows
+// whether the store answers. It also gives up leadership if workers reach other controllers
+// but not this one.
 func (controller *controller) probeStore(ctx context.Context) error {
 	interval := controller.settings.HeartbeatInterval() / probesPerHeartbeat
 	ticker := time.NewTicker(interval)
@@ -22,7 +23,7 @@
 		case <-ticker.C:
 		}
 		if controller.shard.IsIsolated() && !controller.leader.NoWorkersOfOwn() {
-			// Another leads and answers the workers meanwhile.
+			// Another controller can then lead and answer the workers.
 			controller.elector.StepDown(controller.settings.WorkerLease(), "workers reach others but not this node")
 		}
 		if controller.store.SinceLastAnswer() >= interval {
--- a/internal/serve/recorder.go
+++ b/internal/serve/recorder.go
@@ -6,18 +6,18 @@
 	"net/http"
 )
 
-// recorder is an http.ResponseWriter that keeps an answer to be sent to a peer.
-type recorder struct {
+// responseRecorder is an http.ResponseWriter that records an answer, which is then sent to a peer.
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
-func (r *recorder) Header() http.Header    { return r.header }
-func (r *recorder) WriteHeader(status int) { r.status = status }
-func (r *recorder) Write(b []byte) (int, error) {
+func (r *responseRecorder) Header() http.Header    { return r.header }
+func (r *responseRecorder) WriteHeader(status int) { r.status = status }
+func (r *responseRecorder) Write(b []byte) (int, error) {
 	r.body = append(r.body, b...)
 	return len(b), nil
 }
 
-func newBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
+func requestBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
--- a/internal/serve/routes.go
+++ b/internal/serve/routes.go
@@ -7,22 +7,22 @@
 	"rillflow/internal/wire"
 )
 
-// routes returns the handler of all requests at the front address.
+// routes returns the handler for all requests at the front address.
 func (controller *controller) routes() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", controller.health)
 	mux.HandleFunc("POST /agent/beat", controller.handleHeartbeat)
 	mux.HandleFunc("GET /operator/status", controller.status)
-	mux.HandleFunc("GET /operator/metrics", controller.metrics())
+	mux.HandleFunc("GET /operator/metrics", controller.metricsHandler())
 	mux.HandleFunc("/v1/jobs", controller.handleUser)
 	mux.HandleFunc("/v1/jobs/", controller.handleUser)
 	return mux
 }
 
-// health answers the load balancer. A controller that the store refuses is of use while a
-// peer can serve its users; one that no peer hears either is cut off, and others serve
-// better. When all are refused it is an outage: to leave the load balancer then would only
-// make coming back slower.
+// health answers the load balancer's health checks. A controller that the store refuses is
+// healthy while a peer is connected, since it can forward users' requests. It is unhealthy if
+// it has no connected peer either. If the store refuses all controllers, removing them from
+// the load balancer would only delay the recovery from the outage.
 func (controller *controller) health(w http.ResponseWriter, _ *http.Request) {
 	hasPeers := len(controller.settings.Peers) > 0
 	if controller.shard.StoreRefuses() && hasPeers && !controller.shard.HasLivePeer() {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,10 +1,10 @@
-// Package serve is a controller as one process: it makes the controller's parts, connects
-// them, and routes requests to them.
+// Package serve runs a controller as one process: it creates the controller's components,
+// connects them, and routes requests to them.
 //
-// Both addresses are served here: users, workers, the load balancer and operators at the
-// front, the other controllers at the other. Each part owns its state and its goroutines;
-// the package owns only the connections of the front address. cmd/rillflow and the
-// simulation call Run. No decision about jobs, workers or leadership belongs here.
+// It serves two addresses: users, workers, the load balancer and operators use the front
+// address, other controllers the back address. Each component owns its state and its
+// goroutines; this package owns only the connections of the front address. cmd/rillflow and
+// the simulation call Run. Decisions about jobs, workers or leadership do not belong here.
 package serve
 
 import (
@@ -22,30 +22,31 @@
 	"rillflow/internal/settings"
 )
 
-// Version is the program's version. Peers learn it, and with it what can be asked.
+// Version is the program's version. Peers learn from it which requests this controller supports.
 const Version = "0.6.0"
 
 // maxHeaderBytes bounds the header of a request at the front address.
 const maxHeaderBytes = 16 << 10
 
-// Network is the network that a controller lives in.
+// Network is a controller's access to the network and to wall-clock time.
 type Network struct {
 	Dial   func(ctx context.Context, network, addr string) (net.Conn, error)
 	Listen func(addr string) (net.Listener, error)
-	// WallClock is the time of day, by which accepted jobs are stamped. It may be off from that
-	// of other controllers; nil: the machine's. Durations are measured by the steady clock.
+	// WallClock returns the time of day for the records of accepted jobs. It may differ between
+	// controllers; nil stands for the machine's clock. Durations are measured with the monotonic
+	// clock.
 	WallClock func() time.Time
 }
 
-// TCP is the network of the machine. timeout bounds a connection attempt.
+// TCP returns the machine's TCP network. timeout bounds a connection attempt.
 func TCP(timeout time.Duration) Network {
 	dialer := net.Dialer{Timeout: timeout}
 	listen := func(addr string) (net.Listener, error) { return net.Listen("tcp", addr) }
 	return Network{Dial: dialer.DialContext, Listen: listen}
 }
 
-// Run serves until ctx ends. An error before that says what could not be read or listened
-// at, or which part of the controller ended.
+// Run serves until ctx ends. It fails earlier if a file cannot be read, an address cannot be
+// listened on, or a component of the controller ends.
 func Run(ctx context.Context, settings *settings.Settings, network Network, log *slog.Logger) error {
 	controller, err := newController(settings, network, log)
 	if err != nil {
@@ -66,7 +67,7 @@
 	snapshots := controller.openSnapshots()
 	group, ctx := errgroup.WithContext(ctx)
 	if snapshots != nil {
-		group.Go(func() error { return controller.keepSnapshots(ctx, snapshots) })
+		group.Go(func() error { return controller.writeSnapshots(ctx, snapshots) })
 	}
 	group.Go(func() error { return server.Serve(front) })
 	if controller.certs != nil {
@@ -81,7 +82,7 @@
 	group.Go(func() error { return controller.elector.WatchShardMap(coordination) })
 	group.Go(func() error { return controller.elector.Run(coordination, controller.leader.Serve) })
 	group.Go(func() error { return controller.probeStore(coordination) })
-	group.Go(func() error { return controller.jobs.Run(ctx) })
+	group.Go(func() error { return controller.jobAPI.Run(ctx) })
 	group.Go(func() error { return controller.authorizer.Run(ctx, settings.HeartbeatInterval()) })
 	if controller.keys != nil {
 		group.Go(func() error { return controller.keys.Follow(ctx, settings.WorkerLease(), log) })
@@ -90,7 +91,7 @@
 	return group.Wait()
 }
 
-// listen opens both addresses.
+// listen opens the listeners of both addresses.
 func (controller *controller) listen(network Network) (front, back net.Listener, err error) {
 	settings := controller.settings
 	front, err = network.Listen(settings.FrontAddress)
@@ -112,7 +113,7 @@
 	return front, back, nil
 }
 
-// frontConnections is how many connections of users and workers may be open.
+// frontConnections returns the maximum number of open connections at the front address.
 func (controller *controller) frontConnections() int {
 	settings := controller.settings
 	return int(settings.Operator.Limits.Sockets * float64(settings.Facts.Resources.Sockets))
--- a/internal/serve/snapshots.go
+++ b/internal/serve/snapshots.go
@@ -10,9 +10,9 @@
 	"rillflow/internal/snapshot"
 )
 
-// openSnapshots returns the folder of this controller's snapshots, nil if none are kept,
-// and takes what the newest one holds for the replica of an earlier process. Should the
-// store hold it too, that costs nothing.
+// openSnapshots returns the folder of this controller's snapshots, or nil if snapshots are
+// off. It loads the newest one as the replica of an earlier process, which does no harm if
+// the store still holds the same data.
 func (controller *controller) openSnapshots() *snapshot.Folder {
 	recovery := controller.settings.Operator.Recovery
 	if recovery.SnapshotFolder == "" {
@@ -44,7 +44,7 @@
 	controller.replica.LoadPrevious(loaded.Tree)
 }
 
-func (controller *controller) keepSnapshots(ctx context.Context, folder *snapshot.Folder) error {
+func (controller *controller) writeSnapshots(ctx context.Context, folder *snapshot.Folder) error {
 	interval := controller.settings.Operator.Recovery.SnapshotInterval * float64(controller.settings.WorkerLease())
 	return folder.Keep(ctx, controller.replica, time.Duration(interval), controller.log)
 }
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -16,7 +16,7 @@
 	"rillflow/internal/rights"
 )
 
-// Status is what the operator's status page tells.
+// Status is the content of the operator's status page.
 type Status struct {
 	Controller         string                 `json:"node"`
 	Version            string                 `json:"version"`
@@ -24,17 +24,17 @@
 	UptimeSeconds      float64                `json:"up_s"`
 	StoreSilentSeconds float64                `json:"state_silent_s"`
 	StoreRequests      int64                  `json:"state_requests"`
-	LimitsLowered      bool                   `json:"lower_limits"` // of the store, as announced
+	LimitsLowered      bool                   `json:"lower_limits"` // the store's announced lower limits are in force
 	Peers              map[string]peer.Status `json:"peers"`
 	MemoryMB           float64                `json:"memory_mb"`
-	MemoryFull         bool                   `json:"memory_short"` // new jobs and workers are turned away
+	MemoryFull         bool                   `json:"memory_short"` // new jobs and workers are refused
 	Rates              []placement.RateRow    `json:"rates"`
 	Leading            *leader.Status         `json:"leading,omitempty"`
 	Incarnation        IncarnationStatus      `json:"history"`
 }
 
-// IncarnationStatus is which incarnation of the store's data a controller knows, and what
-// its replica holds of it.
+// IncarnationStatus describes the incarnation of the store's data that a controller knows, and
+// its replica of it.
 type IncarnationStatus struct {
 	ID                  string         `json:"id"`
 	Phase               dataloss.Phase `json:"phase"`
@@ -54,8 +54,8 @@
 	return status
 }
 
-// authorizeOperator reports whether a request comes from an operator who may see the status, or
-// answers it.
+// authorizeOperator reports whether a request comes from an operator who may read the status.
+// Otherwise it answers the request.
 func (controller *controller) authorizeOperator(w http.ResponseWriter, r *http.Request) bool {
 	caller, err := controller.authorizer.Identify(r)
 	if err != nil {
@@ -73,7 +73,7 @@
 	return true
 }
 
-// status answers an operator who may see it.
+// status serves the status page to operators who may read it.
 func (controller *controller) status(w http.ResponseWriter, r *http.Request) {
 	if !controller.authorizeOperator(w, r) {
 		return
--- a/internal/serve/users.go
+++ b/internal/serve/users.go
@@ -10,21 +10,22 @@
 	"rillflow/internal/peer"
 )
 
-// Time limits of what a user's request asks of a peer, as parts of a heartbeat interval.
+// Time limits of the requests to peers that serve a user's request, as parts of a heartbeat
+// interval.
 const (
 	forwardsPerHeartbeat     = 2
 	countLookupsPerHeartbeat = 12
 )
 
-// handleUser serves a user's request here, or through a peer when the store refuses this
-// controller alone.
+// handleUser serves a user's request. If the store refuses this controller but serves a peer,
+// it forwards the request to that peer.
 func (controller *controller) handleUser(w http.ResponseWriter, r *http.Request) {
 	peerName, refusedAlone := controller.shard.StoreServesPeerOnly()
 	if !refusedAlone {
-		controller.users.ServeHTTP(w, r)
+		controller.userHandler.ServeHTTP(w, r)
 		return
 	}
-	// One more than may be: the peer sees that it is too large.
+	// One byte above the limit, so that the peer rejects a body that is too large.
 	body, err := io.ReadAll(io.LimitReader(r.Body, intake.MaxBody+1))
 	if err != nil {
 		replyError(w, http.StatusBadRequest, "broken body")
@@ -46,14 +47,14 @@
 	jsonhttp.AnswerBody(w, answer.Status, answer.Body)
 }
 
-// lookupTaskCounts tells a live job's counts of tasks: the leader has them.
+// lookupTaskCounts returns a live job's task counts, which it asks the leader for.
 func (controller *controller) lookupTaskCounts(
 	ctx context.Context, job string,
 ) (done, running int, ok bool, err error) {
 	leader := controller.elector.ShardMap().Leader
-	own, ok, err := controller.leader.TaskCounts(job)
+	local, ok, err := controller.leader.TaskCounts(job)
 	if ok || leader == controller.settings.Name {
-		return own.Done, own.Running, ok, err
+		return local.Done, local.Running, ok, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, controller.settings.HeartbeatInterval()/countLookupsPerHeartbeat)
 	defer cancel()
--- a/internal/serve/workers.go
+++ b/internal/serve/workers.go
@@ -16,11 +16,11 @@
 	"rillflow/internal/wire"
 )
 
-// epochChecksPerHeartbeat bounds how often within a heartbeat interval the store is asked
-// about epochs that workers show.
+// epochChecksPerHeartbeat bounds how often within a heartbeat interval the store is read to
+// verify epochs reported by workers.
 const epochChecksPerHeartbeat = 8
 
-// handleHeartbeat answers a worker's heartbeat, or says who may.
+// handleHeartbeat answers a worker's heartbeat, or redirects it to the shard's owner.
 func (controller *controller) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	controller.shard.RecordRequest()
 	controller.connections.closeIfCrowded(w)
@@ -48,24 +48,26 @@
 	replyError(w, http.StatusServiceUnavailable, "not entitled")
 }
 
-// observeEpoch notes an epoch that a worker has seen. One that the store has not given out
-// was given out in an incarnation of its data that is lost.
+// observeEpoch records the epoch that a worker reports. An epoch that the store's data never
+// reached was issued in an incarnation whose data is lost.
 func (controller *controller) observeEpoch(epoch uint64) {
 	controller.elector.ObserveEpoch(epoch)
 	current := controller.dataLoss.Current()
 	if current.InitialPhase == dataloss.PhaseProvisional && epoch > 0 && epoch < current.Epoch {
-		// The incarnation began with no data, so nobody can have seen an earlier epoch.
+		// The incarnation began without data, so no worker of this store can have seen an
+		// earlier epoch.
 		controller.dataLoss.Suspect(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
 	}
 	if epoch > controller.elector.ShardMap().Epoch {
 		select {
 		case controller.unknownEpochs <- epoch:
-		default: // one question at a time is enough
+		default: // a check is pending already
 		}
 	}
 }
 
-// verifyUnknownEpochs asks the store whether it knows of the epochs that workers show.
+// verifyUnknownEpochs compares the epochs that workers report with the stored one, and suspects
+// data loss if the stored one is lower.
 func (controller *controller) verifyUnknownEpochs(ctx context.Context) error {
 	delay := controller.settings.HeartbeatInterval() / epochChecksPerHeartbeat
 	for {
