--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -18,42 +18,43 @@
 	"rillflow/internal/wire"
 )
 
-// Admin gives out and withdraws identities and tokens. Whoever has the key ring and
-// reaches the state service may; the record says who it was.
+// Admin issues and revokes identities and tokens. It needs the key ring and access to the
+// store; audit entries name the actor.
 type Admin struct {
 	Store   audit.Store
 	Ring    *keyring.Ring
-	Actor   string // who does it
-	Audited bool   // tell the audit record, in the same transaction
+	Actor   string // named in audit entries
+	Audited bool   // audit each change in its transaction
 	Now     func() time.Time
 }
 
-// ErrChanged says that somebody else changed the same identity; try again.
-var ErrChanged = errors.New("identity: changed by somebody else meanwhile")
+// ErrChanged reports a concurrent change of the same record; the command can be repeated.
+var ErrChanged = errors.New("identity: record was changed concurrently")
 
-// recordChange is one record to be written, on condition that it is as it was read.
+// recordChange is a record to be written on condition that its revision is as read.
 type recordChange struct {
 	key         string
 	modRevision uint64
 	value       any
 }
 
-func (admin *Admin) commit(ctx context.Context, cs []recordChange, e audit.Entry) error {
+func (admin *Admin) commit(ctx context.Context, changes []recordChange, entry audit.Entry) error {
 	var txn wire.Txn
-	for _, c := range cs {
-		data, err := json.Marshal(c.value)
+	for _, change := range changes {
+		data, err := json.Marshal(change.value)
 		if err != nil {
 			return err
 		}
-		txn.Compares = append(txn.Compares, wire.Compare{Key: c.key, ModRevision: c.modRevision})
-		txn.Operations = append(txn.Operations, wire.Operation{Put: c.key, Value: data})
+		txn.Compares = append(txn.Compares, wire.Compare{Key: change.key, ModRevision: change.modRevision})
+		txn.Operations = append(txn.Operations, wire.Operation{Put: change.key, Value: data})
 	}
 	if admin.Audited {
-		e.At, e.Actor = admin.Now(), admin.Actor
-		// The name is used once: the records' stamps are in the guards.
-		place := fmt.Sprintf("%s%s.%x", audit.PendingPrefix, e.Subject, admin.Now().UnixNano())
-		s := audit.PendingEntries{Entries: []audit.Entry{e}}
-		put, err := s.Put(admin.Ring, place)
+		entry.At, entry.Actor = admin.Now(), admin.Actor
+		// The key needs no compare of its own: a repeated transaction fails the compares on
+		// the records.
+		key := fmt.Sprintf("%s%s.%x", audit.PendingPrefix, entry.Subject, admin.Now().UnixNano())
+		pending := audit.PendingEntries{Entries: []audit.Entry{entry}}
+		put, err := pending.Put(admin.Ring, key)
 		if err != nil {
 			return err
 		}
@@ -62,22 +63,22 @@
 	return admin.commitOnce(ctx, txn)
 }
 
-// maxAttempts bounds how often a change is sent whose fate is not known.
+// maxAttempts bounds the retries of a transaction.
 const maxAttempts = 5
 
-// commitOnce commits a change and sees to it that its fate is known: a token that was
-// stored but never shown is of use to nobody. Sent again it fails its guards if it went
-// through, and what is stored then tells whose change it was.
+// commitOnce commits a transaction and retries until its outcome is known, because a token
+// that is stored but not shown to the operator is useless. If an earlier attempt took effect,
+// a retry fails its compares; the stored record then shows whether it is this change.
 func (admin *Admin) commitOnce(ctx context.Context, txn wire.Txn) error {
-	unsure := false
-	for try := 0; ; try++ {
+	outcomeUnknown := false
+	for attempt := 0; ; attempt++ {
 		_, failed, err := admin.Store.Commit(ctx, txn)
 		switch {
 		case err == nil && len(failed) == 0:
 			return nil
-		case err == nil && unsure:
-			var mine bool
-			if mine, err = admin.isStored(ctx, txn.Operations[0]); mine {
+		case err == nil && outcomeUnknown:
+			var isOwnChange bool
+			if isOwnChange, err = admin.isStored(ctx, txn.Operations[0]); isOwnChange {
 				return nil
 			}
 			if err == nil {
@@ -86,148 +87,155 @@
 		case err == nil:
 			return ErrChanged
 		case errors.Is(err, kvstore.ErrOutcomeUnknown):
-			unsure = true
+			outcomeUnknown = true
 		case errors.Is(err, kvstore.ErrTooLarge):
 			return err
 		}
-		if try == maxAttempts || !retry.Backoff(ctx, try, 100*time.Millisecond, 2*time.Second) {
-			return fmt.Errorf("identity: whether this was done is not known, see token list: %w", err)
+		if attempt == maxAttempts || !retry.Backoff(ctx, attempt, 100*time.Millisecond, 2*time.Second) {
+			return fmt.Errorf("identity: outcome of the change is unknown, check with 'token list': %w", err)
 		}
 	}
 }
 
-// isStored tells whether a key holds what a change put there.
-func (admin *Admin) isStored(ctx context.Context, c wire.Operation) (bool, error) {
-	it, err := admin.Store.Get(ctx, c.Put)
+// isStored reports whether a key holds the value that an operation puts there.
+func (admin *Admin) isStored(ctx context.Context, put wire.Operation) (bool, error) {
+	item, err := admin.Store.Get(ctx, put.Put)
 	if err != nil {
 		return false, err
 	}
-	var have, want any
-	err = errors.Join(json.Unmarshal(it.Value, &have), json.Unmarshal(c.Value, &want))
-	return err == nil && reflect.DeepEqual(have, want), err
+	var stored, want any
+	err = errors.Join(json.Unmarshal(item.Value, &stored), json.Unmarshal(put.Value, &want))
+	return err == nil && reflect.DeepEqual(stored, want), err
 }
 
-func (admin *Admin) read(ctx context.Context, key string, v any) (uint64, error) {
-	it, err := admin.Store.Get(ctx, key)
+func (admin *Admin) read(ctx context.Context, key string, record any) (uint64, error) {
+	item, err := admin.Store.Get(ctx, key)
 	if errors.Is(err, kvstore.ErrNotFound) {
 		return 0, nil
 	}
 	if err != nil {
 		return 0, err
 	}
-	return it.ModRevision, json.Unmarshal(it.Value, v)
+	return item.ModRevision, json.Unmarshal(item.Value, record)
 }
 
-// Issue makes or changes an identity and gives it a token that holds for a while. The
-// token is in no other place than the answer.
-func (admin *Admin) Issue(ctx context.Context, name string, rec Record, life time.Duration) (token string, err error) {
+// Issue creates or updates an identity and issues a token for it that is valid for the given
+// lifetime. The token itself is only returned, never stored.
+func (admin *Admin) Issue(
+	ctx context.Context, name string, record Record, lifetime time.Duration,
+) (token string, err error) {
 	if !ValidName(name) {
 		return "", ErrName
 	}
-	if life <= 0 {
-		return "", errors.New("identity: a token must hold for some time")
+	if lifetime <= 0 {
+		return "", errors.New("identity: token lifetime must be positive")
 	}
-	var was Record
-	stamp, err := admin.read(ctx, IdentityPrefix+name, &was)
+	var stored Record
+	modRevision, err := admin.read(ctx, IdentityPrefix+name, &stored)
 	if err != nil {
 		return "", err
 	}
-	if was.Revoked {
-		return "", fmt.Errorf("identity: %s was withdrawn: a name is never given to another", name)
+	if stored.Revoked {
+		return "", fmt.Errorf("identity: %s was revoked and its name cannot be reused", name)
 	}
-	token, id, t, err := Issue(admin.Ring, name, admin.Now(), admin.Now().Add(life))
+	token, id, tokenRecord, err := NewToken(admin.Ring, name, admin.Now(), admin.Now().Add(lifetime))
 	if err != nil {
 		return "", err
 	}
-	cs := []recordChange{{TokenPrefix + id, 0, t}}
-	if stamp == 0 || rec.Kind != "" {
-		if rec.Kind == "" {
-			rec.Kind = rights.Person
+	changes := []recordChange{{TokenPrefix + id, 0, tokenRecord}}
+	if modRevision == 0 || record.Kind != "" {
+		if record.Kind == "" {
+			record.Kind = rights.Person
 		}
-		cs = append(cs, recordChange{IdentityPrefix + name, stamp, rec})
+		changes = append(changes, recordChange{IdentityPrefix + name, modRevision, record})
 	}
-	why := fmt.Sprintf(
-		"token %s until %s; teams %v, roles %v", id, time.Unix(t.ExpiresUnix, 0).UTC().Format(time.RFC3339),
-		rec.Teams, rec.Roles,
+	reason := fmt.Sprintf(
+		"token %s until %s; teams %v, roles %v", id, time.Unix(tokenRecord.ExpiresUnix, 0).UTC().Format(time.RFC3339),
+		record.Teams, record.Roles,
 	)
-	return token, admin.commit(ctx, cs, audit.Entry{Action: audit.Issued, Subject: name, Reason: why})
+	return token, admin.commit(ctx, changes, audit.Entry{Action: audit.Issued, Subject: name, Reason: reason})
 }
 
-// Rotate gives an identity a new token, and lets its others hold for a grace at most.
-func (admin *Admin) Rotate(ctx context.Context, name string, life, grace time.Duration) (token string, err error) {
-	if token, err = admin.Issue(ctx, name, Record{}, life); err != nil {
+// Rotate issues a new token for an identity and lets its other tokens expire after a grace
+// period at the latest.
+func (admin *Admin) Rotate(ctx context.Context, name string, lifetime, grace time.Duration) (token string, err error) {
+	if token, err = admin.Issue(ctx, name, Record{}, lifetime); err != nil {
 		return "", err
 	}
 	id, _, _ := parse(token)
-	return token, admin.each(ctx, name, func(other string, t *Token) bool {
-		till := admin.Now().Add(grace).Unix()
-		if other == id || t.ExpiresUnix <= till {
+	return token, admin.updateTokens(ctx, name, func(tokenID string, token *Token) bool {
+		graceEnd := admin.Now().Add(grace).Unix()
+		if tokenID == id || token.ExpiresUnix <= graceEnd {
 			return false
 		}
-		t.ExpiresUnix = till
+		token.ExpiresUnix = graceEnd
 		return true
 	}, "replaced")
 }
 
-// Revoke ends a token, or an identity with all its tokens.
+// Revoke revokes a token, or an identity with all its tokens. name is a token, a token's
+// prefix and ID, or the name of an identity.
 func (admin *Admin) Revoke(ctx context.Context, name string) error {
 	if id, ok := strings.CutPrefix(name, tokenPrefix); ok {
-		id, _, _ = strings.Cut(id, "_") // the whole token will do
-		var t Token
-		stamp, err := admin.read(ctx, TokenPrefix+id, &t)
-		if err == nil && stamp == 0 {
-			err = fmt.Errorf("identity: no token %s", id)
+		id, _, _ = strings.Cut(id, "_") // a complete token is accepted as well
+		var token Token
+		modRevision, err := admin.read(ctx, TokenPrefix+id, &token)
+		if err == nil && modRevision == 0 {
+			err = fmt.Errorf("identity: token %s does not exist", id)
 		}
 		if err != nil {
 			return err
 		}
-		t.Revoked = true
+		token.Revoked = true
 		return admin.commit(
-			ctx, []recordChange{{TokenPrefix + id, stamp, t}},
-			audit.Entry{Action: audit.Revoked, Subject: t.Identity, Reason: "token " + id},
+			ctx, []recordChange{{TokenPrefix + id, modRevision, token}},
+			audit.Entry{Action: audit.Revoked, Subject: token.Identity, Reason: "token " + id},
 		)
 	}
-	var rec Record
-	stamp, err := admin.read(ctx, IdentityPrefix+name, &rec)
-	if err == nil && stamp == 0 {
-		err = fmt.Errorf("identity: nobody is called %s", name)
+	var record Record
+	modRevision, err := admin.read(ctx, IdentityPrefix+name, &record)
+	if err == nil && modRevision == 0 {
+		err = fmt.Errorf("identity: identity %s does not exist", name)
 	}
 	if err != nil {
 		return err
 	}
-	// The identity first: with it all its tokens are void at once.
-	rec.Revoked = true
+	// The identity is revoked first, which invalidates all its tokens at once.
+	record.Revoked = true
 	if err := admin.commit(
-		ctx, []recordChange{{IdentityPrefix + name, stamp, rec}},
+		ctx, []recordChange{{IdentityPrefix + name, modRevision, record}},
 		audit.Entry{Action: audit.Revoked, Subject: name, Reason: "with all tokens"},
 	); err != nil {
 		return err
 	}
-	return admin.each(ctx, name, func(_ string, t *Token) bool {
-		was := t.Revoked
-		t.Revoked = true
-		return !was
+	return admin.updateTokens(ctx, name, func(_ string, token *Token) bool {
+		wasRevoked := token.Revoked
+		token.Revoked = true
+		return !wasRevoked
 	}, "withdrawn")
 }
 
-// each changes the tokens of an identity, one by one.
-func (admin *Admin) each(ctx context.Context, name string, f func(id string, t *Token) bool, why string) error {
+// updateTokens updates the tokens of an identity, each in its own transaction. update reports
+// whether it changed the token.
+func (admin *Admin) updateTokens(
+	ctx context.Context, name string, update func(id string, token *Token) bool, reason string,
+) error {
 	items, _, err := admin.Store.List(ctx, TokenPrefix)
 	if err != nil {
 		return err
 	}
-	for _, it := range items {
-		var t Token
-		if err := json.Unmarshal(it.Value, &t); err != nil || t.Identity != name {
+	for _, item := range items {
+		var token Token
+		if err := json.Unmarshal(item.Value, &token); err != nil || token.Identity != name {
 			continue
 		}
-		id := it.Key[len(TokenPrefix):]
-		if !f(id, &t) {
+		id := item.Key[len(TokenPrefix):]
+		if !update(id, &token) {
 			continue
 		}
 		if err := admin.commit(
-			ctx, []recordChange{{it.Key, it.ModRevision, t}},
-			audit.Entry{Action: audit.Revoked, Subject: name, Reason: "token " + id + " " + why},
+			ctx, []recordChange{{item.Key, item.ModRevision, token}},
+			audit.Entry{Action: audit.Revoked, Subject: name, Reason: "token " + id + " " + reason},
 		); err != nil {
 			return err
 		}
@@ -235,43 +243,43 @@
 	return nil
 }
 
-// IdentityInfo is an identity with its tokens, as an operator sees it.
+// IdentityInfo is an identity with its tokens, as listed for operators.
 type IdentityInfo struct {
 	Name string
 	Record
 	Tokens map[string]Token
 }
 
-// List gives all identities by name.
+// List returns all identities, sorted by name.
 func (admin *Admin) List(ctx context.Context) ([]IdentityInfo, error) {
 	items, _, err := admin.Store.List(ctx, Prefix)
 	if err != nil {
 		return nil, err
 	}
-	m := make(map[string]*IdentityInfo)
-	at := func(name string) *IdentityInfo {
-		if m[name] == nil {
-			m[name] = &IdentityInfo{Name: name, Tokens: make(map[string]Token)}
+	byName := make(map[string]*IdentityInfo)
+	entry := func(name string) *IdentityInfo {
+		if byName[name] == nil {
+			byName[name] = &IdentityInfo{Name: name, Tokens: make(map[string]Token)}
 		}
-		return m[name]
+		return byName[name]
 	}
-	for _, it := range items {
-		if name, ok := strings.CutPrefix(it.Key, IdentityPrefix); ok {
-			err = json.Unmarshal(it.Value, &at(name).Record)
-		} else if id, ok := strings.CutPrefix(it.Key, TokenPrefix); ok {
-			var t Token
-			if err = json.Unmarshal(it.Value, &t); err == nil {
-				at(t.Identity).Tokens[id] = t
+	for _, item := range items {
+		if name, ok := strings.CutPrefix(item.Key, IdentityPrefix); ok {
+			err = json.Unmarshal(item.Value, &entry(name).Record)
+		} else if id, ok := strings.CutPrefix(item.Key, TokenPrefix); ok {
+			var token Token
+			if err = json.Unmarshal(item.Value, &token); err == nil {
+				entry(token.Identity).Tokens[id] = token
 			}
 		}
 		if err != nil {
-			return nil, fmt.Errorf("identity: %s: %w", it.Key, err)
+			return nil, fmt.Errorf("identity: %s: %w", item.Key, err)
 		}
 	}
-	var out []IdentityInfo
-	for _, k := range m {
-		out = append(out, *k)
+	var infos []IdentityInfo
+	for _, info := range byName {
+		infos = append(infos, *info)
 	}
-	slices.SortFunc(out, func(x, y IdentityInfo) int { return strings.Compare(x.Name, y.Name) })
-	return out, nil
+	slices.SortFunc(infos, func(a, b IdentityInfo) int { return strings.Compare(a.Name, b.Name) })
+	return infos, nil
 }
--- a/internal/identity/golden_test.go
+++ b/internal/identity/golden_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	data := goldentest.Read(t, "token.txt", func() []byte {
-		token, _, stored, err := Issue(ring, "ana", time.Unix(1_764_600_000, 0), time.Unix(1_764_700_000, 0))
+		token, _, stored, err := NewToken(ring, "ana", time.Unix(1_764_600_000, 0), time.Unix(1_764_700_000, 0))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -1,8 +1,8 @@
-// Package identity knows people and services by their tokens. Identities and tokens
-// are records of the state service, which every controller follows; of a token only a
-// keyed hash is kept. What somebody does is committed on condition that these records
-// are as they were when the token was checked, so a withdrawal holds from the moment
-// it is committed, on every controller, however late that one hears of it.
+// Package identity authenticates people and services by bearer tokens. Identities and
+// tokens are records in the store, which every controller watches; only a keyed hash of
+// a token is stored. The writes of a request are committed on condition that these
+// records are unchanged since the token was checked. A revocation therefore takes effect
+// on every controller when it is committed, even on those that learn of it late.
 package identity
 
 import (
@@ -24,45 +24,45 @@
 	"rillflow/internal/wire"
 )
 
-// Keys of the state service.
+// Key prefixes in the store.
 const (
 	Prefix         = "i/"
 	IdentityPrefix = "i/p/"
 	TokenPrefix    = "i/t/"
 )
 
-// Record is a person or service as stored.
+// Record is the stored record of a person or service.
 type Record struct {
 	Kind    string   `json:"kind"`
 	Teams   []string `json:"teams,omitempty"`
 	Roles   []string `json:"roles,omitempty"`
-	Revoked bool     `json:"gone,omitempty"` // withdrawn: kept, so that the name is not given to another
+	Revoked bool     `json:"gone,omitempty"` // the record is kept so that the name is never reused
 }
 
-// Token is a token as stored: what it is, not how it reads.
+// Token is the stored record of a token. It does not contain the token's secret.
 type Token struct {
 	Identity    string `json:"who"`
 	Key         uint32 `json:"key"`
 	Hash        []byte `json:"hash"`
-	IssuedUnix  int64  `json:"from"` // time of day it was issued, in seconds
-	ExpiresUnix int64  `json:"till"` // and until when it holds
+	IssuedUnix  int64  `json:"from"` // time of issue, in Unix seconds
+	ExpiresUnix int64  `json:"till"` // end of validity, in Unix seconds
 	Revoked     bool   `json:"gone,omitempty"`
 }
 
-// Errors of a token.
+// Errors of tokens and names.
 var (
 	ErrToken = errors.New("identity: the token is not known, expired or withdrawn")
 	ErrStale = errors.New("identity: the state service could not be asked for too long")
-	ErrName  = errors.New("identity: a name has up to 64 letters, digits, dots, dashes and underscores")
+	ErrName  = errors.New("identity: a name must consist of up to 64 letters, digits, dots, dashes and underscores")
 )
 
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// ValidName tells whether an identity may be called so.
-func ValidName(s string) bool { return namePattern.MatchString(s) }
+// ValidName reports whether a name is valid for an identity.
+func ValidName(name string) bool { return namePattern.MatchString(name) }
 
-// tokenPrefix begins every token, so that one is known when it is found where it should
-// not be.
+// tokenPrefix is the prefix of every token. It makes leaked tokens recognizable, for example
+// in logs or source code.
 const tokenPrefix = "rft_"
 
 var tokenEncoding = base32.StdEncoding.WithPadding(base32.NoPadding)
@@ -73,19 +73,21 @@
 	secretBytes = 20
 )
 
-// Issue draws a token and what is to be stored of it.
-func Issue(ring *keyring.Ring, who string, from, till time.Time) (token, id string, t Token, err error) {
-	raw := make([]byte, idBytes+secretBytes)
-	rand.Read(raw) // never fails
-	id = strings.ToLower(tokenEncoding.EncodeToString(raw[:idBytes]))
-	secret := strings.ToLower(tokenEncoding.EncodeToString(raw[idBytes:]))
-	t = Token{Identity: who, Key: ring.Newest(), IssuedUnix: from.Unix(), ExpiresUnix: till.Unix()}
-	hash, err := ring.Seal(t.Key, keyring.ForTokens, []byte(id), []byte{0}, []byte(secret))
-	t.Hash = hash[:]
-	return tokenPrefix + id + "_" + secret, id, t, err
+// NewToken creates a random token for an identity, with the token's ID and the record to store.
+func NewToken(
+	ring *keyring.Ring, name string, issuedAt, expiresAt time.Time,
+) (token, id string, record Token, err error) {
+	random := make([]byte, idBytes+secretBytes)
+	rand.Read(random) // never fails
+	id = strings.ToLower(tokenEncoding.EncodeToString(random[:idBytes]))
+	secret := strings.ToLower(tokenEncoding.EncodeToString(random[idBytes:]))
+	record = Token{Identity: name, Key: ring.Newest(), IssuedUnix: issuedAt.Unix(), ExpiresUnix: expiresAt.Unix()}
+	hash, err := ring.Seal(record.Key, keyring.ForTokens, []byte(id), []byte{0}, []byte(secret))
+	record.Hash = hash[:]
+	return tokenPrefix + id + "_" + secret, id, record, err
 }
 
-// parse takes a token apart.
+// parse splits a token into its ID and its secret.
 func parse(token string) (id, secret string, ok bool) {
 	rest, ok := strings.CutPrefix(token, tokenPrefix)
 	if !ok || len(token) > 128 {
@@ -95,15 +97,15 @@
 	return id, secret, ok && id != "" && secret != ""
 }
 
-// Caller is who asks, as far as a token shows.
+// Caller is the sender of a request, as identified by its token.
 type Caller struct {
 	rights.Identity
-	// Compares are the conditions under which the caller still is who it is: every
-	// change made for it carries them.
+	// Compares succeed while the caller's identity and token are unchanged. Every write
+	// made for the caller includes them.
 	Compares []wire.Compare
 }
 
-// revisioned is a record with its revision.
+// revisioned is a record with its modification revision.
 type revisioned[T any] struct {
 	value       T
 	modRevision uint64
@@ -112,28 +114,28 @@
 // Registry is a controller's copy of the identities and tokens.
 type Registry struct {
 	ring          *keyring.Ring
-	cacheLifetime time.Duration // for how long the copy holds without an answer
-	skew          time.Duration // by which the clock may be wrong
+	cacheLifetime time.Duration // how long the copy may be used without an answer of the store
+	clockError    time.Duration // maximum error of the clock
 	log           *slog.Logger
 	now           func() time.Time
 
 	mu         sync.Mutex
 	identities map[string]revisioned[Record]
 	tokens     map[string]revisioned[Token]
-	completeAt time.Time // the copy was complete then
+	completeAt time.Time // when the copy was last known to be complete
 }
 
-// New makes a registry that is empty until it follows the state service.
-func New(ring *keyring.Ring, trust, skew time.Duration, log *slog.Logger) *Registry {
+// New creates a registry, which is empty until Follow reads the store.
+func New(ring *keyring.Ring, cacheLifetime, clockError time.Duration, log *slog.Logger) *Registry {
 	return &Registry{
-		ring: ring, cacheLifetime: trust, skew: skew, log: log, now: time.Now,
+		ring: ring, cacheLifetime: cacheLifetime, clockError: clockError, log: log, now: time.Now,
 		identities: make(map[string]revisioned[Record]), tokens: make(map[string]revisioned[Token]),
 	}
 }
 
-// Check tells whose a token is. The copy may be behind: whatever is changed for the
-// caller carries its guards, and what is only told is told from a copy that is no
-// older than the trust.
+// Check returns the caller that a token belongs to. The copy may be stale: writes for the caller
+// therefore include its compares, and reads rely on a copy no older than the cache lifetime. The
+// error is ErrToken if the token is invalid, and ErrStale if the copy is too old.
 func (registry *Registry) Check(token string) (Caller, error) {
 	id, secret, ok := parse(token)
 	if !ok {
@@ -145,44 +147,46 @@
 	if registry.completeAt.IsZero() || now.Sub(registry.completeAt) > registry.cacheLifetime {
 		return Caller{}, ErrStale
 	}
-	t, ok := registry.tokens[id]
-	latest := now.Add(registry.skew).Unix()
-	if !ok || t.value.Revoked || latest >= t.value.ExpiresUnix || latest < t.value.IssuedUnix {
+	stored, ok := registry.tokens[id]
+	latest := now.Add(registry.clockError).Unix()
+	if !ok || stored.value.Revoked || latest >= stored.value.ExpiresUnix || latest < stored.value.IssuedUnix {
 		return Caller{}, ErrToken
 	}
 	if ok, err := registry.ring.Check(
-		t.value.Key, keyring.ForTokens, t.value.Hash, []byte(id), []byte{0}, []byte(secret),
+		stored.value.Key, keyring.ForTokens, stored.value.Hash, []byte(id), []byte{0}, []byte(secret),
 	); err != nil || !ok {
 		return Caller{}, errors.Join(ErrToken, err)
 	}
-	w, ok := registry.identities[t.value.Identity]
-	if !ok || w.value.Revoked {
+	owner, ok := registry.identities[stored.value.Identity]
+	if !ok || owner.value.Revoked {
 		return Caller{}, ErrToken
 	}
 	return Caller{
-		Identity: rights.Identity{Name: t.value.Identity, Kind: w.value.Kind, Teams: w.value.Teams, Roles: w.value.Roles},
+		Identity: rights.Identity{
+			Name: stored.value.Identity, Kind: owner.value.Kind, Teams: owner.value.Teams, Roles: owner.value.Roles,
+		},
 		Compares: []wire.Compare{
-			{Key: TokenPrefix + id, ModRevision: t.modRevision},
-			{Key: IdentityPrefix + t.value.Identity, ModRevision: w.modRevision},
+			{Key: TokenPrefix + id, ModRevision: stored.modRevision},
+			{Key: IdentityPrefix + stored.value.Identity, ModRevision: owner.modRevision},
 		},
 	}, nil
 }
 
-// ComparesFailed tells whether failed guards say that an identity or token has changed.
+// ComparesFailed reports whether the keys of failed compares include an identity or token.
 func ComparesFailed(failed []string) bool {
-	for _, f := range failed {
-		if strings.HasPrefix(f, Prefix) {
+	for _, key := range failed {
+		if strings.HasPrefix(key, Prefix) {
 			return true
 		}
 	}
 	return false
 }
 
-// Follow keeps the copy until ctx ends. every is how long a watch lasts: the copy is
-// known to be whole at least that often.
-func (registry *Registry) Follow(ctx context.Context, st *kvstore.Client, every time.Duration) error {
-	return st.WatchPrefix(ctx, kvstore.Watcher{
-		Prefix: Prefix, PollWait: every, BackoffBase: every / 16, BackoffLimit: every,
+// Follow keeps the copy up to date until ctx ends. pollWait is the duration of a long poll;
+// the copy is confirmed to be complete at least that often.
+func (registry *Registry) Follow(ctx context.Context, store *kvstore.Client, pollWait time.Duration) error {
+	return store.WatchPrefix(ctx, kvstore.Watcher{
+		Prefix: Prefix, PollWait: pollWait, BackoffBase: pollWait / 16, BackoffLimit: pollWait,
 		OnSnapshot: registry.replace, OnChanges: registry.apply,
 	})
 }
@@ -192,49 +196,50 @@
 	defer registry.mu.Unlock()
 	clear(registry.identities)
 	clear(registry.tokens)
-	for _, it := range items {
-		registry.put(it.Key, it.Value, it.ModRevision)
+	for _, item := range items {
+		registry.put(item.Key, item.Value, item.ModRevision)
 	}
 	registry.completeAt = at
 }
 
-func (registry *Registry) apply(log []wire.Operation, at time.Time) {
+func (registry *Registry) apply(changes []wire.Operation, at time.Time) {
 	registry.mu.Lock()
 	defer registry.mu.Unlock()
-	for _, c := range log {
+	for _, change := range changes {
 		switch {
-		case c.Put != "":
-			registry.put(c.Put, c.Value, c.ModRevision)
-		case strings.HasPrefix(c.Delete, IdentityPrefix):
-			delete(registry.identities, c.Delete[len(IdentityPrefix):])
-		case strings.HasPrefix(c.Delete, TokenPrefix):
-			delete(registry.tokens, c.Delete[len(TokenPrefix):])
+		case change.Put != "":
+			registry.put(change.Put, change.Value, change.ModRevision)
+		case strings.HasPrefix(change.Delete, IdentityPrefix):
+			delete(registry.identities, change.Delete[len(IdentityPrefix):])
+		case strings.HasPrefix(change.Delete, TokenPrefix):
+			delete(registry.tokens, change.Delete[len(TokenPrefix):])
 		}
 	}
 	registry.completeAt = at
 }
 
-// put takes a record in; one that cannot be read counts as withdrawn.
-func (registry *Registry) put(key string, data json.RawMessage, stamp uint64) {
+// put adds a record to the copy. A record that cannot be decoded counts as revoked.
+func (registry *Registry) put(key string, data json.RawMessage, modRevision uint64) {
 	var err error
 	if name, ok := strings.CutPrefix(key, IdentityPrefix); ok {
-		var v Record
-		if err = json.Unmarshal(data, &v); err != nil {
-			v.Revoked = true
+		var record Record
+		if err = json.Unmarshal(data, &record); err != nil {
+			record.Revoked = true
 		}
-		if registry.identities[name].modRevision <= stamp {
-			registry.identities[name] = revisioned[Record]{v, stamp}
+		if registry.identities[name].modRevision <= modRevision {
+			registry.identities[name] = revisioned[Record]{record, modRevision}
 		}
 	} else if id, ok := strings.CutPrefix(key, TokenPrefix); ok {
-		var v Token
-		if err = json.Unmarshal(data, &v); err != nil {
-			v.Revoked = true
+		var token Token
+		if err = json.Unmarshal(data, &token); err != nil {
+			token.Revoked = true
 		}
-		if registry.tokens[id].modRevision <= stamp {
-			registry.tokens[id] = revisioned[Token]{v, stamp}
+		if registry.tokens[id].modRevision <= modRevision {
+			registry.tokens[id] = revisioned[Token]{token, modRevision}
 		}
 	}
 	if err != nil {
-		registry.log.Error("identity", "key", key, "err", fmt.Errorf("cannot be read: %w", err))
+		registry.log.Error("identity or token treated as revoked", "key", key,
+			"err", fmt.Errorf("cannot decode record: %w", err))
 	}
 }
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -14,50 +14,50 @@
 	"rillflow/internal/wire"
 )
 
-// shelf is a state service of a few keys. Answers to its next commits are lost.
-type shelf struct {
-	m    map[string]wire.KeyValue
-	rev  uint64
-	lose int
+// fakeStore is a state service of a few keys. Answers to its next commits are lost.
+type fakeStore struct {
+	items       map[string]wire.KeyValue
+	revision    uint64
+	lostAnswers int
 }
 
-func (s *shelf) Get(_ context.Context, key string) (wire.KeyValue, error) {
-	it, ok := s.m[key]
+func (s *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
+	it, ok := s.items[key]
 	if !ok {
 		return it, kvstore.ErrNotFound
 	}
 	return it, nil
 }
 
-func (s *shelf) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
-	for k, it := range s.m {
+func (s *fakeStore) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
+	for k, it := range s.items {
 		if strings.HasPrefix(k, under) {
 			out = append(out, it)
 		}
 	}
-	return out, s.rev, nil
+	return out, s.revision, nil
 }
 
-func (s *shelf) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
+func (s *fakeStore) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
 	for _, g := range t.Compares {
-		if s.m[g.Key].ModRevision != g.ModRevision {
+		if s.items[g.Key].ModRevision != g.ModRevision {
 			return 0, []string{g.Key}, nil
 		}
 	}
-	s.rev++
+	s.revision++
 	for _, c := range t.Operations {
-		s.m[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: s.rev}
+		s.items[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: s.revision}
 	}
-	if s.lose > 0 {
-		s.lose--
+	if s.lostAnswers > 0 {
+		s.lostAnswers--
 		return 0, nil, fmt.Errorf("%w: lost", kvstore.ErrOutcomeUnknown)
 	}
-	return s.rev, nil, nil
+	return s.revision, nil, nil
 }
 
 func TestTokens(t *testing.T) {
 	ring, now := keyringtest.New(t), time.Unix(1_764_600_000, 0)
-	st := &shelf{m: make(map[string]wire.KeyValue)}
+	st := &fakeStore{items: make(map[string]wire.KeyValue)}
 	admin := &Admin{Store: st, Ring: ring, Actor: "test", Now: func() time.Time { return now }}
 	issue := func(name string, life time.Duration) string {
 		tok, err := admin.Issue(t.Context(), name, Record{Kind: "person", Teams: []string{"museum"}}, life)
@@ -113,7 +113,7 @@
 
 func FuzzCheck(f *testing.F) {
 	ring := keyringtest.New(f)
-	token, id, tok, err := Issue(ring, "ana", time.Unix(0, 0), time.Unix(1<<40, 0))
+	token, id, tok, err := NewToken(ring, "ana", time.Unix(0, 0), time.Unix(1<<40, 0))
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -134,9 +134,9 @@
 // no longer hold.
 func TestGuardsOutliveTheCopy(t *testing.T) {
 	ring, now := keyringtest.New(t), time.Unix(1_764_600_000, 0)
-	st := &shelf{m: make(map[string]wire.KeyValue)}
+	st := &fakeStore{items: make(map[string]wire.KeyValue)}
 	admin := &Admin{Store: st, Ring: ring, Now: func() time.Time { return now }}
-	st.lose = 1 // the answer is lost: the token that is shown is the one that is stored
+	st.lostAnswers = 1 // the answer is lost: the token that is shown is the one that is stored
 	token, err := admin.Issue(t.Context(), "ana", Record{Kind: "service"}, time.Hour)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -1,6 +1,6 @@
-// Package rights decides who may do what. It is pure: rules, an identity and a
-// request go in, a decision with its reason comes out. What no rule allows is
-// denied, and a rule that denies counts for more than any that allows.
+// Package rights evaluates access rules. It is pure: from rules, an identity and a
+// request it derives a decision with its reason. A request that no rule allows is
+// denied, and deny rules take precedence over allow rules.
 package rights
 
 import (
@@ -13,20 +13,20 @@
 	"rillflow/internal/wire"
 )
 
-// Deeds that rights are given for.
+// Actions that rules refer to.
 const (
 	Submit   = "submit"
 	Cancel   = "withdraw"
-	Read     = "read" // a job's state
+	Read     = "read" // read a job's status
 	DependOn = "need" // name a job in waits_on
 	Status   = "status"
 )
 
-// actions lists them, for the check of rules.
-var actions = []string{Submit, Cancel, Read, DependOn, Status}
+// knownActions lists the actions, for the validation of rules.
+var knownActions = []string{Submit, Cancel, Read, DependOn, Status}
 
-// HigherPriority tells whether a rank is higher than another. An identity that may have one may
-// have those below it.
+// HigherPriority reports whether priority a is higher than b. An identity that may use a priority
+// may use the lower ones as well.
 func HigherPriority(a, b string) bool {
 	return slices.Index(wire.Priorities(), a) < slices.Index(wire.Priorities(), b)
 }
@@ -37,10 +37,10 @@
 	Service = "service"
 )
 
-// Anonymous is who comes without a token.
+// Anonymous is the caller without a token.
 const Anonymous = "anonymous"
 
-// Identity is who asks.
+// Identity is the person or service that makes a request.
 type Identity struct {
 	Name  string
 	Kind  string
@@ -48,47 +48,48 @@
 	Roles []string
 }
 
-// Rule gives or takes rights, as operators write it.
+// Rule allows or denies actions, as written by operators.
 type Rule struct {
-	// Who is "anonymous", "anyone", "known" (whoever has a token), or
+	// Who is "anonymous", "anyone", "known" (any caller with a token), or
 	// "person:NAME", "service:NAME", "team:NAME", "role:NAME".
 	Who string `xml:"who,attr"`
-	// Actions are the deeds, separated by spaces.
+	// Actions are the actions, separated by spaces.
 	Actions string `xml:"do,attr"`
-	// Teams are the teams whose jobs it is about, separated by spaces: "own" are
-	// those of whoever asks, "*" are all. Default: own.
+	// Teams are the teams whose jobs the rule applies to, separated by spaces: "own"
+	// stands for the caller's teams, "*" for all teams. Default: own.
 	Teams string `xml:"owner,attr"`
-	// MaxPriority is the highest that may be asked for; a rule that denies is about this
-	// one and those above it. Default: the highest.
+	// MaxPriority is the highest priority that an allow rule grants; a deny rule applies
+	// to this priority and those above it. Default: an allow rule grants all priorities,
+	// a deny rule applies to all.
 	MaxPriority       string     `xml:"rank,attr"`
 	UnknownAttributes []xml.Attr `xml:",any,attr"`
 }
 
-// Rules are an operator's rules.
+// Rules are the access rules of an operator.
 type Rules struct {
 	Allow []Rule `xml:"allow"`
 	Deny  []Rule `xml:"deny"`
 }
 
-// Request is what somebody wants to do.
+// Request is the action that a caller asks for.
 type Request struct {
 	Action   string
-	Team     string // team of the job; "" if it is about no job
-	Priority string // of the job that is submitted
+	Team     string // team of the job; "" if the action concerns no job
+	Priority string // of the submitted job
 }
 
-// Decision is the answer with what decided.
+// Decision is the outcome for a request, with the rule that decided.
 type Decision struct {
 	Allowed     bool
-	Rule        string // as the operator wrote it, or why there is none
-	MaxPriority string // the highest rank that this identity may have for the owner's jobs
+	Rule        string // as the operator wrote it, or why no rule allows the request
+	MaxPriority string // highest priority at which the identity may submit jobs of the team
 }
 
-// Check tells what is wrong with rules.
+// Check returns the first fault of the rules, or nil.
 func (rules *Rules) Check() error {
 	for name, list := range map[string][]Rule{"allow": rules.Allow, "deny": rules.Deny} {
-		for i, r := range list {
-			if err := r.check(); err != nil {
+		for i, rule := range list {
+			if err := rule.check(); err != nil {
 				return fmt.Errorf("<%s> number %d: %w", name, i+1, err)
 			}
 		}
@@ -100,10 +101,10 @@
 	if len(rule.UnknownAttributes) > 0 {
 		return fmt.Errorf("unknown attribute %q", rule.UnknownAttributes[0].Name.Local)
 	}
-	kind, name, named := strings.Cut(rule.Who, ":")
+	kind, name, hasName := strings.Cut(rule.Who, ":")
 	switch {
-	case !named && slices.Contains([]string{Anonymous, "anyone", "known"}, kind):
-	case named && name != "" && slices.Contains([]string{Person, Service, "team", "role"}, kind):
+	case !hasName && slices.Contains([]string{Anonymous, "anyone", "known"}, kind):
+	case hasName && name != "" && slices.Contains([]string{Person, Service, "team", "role"}, kind):
 	default:
 		return fmt.Errorf(
 			"who: %q is none of anonymous, anyone, known, person:NAME, service:NAME, team:NAME or role:NAME",
@@ -113,9 +114,9 @@
 	if rule.Actions == "" {
 		return errors.New("do: missing")
 	}
-	for _, d := range strings.Fields(rule.Actions) {
-		if !slices.Contains(actions, d) {
-			return fmt.Errorf("do: %q is none of %s", d, strings.Join(actions, ", "))
+	for _, action := range strings.Fields(rule.Actions) {
+		if !slices.Contains(knownActions, action) {
+			return fmt.Errorf("do: %q is none of %s", action, strings.Join(knownActions, ", "))
 		}
 	}
 	if rule.MaxPriority != "" && !slices.Contains(wire.Priorities(), rule.MaxPriority) {
@@ -124,99 +125,101 @@
 	return nil
 }
 
-// String gives a rule as it was written.
+// String returns the rule as written by the operator.
 func (rule Rule) String() string {
-	s := fmt.Sprintf("who=%q do=%q", rule.Who, rule.Actions)
+	text := fmt.Sprintf("who=%q do=%q", rule.Who, rule.Actions)
 	if rule.Teams != "" {
-		s += fmt.Sprintf(" owner=%q", rule.Teams)
+		text += fmt.Sprintf(" owner=%q", rule.Teams)
 	}
 	if rule.MaxPriority != "" {
-		s += fmt.Sprintf(" rank=%q", rule.MaxPriority)
+		text += fmt.Sprintf(" rank=%q", rule.MaxPriority)
 	}
-	return s
+	return text
 }
 
-func (rule *Rule) matchesIdentity(who *Identity) bool {
+func (rule *Rule) matchesIdentity(identity *Identity) bool {
 	kind, name, _ := strings.Cut(rule.Who, ":")
 	switch kind {
 	case Anonymous:
-		return who.Name == ""
+		return identity.Name == ""
 	case "anyone":
 		return true
 	case "known":
-		return who.Name != ""
+		return identity.Name != ""
 	case Person, Service:
-		return who.Name == name && who.Kind == kind
+		return identity.Name == name && identity.Kind == kind
 	case "team":
-		return slices.Contains(who.Teams, name)
+		return slices.Contains(identity.Teams, name)
 	case "role":
-		return slices.Contains(who.Roles, name)
+		return slices.Contains(identity.Roles, name)
 	}
 	return false
 }
 
-// matchesRequest tells whether a rule is about a deed on an owner's jobs.
-func (rule *Rule) matchesRequest(who *Identity, do, owner string) bool {
-	if !slices.Contains(strings.Fields(rule.Actions), do) || !rule.matchesIdentity(who) {
+// matchesRequest reports whether a rule applies to an action of an identity on a team's jobs.
+func (rule *Rule) matchesRequest(identity *Identity, action, team string) bool {
+	if !slices.Contains(strings.Fields(rule.Actions), action) || !rule.matchesIdentity(identity) {
 		return false
 	}
-	if owner == "" && do == Status {
+	if team == "" && action == Status {
 		return true
 	}
-	owners := strings.Fields(rule.Teams)
-	return slices.Contains(owners, "*") || owner != "" && slices.Contains(owners, owner) ||
-		(len(owners) == 0 || slices.Contains(owners, "own")) && owner != "" && slices.Contains(who.Teams, owner)
+	teams := strings.Fields(rule.Teams)
+	return slices.Contains(teams, "*") || team != "" && slices.Contains(teams, team) ||
+		(len(teams) == 0 || slices.Contains(teams, "own")) && team != "" && slices.Contains(identity.Teams, team)
 }
 
-// Decide tells whether somebody may do something.
-func (rules *Rules) Decide(who *Identity, q Request) Decision {
-	ranked := q.Action == Submit
-	var d Decision
+// Decide decides whether an identity's request is allowed.
+func (rules *Rules) Decide(identity *Identity, request Request) Decision {
+	isSubmission := request.Action == Submit
+	var decision Decision
 	for i := range rules.Deny {
-		r := &rules.Deny[i]
-		inReach := !ranked || r.MaxPriority == "" || !HigherPriority(r.MaxPriority, q.Priority)
-		if r.matchesRequest(who, q.Action, q.Team) && inReach {
-			return Decision{Rule: "deny " + r.String()}
+		rule := &rules.Deny[i]
+		coversPriority := !isSubmission || rule.MaxPriority == "" || !HigherPriority(rule.MaxPriority, request.Priority)
+		if rule.matchesRequest(identity, request.Action, request.Team) && coversPriority {
+			return Decision{Rule: "deny " + rule.String()}
 		}
 	}
-	var short *Rule
+	var insufficient *Rule // an allow rule that only lacks the priority
 	for i := range rules.Allow {
-		r := &rules.Allow[i]
-		if !r.matchesRequest(who, q.Action, q.Team) {
+		rule := &rules.Allow[i]
+		if !rule.matchesRequest(identity, request.Action, request.Team) {
 			continue
 		}
-		if ranked && r.MaxPriority != "" && HigherPriority(q.Priority, r.MaxPriority) {
-			short = r
+		if isSubmission && rule.MaxPriority != "" && HigherPriority(request.Priority, rule.MaxPriority) {
+			insufficient = rule
 			continue
 		}
-		if !d.Allowed {
-			d.Allowed, d.Rule = true, "allow "+r.String()
+		if !decision.Allowed {
+			decision.Allowed, decision.Rule = true, "allow "+rule.String()
 		}
 	}
 	switch {
-	case d.Allowed && ranked:
-		d.MaxPriority = rules.highestPriority(who, q.Team)
-	case d.Allowed:
-	case short != nil:
-		d.Rule = fmt.Sprintf("rank %s is above what is allowed: allow %s", q.Priority, short)
+	case decision.Allowed && isSubmission:
+		decision.MaxPriority = rules.highestPriority(identity, request.Team)
+	case decision.Allowed:
+	case insufficient != nil:
+		decision.Rule = fmt.Sprintf("rank %s is above what is allowed: allow %s", request.Priority, insufficient)
 	default:
-		d.Rule = "no rule allows it"
+		decision.Rule = "no rule allows it"
 	}
-	return d
+	return decision
 }
 
-// highestPriority is the highest rank that somebody may submit jobs of an owner at.
-func (rules *Rules) highestPriority(who *Identity, owner string) string {
-	ranks := wire.Priorities()
-	for _, rank := range ranks {
-		denied := slices.ContainsFunc(rules.Deny, func(r Rule) bool {
-			return r.matchesRequest(who, Submit, owner) && (r.MaxPriority == "" || !HigherPriority(r.MaxPriority, rank))
+// highestPriority returns the highest priority at which an identity may submit a team's jobs.
+func (rules *Rules) highestPriority(identity *Identity, team string) string {
+	priorities := wire.Priorities()
+	for _, priority := range priorities {
+		isDenied := slices.ContainsFunc(rules.Deny, func(rule Rule) bool {
+			return rule.matchesRequest(identity, Submit, team) &&
+				(rule.MaxPriority == "" || !HigherPriority(rule.MaxPriority, priority))
 		})
-		if !denied && slices.ContainsFunc(rules.Allow, func(r Rule) bool {
-			return r.matchesRequest(who, Submit, owner) && (r.MaxPriority == "" || !HigherPriority(rank, r.MaxPriority))
+		if !isDenied && slices.ContainsFunc(rules.Allow, func(rule Rule) bool {
+			return rule.matchesRequest(identity, Submit, team) &&
+				(rule.MaxPriority == "" || !HigherPriority(priority, rule.MaxPriority))
 		}) {
-			return rank
+			return priority
 		}
 	}
-	return ranks[len(ranks)-1]
+	return priorities[len(priorities)-1]
 }
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -11,9 +11,9 @@
 )
 
 var (
-	ana   = Identity{Name: "ana", Kind: Person, Teams: []string{"museum"}, Roles: []string{"curator"}}
-	guest = Identity{Name: "gus", Kind: Person, Teams: []string{"visitors"}, Roles: []string{"guest"}}
-	rules = Rules{
+	curator = Identity{Name: "ana", Kind: Person, Teams: []string{"museum"}, Roles: []string{"curator"}}
+	guest   = Identity{Name: "gus", Kind: Person, Teams: []string{"visitors"}, Roles: []string{"guest"}}
+	rules   = Rules{
 		Allow: []Rule{
 			{Who: "role:curator", Actions: "submit withdraw need", MaxPriority: "production"},
 			{Who: "role:guest", Actions: "submit withdraw need", Teams: "own", MaxPriority: "standard"},
@@ -34,8 +34,8 @@
 		cap     string
 		says    string
 	}{
-		{"own team, highest rank", ana, Request{Submit, "museum", "production"}, true, "production", "role:curator"},
-		{"another team", ana, Request{Submit, "archive", "idle"}, false, "", "no rule"},
+		{"own team, highest rank", curator, Request{Submit, "museum", "production"}, true, "production", "role:curator"},
+		{"another team", curator, Request{Submit, "archive", "idle"}, false, "", "no rule"},
 		{"guest at idle", guest, Request{Submit, "visitors", "idle"}, true, "idle", "role:guest"},
 		{"guest at what is denied, though allowed too", guest, Request{Submit, "visitors", "standard"}, false, "", "deny"},
 		{"guest above what is allowed", guest, Request{Submit, "visitors", "urgent"}, false, "", "deny"},
@@ -89,7 +89,7 @@
 	})
 	rapid.Check(t, func(t *rapid.T) {
 		rs := Rules{Allow: rapid.SliceOfN(rule, 0, 4).Draw(t, "allow"), Deny: rapid.SliceOfN(rule, 0, 3).Draw(t, "deny")}
-		who := rapid.SampledFrom([]Identity{{}, ana, guest, {Name: "ana", Kind: Service}}).Draw(t, "who")
+		who := rapid.SampledFrom([]Identity{{}, curator, guest, {Name: "ana", Kind: Service}}).Draw(t, "who")
 		q := Request{
 			Action:   rapid.SampledFrom([]string{Submit, Cancel, Read, DependOn}).Draw(t, "do"),
 			Team:     rapid.SampledFrom([]string{"museum", "archive", "visitors"}).Draw(t, "owner"),
