--- a/internal/access/authorizer.go
+++ b/internal/access/authorizer.go
@@ -30,13 +30,13 @@
 // refusalsPerLease is how often refusals are written within a worker's lease.
 const refusalsPerLease = 4
 
-// Authorizer decides who may do what at one controller. It is safe for concurrent use.
+// Authorizer authenticates and authorizes requests at one controller. It is safe for concurrent use.
 type Authorizer struct {
 	controller   string
 	rules        *rights.Rules      // nil: identities are off
 	identities   *identity.Registry // nil: identities are off
 	keys         *keyring.Ring      // nil: neither identities nor the audit log are on
-	auditEnabled bool               // the audit log is on
+	auditEnabled bool
 	store        *kvstore.Client
 	log          *slog.Logger
 	now          func() time.Time
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -24,11 +24,11 @@
 	Store   audit.Store
 	Ring    *keyring.Ring
 	Actor   string // named in audit entries
-	Audited bool   // audit each change in its transaction
+	Audited bool   // write an audit entry with each change, in its transaction
 	Now     func() time.Time
 }
 
-// ErrChanged reports a concurrent change of the same record; the command can be repeated.
+// ErrChanged reports a concurrent change of the same record; the command may be repeated.
 var ErrChanged = errors.New("identity: record was changed concurrently")
 
 // recordChange is a record to be written on condition that its revision is as read.
@@ -92,7 +92,7 @@
 			return err
 		}
 		if attempt == maxAttempts || !retry.Backoff(ctx, attempt, 100*time.Millisecond, 2*time.Second) {
-			return fmt.Errorf("identity: outcome of the change is unknown, check with 'token list': %w", err)
+			return fmt.Errorf("identity: outcome of the change is unknown, see token list: %w", err)
 		}
 	}
 }
--- a/internal/identity/golden_test.go
+++ b/internal/identity/golden_test.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/keyring"
 )
 
-// Identities and tokens are stored as they are today.
+// Guards against changes to the stored form of identities and tokens.
 func TestGoldenStored(t *testing.T) {
 	goldentest.Check(t, "stored.txt", strings.Join([]string{
 		IdentityPrefix + "ana\t" + goldentest.JSON(t, goldentest.Filled[Record]()),
@@ -22,7 +22,7 @@
 	}, "\n")+"\n")
 }
 
-// A token that was issued with a key stays good with it.
+// Guards against changes that invalidate tokens issued earlier: the stored hash must still match.
 func TestGoldenToken(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "keys")
 	if err := os.WriteFile(path, []byte("3 "+strings.Repeat("5a", keyring.Size)+"\n"), 0o600); err != nil {
@@ -42,7 +42,7 @@
 	lines := strings.Split(string(data), "\n")
 	id, secret, ok := parse(lines[0])
 	if !ok {
-		t.Fatalf("%q is not taken for a token", lines[0])
+		t.Fatalf("cannot parse token %q", lines[0])
 	}
 	hash, err := ring.Seal(3, keyring.ForTokens, []byte(id), []byte{0}, []byte(secret))
 	if err != nil {
@@ -50,6 +50,6 @@
 	}
 	want := Token{Identity: "ana", Key: 3, Hash: hash[:], IssuedUnix: 1_764_600_000, ExpiresUnix: 1_764_700_000}
 	if got := goldentest.JSON(t, want); got != lines[1] {
-		t.Errorf("stored as %s, and was as %s", got, lines[1])
+		t.Errorf("got stored token %s, want %s", got, lines[1])
 	}
 }
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -14,86 +14,87 @@
 	"rillflow/internal/wire"
 )
 
-// fakeStore is a state service of a few keys. Answers to its next commits are lost.
+// fakeStore is an in-memory store. Its next lostAnswers commits take effect, but report an unknown
+// outcome.
 type fakeStore struct {
 	items       map[string]wire.KeyValue
 	revision    uint64
 	lostAnswers int
 }
 
-func (s *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
-	it, ok := s.items[key]
+func (store *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
+	item, ok := store.items[key]
 	if !ok {
-		return it, kvstore.ErrNotFound
+		return item, kvstore.ErrNotFound
 	}
-	return it, nil
+	return item, nil
 }
 
-func (s *fakeStore) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
-	for k, it := range s.items {
-		if strings.HasPrefix(k, under) {
-			out = append(out, it)
+func (store *fakeStore) List(_ context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
+	for key, item := range store.items {
+		if strings.HasPrefix(key, prefix) {
+			items = append(items, item)
 		}
 	}
-	return out, s.revision, nil
+	return items, store.revision, nil
 }
 
-func (s *fakeStore) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
-	for _, g := range t.Compares {
-		if s.items[g.Key].ModRevision != g.ModRevision {
-			return 0, []string{g.Key}, nil
+func (store *fakeStore) Commit(_ context.Context, txn wire.Txn) (uint64, []string, error) {
+	for _, compare := range txn.Compares {
+		if store.items[compare.Key].ModRevision != compare.ModRevision {
+			return 0, []string{compare.Key}, nil
 		}
 	}
-	s.revision++
-	for _, c := range t.Operations {
-		s.items[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: s.revision}
+	store.revision++
+	for _, operation := range txn.Operations {
+		store.items[operation.Put] = wire.KeyValue{Key: operation.Put, Value: operation.Value, ModRevision: store.revision}
 	}
-	if s.lostAnswers > 0 {
-		s.lostAnswers--
-		return 0, nil, fmt.Errorf("%w: lost", kvstore.ErrOutcomeUnknown)
+	if store.lostAnswers > 0 {
+		store.lostAnswers--
+		return 0, nil, fmt.Errorf("%w: answer lost", kvstore.ErrOutcomeUnknown)
 	}
-	return s.revision, nil, nil
+	return store.revision, nil, nil
 }
 
 func TestTokens(t *testing.T) {
 	ring, now := keyringtest.New(t), time.Unix(1_764_600_000, 0)
-	st := &fakeStore{items: make(map[string]wire.KeyValue)}
-	admin := &Admin{Store: st, Ring: ring, Actor: "test", Now: func() time.Time { return now }}
-	issue := func(name string, life time.Duration) string {
-		tok, err := admin.Issue(t.Context(), name, Record{Kind: "person", Teams: []string{"museum"}}, life)
+	store := &fakeStore{items: make(map[string]wire.KeyValue)}
+	admin := &Admin{Store: store, Ring: ring, Actor: "test", Now: func() time.Time { return now }}
+	issue := func(name string, lifetime time.Duration) string {
+		token, err := admin.Issue(t.Context(), name, Record{Kind: "person", Teams: []string{"museum"}}, lifetime)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return tok
+		return token
 	}
 	ana, ben := issue("ana", time.Hour), issue("ben", time.Hour)
-	r := New(ring, time.Minute, time.Second, slog.New(slog.DiscardHandler))
+	registry := New(ring, time.Minute, time.Second, slog.New(slog.DiscardHandler))
 	clock := now
-	r.now = func() time.Time { return clock }
+	registry.now = func() time.Time { return clock }
 	load := func() {
-		items, _, _ := st.List(t.Context(), Prefix)
-		r.replace(items, clock)
+		items, _, _ := store.List(t.Context(), Prefix)
+		registry.replace(items, clock)
 	}
 	for _, tc := range []struct {
 		name   string
-		after  time.Duration // of the clock
+		after  time.Duration // time of the check, after the issue
 		load   bool
 		before func()
 		token  string
 		want   error
 	}{
-		{"nothing was ever read", 0, false, nil, ana, ErrStale},
-		{"a token", 0, true, nil, ana, nil},
-		{"another's id with her secret", 0, true, nil, ben[:len(tokenPrefix)+8] + ana[len(tokenPrefix)+8:], ErrToken},
-		{"half a token", 0, true, nil, ana[:20], ErrToken},
-		{"no token", 0, true, nil, "hello", ErrToken},
-		{"within the clock's error of its end", time.Hour - time.Second, true, nil, ana, ErrToken},
-		{"before its beginning", -time.Minute, true, nil, ana, ErrToken},
-		{"the copy is as old as may be", time.Minute, false, func() { clock = now; load() }, ana, nil},
-		{"and older", time.Minute + 1, false, func() { clock = now; load() }, ana, ErrStale},
-		{"another withdrawn", 0, true, func() { admin.Revoke(t.Context(), "ben") }, ana, nil},
-		{"the one withdrawn", 0, true, nil, ben, ErrToken},
-		{"a token withdrawn by its beginning", 0, true, func() { admin.Revoke(t.Context(), ana[:len(tokenPrefix)+8]) }, ana, ErrToken},
+		{"store never read", 0, false, nil, ana, ErrStale},
+		{"valid token", 0, true, nil, ana, nil},
+		{"ID and secret of different tokens", 0, true, nil, ben[:len(tokenPrefix)+8] + ana[len(tokenPrefix)+8:], ErrToken},
+		{"truncated token", 0, true, nil, ana[:20], ErrToken},
+		{"not a token", 0, true, nil, "hello", ErrToken},
+		{"expires within the clock error", time.Hour - time.Second, true, nil, ana, ErrToken},
+		{"before its time of issue", -time.Minute, true, nil, ana, ErrToken},
+		{"copy at the cache lifetime", time.Minute, false, func() { clock = now; load() }, ana, nil},
+		{"copy older than the cache lifetime", time.Minute + 1, false, func() { clock = now; load() }, ana, ErrStale},
+		{"other identity revoked", 0, true, func() { admin.Revoke(t.Context(), "ben") }, ana, nil},
+		{"identity revoked", 0, true, nil, ben, ErrToken},
+		{"token revoked by its ID", 0, true, func() { admin.Revoke(t.Context(), ana[:len(tokenPrefix)+8]) }, ana, ErrToken},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if tc.before != nil {
@@ -103,9 +104,9 @@
 			if tc.load {
 				load()
 			}
-			c, err := r.Check(tc.token)
-			if !errors.Is(err, tc.want) || err == nil && (c.Name != "ana" || len(c.Compares) != 2) {
-				t.Errorf("%+v, %v; want %v", c, err, tc.want)
+			caller, err := registry.Check(tc.token)
+			if !errors.Is(err, tc.want) || err == nil && (caller.Name != "ana" || len(caller.Compares) != 2) {
+				t.Errorf("got caller %+v, error %v, want error %v", caller, err, tc.want)
 			}
 		})
 	}
@@ -113,53 +114,53 @@
 
 func FuzzCheck(f *testing.F) {
 	ring := keyringtest.New(f)
-	token, id, tok, err := NewToken(ring, "ana", time.Unix(0, 0), time.Unix(1<<40, 0))
+	token, id, record, err := NewToken(ring, "ana", time.Unix(0, 0), time.Unix(1<<40, 0))
 	if err != nil {
 		f.Fatal(err)
 	}
-	r := New(ring, time.Hour, 0, slog.New(slog.DiscardHandler))
-	r.completeAt = time.Now()
-	r.tokens[id] = revisioned[Token]{tok, 1}
-	r.identities["ana"] = revisioned[Record]{Record{Kind: "person"}, 1}
+	registry := New(ring, time.Hour, 0, slog.New(slog.DiscardHandler))
+	registry.completeAt = time.Now()
+	registry.tokens[id] = revisioned[Token]{record, 1}
+	registry.identities["ana"] = revisioned[Record]{Record{Kind: "person"}, 1}
 	f.Add(token)
 	f.Add(token[:len(token)-1])
-	f.Fuzz(func(t *testing.T, s string) {
-		if c, err := r.Check(s); (err == nil) != (s == token) {
-			t.Fatalf("%q is taken for %+v, %v", s, c, err)
+	f.Fuzz(func(t *testing.T, input string) {
+		if caller, err := registry.Check(input); (err == nil) != (input == token) {
+			t.Fatalf("Check(%q): got caller %+v, error %v", input, caller, err)
 		}
 	})
 }
 
-// What was checked by an old copy is not done once the token is withdrawn: its guards
-// no longer hold.
-func TestGuardsOutliveTheCopy(t *testing.T) {
+// Guards against writes for a revoked token that was checked against a stale copy: the compares
+// on its records must fail.
+func TestComparesFailAfterRevocation(t *testing.T) {
 	ring, now := keyringtest.New(t), time.Unix(1_764_600_000, 0)
-	st := &fakeStore{items: make(map[string]wire.KeyValue)}
-	admin := &Admin{Store: st, Ring: ring, Now: func() time.Time { return now }}
-	st.lostAnswers = 1 // the answer is lost: the token that is shown is the one that is stored
+	store := &fakeStore{items: make(map[string]wire.KeyValue)}
+	admin := &Admin{Store: store, Ring: ring, Now: func() time.Time { return now }}
+	store.lostAnswers = 1 // Issue must still return the token that is stored
 	token, err := admin.Issue(t.Context(), "ana", Record{Kind: "service"}, time.Hour)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := New(ring, time.Hour, 0, slog.New(slog.DiscardHandler))
-	r.now = func() time.Time { return now }
-	items, _, _ := st.List(t.Context(), Prefix)
-	r.replace(items, now)
-	c, err := r.Check(token)
+	registry := New(ring, time.Hour, 0, slog.New(slog.DiscardHandler))
+	registry.now = func() time.Time { return now }
+	items, _, _ := store.List(t.Context(), Prefix)
+	registry.replace(items, now)
+	caller, err := registry.Check(token)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := admin.Revoke(t.Context(), "ana"); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := r.Check(token); err != nil {
-		t.Fatalf("the copy knows already: %v", err)
+	if _, err := registry.Check(token); err != nil {
+		t.Fatalf("the stale copy rejects the token: %v", err)
 	}
-	_, failed, err := st.Commit(t.Context(), wire.Txn{Compares: c.Compares, Operations: []wire.Operation{{Put: "j/x", Value: []byte("1")}}})
+	_, failed, err := store.Commit(t.Context(), wire.Txn{Compares: caller.Compares, Operations: []wire.Operation{{Put: "j/x", Value: []byte("1")}}})
 	if err != nil || !ComparesFailed(failed) {
-		t.Errorf("done for a withdrawn token: %v, %v", failed, err)
+		t.Errorf("commit for a revoked token: got failed compares %v, error %v, want a failed compare", failed, err)
 	}
 	if _, err := admin.Issue(t.Context(), "ana", Record{Kind: "person"}, time.Hour); err == nil {
-		t.Error("her name is given to another")
+		t.Error("the name of a revoked identity was issued again")
 	}
 }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -47,7 +47,7 @@
 // errJobChanged reports that a job changed while it was being cancelled; the caller retries.
 var errJobChanged = errors.New("intake: the job changed meanwhile")
 
-// cancelJob replaces a job's live key by an end record, in one transaction. The compare on the
+// cancelJob replaces a job's live key with an end record, in one transaction. The compare on the
 // live key's revision orders it against the leader's claims and the job's last finish: the
 // transaction that commits first takes effect.
 func (api *API) cancelJob(ctx context.Context, caller identity.Caller, id string) (jobState, error) {
--- a/internal/intake/dependencies.go
+++ b/internal/intake/dependencies.go
@@ -90,8 +90,8 @@
 	return &rejectedError{status: status, reason: reason}
 }
 
-// authorizeDependency returns a *rejectedError if the caller may not let its job depend on
-// another one.
+// authorizeDependency returns a *rejectedError if the caller may not make its job depend on
+// the given one.
 func (api *API) authorizeDependency(caller identity.Caller, job *wire.Job, id, team string) error {
 	request := rights.Request{Action: rights.DependOn, Team: team, Priority: job.Priority}
 	decision := api.authorizer.DecideAndAudit(caller, request, job.ID, "waits_on "+id+": ")
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -261,7 +261,7 @@
 	submitJob(mux, "req-10", []string{"req-3"}, "", "")
 	readsBefore := store.keyReads
 	if recorder := submitJob(mux, "req-11", []string{"req-3"}, "", ""); recorder.Code != 201 || store.keyReads != readsBefore {
-		t.Errorf("dependency on a job known to be done: got status %d and %d reads, want 201 and none", recorder.Code, store.keyReads-readsBefore)
+		t.Errorf("dependency on a job known to be done: got status %d, %d reads, want 201 and none", recorder.Code, store.keyReads-readsBefore)
 	}
 	// A dependency on a job accepted here needs no read either; one on a service is rejected.
 	if recorder := submitJob(mux, "req-12", []string{"req-10", "req-11"}, "", ""); recorder.Code != 201 || store.keyReads != readsBefore || !strings.Contains(store.values["j/req-12"], `"waits_on":["req-10","req-11"]`) {
--- a/internal/intake/fieldchecker.go
+++ b/internal/intake/fieldchecker.go
@@ -75,7 +75,7 @@
 	return 0
 }
 
-// idAndEnums checks the fields that have a form or a set of idAndEnums of their own.
+// idAndEnums checks the form of the job ID and the fields with a fixed set of values.
 func (check *fieldChecker) idAndEnums(job *wire.Job) {
 	if !ValidJobID(job.ID) {
 		check.fault("ref", wrongForm)
--- a/internal/intake/status.go
+++ b/internal/intake/status.go
@@ -124,7 +124,7 @@
 		}
 		job.team = live.team
 	}
-	if done, running, ok, _ := api.taskCounts(ctx, id); ok { // only for display
+	if done, running, ok, _ := api.taskCounts(ctx, id); ok { // counts are only informative, so errors are ignored
 		job.Done, job.Running = &done, &running
 		if running > 0 {
 			job.Phase = wire.PhaseRunning
--- a/internal/intake/submission.go
+++ b/internal/intake/submission.go
@@ -87,9 +87,9 @@
 	return job, id, err
 }
 
-// decode takes in a body, field by field: encoding/json would take Cores for cores when it
-// decodes into a struct, and of two fields of one name the last. With an error the
-// submission holds what could be decode.
+// decode decodes a body field by field. Decoding into a struct with encoding/json would accept
+// Cores as cores, and the last of two fields with one name. After an error the submission holds
+// the fields that could be decoded.
 func (submission *submission) decode(body []byte) error {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	if token, err := decoder.Token(); err != nil {
--- a/internal/rights/rights.go
+++ b/internal/rights/rights.go
@@ -53,7 +53,7 @@
 	// Who is "anonymous", "anyone", "known" (any caller with a token), or
 	// "person:NAME", "service:NAME", "team:NAME", "role:NAME".
 	Who string `xml:"who,attr"`
-	// Actions are the actions, separated by spaces.
+	// Actions are the actions that the rule applies to, separated by spaces.
 	Actions string `xml:"do,attr"`
 	// Teams are the teams whose jobs the rule applies to, separated by spaces: "own"
 	// stands for the caller's teams, "*" for all teams. Default: own.
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -27,30 +27,30 @@
 
 func TestDecide(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		who     Identity
-		q       Request
-		allowed bool
-		cap     string
-		says    string
+		name        string
+		who         Identity
+		request     Request
+		allowed     bool
+		maxPriority string
+		rule        string // part of the decision's rule
 	}{
-		{"own team, highest rank", curator, Request{Submit, "museum", "production"}, true, "production", "role:curator"},
-		{"another team", curator, Request{Submit, "archive", "idle"}, false, "", "no rule"},
-		{"guest at idle", guest, Request{Submit, "visitors", "idle"}, true, "idle", "role:guest"},
-		{"guest at what is denied, though allowed too", guest, Request{Submit, "visitors", "standard"}, false, "", "deny"},
-		{"guest above what is allowed", guest, Request{Submit, "visitors", "urgent"}, false, "", "deny"},
-		{"a service for one of its teams", Identity{Name: "relay", Kind: Service}, Request{Submit, "archive", "standard"}, true, "urgent", "service:relay"},
-		{"a service above its rank", Identity{Name: "relay", Kind: Service}, Request{Submit, "archive", "production"}, false, "", "above what is allowed"},
-		{"a person who is called as the service", Identity{Name: "relay", Kind: Person}, Request{Submit, "archive", "standard"}, false, "", "no rule"},
-		{"withdraw another's", guest, Request{Action: Cancel, Team: "museum"}, false, "", "no rule"},
-		{"wait for another's", guest, Request{Action: DependOn, Team: "museum"}, false, "", "no rule"},
-		{"read, by anonymous", Identity{}, Request{Action: Read, Team: "museum"}, true, "", "anonymous"},
-		{"read a job of nobody knows whom", Identity{}, Request{Action: Read}, false, "", "no rule"},
+		{"own team, highest allowed priority", curator, Request{Submit, "museum", "production"}, true, "production", "role:curator"},
+		{"other team", curator, Request{Submit, "archive", "idle"}, false, "", "no rule"},
+		{"guest below the denied priorities", guest, Request{Submit, "visitors", "idle"}, true, "idle", "role:guest"},
+		{"guest at a priority that is both denied and allowed", guest, Request{Submit, "visitors", "standard"}, false, "", "deny"},
+		{"guest above the denied priority", guest, Request{Submit, "visitors", "urgent"}, false, "", "deny"},
+		{"service for one of its teams", Identity{Name: "relay", Kind: Service}, Request{Submit, "archive", "standard"}, true, "urgent", "service:relay"},
+		{"service above its priority", Identity{Name: "relay", Kind: Service}, Request{Submit, "archive", "production"}, false, "", "above what is allowed"},
+		{"person with the name of a service", Identity{Name: "relay", Kind: Person}, Request{Submit, "archive", "standard"}, false, "", "no rule"},
+		{"cancel a job of another team", guest, Request{Action: Cancel, Team: "museum"}, false, "", "no rule"},
+		{"depend on a job of another team", guest, Request{Action: DependOn, Team: "museum"}, false, "", "no rule"},
+		{"anonymous read", Identity{}, Request{Action: Read, Team: "museum"}, true, "", "anonymous"},
+		{"anonymous read of a job without a team", Identity{}, Request{Action: Read}, false, "", "no rule"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			d := rules.Decide(&tc.who, tc.q)
-			if d.Allowed != tc.allowed || d.MaxPriority != tc.cap || !strings.Contains(d.Rule, tc.says) {
-				t.Errorf("%+v", d)
+			decision := rules.Decide(&tc.who, tc.request)
+			if decision.Allowed != tc.allowed || decision.MaxPriority != tc.maxPriority || !strings.Contains(decision.Rule, tc.rule) {
+				t.Errorf("got %+v, want allowed %v, maximum priority %q, rule with %q", decision, tc.allowed, tc.maxPriority, tc.rule)
 			}
 		})
 	}
@@ -70,15 +70,15 @@
 	} {
 		err := (&Rules{Allow: []Rule{tc.rule}}).Check()
 		if (err == nil) != (tc.want == "") || err != nil && !strings.Contains(err.Error(), tc.want) {
-			t.Errorf("%s: %v", tc.rule, err)
+			t.Errorf("%s: got error %v, want text %q", tc.rule, err, tc.want)
 		}
 	}
 }
 
-// Whatever the rules: nothing is allowed without a rule for it, what is denied stays
-// denied whatever else is allowed, an allowed rank is never above the cap, and whoever
-// may have a rank may have all below it unless that is denied.
-func TestDecideHolds(t *testing.T) {
+// Guards properties of decisions under any rules: nothing is allowed without an allow rule, deny
+// rules never allow anything, no allowed priority is above the reported maximum, and all
+// priorities below an allowed one are allowed unless a rule denies them.
+func TestDecideProperties(t *testing.T) {
 	rule := rapid.Custom(func(t *rapid.T) Rule {
 		return Rule{
 			Who:         rapid.SampledFrom([]string{"anonymous", "anyone", "known", "person:ana", "service:ana", "team:museum", "role:guest"}).Draw(t, "who"),
@@ -88,33 +88,33 @@
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
-		rs := Rules{Allow: rapid.SliceOfN(rule, 0, 4).Draw(t, "allow"), Deny: rapid.SliceOfN(rule, 0, 3).Draw(t, "deny")}
+		policy := Rules{Allow: rapid.SliceOfN(rule, 0, 4).Draw(t, "allow"), Deny: rapid.SliceOfN(rule, 0, 3).Draw(t, "deny")}
 		who := rapid.SampledFrom([]Identity{{}, curator, guest, {Name: "ana", Kind: Service}}).Draw(t, "who")
-		q := Request{
+		request := Request{
 			Action:   rapid.SampledFrom([]string{Submit, Cancel, Read, DependOn}).Draw(t, "do"),
 			Team:     rapid.SampledFrom([]string{"museum", "archive", "visitors"}).Draw(t, "owner"),
 			Priority: rapid.SampledFrom(wire.Priorities()).Draw(t, "rank"),
 		}
-		d := rs.Decide(&who, q)
-		if d.Allowed && len(rs.Allow) == 0 {
-			t.Fatalf("nothing allows it: %+v", d)
+		decision := policy.Decide(&who, request)
+		if decision.Allowed && len(policy.Allow) == 0 {
+			t.Fatalf("allowed without an allow rule: %+v", decision)
 		}
-		if less := (&Rules{Allow: rs.Allow}).Decide(&who, q); d.Allowed && !less.Allowed {
-			t.Fatal("a rule that denies allows it")
+		if allowOnly := (&Rules{Allow: policy.Allow}).Decide(&who, request); decision.Allowed && !allowOnly.Allowed {
+			t.Fatal("allowed with the deny policy, but not without them")
 		}
-		if d.Allowed && q.Action == Submit && HigherPriority(q.Priority, d.MaxPriority) {
-			t.Fatalf("%s is allowed above the cap %s", q.Priority, d.MaxPriority)
+		if decision.Allowed && request.Action == Submit && HigherPriority(request.Priority, decision.MaxPriority) {
+			t.Fatalf("priority %s is allowed, above the maximum %s", request.Priority, decision.MaxPriority)
 		}
-		if d.Allowed && q.Action == Submit {
-			for _, lower := range wire.Priorities()[slices.Index(wire.Priorities(), q.Priority):] {
-				if l := rs.Decide(&who, Request{Submit, q.Team, lower}); !l.Allowed && !strings.HasPrefix(l.Rule, "deny") {
-					t.Fatalf("%s is allowed, %s not: %s", q.Priority, lower, l.Rule)
+		if decision.Allowed && request.Action == Submit {
+			for _, lower := range wire.Priorities()[slices.Index(wire.Priorities(), request.Priority):] {
+				if lowerDecision := policy.Decide(&who, Request{Submit, request.Team, lower}); !lowerDecision.Allowed && !strings.HasPrefix(lowerDecision.Rule, "deny") {
+					t.Fatalf("priority %s is allowed, the lower %s is not: %s", request.Priority, lower, lowerDecision.Rule)
 				}
 			}
 		}
-		stranger := Identity{Name: "zoe", Kind: Person}
-		if z := rs.Decide(&stranger, q); z.Allowed && !slices.ContainsFunc(rs.Allow, func(r Rule) bool { return r.Who == "anyone" || r.Who == "known" }) {
-			t.Fatalf("a stranger may: %s", z.Rule)
+		unnamed := Identity{Name: "zoe", Kind: Person}
+		if unnamedDecision := policy.Decide(&unnamed, request); unnamedDecision.Allowed && !slices.ContainsFunc(policy.Allow, func(r Rule) bool { return r.Who == "anyone" || r.Who == "known" }) {
+			t.Fatalf("an identity that no rule names is allowed: %s", unnamedDecision.Rule)
 		}
 	})
 }
--- a/internal/serve/controller.go
+++ b/internal/serve/controller.go
@@ -50,8 +50,8 @@
 	bytesPerKB = 1 << 10
 )
 
-// controller holds the components of a controller. newController sets them; they do not
-// change afterwards. Each is safe for concurrent use.
+// controller holds the components of a running controller. newController creates them, and
+// they do not change afterwards. Each is safe for concurrent use.
 type controller struct {
 	settings      *settings.Settings
 	network       Network
--- a/internal/serve/datalossstate.go
+++ b/internal/serve/datalossstate.go
@@ -7,7 +7,7 @@
 	"rillflow/internal/wire"
 )
 
-// dataLossState implements intake.DataLossState for the job API.
+// dataLossState implements intake.DataLossState with the controller's components.
 type dataLossState struct{ *controller }
 
 // Fence implements intake.DataLossState.
--- a/internal/serve/peerhandler.go
+++ b/internal/serve/peerhandler.go
@@ -69,8 +69,8 @@
 }
 
 // PeerStoreIncarnation implements peer.Handler.
-func (handler peerHandler) PeerStoreIncarnation(name string, theirs peer.StoreIncarnation) {
-	handler.dataLoss.ObservePeer(name, dataloss.Suspicion{
+func (handler peerHandler) PeerStoreIncarnation(peerName string, theirs peer.StoreIncarnation) {
+	handler.dataLoss.ObservePeer(peerName, dataloss.Suspicion{
 		Active: theirs.DataLossSuspected, IncarnationID: theirs.ID, Reason: theirs.Reason,
 	})
 	suspected := handler.dataLoss.Suspicion().Active || theirs.DataLossSuspected
--- a/internal/serve/probe.go
+++ b/internal/serve/probe.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// probesPerHeartbeat is how often within a heartbeat interval the store is probed if no other
-// request reaches it.
+// probesPerHeartbeat is how often within a heartbeat interval the store is probed while no other
+// request is answered.
 const probesPerHeartbeat = 4
 
-// probeStore probes the store while no other request does, so that this controller knows
-// whether the store answers. It also gives up leadership if workers reach other controllers
+// probeStore probes the store while no other request is answered, so that this controller knows
+// whether the store serves it. It also gives up leadership if workers reach other controllers
 // but not this one.
 func (controller *controller) probeStore(ctx context.Context) error {
 	interval := controller.settings.HeartbeatInterval() / probesPerHeartbeat
--- a/internal/serve/recorder.go
+++ b/internal/serve/recorder.go
@@ -13,11 +13,11 @@
 	body   []byte
 }
 
-func (r *responseRecorder) Header() http.Header    { return r.header }
-func (r *responseRecorder) WriteHeader(status int) { r.status = status }
-func (r *responseRecorder) Write(b []byte) (int, error) {
-	r.body = append(r.body, b...)
-	return len(b), nil
+func (recorder *responseRecorder) Header() http.Header    { return recorder.header }
+func (recorder *responseRecorder) WriteHeader(status int) { recorder.status = status }
+func (recorder *responseRecorder) Write(data []byte) (int, error) {
+	recorder.body = append(recorder.body, data...)
+	return len(data), nil
 }
 
-func requestBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
+func requestBody(data []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(data)) }
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -24,7 +24,7 @@
 	UptimeSeconds      float64                `json:"up_s"`
 	StoreSilentSeconds float64                `json:"state_silent_s"`
 	StoreRequests      int64                  `json:"state_requests"`
-	LimitsLowered      bool                   `json:"lower_limits"` // the store's announced lower limits are in force
+	LimitsLowered      bool                   `json:"lower_limits"` // the store's announced lower limits apply
 	Peers              map[string]peer.Status `json:"peers"`
 	MemoryMB           float64                `json:"memory_mb"`
 	MemoryFull         bool                   `json:"memory_short"` // new jobs and workers are refused
--- a/internal/serve/users.go
+++ b/internal/serve/users.go
@@ -51,13 +51,13 @@
 func (controller *controller) lookupTaskCounts(
 	ctx context.Context, job string,
 ) (done, running int, ok bool, err error) {
-	leader := controller.elector.ShardMap().Leader
+	leaderName := controller.elector.ShardMap().Leader
 	local, ok, err := controller.leader.TaskCounts(job)
-	if ok || leader == controller.settings.Name {
+	if ok || leaderName == controller.settings.Name {
 		return local.Done, local.Running, ok, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, controller.settings.HeartbeatInterval()/countLookupsPerHeartbeat)
 	defer cancel()
-	counts, err := controller.peers.Counts(ctx, leader, job)
+	counts, err := controller.peers.Counts(ctx, leaderName, job)
 	return counts.Done, counts.Running, counts.Known, err
 }
--- a/internal/serve/workers.go
+++ b/internal/serve/workers.go
@@ -48,14 +48,14 @@
 	replyError(w, http.StatusServiceUnavailable, "not entitled")
 }
 
-// observeEpoch records the epoch that a worker reports. An epoch that the store's data never
-// reached was issued in an incarnation whose data is lost.
+// observeEpoch records the epoch that a worker reports. An epoch that was not issued under the
+// store's current data belongs to an incarnation whose data is lost.
 func (controller *controller) observeEpoch(epoch uint64) {
 	controller.elector.ObserveEpoch(epoch)
 	current := controller.dataLoss.Current()
 	if current.InitialPhase == dataloss.PhaseProvisional && epoch > 0 && epoch < current.Epoch {
-		// The incarnation began without data, so no worker of this store can have seen an
-		// earlier epoch.
+		// The incarnation began without data, so no earlier epoch can have been
+		// issued in it.
 		controller.dataLoss.Suspect(fmt.Sprintf("workers have seen epoch %d of an earlier history", epoch))
 	}
 	if epoch > controller.elector.ShardMap().Epoch {
