--- a/internal/access/authorizer.go
+++ b/internal/access/authorizer.go
@@ -30,7 +30,8 @@
 // refusalsPerLease is how often refusals are written within a worker's lease.
 const refusalsPerLease = 4
 
-// Authorizer authenticates and authorizes requests at one controller. It is safe for concurrent use.
+// Authorizer authenticates and authorizes requests at one controller. It is safe for
+// concurrent use.
 type Authorizer struct {
 	controller   string
 	rules        *rights.Rules      // nil: identities are off
--- a/internal/intake/backpressure_test.go
+++ b/internal/intake/backpressure_test.go
@@ -16,10 +16,10 @@
 	ended := map[string]bool{}
 	hasEnded := func(id string) bool { return ended[id] }
 	for _, step := range []struct {
-		name string
-		do   func()
-		at   int // seconds
-		want time.Duration
+		name      string
+		do        func()
+		atSeconds int
+		want      time.Duration
 	}{
 		{"no end observed", func() {}, 0, 0},
 		{"observed once", func() { tracker.observe("a", after(0)) }, 1, 0},
@@ -32,7 +32,7 @@
 		{"observed again after that", func() { tracker.observe("b", after(31)) }, 31, 0},
 	} {
 		step.do()
-		if got := tracker.longestWait(after(step.at), maxAge, hasEnded); got != step.want {
+		if got := tracker.longestWait(after(step.atSeconds), maxAge, hasEnded); got != step.want {
 			t.Errorf("%s: got %v, want %v", step.name, got, step.want)
 		}
 	}
--- a/internal/intake/golden_test.go
+++ b/internal/intake/golden_test.go
@@ -31,7 +31,7 @@
 	submit("done before", "req-000412", "req-3")
 	submit("withdrawn before", "req-000412", "req-4")
 	submit("known, whatever its body", `"cores":8.0`, `"cores":-1`)
-	for i, invalid := range [][3]string{
+	for i, variant := range [][3]string{
 		{"not JSON", `{"ref"`, `{ref`},
 		{"an array", validJob, `[1]`},
 		{"null", validJob, `null`},
@@ -53,13 +53,13 @@
 		{"waits for itself", `"ref"`, `"waits_on":["req-000412"],"ref"`},
 		{"waits for a withdrawn job", `"ref"`, `"waits_on":["req-4"],"ref"`},
 	} {
-		body := strings.Replace(validJob, invalid[1], invalid[2], 1)
+		body := strings.Replace(validJob, variant[1], variant[2], 1)
 		for _, field := range []string{`"locale":null,`, `"scatter":false,`, `"expect_s":240.0,`} {
-			if name, _, _ := strings.Cut(field, ":"); strings.Contains(invalid[2], name) {
+			if name, _, _ := strings.Cut(field, ":"); strings.Contains(variant[2], name) {
 				body = strings.Replace(body, field, "", 1)
 			}
 		}
-		request(invalid[0], "POST", "/v1/jobs", strings.ReplaceAll(body, "req-000412", fmt.Sprint("req-", 20+i)))
+		request(variant[0], "POST", "/v1/jobs", strings.ReplaceAll(body, "req-000412", fmt.Sprint("req-", 20+i)))
 	}
 	request("too large", "POST", "/v1/jobs", `{"ref":"req-10","bundle":"`+strings.Repeat("x", MaxBody)+`"}`)
 	request("poll of a queued job", "GET", "/v1/jobs/req-000412", "")
