--- a/internal/serve/recorder.go
+++ b/internal/serve/recorder.go
@@ -6,18 +6,18 @@
 	"net/http"
 )
 
-// recorder is an http.ResponseWriter that keeps an answer to be sent to a peer.
-type recorder struct {
+// responseRecorder is an http.ResponseWriter that records an answer, which is then sent to a peer.
+type responseRecorder struct {
 	header http.Header
 	status int
 	body   []byte
 }
 
-func (r *recorder) Header() http.Header    { return r.header }
-func (r *recorder) WriteHeader(status int) { r.status = status }
-func (r *recorder) Write(b []byte) (int, error) {
-	r.body = append(r.body, b...)
-	return len(b), nil
+func (recorder *responseRecorder) Header() http.Header    { return recorder.header }
+func (recorder *responseRecorder) WriteHeader(status int) { recorder.status = status }
+func (recorder *responseRecorder) Write(data []byte) (int, error) {
+	recorder.body = append(recorder.body, data...)
+	return len(data), nil
 }
 
-func newBody(b []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(b)) }
+func requestBody(data []byte) io.ReadCloser { return io.NopCloser(bytes.NewReader(data)) }
