--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -19,7 +19,7 @@
 
 // Get, List and Commit are what tools ask of the store.
 
-func (s *store) Get(_ context.Context, key string) (wire.KeyValue, error) {
+func (s *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	it, ok := s.keys[key]
@@ -29,7 +29,7 @@
 	return it, nil
 }
 
-func (s *store) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
+func (s *fakeStore) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for k, it := range s.keys {
@@ -41,7 +41,7 @@
 	return out, s.revision, nil
 }
 
-func (s *store) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
+func (s *fakeStore) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, res := s.commit(t)
@@ -50,7 +50,7 @@
 }
 
 // newRing makes a key ring in a file.
-func newRing(t *testing.T) (*keyring.Ring, string) {
+func newKeyring(t *testing.T) (*keyring.Ring, string) {
 	path := filepath.Join(t.TempDir(), "keys")
 	if err := keyring.Init(path); err != nil {
 		t.Fatal(err)
@@ -63,7 +63,7 @@
 }
 
 // history reads the record that a day left, and checks it.
-func history(t *testing.T, w *world, ring *keyring.Ring) (*audit.History, *audit.Archive) {
+func readAuditLog(t *testing.T, w *world, ring *keyring.Ring) (*audit.History, *audit.Archive) {
 	a, err := audit.Read(context.Background(), w.store, ring)
 	if err != nil {
 		t.Fatal(err)
@@ -88,22 +88,22 @@
 // A day of crashes, cuts and takeovers is told by its record alone: who was accepted
 // and cancelled, every start of a task with the claim that allowed it, every end, and
 // nothing that did not happen.
-func TestRecordTellsTheDay(t *testing.T) {
-	for seed := range seeds(6) {
+func TestAuditLogMatchesEvents(t *testing.T) {
+	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			ring, path := newRing(t)
+			ring, path := newKeyring(t)
 			synctest.Test(t, func(t *testing.T) {
 				if seed%3 == 0 {
 					// The key is replaced in the middle of the day.
-					rotate := time.AfterFunc(20*time.Second, func() { keyring.Rotate(path, time.Now().Add(2*lease)) })
+					rotate := time.AfterFunc(20*time.Second, func() { keyring.Rotate(path, time.Now().Add(2*leaseDuration)) })
 					defer rotate.Stop()
 				}
-				breaches, w := play(t, 100+seed, seed%2 == 1, fmt.Sprintf("<rillflow><access><audit>on</audit><keys>%s</keys></access></rillflow>", path), nil)
+				breaches, w := runRandomScenario(t, 100+seed, seed%2 == 1, fmt.Sprintf("<rillflow><access><audit>on</audit><keys>%s</keys></access></rillflow>", path), nil)
 				for _, b := range breaches {
 					t.Error(b)
 				}
-				h, a := history(t, w, ring)
-				told(t, w, h)
+				h, a := readAuditLog(t, w, ring)
+				checkAuditLog(t, w, h)
 				if last, err := audit.Open(a.Blocks[len(a.Blocks)-1]); err != nil || (last.Key == 2) != (seed%3 == 0) {
 					t.Errorf("the last block is sealed under key %d, %v", last.Key, err)
 				}
@@ -120,49 +120,49 @@
 }
 
 // told compares a record with what the world knows to be true.
-func told(t *testing.T, w *world, h *audit.History) {
+func checkAuditLog(t *testing.T, w *world, h *audit.History) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h.Missed > 0 {
 		t.Errorf("%d entries tell of others that are missing", h.Missed)
 	}
-	for ref := range w.jobs {
-		s := h.Jobs[ref]
+	for jobID := range w.jobs {
+		s := h.Jobs[jobID]
 		if s == nil {
-			t.Errorf("%s is not in the record", ref)
+			t.Errorf("%s is not in the record", jobID)
 			continue
 		}
 		for _, f := range s.Faults {
-			t.Errorf("%s: %s", ref, f)
+			t.Errorf("%s: %s", jobID, f)
 		}
-		j := w.jobs[ref]
+		j := w.jobs[jobID]
 		if e := s.Accepted; e == nil || e.Action != audit.Accepted || e.Team != j.Team || e.Priority != j.Priority || e.Tasks[0].Index != j.TaskCount || e.Controller == "" {
-			t.Errorf("%s: its acceptance is told as %+v", ref, e)
+			t.Errorf("%s: its acceptance is told as %+v", jobID, e)
 		}
-		if (w.told[ref] == wire.PhaseCancelled) != (s.Cancelled != nil) || (w.told[ref] == wire.PhaseDone) != (s.Done != nil) {
-			t.Errorf("%s is %s, told withdrawn %v, done %v", ref, w.told[ref], s.Cancelled, s.Done)
+		if (w.lastPhase[jobID] == wire.PhaseCancelled) != (s.Cancelled != nil) || (w.lastPhase[jobID] == wire.PhaseDone) != (s.Done != nil) {
+			t.Errorf("%s is %s, told withdrawn %v, done %v", jobID, w.lastPhase[jobID], s.Cancelled, s.Done)
 		}
 		// One that was asked for may have been carried there from a needed job first.
-		if e := s.Cancelled; e != nil && (e.Controller != "" && !w.asked[ref] || e.Controller == "" && e.Reason == "") {
-			t.Errorf("%s: asked %v, told %s", ref, w.asked[ref], e.Describe())
+		if e := s.Cancelled; e != nil && (e.Controller != "" && !w.cancelRequested[jobID] || e.Controller == "" && e.Reason == "") {
+			t.Errorf("%s: asked %v, told %s", jobID, w.cancelRequested[jobID], e.Describe())
 		}
 	}
-	claimed := make(map[run]bool)
-	for ref, s := range h.Jobs {
-		if _, ok := w.jobs[ref]; !ok {
-			t.Errorf("%s is in the record, and nobody submitted it", ref)
+	claimed := make(map[startedAttempt]bool)
+	for jobID, s := range h.Jobs {
+		if _, ok := w.jobs[jobID]; !ok {
+			t.Errorf("%s is in the record, and nobody submitted it", jobID)
 		}
 		for _, e := range s.Entries {
 			for _, c := range e.Tasks {
 				if e.Action == audit.Claimed {
-					claimed[run{ledger.Task{JobID: ref, Index: c.Index}, c.Attempt, c.Worker}] = true
+					claimed[startedAttempt{ledger.Task{JobID: jobID, Index: c.Index}, c.Attempt, c.Worker}] = true
 				}
 			}
 		}
 	}
-	for r := range w.ran {
+	for r := range w.startedAttempts {
 		if !claimed[r] {
-			t.Errorf("%s ran as try %d on %s without a claim in the record", r.task, r.try, r.host)
+			t.Errorf("%s ran as try %d on %s without a claim in the record", r.task, r.attempt, r.host)
 		}
 	}
 }
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -17,78 +17,78 @@
 
 // What users may count on once the faults are over, and at all times.
 const (
-	unanswered = 75 * time.Second // without an answer about a job it is forgotten
-	idleRoom   = 90 * time.Second // a job waits no longer while a machine has room for it
-	largest    = 4 * time.Minute  // in which the largest jobs begin
+	maxAnswerGap = 75 * time.Second // without an answer about a job it is forgotten
+	maxWaitWithRoom   = 90 * time.Second // a job waits no longer while a machine has room for it
+	maxLargestJobWait    = 4 * time.Minute  // in which the largest jobs begin
 )
 
 // heard notes an answer about a job; run it with the lock held.
-func (w *world) heard(ref string, status int) {
+func (w *world) recordAnswer(jobID string, status int) {
 	now := time.Now()
-	if status == http.StatusOK || status == http.StatusCreated || w.answered[ref].IsZero() {
-		w.answered[ref] = now
+	if status == http.StatusOK || status == http.StatusCreated || w.lastAnswer[jobID].IsZero() {
+		w.lastAnswer[jobID] = now
 	}
-	since := w.answered[ref]
-	if w.calm.After(since) {
-		since = w.calm
+	since := w.lastAnswer[jobID]
+	if w.faultsEndedAt.After(since) {
+		since = w.faultsEndedAt
 	}
-	if !w.calm.IsZero() && now.Sub(since) > unanswered {
-		w.broke("forgotten: nothing is answered about %s for %v", ref, now.Sub(since))
-		w.answered[ref] = now
+	if !w.faultsEndedAt.IsZero() && now.Sub(since) > maxAnswerGap {
+		w.recordViolation("forgotten: nothing is answered about %s for %v", jobID, now.Sub(since))
+		w.lastAnswer[jobID] = now
 	}
 }
 
 // calms says that the last fault is over, and watches from then on that nothing waits
 // where there is room.
-func (w *world) calms(cl *cloud) {
+func (w *world) faultsEnded(cloud *fakeCloud) {
 	w.mu.Lock()
-	w.calm = time.Now()
+	w.faultsEndedAt = time.Now()
 	w.mu.Unlock()
 	w.wg.Go(func() {
 		for w.ctx.Err() == nil {
-			w.idle(cl)
+			w.checkWaitingJobs(cloud)
 			select {
 			case <-w.ctx.Done():
-			case <-time.After(report):
+			case <-time.After(heartbeatInterval):
 			}
 		}
 	})
 }
 
 // idle notes which jobs wait though a worker that fits has room, and their team too.
-func (w *world) idle(cl *cloud) {
-	rooms := cl.rooms()
+func (w *world) checkWaitingJobs(cloud *fakeCloud) {
+	rooms := cloud.workerCapacities()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	for _, ref := range slices.Sorted(maps.Keys(w.jobs)) {
-		j := w.jobs[ref]
-		if !w.fits(j, rooms) {
-			delete(w.waits, ref)
+	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
+		j := w.jobs[jobID]
+		if !w.canPlace(j, rooms) {
+			delete(w.waitingWithRoomSince, jobID)
 			continue
 		}
-		since, ok := w.waits[ref]
+		since, ok := w.waitingWithRoomSince[jobID]
 		if !ok {
-			w.waits[ref] = now
-		} else if now.Sub(since) > idleRoom {
-			w.broke("waits: %s for %v though there is room", ref, now.Sub(since))
-			w.waits[ref] = now
+			w.waitingWithRoomSince[jobID] = now
+		} else if now.Sub(since) > maxWaitWithRoom {
+			w.recordViolation("waits: %s for %v though there is room", jobID, now.Sub(since))
+			w.waitingWithRoomSince[jobID] = now
 		}
 	}
 }
 
 // free is what is free of a worker.
-type free struct {
-	h     wire.Instance
-	cores float64
-	ram   float64
-	tasks map[string]bool
+type workerCapacity struct {
+	instance     wire.Instance
+	freeCPUs float64
+	freeMemoryGB   float64
+	unfinishedTasks map[string]bool
 }
 
 // rooms are the free resources of the workers that are up and well.
-func (c *cloud) rooms() (out []free) {
+func (c *fakeCloud) workerCapacities() (out []workerCapacity) {
 	c.mu.Lock()
-	hosts := maps.Clone(c.hosts)
+	hosts := maps.Clone(c.instances)
 	types := c.types
 	c.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(hosts)) {
@@ -98,21 +98,21 @@
 		if k == nil {
 			continue
 		}
-		i := slices.IndexFunc(types, func(t wire.InstanceType) bool { return t.Name == k.h.InstanceType })
-		f := free{h: k.h, cores: types[i].CPUs, ram: types[i].MemoryGB, tasks: make(map[string]bool)}
+		i := slices.IndexFunc(types, func(t wire.InstanceType) bool { return t.Name == k.instance.InstanceType })
+		f := workerCapacity{instance: k.instance, freeCPUs: types[i].CPUs, freeMemoryGB: types[i].MemoryGB, unfinishedTasks: make(map[string]bool)}
 		k.mu.Lock()
-		well := !k.hung && !k.deaf && !k.mute
+		well := !k.paused && !k.dropsAnswers && !k.dropsHeartbeats
 		for n, t := range k.tasks {
 			if t.Phase != wire.TaskExited {
-				f.tasks[n] = true
+				f.unfinishedTasks[n] = true
 			}
 		}
 		k.mu.Unlock()
 		c.w.mu.Lock()
-		for n := range f.tasks {
+		for n := range f.unfinishedTasks {
 			id, _ := ledger.ParseTask(n)
 			j := c.w.jobs[id.JobID]
-			f.cores, f.ram = f.cores-j.CPUs, f.ram-j.MemoryGB
+			f.freeCPUs, f.freeMemoryGB = f.freeCPUs-j.CPUs, f.freeMemoryGB-j.MemoryGB
 		}
 		c.w.mu.Unlock()
 		if well {
@@ -124,29 +124,29 @@
 
 // fits tells whether a task of a job waits that one of the rooms fits; run it with
 // the lock held.
-func (w *world) fits(j wire.Job, rooms []free) bool {
-	if w.taken[j.ID].IsZero() || w.asked[j.ID] || j.Kind == wire.KindGang || w.used[j.Team]+j.CPUs > w.limit {
+func (w *world) canPlace(j wire.Job, rooms []workerCapacity) bool {
+	if w.acceptedAt[j.ID].IsZero() || w.cancelRequested[j.ID] || j.Kind == wire.KindGang || w.usedCPUs[j.Team]+j.CPUs > w.teamCPULimit {
 		return false
 	}
 	for _, n := range j.DependsOn {
-		if !w.finished(n) {
+		if !w.allTasksDone(n) {
 			return false
 		}
 	}
 	waits, zones, all := false, make(map[string]int), 0
 	for i := range j.TaskCount {
 		id := ledger.Task{JobID: j.ID, Index: i}
-		if w.done[id] {
+		if w.doneTasks[id] {
 			continue
 		}
 		at := ""
 		for _, f := range rooms {
-			if f.tasks[id.String()] {
-				at = f.h.Zone
+			if f.unfinishedTasks[id.String()] {
+				at = f.instance.Zone
 			}
 		}
-		if at == "" && w.where[id] != "" {
-			at = w.workers[w.where[id]].h.Zone
+		if at == "" && w.hostOf[id] != "" {
+			at = w.workers[w.hostOf[id]].instance.Zone
 		}
 		if at == "" {
 			waits = true
@@ -155,41 +155,41 @@
 		zones[at]++
 		all++
 	}
-	return waits && slices.ContainsFunc(rooms, func(f free) bool {
-		z := f.h.Zone
-		return f.cores >= j.CPUs && f.ram >= j.MemoryGB && (j.AllowSpot || !f.h.Spot) && (j.Zone == "" || j.Zone == z) &&
-			(len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, f.h.InstanceType)) &&
+	return waits && slices.ContainsFunc(rooms, func(f workerCapacity) bool {
+		z := f.instance.Zone
+		return f.freeCPUs >= j.CPUs && f.freeMemoryGB >= j.MemoryGB && (j.AllowSpot || !f.instance.Spot) && (j.Zone == "" || j.Zone == z) &&
+			(len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, f.instance.InstanceType)) &&
 			(!j.SpreadZones || zones[z]+1 <= (j.TaskCount+1)/2) && (!j.SingleZone || zones[z] == all)
 	})
 }
 
 // begins checks that the largest jobs, a quarter of them, began in time; run it with the
 // lock held.
-func (w *world) begins() {
-	size := func(ref string) float64 { return float64(w.jobs[ref].TaskCount) * w.jobs[ref].CPUs }
-	refs := slices.SortedFunc(maps.Keys(w.taken), func(a, b string) int { return int(100 * (size(b) - size(a))) })
-	for _, ref := range refs[:len(refs)/4] {
-		from, at := w.taken[ref], w.begun[ref]
+func (w *world) checkLargestJobsStarted() {
+	size := func(jobID string) float64 { return float64(w.jobs[jobID].TaskCount) * w.jobs[jobID].CPUs }
+	jobIDs := slices.SortedFunc(maps.Keys(w.acceptedAt), func(a, b string) int { return int(100 * (size(b) - size(a))) })
+	for _, jobID := range jobIDs[:len(jobIDs)/4] {
+		from, at := w.acceptedAt[jobID], w.firstStart[jobID]
 		if at.IsZero() {
 			at = time.Now()
 		}
-		if !w.asked[ref] && len(w.jobs[ref].DependsOn) == 0 && at.Sub(from) > largest {
-			w.broke("largest: %s began after %v", ref, at.Sub(from))
+		if !w.cancelRequested[jobID] && len(w.jobs[jobID].DependsOn) == 0 && at.Sub(from) > maxLargestJobWait {
+			w.recordViolation("largest: %s began after %v", jobID, at.Sub(from))
 		}
 	}
 }
 
 // client is a user's, who opens a connection for each request.
 func (w *world) client() *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: w.net.at("user").Dial, DisableKeepAlives: true}}
+	return &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
 }
 
 // ask sends a request to a controller, and gives the answer's status, 0 if there is none,
 // and the phase that it tells.
-func (w *world) ask(ctx context.Context, c *http.Client, n int, method, path string, body []byte) (status int, phase string) {
+func (w *world) request(ctx context.Context, c *http.Client, n int, method, path string, body []byte) (status int, phase string) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, method, "http://"+front(n)+path, bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(ctx, method, "http://"+frontAddress(n)+path, bytes.NewReader(body))
 	res, err := c.Do(req)
 	if err != nil {
 		return 0, ""
@@ -202,31 +202,31 @@
 }
 
 // strangers has users ask about, and withdraw, jobs that nobody submitted.
-func (w *world) strangers(ctx context.Context) {
+func (w *world) requestUnknownJobs(ctx context.Context) {
 	c := w.client()
 	for i := 0; ctx.Err() == nil; i++ {
-		ref := fmt.Sprintf("req-8%05d", i%7)
+		jobID := fmt.Sprintf("req-8%05d", i%7)
 		status := 0
 		if i%3 == 2 {
-			status, _ = w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs/"+ref+"/withdraw", nil)
+			status, _ = w.request(ctx, c, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil)
 		} else {
-			status, _ = w.ask(ctx, c, w.intN(w.size), "GET", "/v1/jobs/"+ref, nil)
+			status, _ = w.request(ctx, c, w.intN(w.clusterSize), "GET", "/v1/jobs/"+jobID, nil)
 		}
 		if status == http.StatusOK {
 			w.mu.Lock()
-			w.broke("invented: %s", ref)
+			w.recordViolation("invented: %s", jobID)
 			w.mu.Unlock()
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(report):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
 
 // odd are bodies that can never be taken: what of a sound submission is replaced by what,
 // and the answer.
-var odd = []struct {
+var invalidSubmissions = []struct {
 	name, old, new string
 	status         int
 }{
@@ -245,52 +245,52 @@
 }
 
 // soundBody is a submission that is sound.
-func soundBody(ref string) []byte {
+func validSubmission(jobID string) []byte {
 	return fmt.Appendf(nil, `{"ref":%q,"jobclass":"c","owner":"a","rank":"standard","shape":"batch","members":2,"cores":1,"accelerators":0,"ram_gb":1,"bundle":"img","size_gb":1,`+
-		`"flavors":null,"locale":null,"same_place":false,"scatter":false,"loaners":false,"expect_s":5,"snapshot_s":0,"flush_s":0,"due_s":null}`, ref)
+		`"flavors":null,"locale":null,"same_place":false,"scatter":false,"loaners":false,"expect_s":5,"snapshot_s":0,"flush_s":0,"due_s":null}`, jobID)
 }
 
 // oddities has users send what can't be taken, repeat what was taken with bodies that
 // can't be, and withdraw what is done, until the time is up.
-func (w *world) oddities(ctx context.Context, long time.Duration) {
+func (w *world) sendInvalidRequests(ctx context.Context, duration time.Duration) {
 	c := w.client()
-	end := time.Now().Add(long)
+	end := time.Now().Add(duration)
 	for i := 0; ctx.Err() == nil && time.Now().Before(end); i++ {
-		o := odd[i%len(odd)]
-		bad := func(ref string) []byte {
-			return bytes.Replace(soundBody(ref), []byte(o.old), []byte(o.new), 1)
+		o := invalidSubmissions[i%len(invalidSubmissions)]
+		bad := func(jobID string) []byte {
+			return bytes.Replace(validSubmission(jobID), []byte(o.old), []byte(o.new), 1)
 		}
-		status, _ := w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs", bad(fmt.Sprintf("req-7%05d", i)))
+		status, _ := w.request(ctx, c, w.intN(w.clusterSize), "POST", "/v1/jobs", bad(fmt.Sprintf("req-7%05d", i)))
 		w.mu.Lock()
 		if status != o.status && status != 503 && status != 0 {
-			w.broke("accepted: %s was answered %d", o.name, status)
+			w.recordViolation("accepted: %s was answered %d", o.name, status)
 		}
 		var known []string
-		for ref := range w.taken {
-			known = append(known, ref)
+		for jobID := range w.acceptedAt {
+			known = append(known, jobID)
 		}
 		slices.Sort(known)
 		w.mu.Unlock()
 		if len(known) > 0 && o.old != "{" { // what is no object names no job
-			ref := known[w.intN(len(known))]
-			status, _ = w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs", bad(ref))
+			jobID := known[w.intN(len(known))]
+			status, _ = w.request(ctx, c, w.intN(w.clusterSize), "POST", "/v1/jobs", bad(jobID))
 			w.mu.Lock()
 			if status != 200 && status != 503 && status != 0 {
-				w.broke("forgotten: %s submitted again with %s was answered %d", ref, o.name, status)
+				w.recordViolation("forgotten: %s submitted again with %s was answered %d", jobID, o.name, status)
 			}
-			over := w.told[ref] == wire.PhaseDone
+			over := w.lastPhase[jobID] == wire.PhaseDone
 			w.mu.Unlock()
 			if over {
-				if status, _ := w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs/"+ref+"/withdraw", nil); status != 200 && status != 503 && status != 0 {
+				if status, _ := w.request(ctx, c, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil); status != 200 && status != 503 && status != 0 {
 					w.mu.Lock()
-					w.broke("forgotten: %s is done, and its withdrawal was answered %d", ref, status)
+					w.recordViolation("forgotten: %s is done, and its withdrawal was answered %d", jobID, status)
 					w.mu.Unlock()
 				}
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(report / 6):
+		case <-time.After(heartbeatInterval / 6):
 		}
 	}
 }
--- a/internal/sim/controllers_test.go
+++ b/internal/sim/controllers_test.go
@@ -15,37 +15,37 @@
 
 // node runs a controller's process: it is killed without warning, and comes
 // back after a while.
-type node struct {
+type controllerProcess struct {
 	w    *world
-	n    int
+	index    int
 	kill context.CancelFunc
-	over chan struct{}
+	exited chan struct{}
 }
 
-func (w *world) boot(n int) *node {
+func (w *world) boot(n int) *controllerProcess {
 	ctx, kill := context.WithCancel(context.Background())
-	c := &node{w: w, n: n, kill: kill, over: make(chan struct{})}
+	c := &controllerProcess{w: w, index: n, kill: kill, exited: make(chan struct{})}
 	level := slog.LevelError
 	if os.Getenv("SIM_LOG") != "" {
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	set := w.settings(n)
+	set := w.controllerSettings(n)
 	go func() {
-		defer close(c.over)
-		serve.Run(ctx, set, w.net.at(set.Name), log.With("node", set.Name))
+		defer close(c.exited)
+		serve.Run(ctx, set, w.net.forHost(set.Name), log.With("node", set.Name))
 	}()
 	return c
 }
 
 // crash ends the process without a goodbye. What it sent in its last moment may arrive
 // up to a heartbeat interval later, also when another has taken its place.
-func (c *node) crash() {
-	name := fmt.Sprintf("host-%d", c.n)
-	c.w.net.fall(name, time.Duration(c.w.intN(2))*report)
+func (c *controllerProcess) crash() {
+	name := fmt.Sprintf("host-%d", c.index)
+	c.w.net.crashHost(name, time.Duration(c.w.intN(2))*heartbeatInterval)
 	c.kill()
-	<-c.over
-	c.w.net.fallen(name)
+	<-c.exited
+	c.w.net.hostExited(name)
 }
 
 // randomDowntime is how long a process is gone: from a moment to much longer than a lease lasts,
@@ -55,9 +55,9 @@
 }
 
 // ended tells whether the process has ended.
-func (c *node) ended() bool {
+func (c *controllerProcess) hasExited() bool {
 	select {
-	case <-c.over:
+	case <-c.exited:
 		return true
 	default:
 		return false
@@ -65,18 +65,18 @@
 }
 
 // cutWorkersOff cuts every worker off from all controllers for a moment.
-func (w *world) cutWorkersOff(cl *cloud, long time.Duration) {
-	cl.mu.Lock()
-	hosts := slices.Sorted(maps.Keys(cl.hosts))
-	cl.mu.Unlock()
+func (w *world) cutWorkersOff(cloud *fakeCloud, duration time.Duration) {
+	cloud.mu.Lock()
+	hosts := slices.Sorted(maps.Keys(cloud.instances))
+	cloud.mu.Unlock()
 	for _, on := range []bool{true, false} {
 		for _, h := range hosts {
-			for n := range w.size {
-				w.net.cut(fmt.Sprintf("host-%d", n), h, on)
+			for n := range w.clusterSize {
+				w.net.setBlocked(fmt.Sprintf("host-%d", n), h, on)
 			}
 		}
 		if on {
-			time.Sleep(long)
+			time.Sleep(duration)
 		}
 	}
 }
--- a/internal/sim/crashpoint_test.go
+++ b/internal/sim/crashpoint_test.go
@@ -13,17 +13,17 @@
 
 // atWrite waits for a write of a rebuild, by its number, and gives the node that made it;
 // its answer is lost. It tells false if the history was whole again before.
-func (d *lossDay) atWrite(number int) (node int, came bool) {
+func (d *lossScenario) waitForRebuildWrite(number int) (node int, came bool) {
 	type write struct {
 		node  string
 		whole bool
 	}
 	seen := make(chan write, 1)
 	begun, n := false, 0
-	d.st.mu.Lock()
-	d.st.onCommit = func(from string, t wire.Txn) bool {
-		begun = begun || puts(t, "history/id/")
-		if !begun || !puts(t, "history/") && !puts(t, "j/") && !puts(t, "c/") && !puts(t, "d/") {
+	d.store.mu.Lock()
+	d.store.onCommit = func(from string, t wire.Txn) bool {
+		begun = begun || putsKey(t, "history/id/")
+		if !begun || !putsKey(t, "history/") && !putsKey(t, "j/") && !putsKey(t, "c/") && !putsKey(t, "d/") {
 			return false
 		}
 		whole := false
@@ -39,16 +39,16 @@
 		}
 		return n == number
 	}
-	d.st.mu.Unlock()
+	d.store.mu.Unlock()
 	var w write
 	select {
 	case w = <-seen:
-	case <-time.After(2 * lease):
+	case <-time.After(2 * leaseDuration):
 		w.whole = true
 	}
-	d.st.mu.Lock()
-	d.st.onCommit = nil
-	d.st.mu.Unlock()
+	d.store.mu.Lock()
+	d.store.onCommit = nil
+	d.store.mu.Unlock()
 	if w.whole || !strings.HasPrefix(w.node, "host-") {
 		return 0, false
 	}
@@ -58,36 +58,36 @@
 
 // A rebuild is cut short behind each of its writes in turn, the write carried out and its
 // answer lost; whoever wrote is back after 50 ms, or only when the next has taken over.
-func TestRebuildCutShort(t *testing.T) {
+func TestRebuildInterruptedAtEachWrite(t *testing.T) {
 	for _, l := range []struct {
 		name string
 		how  string
 		back time.Duration
-	}{{"all keys, back at once", wiped, 50 * time.Millisecond}, {"restored, gone for longer", restored, 8 * time.Second}} {
+	}{{"all keys, back at once", allKeysLost, 50 * time.Millisecond}, {"restored, gone for longer", restoredFromBackup, 8 * time.Second}} {
 		t.Run(l.name, func(t *testing.T) {
 			last := 0
 			for k := 1; ; k++ {
 				came := false
 				synctest.Test(t, func(t *testing.T) {
-					d, before, end := lossDayOf(t, 700, 8, "")
-					d.lose(l.how, 15*time.Second, "")
+					d, before, end := startLossScenario(t, 700, 8, "")
+					d.loseData(l.how, 15*time.Second, "")
 					var node int
-					if node, came = d.atWrite(k); came {
+					if node, came = d.waitForRebuildWrite(k); came {
 						d.crash(node, l.back)
 					}
-					kept := d.kept(before, 40*time.Second)
+					surviving := d.countSurviving(before, 40*time.Second)
 					time.Sleep(175 * time.Second)
 					end()
-					for _, b := range d.w.breaches {
+					for _, b := range d.w.violations {
 						t.Errorf("write %d: %s", k, b)
 					}
-					for ref, j := range d.w.jobs {
-						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; d.w.told[ref] != want {
-							t.Errorf("write %d: %s is %q, want %s", k, ref, d.w.told[ref], want)
+					for jobID, j := range d.w.jobs {
+						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; d.w.lastPhase[jobID] != want {
+							t.Errorf("write %d: %s is %q, want %s", k, jobID, d.w.lastPhase[jobID], want)
 						}
 					}
-					if float64(kept) < 0.9*float64(len(before)) {
-						t.Errorf("write %d: %d of %d tasks run on, or are done", k, kept, len(before))
+					if float64(surviving) < 0.9*float64(len(before)) {
+						t.Errorf("write %d: %d of %d tasks run on, or are done", k, surviving, len(before))
 					}
 				})
 				if !came {
--- a/internal/sim/drawnday_test.go
+++ b/internal/sim/drawnday_test.go
@@ -12,46 +12,46 @@
 )
 
 // drawnDay is a day whose jobs and faults are drawn from a seed.
-type drawnDay struct {
+type randomScenario struct {
 	rnd         *rand.Rand
 	ctx         context.Context
 	world       *world
-	store       *store
-	cloud       *cloud
-	controllers []*node
+	store       *fakeStore
+	cloud       *fakeCloud
+	controllers []*controllerProcess
 }
 
 // drawnFault is a kind of fault that a drawn day may have. It strikes a controller, where it is one of
 // controllers, and is over when it returns.
-type drawnFault struct {
+type scenarioFault struct {
 	name      string
 	losesData bool
-	strike    func(d *drawnDay, controller int)
+	inject    func(d *randomScenario, controller int)
 }
 
 // Faults that any drawn day may have; a crash is drawn twice as often.
-var commonFaults = []drawnFault{
-	{name: "crash", strike: (*drawnDay).crash},
-	{name: "crash", strike: (*drawnDay).crash},
-	{name: "store outage", strike: (*drawnDay).storeOutage},
-	{name: "network partition from the store", strike: (*drawnDay).partitionFromStore},
-	{name: "network partition of a worker", strike: (*drawnDay).partitionWorker},
-	{name: "store refuses one controller", strike: (*drawnDay).storeRefusesOne},
-	{name: "network partition from peers", strike: (*drawnDay).partitionFromPeers},
-	{name: "network partition of a zone", strike: (*drawnDay).partitionZone},
+var commonFaults = []scenarioFault{
+	{name: "crash", inject: (*randomScenario).crash},
+	{name: "crash", inject: (*randomScenario).crash},
+	{name: "store outage", inject: (*randomScenario).storeOutage},
+	{name: "network partition from the store", inject: (*randomScenario).partitionFromStore},
+	{name: "network partition of a worker", inject: (*randomScenario).partitionWorker},
+	{name: "store refuses one controller", inject: (*randomScenario).storeRefusesOne},
+	{name: "network partition from peers", inject: (*randomScenario).partitionFromPeers},
+	{name: "network partition of a zone", inject: (*randomScenario).partitionZone},
 }
 
 var (
-	crashAndDelayFaults = []drawnFault{
-		{name: "crash of several", strike: (*drawnDay).crashSeveral},
-		{name: "crash loop", strike: (*drawnDay).crashLoop},
-		{name: "short network partition of all workers", strike: (*drawnDay).partitionAllWorkers},
-		{name: "slow store", strike: (*drawnDay).slowStore},
+	crashAndDelayFaults = []scenarioFault{
+		{name: "crash of several", inject: (*randomScenario).crashSeveral},
+		{name: "crash loop", inject: (*randomScenario).crashLoop},
+		{name: "short network partition of all workers", inject: (*randomScenario).partitionAllWorkers},
+		{name: "slow store", inject: (*randomScenario).slowStore},
 	}
-	dataLossFaults = []drawnFault{
-		{name: "store wiped", losesData: true, strike: func(d *drawnDay, _ int) { d.store.loseData(wiped, 0, "") }},
-		{name: "store restored", losesData: true, strike: (*drawnDay).restoreStore},
-		{name: "keys lost", losesData: true, strike: func(d *drawnDay, _ int) { d.store.loseData(holes, 0, "") }},
+	dataLossFaults = []scenarioFault{
+		{name: "store wiped", losesData: true, inject: func(d *randomScenario, _ int) { d.store.loseData(allKeysLost, 0, "") }},
+		{name: "store restored", losesData: true, inject: (*randomScenario).restoreStore},
+		{name: "keys lost", losesData: true, inject: func(d *randomScenario, _ int) { d.store.loseData(someKeysLost, 0, "") }},
 	}
 )
 
@@ -59,16 +59,16 @@
 // seed; after them there is time to recover. On a day with pipelines the
 // controllers first come back one by one knowing of lower limits, which then
 // come into force while jobs laid out before are on hand.
-func play(t testing.TB, seed uint64, piped bool, operator string, tamper func(*world)) (breaches []string, w *world) {
-	return playWith(t, seed, nodes, piped, slices.Concat(commonFaults, crashAndDelayFaults), operator, tamper)
+func runRandomScenario(t testing.TB, seed uint64, piped bool, operator string, tamper func(*world)) (breaches []string, w *world) {
+	return runRandomScenarioWith(t, seed, controllerCount, piped, slices.Concat(commonFaults, crashAndDelayFaults), operator, tamper)
 }
 
 // playWith plays a day of so many controllers with faults of the kinds given.
-func playWith(
-	t testing.TB, seed uint64, size int, piped bool, faults []drawnFault, operator string, tamper func(*world),
+func runRandomScenarioWith(
+	t testing.TB, seed uint64, size int, piped bool, faults []scenarioFault, operator string, tamper func(*world),
 ) (breaches []string, w *world) {
-	ctx, w, st, cl, cs, stop := beginWith(t, seed, size, 24, 3, operator)
-	day := &drawnDay{rand.New(rand.NewPCG(seed, 7)), ctx, w, st, cl, cs}
+	ctx, w, store, cloud, controllers, stop := startWorldOfSize(t, seed, size, 24, 3, operator)
+	day := &randomScenario{rand.New(rand.NewPCG(seed, 7)), ctx, w, store, cloud, controllers}
 	began := time.Now()
 	day.submitJobs()
 	if tamper != nil {
@@ -79,31 +79,31 @@
 		day.upgradeToLowerLimits()
 	}
 	for range 8 {
-		controller := day.rnd.IntN(w.size)
-		faults[day.rnd.IntN(len(faults))].strike(day, controller)
+		controller := day.rnd.IntN(w.clusterSize)
+		faults[day.rnd.IntN(len(faults))].inject(day, controller)
 		time.Sleep(day.seconds(0, 6))
 	}
 	// Faults that take no time make a short day; the last user cancels after 260 s.
 	time.Sleep(max(150*time.Second, 300*time.Second-time.Since(began)))
-	if slices.ContainsFunc(faults, func(f drawnFault) bool { return f.losesData }) {
+	if slices.ContainsFunc(faults, func(f scenarioFault) bool { return f.losesData }) {
 		time.Sleep(120 * time.Second) // losses take no time, so the day was shorter
 	}
 	stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.breaches, w
+	return w.violations, w
 }
 
 // seconds draws whole seconds, from the least on and fewer than so many more.
-func (d *drawnDay) seconds(least, more int) time.Duration {
+func (d *randomScenario) seconds(least, more int) time.Duration {
 	return time.Duration(least+d.rnd.IntN(more)) * time.Second
 }
 
 // submitJobs has arrays and services submitted over two minutes, some of which are cancelled.
-func (d *drawnDay) submitJobs() {
+func (d *randomScenario) submitJobs() {
 	for i := range 14 {
 		j := wire.Job{
-			ID: ref(i), Class: "c", Team: []string{"a", "b"}[i%2], Kind: wire.KindArray, Priority: "standard",
+			ID: testJobID(i), Class: "c", Team: []string{"a", "b"}[i%2], Kind: wire.KindArray, Priority: "standard",
 			TaskCount: 1 + d.rnd.IntN(8), CPUs: float64(1 + d.rnd.IntN(3)), MemoryGB: 2, Image: "img",
 			AllowSpot: i%3 == 0, ExpectedSeconds: float64(3 + d.rnd.IntN(20)),
 		}
@@ -120,20 +120,20 @@
 
 // upgradeToLowerLimits has a large array run, restarts each controller knowing of lower limits of the
 // store, has pipelines submitted and lets the limits fall.
-func (d *drawnDay) upgradeToLowerLimits() {
+func (d *randomScenario) upgradeToLowerLimits() {
 	w := d.world
 	w.submit(d.ctx, wire.Job{
 		ID: "req-099999", Class: "s", Team: "a", Kind: wire.KindArray, Priority: "urgent", TaskCount: 64, CPUs: 0.25,
 		MemoryGB: 0.1, Image: "img", ExpectedSeconds: 60,
 	}, 0, 0)
-	for n := range w.size {
+	for n := range w.clusterSize {
 		d.controllers[n].crash()
 		w.mu.Lock()
 		w.upgraded[n] = true
 		w.mu.Unlock()
 		time.Sleep(w.randomDowntime())
 		d.controllers[n] = w.boot(n)
-		if other := (n + 1) % w.size; d.rnd.IntN(2) == 0 { // before or after its turn
+		if other := (n + 1) % w.clusterSize; d.rnd.IntN(2) == 0 { // before or after its turn
 			d.crash(other)
 		}
 		time.Sleep(d.seconds(0, 8))
@@ -143,31 +143,31 @@
 		w.submit(d.ctx, j, d.seconds(0, 20), withdraw[j.ID])
 	}
 	time.Sleep(d.seconds(0, 5))
-	d.store.lowerLimits(lowValue, lowOps)
+	d.store.lowerLimits(loweredValueBytes, loweredOperations)
 }
 
-func (d *drawnDay) crash(controller int) {
+func (d *randomScenario) crash(controller int) {
 	d.controllers[controller].crash()
 	time.Sleep(d.world.randomDowntime())
 	d.controllers[controller] = d.world.boot(controller)
 }
 
 // crashSeveral ends all controllers, the one drawn or not, which come back one after the other.
-func (d *drawnDay) crashSeveral(controller int) {
-	for n := range d.world.size {
+func (d *randomScenario) crashSeveral(controller int) {
+	for n := range d.world.clusterSize {
 		if n != controller || d.rnd.IntN(2) == 0 {
 			d.controllers[n].crash()
 		}
 	}
-	for n := range d.world.size {
-		if d.controllers[n].ended() {
+	for n := range d.world.clusterSize {
+		if d.controllers[n].hasExited() {
 			time.Sleep(d.world.randomDowntime() / 2)
 			d.controllers[n] = d.world.boot(n)
 		}
 	}
 }
 
-func (d *drawnDay) crashLoop(controller int) {
+func (d *randomScenario) crashLoop(controller int) {
 	for range 20 {
 		d.controllers[controller].crash()
 		time.Sleep(20 * time.Millisecond)
@@ -176,48 +176,48 @@
 	}
 }
 
-func (d *drawnDay) slowStore(int) {
+func (d *randomScenario) slowStore(int) {
 	d.store.respondSlowly(400 * time.Millisecond)
 	time.Sleep(d.seconds(5, 30))
 	d.store.respondSlowly(0)
 }
 
-func (d *drawnDay) storeOutage(int) {
-	d.store.outage(true)
+func (d *randomScenario) storeOutage(int) {
+	d.store.setOutage(true)
 	time.Sleep(d.seconds(5, 30))
-	d.store.outage(false)
+	d.store.setOutage(false)
 }
 
-func (d *drawnDay) storeRefusesOne(controller int) {
-	d.store.refuseAlone(name(controller), true)
+func (d *randomScenario) storeRefusesOne(controller int) {
+	d.store.refuseController(controllerName(controller), true)
 	time.Sleep(d.seconds(5, 30))
-	d.store.refuseAlone(name(controller), false)
+	d.store.refuseController(controllerName(controller), false)
 }
 
-func (d *drawnDay) restoreStore(int) {
-	d.store.loseData(restored, time.Duration(d.rnd.IntN(30_000))*time.Millisecond, "")
+func (d *randomScenario) restoreStore(int) {
+	d.store.loseData(restoredFromBackup, time.Duration(d.rnd.IntN(30_000))*time.Millisecond, "")
 }
 
 // partitionFromStore holds the packets between a controller and the store.
-func (d *drawnDay) partitionFromStore(controller int) {
-	d.world.net.cut(name(controller), "state", true)
+func (d *randomScenario) partitionFromStore(controller int) {
+	d.world.net.setBlocked(controllerName(controller), "state", true)
 	time.Sleep(d.seconds(5, 30))
-	d.world.net.cut(name(controller), "state", false)
+	d.world.net.setBlocked(controllerName(controller), "state", false)
 }
 
 // partitionWorker cuts a worker from all controllers, for longer than its lease or not.
-func (d *drawnDay) partitionWorker(int) {
+func (d *randomScenario) partitionWorker(int) {
 	d.cloud.mu.Lock()
 	var host string
-	for h := range d.cloud.hosts {
+	for h := range d.cloud.instances {
 		if host == "" || h < host {
 			host = h
 		}
 	}
 	d.cloud.mu.Unlock()
 	cut := func(on bool) {
-		for n := range d.world.size {
-			d.world.net.cut(name(n), host, on)
+		for n := range d.world.clusterSize {
+			d.world.net.setBlocked(controllerName(n), host, on)
 		}
 	}
 	cut(true)
@@ -225,15 +225,15 @@
 	cut(false)
 }
 
-func (d *drawnDay) partitionAllWorkers(int) {
+func (d *randomScenario) partitionAllWorkers(int) {
 	d.world.cutWorkersOff(d.cloud, time.Duration(50+d.rnd.IntN(1500))*time.Millisecond)
 }
 
-func (d *drawnDay) partitionFromPeers(controller int) {
+func (d *randomScenario) partitionFromPeers(controller int) {
 	cut := func(on bool) {
-		for n := range d.world.size {
+		for n := range d.world.clusterSize {
 			if n != controller {
-				d.world.net.cut(name(controller), name(n), on)
+				d.world.net.setBlocked(controllerName(controller), controllerName(n), on)
 			}
 		}
 	}
@@ -243,7 +243,7 @@
 }
 
 // partitionZone cuts a controller's zone off from everything, for longer than a lease or not.
-func (d *drawnDay) partitionZone(controller int) {
+func (d *randomScenario) partitionZone(controller int) {
 	d.world.partitionZone(d.cloud, zoneOf(controller), true)
 	time.Sleep(d.seconds(5, 60))
 	d.world.partitionZone(d.cloud, zoneOf(controller), false)
@@ -251,10 +251,10 @@
 
 // partitionZone cuts a zone's workers and controllers off from all that is outside, or
 // ends that.
-func (w *world) partitionZone(cl *cloud, zone string, on bool) {
+func (w *world) partitionZone(cloud *fakeCloud, zone string, on bool) {
 	var in []string
 	out := []string{"state", "cloud", "user"}
-	for n := range w.size {
+	for n := range w.clusterSize {
 		name := fmt.Sprintf("host-%d", n)
 		if zoneOf(n) == zone {
 			in = append(in, name)
@@ -262,16 +262,16 @@
 			out = append(out, name)
 		}
 	}
-	cl.mu.Lock()
-	for ref, h := range cl.hosts {
+	cloud.mu.Lock()
+	for jobID, h := range cloud.instances {
 		if h.Zone == zone {
-			in = append(in, ref)
+			in = append(in, jobID)
 		}
 	}
-	cl.mu.Unlock()
+	cloud.mu.Unlock()
 	for _, a := range in {
 		for _, b := range out {
-			w.net.cut(a, b, on)
+			w.net.setBlocked(a, b, on)
 		}
 	}
 }
--- a/internal/sim/faultplan_test.go
+++ b/internal/sim/faultplan_test.go
@@ -16,91 +16,91 @@
 // must be true at the end beside the rules.
 type faultPlan struct {
 	seed  uint64
-	size  int     // controllers; 0: three
-	limit float64 // of each team, in CPUs; 0: plenty
-	most  int     // machines of a kind and zone; 0: six
+	clusterSize  int     // controllers; 0: three
+	teamCPULimit float64 // of each team, in CPUs; 0: plenty
+	maxInstances  int     // machines of a kind and zone; 0: six
 	jobs  []wire.Job
 	// faults come 25 s into the day, and are over when it returns.
-	troubles func(m *scenario)
-	rest     time.Duration // after them; 0: 200 s
-	operator string        // the operators' settings
-	ends     func(m *scenario)
+	faults func(m *scenario)
+	recovery     time.Duration // after them; 0: 200 s
+	operatorSettings string        // the operators' settings
+	check     func(m *scenario)
 }
 
 // playFaults plays a day and checks it.
-func playFaults(t *testing.T, p faultPlan) {
+func runFaultPlan(t *testing.T, p faultPlan) {
 	t.Helper()
-	for k := range seeds(1) {
+	for k := range seedCount(1) {
 		p.seed += 100 * k
-		synctest.Test(t, func(t *testing.T) { p.play(t) })
+		synctest.Test(t, func(t *testing.T) { p.run(t) })
 	}
 }
 
-func (p faultPlan) play(t *testing.T) {
-	if p.size == 0 {
-		p.size = nodes
+func (p faultPlan) run(t *testing.T) {
+	if p.clusterSize == 0 {
+		p.clusterSize = controllerCount
 	}
-	if p.limit == 0 {
-		p.limit = 60
+	if p.teamCPULimit == 0 {
+		p.teamCPULimit = 60
 	}
-	if p.most == 0 {
-		p.most = 6
+	if p.maxInstances == 0 {
+		p.maxInstances = 6
 	}
-	ctx, w, st, cl, cs, end := beginWith(t, p.seed+40, p.size, p.limit, p.most, p.operator)
-	m := newScenario(t, ctx, w, st, cl, cs)
-	w.wg.Go(func() { w.strangers(ctx) })
+	ctx, w, store, cloud, controllers, end := startWorldOfSize(t, p.seed+40, p.clusterSize, p.teamCPULimit, p.maxInstances, p.operatorSettings)
+	m := newScenario(t, ctx, w, store, cloud, controllers)
+	w.wg.Go(func() { w.requestUnknownJobs(ctx) })
 	for _, j := range p.jobs {
 		w.submit(ctx, j, 0, 0)
 	}
 	time.Sleep(25 * time.Second)
-	m.leader = max(0, st.leads())
-	p.troubles(m)
-	w.calms(cl)
-	if p.rest == 0 {
-		p.rest = 200 * time.Second
+	m.initialLeader = max(0, store.leaderIndex())
+	p.faults(m)
+	w.faultsEnded(cloud)
+	if p.recovery == 0 {
+		p.recovery = 200 * time.Second
 	}
-	time.Sleep(p.rest)
+	time.Sleep(p.recovery)
 	w.checkCancelledTasksGone()
 	w.mu.Lock()
-	w.begins()
+	w.checkLargestJobsStarted()
 	w.mu.Unlock()
-	if p.ends != nil {
-		p.ends(m)
+	if p.check != nil {
+		p.check(m)
 	}
 	end()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, b := range w.breaches {
+	for _, b := range w.violations {
 		t.Error(b)
 	}
-	for _, ref := range slices.Sorted(maps.Keys(w.taken)) {
-		got, j := w.told[ref], w.jobs[ref]
+	for _, jobID := range slices.Sorted(maps.Keys(w.acceptedAt)) {
+		got, j := w.lastPhase[jobID], w.jobs[jobID]
 		switch {
-		case got == wire.PhaseDone || got == wire.PhaseCancelled && (w.asked[ref] || w.dependsOnCancelled(ref)):
-		case j.Kind == wire.KindService && !w.asked[ref]:
+		case got == wire.PhaseDone || got == wire.PhaseCancelled && (w.cancelRequested[jobID] || w.dependsOnCancelled(jobID)):
+		case j.Kind == wire.KindService && !w.cancelRequested[jobID]:
 			for i := range j.TaskCount {
-				if w.where[ledger.Task{JobID: ref, Index: i}] == "" {
-					t.Errorf("%s/%d does not run at the end", ref, i)
+				if w.hostOf[ledger.Task{JobID: jobID, Index: i}] == "" {
+					t.Errorf("%s/%d does not run at the end", jobID, i)
 				}
 			}
 		default:
-			t.Errorf("%s is %q at the end", ref, got)
+			t.Errorf("%s is %q at the end", jobID, got)
 		}
 	}
-	if len(w.late) > 0 {
-		t.Logf("%d starts after a withdrawal was told, the latest %v after", len(w.late), slices.Max(w.late))
+	if len(w.lateStarts) > 0 {
+		t.Logf("%d starts after a withdrawal was told, the latest %v after", len(w.lateStarts), slices.Max(w.lateStarts))
 	}
 }
 
 // array is a job of a few tasks that run for so long.
-func array(i, members int, long time.Duration) wire.Job {
-	return wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: members, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: long.Seconds()}
+func array(i, tasksPerJob int, duration time.Duration) wire.Job {
+	return wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: tasksPerJob, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: duration.Seconds()}
 }
 
 // arrays are so many of them, changed as is told.
-func arrays(n, members int, long time.Duration, change func(i int, j *wire.Job)) (js []wire.Job) {
+func arrays(n, tasksPerJob int, duration time.Duration, change func(i int, j *wire.Job)) (js []wire.Job) {
 	for i := range n {
-		j := array(i, members, long)
+		j := array(i, tasksPerJob, duration)
 		if change != nil {
 			change(i, &j)
 		}
@@ -120,11 +120,11 @@
 
 // cancelRepeatedly cancels jobs through a controller, again and again until it says so, or for so
 // long.
-func (m *scenario) cancelRepeatedly(n int, long time.Duration, refs ...string) {
+func (m *scenario) cancelRepeatedly(n int, duration time.Duration, jobIDs ...string) {
 	var wg sync.WaitGroup
-	for _, r := range refs {
+	for _, r := range jobIDs {
 		wg.Go(func() {
-			for end := time.Now().Add(long); !m.withdraw(n, r) && time.Now().Before(end) && m.ctx.Err() == nil; {
+			for end := time.Now().Add(duration); !m.cancelJob(n, r) && time.Now().Before(end) && m.ctx.Err() == nil; {
 				time.Sleep(time.Second)
 			}
 		})
@@ -133,19 +133,19 @@
 }
 
 // controllers are the names of all.
-func (m *scenario) controllers() (out []string) {
-	for n := range m.w.size {
-		out = append(out, name(n))
+func (m *scenario) controllerNames() (out []string) {
+	for n := range m.w.clusterSize {
+		out = append(out, controllerName(n))
 	}
 	return out
 }
 
 // workers are those of a zone, or of all for "".
-func (m *scenario) machines(zone string) (out []string) {
-	m.cl.mu.Lock()
-	defer m.cl.mu.Unlock()
-	for _, h := range slices.Sorted(maps.Keys(m.cl.hosts)) {
-		if zone == "" || m.cl.hosts[h].Zone == zone {
+func (m *scenario) workerNames(zone string) (out []string) {
+	m.cloud.mu.Lock()
+	defer m.cloud.mu.Unlock()
+	for _, h := range slices.Sorted(maps.Keys(m.cloud.instances)) {
+		if zone == "" || m.cloud.instances[h].Zone == zone {
 			out = append(out, h)
 		}
 	}
@@ -153,11 +153,11 @@
 }
 
 // busy are workers that have a task now.
-func (m *scenario) busy() []string {
+func (m *scenario) busyWorkers() []string {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	on := make(map[string]bool)
-	for _, h := range m.w.where {
+	for _, h := range m.w.hostOf {
 		on[h] = true
 	}
 	return slices.Sorted(maps.Keys(on))
@@ -165,32 +165,32 @@
 
 // limitCapacity lets a zone have no more workers than so many, or as many as ever for -1.
 func (m *scenario) limitCapacity(zone string, n int) {
-	m.cl.mu.Lock()
-	defer m.cl.mu.Unlock()
-	if m.cl.few == nil {
-		m.cl.few = make(map[string]int)
+	m.cloud.mu.Lock()
+	defer m.cloud.mu.Unlock()
+	if m.cloud.zoneLimits == nil {
+		m.cloud.zoneLimits = make(map[string]int)
 	}
 	if n < 0 {
-		delete(m.cl.few, zone)
+		delete(m.cloud.zoneLimits, zone)
 	} else {
-		m.cl.few[zone] = n
+		m.cloud.zoneLimits[zone] = n
 	}
 }
 
 // restartControllers ends every controller, and begins those given anew after a while.
 func (m *scenario) restartControllers(back time.Duration, ns ...int) {
-	for n := range m.w.size {
-		if !m.cs[n].ended() {
-			m.cs[n].crash()
+	for n := range m.w.clusterSize {
+		if !m.processes[n].hasExited() {
+			m.processes[n].crash()
 		}
 	}
 	time.Sleep(back)
 	for _, n := range ns {
-		m.cs[n] = m.w.boot(n)
+		m.processes[n] = m.w.boot(n)
 	}
 }
 
 // phase asks a controller, and gives what it says of a job.
-func (m *scenario) phase(n int, method, path string, body []byte) (int, string) {
-	return m.w.ask(m.ctx, m.client, n, method, path, body)
+func (m *scenario) requestPhase(n int, method, path string, body []byte) (int, string) {
+	return m.w.request(m.ctx, m.client, n, method, path, body)
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -19,19 +19,19 @@
 // others stop, all at once. No rule is broken, what runs behind the cut is neither
 // returned nor lost, and everything is done in the end. SIM_FLEET gives another
 // number of workers; 700 take 40 s, 2,000 were not seen to the end.
-func TestFallTogether(t *testing.T) {
-	machines := 96
+func TestSimultaneousWorkerFailures(t *testing.T) {
+	workerCount := 96
 	if n, err := strconv.Atoi(os.Getenv("SIM_FLEET")); err == nil {
-		machines = n
+		workerCount = n
 	}
 	synctest.Test(t, func(t *testing.T) {
-		ctx, w, st, cl, cs, end := begin(t, 11, float64(4*machines), machines/2, "")
+		ctx, w, store, cloud, controllers, end := startWorld(t, 11, float64(4*workerCount), workerCount/2, "")
 		for i := range 24 {
 			j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
-				TaskCount: machines / 8, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(8 + i)}
+				TaskCount: workerCount / 8, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(8 + i)}
 			withdraw := time.Duration(0)
 			if i%4 == 3 {
-				j.Kind, j.Priority, j.TaskCount, j.CPUs, j.SpreadZones = wire.KindService, "production", machines/16, 1, true
+				j.Kind, j.Priority, j.TaskCount, j.CPUs, j.SpreadZones = wire.KindService, "production", workerCount/16, 1, true
 				withdraw = 260 * time.Second
 				if i == 11 {
 					withdraw = 29 * time.Second // while its zone is cut off
@@ -40,122 +40,122 @@
 			w.submit(ctx, j, time.Duration(2+i)*time.Second, withdraw)
 		}
 		time.Sleep(40 * time.Second)
-		cl.mu.Lock()
-		before := maps.Clone(cl.hosts)
-		cl.mu.Unlock()
+		cloud.mu.Lock()
+		before := maps.Clone(cloud.instances)
+		cloud.mu.Unlock()
 		zone := zoneOf(1)
-		w.partitionZone(cl, zone, true)
+		w.partitionZone(cloud, zone, true)
 		time.Sleep(10 * time.Second)
-		for n := range nodes {
-			if zoneOf(n) != zone && strings.Contains(st.get("lead"), fmt.Sprintf("host-%d", n)) {
-				cs[n].crash()
+		for n := range controllerCount {
+			if zoneOf(n) != zone && strings.Contains(store.get("lead"), fmt.Sprintf("host-%d", n)) {
+				controllers[n].crash()
 				time.Sleep(8 * time.Second)
-				cs[n] = w.boot(n)
+				controllers[n] = w.boot(n)
 				break
 			}
 		}
 		time.Sleep(35 * time.Second)
-		w.partitionZone(cl, zone, false)
-		cl.mu.Lock()
-		kept, all := 0, 0
-		for ref, h := range before {
+		w.partitionZone(cloud, zone, false)
+		cloud.mu.Lock()
+		surviving, all := 0, 0
+		for jobID, h := range before {
 			if h.Zone == zone {
 				all++
-				if _, ok := cl.hosts[ref]; ok {
-					kept++
+				if _, ok := cloud.instances[jobID]; ok {
+					surviving++
 				}
 			}
 		}
-		hosts := slices.Sorted(maps.Keys(cl.hosts))
-		cl.mu.Unlock()
+		hosts := slices.Sorted(maps.Keys(cloud.instances))
+		cloud.mu.Unlock()
 		time.Sleep(20 * time.Second)
 		for i, h := range hosts {
 			switch i % 10 {
 			case 3:
-				w.stop(h) // with all that is on it
+				w.stopWorker(h) // with all that is on it
 			case 7:
-				for n := range nodes {
-					w.net.cut(fmt.Sprintf("host-%d", n), h, true)
+				for n := range controllerCount {
+					w.net.setBlocked(fmt.Sprintf("host-%d", n), h, true)
 				}
 			}
 		}
 		time.Sleep(20 * time.Second)
 		for i, h := range hosts {
 			if i%10 == 7 {
-				for n := range nodes {
-					w.net.cut(fmt.Sprintf("host-%d", n), h, false)
+				for n := range controllerCount {
+					w.net.setBlocked(fmt.Sprintf("host-%d", n), h, false)
 				}
 			}
 		}
 		time.Sleep(220 * time.Second)
 		end()
-		for _, b := range w.breaches {
+		for _, b := range w.violations {
 			t.Error(b)
 		}
-		for ref, j := range w.jobs {
-			if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; w.told[ref] != want {
-				t.Errorf("%s is %q, want %s", ref, w.told[ref], want)
+		for jobID, j := range w.jobs {
+			if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; w.lastPhase[jobID] != want {
+				t.Errorf("%s is %q, want %s", jobID, w.lastPhase[jobID], want)
 			}
 		}
 		// Only workers with a cancelled task, which would outlive its time, go.
-		if kept*2 < all || all < machines/4 {
-			t.Errorf("%d of %d machines behind the cut were kept", kept, all)
+		if surviving*2 < all || all < workerCount/4 {
+			t.Errorf("%d of %d machines behind the cut were kept", surviving, all)
 		}
-		t.Logf("%d machines rented in all, %d of %d behind the cut kept, %d changes written", cl.next, kept, all, len(st.log))
+		t.Logf("%d machines rented in all, %d of %d behind the cut kept, %d changes written", cloud.lastNumber, surviving, all, len(store.log))
 	})
 }
 
 // One controller is left with all workers, and has fewer places for connections than
 // there are workers: their leases last all the same, and their tasks run on.
-func TestMoreMachinesThanSockets(t *testing.T) {
+func TestMoreWorkersThanSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const machines = 96
-		ctx, w, _, cl, cs, end := begin(t, 21, 4*machines, machines/2, "")
+		const workerCount = 96
+		ctx, w, _, cloud, controllers, end := startWorld(t, 21, 4*workerCount, workerCount/2, "")
 		w.mu.Lock()
-		w.sockets = machines
+		w.sockets = workerCount
 		w.mu.Unlock()
-		for n := range nodes {
-			cs[n].crash()
-			cs[n] = w.boot(n)
+		for n := range controllerCount {
+			controllers[n].crash()
+			controllers[n] = w.boot(n)
 		}
 		for i := range 12 {
 			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindService, Priority: "production",
-				TaskCount: machines / 12, CPUs: 2, MemoryGB: 2, Image: "img"}, time.Duration(1+i)*time.Second, 0)
+				TaskCount: workerCount / 12, CPUs: 2, MemoryGB: 2, Image: "img"}, time.Duration(1+i)*time.Second, 0)
 		}
 		time.Sleep(45 * time.Second)
 		w.mu.Lock()
-		before := places(maps.Clone(w.where))
+		before := taskHosts(maps.Clone(w.hostOf))
 		w.mu.Unlock()
-		cs[0].crash()
-		cs[1].crash()
-		time.Sleep(3 * lease)
+		controllers[0].crash()
+		controllers[1].crash()
+		time.Sleep(3 * leaseDuration)
 		w.mu.Lock()
-		kept := 0
+		surviving := 0
 		for id, host := range before {
-			if w.where[id] == host {
-				kept++
+			if w.hostOf[id] == host {
+				surviving++
 			}
 		}
 		expired := 0
 		for _, k := range w.workers {
 			k.mu.Lock()
-			if k.tenure > 1 {
+			if k.incarnation > 1 {
 				expired++
 			}
 			k.mu.Unlock()
 		}
 		w.mu.Unlock()
-		cl.mu.Lock()
-		up := len(cl.hosts)
-		cl.mu.Unlock()
-		cs[0], cs[1] = w.boot(0), w.boot(1)
+		cloud.mu.Lock()
+		up := len(cloud.instances)
+		cloud.mu.Unlock()
+		controllers[0], controllers[1] = w.boot(0), w.boot(1)
 		end()
-		for _, b := range w.breaches {
+		for _, b := range w.violations {
 			t.Error(b)
 		}
-		if len(before) < machines/2 || kept != len(before) || expired > 0 {
-			t.Errorf("%d of %d tasks run on, %d machines, %d leases ran out", kept, len(before), up, expired)
+		if len(before) < workerCount/2 || surviving != len(before) || expired > 0 {
+			t.Errorf("%d of %d tasks run on, %d machines, %d leases ran out", surviving, len(before), up, expired)
 		}
-		t.Logf("%d of %d tasks run on, %d machines, %d leases ran out", kept, len(before), up, expired)
+		t.Logf("%d of %d tasks run on, %d machines, %d leases ran out", surviving, len(before), up, expired)
 	})
 }
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -29,18 +29,18 @@
 // cut off when it was, and the record tells who did what and who was refused. The
 // controllers speak TLS with one another.
 func TestIdentities(t *testing.T) {
-	ring, path := newRing(t)
+	ring, path := newKeyring(t)
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		err := certs.MakeAuthority(folder, "sim", time.Hour)
-		for n := range nodes {
+		for n := range controllerCount {
 			err = errors.Join(err, certs.MakeCertificate(folder, fmt.Sprintf("host-%d", n), nil, time.Hour))
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, w, st, _, _, end := begin(t, 5, 24, 3, fmt.Sprintf(accessXML, path, folder))
-		admin := &identity.Admin{Store: st, Ring: ring, Actor: "root", Audited: true, Now: time.Now}
+		ctx, w, store, _, _, end := startWorld(t, 5, 24, 3, fmt.Sprintf(accessXML, path, folder))
+		admin := &identity.Admin{Store: store, Ring: ring, Actor: "root", Audited: true, Now: time.Now}
 		token := func(name, team, role string) string {
 			s, err := admin.Issue(ctx, name, identity.Record{Kind: "person", Teams: []string{team}, Roles: []string{role}}, time.Hour)
 			if err != nil {
@@ -50,13 +50,13 @@
 		}
 		ana, gus := token("ana", "a", "curator"), token("gus", "b", "guest")
 		time.Sleep(30 * time.Second)
-		client := &http.Client{Transport: &http.Transport{DialContext: w.net.at("user").Dial, DisableKeepAlives: true}}
+		client := &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
 		// ask keeps at it until there is an answer that settles it.
 		ask := func(node int, token, method, path string, body any) int {
 			data, _ := json.Marshal(body)
 			for range 20 {
 				rctx, cancel := context.WithTimeout(ctx, 5*time.Second)
-				req, _ := http.NewRequestWithContext(rctx, method, "http://"+front(node)+path, strings.NewReader(string(data)))
+				req, _ := http.NewRequestWithContext(rctx, method, "http://"+frontAddress(node)+path, strings.NewReader(string(data)))
 				if token != "" {
 					req.Header.Set("Authorization", "Bearer "+token)
 				}
@@ -73,11 +73,11 @@
 			}
 			return 0
 		}
-		job := func(ref, owner, rank string, needs ...string) map[string]any {
+		job := func(jobID, owner, rank string, needs ...string) map[string]any {
 			w.mu.Lock()
-			w.jobs[ref] = wire.Job{ID: ref, Team: owner, Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 30, DependsOn: needs}
+			w.jobs[jobID] = wire.Job{ID: jobID, Team: owner, Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 30, DependsOn: needs}
 			w.mu.Unlock()
-			return map[string]any{"ref": ref, "jobclass": "c", "owner": owner, "shape": "batch", "rank": rank, "members": 1, "cores": 1, "accelerators": 0, "ram_gb": 1,
+			return map[string]any{"ref": jobID, "jobclass": "c", "owner": owner, "shape": "batch", "rank": rank, "members": 1, "cores": 1, "accelerators": 0, "ram_gb": 1,
 				"bundle": "img", "size_gb": 1, "same_place": false, "scatter": false, "loaners": true, "expect_s": 30, "snapshot_s": 0, "flush_s": 0, "waits_on": needs}
 		}
 		for i, tc := range []struct {
@@ -101,17 +101,17 @@
 			{"a retry is told the state", ana, "POST", "/v1/jobs", job("req-2", "a", "urgent"), 200},
 			{"she may withdraw her own", ana, "POST", "/v1/jobs/req-2/withdraw", nil, 200},
 		} {
-			if got := ask(i%nodes, tc.token, tc.method, tc.path, tc.body); got != tc.want {
+			if got := ask(i%controllerCount, tc.token, tc.method, tc.path, tc.body); got != tc.want {
 				t.Errorf("%s: %d, want %d", tc.what, got, tc.want)
 			}
 		}
 
 		// The store refuses one controller; meanwhile the guest is cancelled.
 		refuse := func(on bool) {
-			st.mu.Lock()
-			defer st.mu.Unlock()
-			st.refusedAlone["host-1"] = on
-			st.cond.Broadcast()
+			store.mu.Lock()
+			defer store.mu.Unlock()
+			store.refusedControllers["host-1"] = on
+			store.cond.Broadcast()
 		}
 		refuse(true)
 		time.Sleep(time.Second)
@@ -122,7 +122,7 @@
 			if got := ask(1, gus, "POST", "/v1/jobs", job(fmt.Sprintf("req-1%d", n), "b", "idle")); got == 200 || got == 201 {
 				t.Errorf("%s: a withdrawn token was taken: %d", when, got)
 			}
-			time.Sleep([]time.Duration{lease, 0, 0}[n])
+			time.Sleep([]time.Duration{leaseDuration, 0, 0}[n])
 			if n == 1 {
 				refuse(false)
 			}
@@ -134,22 +134,22 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * report)
+		time.Sleep(2 * heartbeatInterval)
 		if old, now := ask(2, ana, "GET", "/v1/jobs/req-2", nil), ask(2, fresh, "GET", "/v1/jobs/req-2", nil); old != 401 || now != 200 {
 			t.Errorf("after a rotation the old token is answered %d, the new one %d", old, now)
 		}
 		time.Sleep(60 * time.Second)
 		end()
-		for _, b := range w.breaches {
+		for _, b := range w.violations {
 			t.Error(b)
 		}
-		h, _ := history(t, w, ring)
+		h, _ := readAuditLog(t, w, ring)
 		if s := h.Jobs["req-2"]; s == nil || s.Accepted == nil || s.Accepted.Actor != "ana" || s.Cancelled == nil || s.Cancelled.Actor != "ana" {
 			t.Errorf("req-2 is told as %+v", s)
 		}
-		for ref, who := range map[string]string{"req-1": "", "req-3": "ana", "req-4": "gus", "req-6": "gus"} {
-			if s := h.Jobs[ref]; s == nil || len(s.Refused) == 0 || s.Refused[0].Actor != who || s.Accepted != nil {
-				t.Errorf("%s, refused to %q, is told as %+v", ref, who, s)
+		for jobID, who := range map[string]string{"req-1": "", "req-3": "ana", "req-4": "gus", "req-6": "gus"} {
+			if s := h.Jobs[jobID]; s == nil || len(s.Refused) == 0 || s.Refused[0].Actor != who || s.Accepted != nil {
+				t.Errorf("%s, refused to %q, is told as %+v", jobID, who, s)
 			}
 		}
 		acts := make(map[string]int)
--- a/internal/sim/loss_test.go
+++ b/internal/sim/loss_test.go
@@ -20,91 +20,91 @@
 )
 
 // lost is a day on which the store loses data.
-type lost struct {
+type lossCase struct {
 	name string
 	// at is what happens, 50 s into the day.
-	at func(d *lossDay)
+	inject func(d *lossScenario)
 	// kept is the least share of the tasks on workers that run on where they are, or
 	// are done, a minute later.
-	kept float64
+	minSurviving float64
 }
 
 // lossDay is what a loss can be joined with.
-type lossDay struct {
+type lossScenario struct {
 	w  *world
-	st *store
-	cl *cloud
-	cs []*node
+	store *fakeStore
+	cloud *fakeCloud
+	processes []*controllerProcess
 }
 
-func (d *lossDay) leader() int { return max(0, d.st.leads()) }
+func (d *lossScenario) leader() int { return max(0, d.store.leaderIndex()) }
 
-func (d *lossDay) crash(n int, back time.Duration) {
-	d.cs[n].crash()
+func (d *lossScenario) crash(n int, back time.Duration) {
+	d.processes[n].crash()
 	time.Sleep(back)
-	d.cs[n] = d.w.boot(n)
+	d.processes[n] = d.w.boot(n)
 }
 
-func (d *lossDay) lose(how string, ago time.Duration, key string) { d.st.loseData(how, ago, key) }
+func (d *lossScenario) loseData(how string, ago time.Duration, key string) { d.store.loseData(how, ago, key) }
 
-func losses() []lost {
-	return []lost{
-		{"nothing", func(d *lossDay) {}, 1},
-		{"all keys", func(d *lossDay) { d.lose(wiped, 0, "") }, 0.99},
-		{"20 s ago", func(d *lossDay) { d.lose(restored, 20*time.Second, "") }, 0.99},
-		{"2 s ago", func(d *lossDay) { d.lose(restored, 2*time.Second, "") }, 0.99},
-		{"a third", func(d *lossDay) { d.lose(holes, 0, "") }, 0.99},
-		{"the leader's value", func(d *lossDay) { d.lose(rotten, 0, "lead") }, 0.99},
-		{"the part map", func(d *lossDay) { d.lose(rotten, 0, "epoch") }, 0.99},
-		{"a job's record", func(d *lossDay) { d.lose(rotten, 0, "j/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
-		{"a chunk", func(d *lossDay) { d.lose(rotten, 0, "c/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
-		{"the history's key", func(d *lossDay) { d.lose(rotten, 0, "history/id/") }, 0.99},
-		{"all keys, and the leader", func(d *lossDay) { n := d.leader(); d.lose(wiped, 0, ""); d.crash(n, 8*time.Second) }, 0.9},
-		{"20 s ago, and the leader", func(d *lossDay) { n := d.leader(); d.lose(restored, 20*time.Second, ""); d.crash(n, 8*time.Second) }, 0.9},
-		{"all keys, all but one", func(d *lossDay) {
+func lossCases() []lossCase {
+	return []lossCase{
+		{"nothing", func(d *lossScenario) {}, 1},
+		{"all keys", func(d *lossScenario) { d.loseData(allKeysLost, 0, "") }, 0.99},
+		{"20 s ago", func(d *lossScenario) { d.loseData(restoredFromBackup, 20*time.Second, "") }, 0.99},
+		{"2 s ago", func(d *lossScenario) { d.loseData(restoredFromBackup, 2*time.Second, "") }, 0.99},
+		{"a third", func(d *lossScenario) { d.loseData(someKeysLost, 0, "") }, 0.99},
+		{"the leader's value", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "lead") }, 0.99},
+		{"the part map", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "epoch") }, 0.99},
+		{"a job's record", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "j/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
+		{"a chunk", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "c/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
+		{"the history's key", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "history/id/") }, 0.99},
+		{"all keys, and the leader", func(d *lossScenario) { n := d.leader(); d.loseData(allKeysLost, 0, ""); d.crash(n, 8*time.Second) }, 0.9},
+		{"20 s ago, and the leader", func(d *lossScenario) { n := d.leader(); d.loseData(restoredFromBackup, 20*time.Second, ""); d.crash(n, 8*time.Second) }, 0.9},
+		{"all keys, all but one", func(d *lossScenario) {
 			n := d.leader()
-			d.lose(wiped, 0, "")
+			d.loseData(allKeysLost, 0, "")
 			d.crash(n, 0)
-			d.crash((n+1)%nodes, 0)
+			d.crash((n+1)%controllerCount, 0)
 			time.Sleep(8 * time.Second)
 		}, 0.9},
-		{"all keys, twice", func(d *lossDay) {
-			d.lose(wiped, 0, "")
+		{"all keys, twice", func(d *lossScenario) {
+			d.loseData(allKeysLost, 0, "")
 			time.Sleep(2 * time.Second)
-			d.lose(wiped, 0, "")
+			d.loseData(allKeysLost, 0, "")
 		}, 0.99},
-		{"all keys, in an outage", func(d *lossDay) {
-			d.st.outage(true)
+		{"all keys, in an outage", func(d *lossScenario) {
+			d.store.setOutage(true)
 			time.Sleep(5 * time.Second)
-			d.lose(wiped, 0, "")
+			d.loseData(allKeysLost, 0, "")
 			time.Sleep(5 * time.Second)
-			d.st.outage(false)
+			d.store.setOutage(false)
 		}, 0.99},
-		{"all keys, an outage after", func(d *lossDay) {
-			d.lose(wiped, 0, "")
+		{"all keys, an outage after", func(d *lossScenario) {
+			d.loseData(allKeysLost, 0, "")
 			time.Sleep(1500 * time.Millisecond)
-			d.st.outage(true)
+			d.store.setOutage(true)
 			time.Sleep(10 * time.Second)
-			d.st.outage(false)
+			d.store.setOutage(false)
 		}, 0.99},
-		{"all keys, a zone cut off", func(d *lossDay) {
-			d.w.partitionZone(d.cl, "b", true)
+		{"all keys, a zone cut off", func(d *lossScenario) {
+			d.w.partitionZone(d.cloud, "b", true)
 			time.Sleep(8 * time.Second)
-			d.lose(wiped, 0, "")
+			d.loseData(allKeysLost, 0, "")
 			time.Sleep(20 * time.Second)
-			d.w.partitionZone(d.cl, "b", false)
+			d.w.partitionZone(d.cloud, "b", false)
 		}, 0.6},
-		{"20 s ago, behind a takeover", func(d *lossDay) { d.crash(d.leader(), 8*time.Second); d.lose(restored, 12*time.Second, "") }, 0.9},
+		{"20 s ago, behind a takeover", func(d *lossScenario) { d.crash(d.leader(), 8*time.Second); d.loseData(restoredFromBackup, 12*time.Second, "") }, 0.9},
 	}
 }
 
 // With any controller alive, a loss of data breaks no rule, forgets no accepted job,
 // takes no end back, and what runs runs on.
-func TestLossOfData(t *testing.T) {
-	for i, l := range losses() {
+func TestStoreDataLoss(t *testing.T) {
+	for i, l := range lossCases() {
 		t.Run(l.name, func(t *testing.T) {
-			for seed := range seeds(1) {
-				synctest.Test(t, func(t *testing.T) { playLoss(t, l, uint64(i)+100*seed, 24) })
+			for seed := range seedCount(1) {
+				synctest.Test(t, func(t *testing.T) { runLossScenario(t, l, uint64(i)+100*seed, 24) })
 			}
 		})
 	}
@@ -113,102 +113,102 @@
 // All controllers are down when everything is lost: there are workers, and a snapshot of
 // some age. Jobs accepted since are missing if no worker has a task of them, and are
 // named; no other is, and what runs runs on.
-func TestWorkersAndSnapshot(t *testing.T) {
-	for seed := range seeds(1) {
+func TestRebuildFromWorkersAndSnapshot(t *testing.T) {
+	for seed := range seedCount(1) {
 		synctest.Test(t, func(t *testing.T) {
-			const age = lease / 2
-			operator := fmt.Sprintf("<rillflow><rebuild><folder>%s</folder><every>%v</every></rebuild></rillflow>", t.TempDir(), float64(age)/float64(lease))
-			d, before, end := lossDayOf(t, 40+seed, 24, operator)
+			const age = leaseDuration / 2
+			operator := fmt.Sprintf("<rillflow><rebuild><folder>%s</folder><every>%v</every></rebuild></rillflow>", t.TempDir(), float64(age)/float64(leaseDuration))
+			d, before, end := startLossScenario(t, 40+seed, 24, operator)
 			at := time.Now()
-			for _, c := range d.cs {
+			for _, c := range d.processes {
 				c.crash()
 			}
-			d.lose(wiped, 0, "")
+			d.loseData(allKeysLost, 0, "")
 			d.w.mu.Lock()
-			d.w.again = func(string) bool { return false }
+			d.w.shouldResubmit = func(string) bool { return false }
 			d.w.mu.Unlock()
 			time.Sleep(8 * time.Second)
-			for n := range d.cs {
-				d.cs[n] = d.w.boot(n)
+			for n := range d.processes {
+				d.processes[n] = d.w.boot(n)
 			}
-			kept := d.kept(before, 60*time.Second)
+			surviving := d.countSurviving(before, 60*time.Second)
 			time.Sleep(150 * time.Second)
 			end()
 			missing := 0
-			for _, b := range d.w.breaches {
-				ref, forgotten := strings.CutPrefix(b, "forgotten: ")
-				if forgotten && d.w.taken[ref].After(at.Add(-age-time.Second)) && !before.job(ref) {
+			for _, b := range d.w.violations {
+				jobID, forgotten := strings.CutPrefix(b, "forgotten: ")
+				if forgotten && d.w.acceptedAt[jobID].After(at.Add(-age-time.Second)) && !before.hasJob(jobID) {
 					missing++
 					continue
 				}
 				t.Error(b)
 			}
-			if float64(kept) < 0.99*float64(len(before)) {
-				t.Errorf("%d of %d tasks run on, or are done", kept, len(before))
+			if float64(surviving) < 0.99*float64(len(before)) {
+				t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
 			}
-			t.Logf("%d of %d tasks run on or are done; %d times a job of the last %v was not known", kept, len(before), missing, age)
+			t.Logf("%d of %d tasks run on or are done; %d times a job of the last %v was not known", surviving, len(before), missing, age)
 		})
 	}
 }
 
 // Not even a snapshot is left. What workers have runs on and is known to run; it is
 // whole again once its users submit it again. Nothing runs twice, and no limit breaks.
-func TestWorkersAlone(t *testing.T) {
-	for seed := range seeds(2) {
+func TestRebuildFromWorkersAlone(t *testing.T) {
+	for seed := range seedCount(2) {
 		synctest.Test(t, func(t *testing.T) {
-			d, before, end := lossDayOf(t, 60+seed, 24, "")
-			for _, c := range d.cs {
+			d, before, end := startLossScenario(t, 60+seed, 24, "")
+			for _, c := range d.processes {
 				c.crash()
 			}
-			d.lose(wiped, 0, "")
+			d.loseData(allKeysLost, 0, "")
 			time.Sleep(8 * time.Second)
-			for n := range d.cs {
-				d.cs[n] = d.w.boot(n)
+			for n := range d.processes {
+				d.processes[n] = d.w.boot(n)
 			}
 			time.Sleep(20 * time.Second)
 			d.w.mu.Lock()
 			asked, unknown := map[string]bool{}, 0
 			for id, host := range before {
-				if d.w.where[id] == host && d.w.told[id.JobID] == wire.PhaseRunning {
+				if d.w.hostOf[id] == host && d.w.lastPhase[id.JobID] == wire.PhaseRunning {
 					unknown++
 				}
 			}
-			d.w.again = func(ref string) bool { // every user submits once more
-				was := asked[ref]
-				asked[ref] = true
-				return !was && d.w.told[ref] != wire.PhaseDone && d.w.told[ref] != wire.PhaseCancelled
+			d.w.shouldResubmit = func(jobID string) bool { // every user submits once more
+				was := asked[jobID]
+				asked[jobID] = true
+				return !was && d.w.lastPhase[jobID] != wire.PhaseDone && d.w.lastPhase[jobID] != wire.PhaseCancelled
 			}
 			d.w.mu.Unlock()
-			kept := d.kept(before, 40*time.Second)
+			surviving := d.countSurviving(before, 40*time.Second)
 			time.Sleep(170 * time.Second)
 			end()
-			for _, b := range d.w.breaches {
+			for _, b := range d.w.violations {
 				// Who was told an end, or has nothing on a worker, is forgotten: nobody is
 				// left who knows.
-				if ref, ok := strings.CutPrefix(b, "forgotten: "); ok && (!before.job(ref) || d.w.finished(ref)) || strings.HasPrefix(b, "went_back") {
+				if jobID, ok := strings.CutPrefix(b, "forgotten: "); ok && (!before.hasJob(jobID) || d.w.allTasksDone(jobID)) || strings.HasPrefix(b, "went_back") {
 					continue
 				}
 				t.Error(b)
 			}
-			for ref, j := range d.w.jobs {
-				if got := d.w.told[ref]; before.job(ref) && j.Kind == wire.KindArray && got != wire.PhaseDone {
-					t.Errorf("%s is %q", ref, got)
+			for jobID, j := range d.w.jobs {
+				if got := d.w.lastPhase[jobID]; before.hasJob(jobID) && j.Kind == wire.KindArray && got != wire.PhaseDone {
+					t.Errorf("%s is %q", jobID, got)
 				}
 			}
-			if float64(kept) < 0.95*float64(len(before)) || unknown == 0 {
-				t.Errorf("%d of %d tasks run on, or are done; %d were known from machines", kept, len(before), unknown)
+			if float64(surviving) < 0.95*float64(len(before)) || unknown == 0 {
+				t.Errorf("%d of %d tasks run on, or are done; %d were known from machines", surviving, len(before), unknown)
 			}
-			t.Logf("%d of %d tasks run on or are done; %d were known from machines alone", kept, len(before), unknown)
+			t.Logf("%d of %d tasks run on or are done; %d were known from machines alone", surviving, len(before), unknown)
 		})
 	}
 }
 
 // places are where tasks were.
-type places map[ledger.Task]string
+type taskHosts map[ledger.Task]string
 
-func (p places) job(ref string) bool {
+func (p taskHosts) hasJob(jobID string) bool {
 	for id := range p {
-		if id.JobID == ref {
+		if id.JobID == jobID {
 			return true
 		}
 	}
@@ -216,9 +216,9 @@
 }
 
 // finished tells whether all of a job's tasks are done.
-func (w *world) finished(ref string) bool {
-	for i := range w.jobs[ref].TaskCount {
-		if !w.done[ledger.Task{JobID: ref, Index: i}] {
+func (w *world) allTasksDone(jobID string) bool {
+	for i := range w.jobs[jobID].TaskCount {
+		if !w.doneTasks[ledger.Task{JobID: jobID, Index: i}] {
 			return false
 		}
 	}
@@ -227,13 +227,13 @@
 
 // kept counts the tasks that run on where they were, are done, or were cancelled, after
 // a while.
-func (d *lossDay) kept(before places, after time.Duration) int {
+func (d *lossScenario) countSurviving(before taskHosts, after time.Duration) int {
 	time.Sleep(after)
 	d.w.mu.Lock()
 	defer d.w.mu.Unlock()
 	n := 0
 	for id, host := range before {
-		if d.w.where[id] == host || d.w.done[id] || d.w.asked[id.JobID] {
+		if d.w.hostOf[id] == host || d.w.doneTasks[id] || d.w.cancelRequested[id.JobID] {
 			n++
 		}
 	}
@@ -241,8 +241,8 @@
 }
 
 // lossDayOf plays the first 50 s of a day, and tells where tasks are then.
-func lossDayOf(t *testing.T, seed uint64, size int, operator string) (*lossDay, places, func()) {
-	ctx, w, st, cl, cs, end := begin(t, seed, float64(4*size), size/2, operator)
+func startLossScenario(t *testing.T, seed uint64, size int, operator string) (*lossScenario, taskHosts, func()) {
+	ctx, w, store, cloud, controllers, end := startWorld(t, seed, float64(4*size), size/2, operator)
 	for i := range 24 {
 		j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
 			TaskCount: max(2, size/8), CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(8 + 3*i)}
@@ -259,53 +259,53 @@
 	time.Sleep(50 * time.Second)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return &lossDay{w, st, cl, cs}, places(maps.Clone(w.where)), end
+	return &lossScenario{w, store, cloud, controllers}, taskHosts(maps.Clone(w.hostOf)), end
 }
 
 // playLoss plays a day with a loss. SIM_LOG shows the controllers' logs.
-func playLoss(t *testing.T, l lost, seed uint64, size int) {
-	d, before, end := lossDayOf(t, seed, size, "")
+func runLossScenario(t *testing.T, l lossCase, seed uint64, size int) {
+	d, before, end := startLossScenario(t, seed, size, "")
 	w := d.w
-	l.at(d)
-	kept := d.kept(before, 60*time.Second)
+	l.inject(d)
+	surviving := d.countSurviving(before, 60*time.Second)
 	time.Sleep(150 * time.Second)
 	end()
-	for i, b := range w.breaches {
+	for i, b := range w.violations {
 		if i == 5 {
-			t.Errorf("%d breaches", len(w.breaches))
+			t.Errorf("%d breaches", len(w.violations))
 			break
 		}
 		t.Error(b)
 	}
-	if float64(kept) < l.kept*float64(len(before)) {
-		t.Errorf("%d of %d tasks run on, or are done", kept, len(before))
+	if float64(surviving) < l.minSurviving*float64(len(before)) {
+		t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
 	}
 	ends := 0
-	for ref, j := range w.jobs {
-		if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; w.told[ref] == want {
+	for jobID, j := range w.jobs {
+		if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; w.lastPhase[jobID] == want {
 			ends++
 		} else {
-			t.Errorf("%s is %q, want %s", ref, w.told[ref], want)
+			t.Errorf("%s is %q, want %s", jobID, w.lastPhase[jobID], want)
 		}
 	}
-	t.Logf("%d of %d tasks run on or are done, %d of %d jobs told to an end, %d breaches", kept, len(before), ends, len(w.jobs), len(w.breaches))
+	t.Logf("%d of %d tasks run on or are done, %d of %d jobs told to an end, %d breaches", surviving, len(before), ends, len(w.jobs), len(w.violations))
 }
 
 // Losses among all other faults, one after the other, some within seconds, with three to
 // seven controllers; but not with all
 // controllers ending at once, after which nobody remembers: TestWorkersAlone has that. Few days in CI:
 // of some hundred, one may show what docs/rebuild.md says is left. SIM_SEEDS plays more.
-func TestLossesFallTogether(t *testing.T) {
-	for seed := range seeds(2) {
+func TestDataLossAmongOtherFaults(t *testing.T) {
+	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				breaches, w := playWith(t, 1000+seed, nodes+int(seed%5), seed%2 == 1, slices.Concat(commonFaults, dataLossFaults), "", nil)
+				breaches, w := runRandomScenarioWith(t, 1000+seed, controllerCount+int(seed%5), seed%2 == 1, slices.Concat(commonFaults, dataLossFaults), "", nil)
 				for _, b := range breaches {
 					t.Error(b)
 				}
-				for ref := range w.jobs {
-					if got := w.told[ref]; got != wire.PhaseDone && got != wire.PhaseCancelled {
-						t.Errorf("%s is %q at the end", ref, got)
+				for jobID := range w.jobs {
+					if got := w.lastPhase[jobID]; got != wire.PhaseDone && got != wire.PhaseCancelled {
+						t.Errorf("%s is %q at the end", jobID, got)
 					}
 				}
 			})
@@ -315,74 +315,74 @@
 
 // A loss at the size that the environment gives, in workers: how much runs on, how long
 // until all is stored again and tasks are placed, and what that takes. In CI it is small.
-func TestLossAtSize(t *testing.T) {
-	machines := 48
+func TestDataLossAtScale(t *testing.T) {
+	workerCount := 48
 	if n, err := strconv.Atoi(os.Getenv("SIM_FLEET")); err == nil {
-		machines = n
+		workerCount = n
 	}
-	for _, l := range losses() {
+	for _, l := range lossCases() {
 		if l.name != "all keys" && l.name != "all keys, and the leader" {
 			continue
 		}
 		t.Run(l.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playSize(t, l, machines) })
+			synctest.Test(t, func(t *testing.T) { runLossAtScale(t, l, workerCount) })
 		})
 	}
 }
 
 // playSize has ten tasks on a worker, in arrays of 50 and services of 10 replicas, and
 // then the loss.
-func playSize(t *testing.T, l lost, machines int) {
-	ctx, w, st, cl, cs, end := begin(t, 5, float64(8*machines), machines/2, "")
-	d := &lossDay{w, st, cl, cs}
-	for i := range machines * 10 / 50 {
+func runLossAtScale(t *testing.T, l lossCase, workerCount int) {
+	ctx, w, store, cloud, controllers, end := startWorld(t, 5, float64(8*workerCount), workerCount/2, "")
+	d := &lossScenario{w, store, cloud, controllers}
+	for i := range workerCount * 10 / 50 {
 		j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
 			TaskCount: 50, CPUs: 0.5, MemoryGB: 1, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(100 + i%60)}
 		withdraw := time.Duration(0)
 		if i%4 == 3 {
 			j.Kind, j.Priority, j.TaskCount, withdraw = wire.KindService, "production", 10, 170*time.Second
 		}
-		w.submit(ctx, j, time.Duration(2000+10000*i/machines)*time.Millisecond, withdraw)
+		w.submit(ctx, j, time.Duration(2000+10000*i/workerCount)*time.Millisecond, withdraw)
 	}
 	time.Sleep(60 * time.Second)
 	w.mu.Lock()
-	before := places(maps.Clone(w.where))
+	before := taskHosts(maps.Clone(w.hostOf))
 	w.mu.Unlock()
-	l.at(d)
-	st.mu.Lock()
-	wrote := len(st.log)
-	st.mu.Unlock()
-	time.Sleep(2 * lease)
-	b := d.rebuilt()
-	st.mu.Lock()
+	l.inject(d)
+	store.mu.Lock()
+	wrote := len(store.log)
+	store.mu.Unlock()
+	time.Sleep(2 * leaseDuration)
+	b := d.recoveryStatus()
+	store.mu.Lock()
 	changes, bytes := 0, 0
-	for _, c := range st.log[min(wrote, len(st.log)):] {
+	for _, c := range store.log[min(wrote, len(store.log)):] {
 		changes++
 		bytes += len(c.Put) + len(c.Value)
 	}
-	st.mu.Unlock()
-	kept := d.kept(before, 20*time.Second)
+	store.mu.Unlock()
+	surviving := d.countSurviving(before, 20*time.Second)
 	end()
-	for i, b := range w.breaches {
+	for i, b := range w.violations {
 		if t.Error(b); i == 4 {
 			break
 		}
 	}
-	if float64(kept) < l.kept*float64(len(before)) {
-		t.Errorf("%d of %d tasks run on, or are done", kept, len(before))
+	if float64(surviving) < l.minSurviving*float64(len(before)) {
+		t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
 	}
-	if b == nil || b.PlacingS == 0 || b.PlacingS > lease.Seconds() {
+	if b == nil || b.PlacingS == 0 || b.PlacingS > leaseDuration.Seconds() {
 		t.Fatalf("no tasks were placed again within a lease: %+v", b)
 	}
 	t.Logf("%d machines, %d tasks on them, %d run on or are done; %d jobs, %d ends, %d claims regained by %d changes in %.1f s; placed again after %.1f s; in two leases %d changes, %d KB",
-		len(w.workers), len(before), kept, b.Jobs, b.Ends, b.Claims, b.Written, b.DurableS, b.PlacingS, changes, bytes>>10)
+		len(w.workers), len(before), surviving, b.Jobs, b.Ends, b.Claims, b.Written, b.DurableS, b.PlacingS, changes, bytes>>10)
 }
 
 // rebuilt asks the controllers what was rebuilt, as an operator does.
-func (d *lossDay) rebuilt() *leader.RecoveryStatus {
-	client := &http.Client{Transport: &http.Transport{DialContext: d.w.net.at("user").Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
-	for n := range nodes {
-		res, err := client.Get("http://" + front(n) + "/operator/status")
+func (d *lossScenario) recoveryStatus() *leader.RecoveryStatus {
+	client := &http.Client{Transport: &http.Transport{DialContext: d.w.net.forHost("user").Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
+	for n := range controllerCount {
+		res, err := client.Get("http://" + frontAddress(n) + "/operator/status")
 		if err != nil {
 			continue
 		}
--- a/internal/sim/messagefaults_test.go
+++ b/internal/sim/messagefaults_test.go
@@ -11,53 +11,53 @@
 // while its jobs are cancelled all at once and others are launched: what was sent before
 // the cancellation, the return or the new session starts nothing, and what is cancelled is
 // gone in time.
-func TestHeldUp(t *testing.T) {
+func TestDelayedCommands(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		do   func(m *scenario, hosts []string, long time.Duration)
+		do   func(m *scenario, hosts []string, duration time.Duration)
 	}{
-		{"held", func(m *scenario, hosts []string, long time.Duration) { m.partition(m.controllers(), hosts, long) }},
-		{"hung", func(m *scenario, hosts []string, long time.Duration) {
-			m.strikeWorkers(hosts, long, pause)
+		{"held", func(m *scenario, hosts []string, duration time.Duration) { m.partition(m.controllerNames(), hosts, duration) }},
+		{"hung", func(m *scenario, hosts []string, duration time.Duration) {
+			m.injectWorkerFault(hosts, duration, pauseWorker)
 		}},
-		{"deaf", func(m *scenario, hosts []string, long time.Duration) {
-			m.strikeWorkers(hosts, long, dropAnswers)
+		{"deaf", func(m *scenario, hosts []string, duration time.Duration) {
+			m.injectWorkerFault(hosts, duration, dropAnswers)
 		}},
-		{"mute", func(m *scenario, hosts []string, long time.Duration) {
-			m.strikeWorkers(hosts, long, dropHeartbeats)
+		{"mute", func(m *scenario, hosts []string, duration time.Duration) {
+			m.injectWorkerFault(hosts, duration, dropHeartbeats)
 		}},
-		{"held, and the leader ends", func(m *scenario, hosts []string, long time.Duration) {
-			concurrently(func() { m.partition(m.controllers(), hosts, long) }, func() { time.Sleep(long / 2); m.crashController(m.leader, 4*time.Second) })
+		{"held, and the leader ends", func(m *scenario, hosts []string, duration time.Duration) {
+			concurrently(func() { m.partition(m.controllerNames(), hosts, duration) }, func() { time.Sleep(duration / 2); m.crashController(m.initialLeader, 4*time.Second) })
 		}},
-		{"hung, and the leader ends", func(m *scenario, hosts []string, long time.Duration) {
-			concurrently(func() { m.strikeWorkers(hosts, long, pause) }, func() { time.Sleep(long / 2); m.crashController(m.leader, 4*time.Second) })
+		{"hung, and the leader ends", func(m *scenario, hosts []string, duration time.Duration) {
+			concurrently(func() { m.injectWorkerFault(hosts, duration, pauseWorker) }, func() { time.Sleep(duration / 2); m.crashController(m.initialLeader, 4*time.Second) })
 		}},
 	} {
-		for _, long := range []time.Duration{2 * time.Second, 6 * time.Second, lease - 2*time.Second, lease + 3*time.Second, 2 * cancel} {
-			t.Run(fmt.Sprint(tc.name, " for ", long), func(t *testing.T) {
+		for _, duration := range []time.Duration{2 * time.Second, 6 * time.Second, leaseDuration - 2*time.Second, leaseDuration + 3*time.Second, 2 * cancelTimeout} {
+			t.Run(fmt.Sprint(tc.name, " for ", duration), func(t *testing.T) {
 				t.Parallel()
-				playFaults(t, faultPlan{seed: 7, jobs: arrays(8, 3, 100*time.Second, nil), rest: 350 * time.Second, troubles: func(m *scenario) {
+				runFaultPlan(t, faultPlan{seed: 7, jobs: arrays(8, 3, 100*time.Second, nil), recovery: 350 * time.Second, faults: func(m *scenario) {
 					for i := range 6 { // launched about when it begins
 						m.w.submit(m.ctx, array(30+i, 3, 30*time.Second), time.Duration(i)*200*time.Millisecond, 0)
 					}
 					time.Sleep(500 * time.Millisecond)
 					concurrently(
-						func() { tc.do(m, m.randomWorkers(0.6), long) },
+						func() { tc.do(m, m.randomWorkers(0.6), duration) },
 						func() {
 							time.Sleep(300 * time.Millisecond)
-							m.cancelRepeatedly((m.leader+1)%nodes, cancel, ref(0), ref(1), ref(2), ref(3), ref(4), ref(30), ref(31))
+							m.cancelRepeatedly((m.initialLeader+1)%controllerCount, cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3), testJobID(4), testJobID(30), testJobID(31))
 						},
 						func() { // some more once it has begun
-							time.Sleep(min(long/2, 5*time.Second))
-							m.cancelRepeatedly((m.leader+2)%nodes, cancel, ref(32), ref(33), ref(5))
+							time.Sleep(min(duration/2, 5*time.Second))
+							m.cancelRepeatedly((m.initialLeader+2)%controllerCount, cancelTimeout, testJobID(32), testJobID(33), testJobID(5))
 						},
 					)
-				}, ends: func(m *scenario) {
+				}, check: func(m *scenario) {
 					m.w.mu.Lock()
 					defer m.w.mu.Unlock()
 					// Where the leader ends meanwhile, the launch is out of the next one's hands; and
 					// what most workers of a zone may yet do is not waited for for so long.
-					if n := len(m.w.late); n > 0 && long < 22*report/10 && !strings.Contains(tc.name, "leader ends") {
+					if n := len(m.w.lateStarts); n > 0 && duration < 22*heartbeatInterval/10 && !strings.Contains(tc.name, "leader ends") {
 						m.Errorf("%d starts came after the withdrawal was told", n)
 					}
 				}})
@@ -69,8 +69,8 @@
 // Machines reach no controller, while direct commands reach them. Nothing renews their
 // leases, so they are given nothing again and again; what they had runs elsewhere; and the
 // leadership does not wander on their account.
-func TestMute(t *testing.T) {
-	const jobs, members = 8, 3
+func TestWorkersWithoutHeartbeats(t *testing.T) {
+	const jobs, tasksPerJob = 8, 3
 	const keep = "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>" // a part without machines hears none
 	for _, tc := range []struct {
 		name  string
@@ -79,39 +79,39 @@
 		terms int  // at most
 		done  bool // all is done while they are mute
 	}{
-		{"one", func(m *scenario) []string { return m.busy()[:1] }, nil, 1, true},
+		{"one", func(m *scenario) []string { return m.busyWorkers()[:1] }, nil, 1, true},
 		{"half", func(m *scenario) []string { return m.randomWorkers(0.5) }, nil, 2, true},
-		{"a zone", func(m *scenario) []string { return m.machines("b") }, nil, 2, true},
-		{"all, new ones too", func(m *scenario) []string { return m.machines("") }, nil, 1, false},
-		{"half, while the leader changes", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) { m.crashController(m.leader, 8*time.Second) }, 3, true},
+		{"a zone", func(m *scenario) []string { return m.workerNames("b") }, nil, 2, true},
+		{"all, new ones too", func(m *scenario) []string { return m.workerNames("") }, nil, 1, false},
+		{"half, while the leader changes", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }, 3, true},
 		{"half, and they hang", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) {
-			m.strikeWorkers(m.randomWorkers(0.3), lease/2, pause)
+			m.injectWorkerFault(m.randomWorkers(0.3), leaseDuration/2, pauseWorker)
 		}, 2, true},
 		{"half, and jobs are withdrawn", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) {
 			time.Sleep(2 * time.Second)
-			m.cancelRepeatedly((m.leader+1)%nodes, cancel, ref(0), ref(1), ref(2))
+			m.cancelRepeatedly((m.initialLeader+1)%controllerCount, cancelTimeout, testJobID(0), testJobID(1), testJobID(2))
 		}, 2, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			playFaults(t, faultPlan{seed: 9, operator: keep, limit: 100, most: 12, jobs: arrays(jobs, members, 50*time.Second, nil), troubles: func(m *scenario) {
-				leaders := []string{m.st.get("lead")}
+			runFaultPlan(t, faultPlan{seed: 9, operatorSettings: keep, teamCPULimit: 100, maxInstances: 12, jobs: arrays(jobs, tasksPerJob, 50*time.Second, nil), faults: func(m *scenario) {
+				leaders := []string{m.store.get("lead")}
 				starts := 0
 				concurrently(
 					func() {
 						m.w.mu.Lock()
-						m.w.mute = !tc.done
+						m.w.newWorkersMute = !tc.done
 						m.w.mu.Unlock()
-						m.strikeWorkers(tc.which(m), 4*lease, dropHeartbeats)
+						m.injectWorkerFault(tc.which(m), 4*leaseDuration, dropHeartbeats)
 						m.w.mu.Lock()
-						m.w.mute = false
+						m.w.newWorkersMute = false
 						m.w.mu.Unlock()
-						m.strikeWorkers(m.machines(""), 0, func(k *worker, on bool) { k.mute = false })
+						m.injectWorkerFault(m.workerNames(""), 0, func(k *fakeWorker, on bool) { k.dropsHeartbeats = false })
 					},
 					func() {
-						for at := time.Now(); time.Since(at) < 4*lease; {
+						for at := time.Now(); time.Since(at) < 4*leaseDuration; {
 							time.Sleep(time.Second)
-							if l := m.st.get("lead"); l != "" && l != leaders[len(leaders)-1] {
+							if l := m.store.get("lead"); l != "" && l != leaders[len(leaders)-1] {
 								leaders = append(leaders, l)
 							}
 						}
@@ -125,12 +125,12 @@
 						}
 					},
 					func() {
-						time.Sleep(4*lease - time.Second)
+						time.Sleep(4*leaseDuration - time.Second)
 						m.w.mu.Lock()
 						defer m.w.mu.Unlock()
 						for i := range jobs {
-							if tc.done && !m.w.asked[ref(i)] && !m.w.finished(ref(i)) {
-								m.Errorf("%s is not done though other machines are well", ref(i))
+							if tc.done && !m.w.cancelRequested[testJobID(i)] && !m.w.allTasksDone(testJobID(i)) {
+								m.Errorf("%s is not done though other machines are well", testJobID(i))
 							}
 						}
 					},
@@ -139,12 +139,12 @@
 					m.Errorf("%d terms: %s", len(leaders), strings.Join(leaders, " "))
 				}
 				// A task is lost once with a worker that cannot send heartbeats; with one that hangs too, once more.
-				most := 2 * jobs * members
+				most := 2 * jobs * tasksPerJob
 				if strings.Contains(tc.name, "hang") {
-					most += jobs * members
+					most += jobs * tasksPerJob
 				}
 				if starts > most {
-					m.Errorf("%d starts of %d tasks", starts, jobs*members)
+					m.Errorf("%d starts of %d tasks", starts, jobs*tasksPerJob)
 				}
 			}})
 		})
@@ -153,28 +153,28 @@
 
 // A report is held back until a new leader has acted, and then arrives there: it neither
 // frees nor starts, reaps nor renews anything that was decided since.
-func TestHeldReport(t *testing.T) {
+func TestDelayedHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		then func(m *scenario, hosts []string) // between the report and its arrival, after the leader's end
 	}{
 		{"the same session", func(m *scenario, hosts []string) { time.Sleep(10 * time.Second) }},
 		{"an earlier session", func(m *scenario, hosts []string) {
-			m.partition(hosts, m.controllers(), lease+6*time.Second)
+			m.partition(hosts, m.controllerNames(), leaseDuration+6*time.Second)
 			time.Sleep(4 * time.Second)
 		}},
 		{"the new leader never saw a newer one", func(m *scenario, hosts []string) {
-			go m.partition(hosts, m.controllers(), 20*time.Second)
+			go m.partition(hosts, m.controllerNames(), 20*time.Second)
 			time.Sleep(8 * time.Second)
 		}},
 		{"the machine has died", func(m *scenario, hosts []string) {
 			for _, h := range hosts {
-				m.cl.killInstance(h)
+				m.cloud.killInstance(h)
 			}
 			time.Sleep(8 * time.Second)
 		}},
 		{"jobs were withdrawn", func(m *scenario, hosts []string) {
-			m.cancelRepeatedly((m.leader+1)%nodes, 30*time.Second, ref(0), ref(1), ref(2))
+			m.cancelRepeatedly((m.initialLeader+1)%controllerCount, 30*time.Second, testJobID(0), testJobID(1), testJobID(2))
 			time.Sleep(3 * time.Second)
 		}},
 		{"two leaders later", func(m *scenario, hosts []string) {
@@ -182,13 +182,13 @@
 			time.Sleep(10 * time.Second)
 		}},
 	} {
-		for _, long := range []time.Duration{24 * time.Second, 28 * time.Second, 90 * time.Second} { // tasks end about when it is sent, or run on
-			t.Run(fmt.Sprint(tc.name, ", tasks of ", long), func(t *testing.T) {
+		for _, duration := range []time.Duration{24 * time.Second, 28 * time.Second, 90 * time.Second} { // tasks end about when it is sent, or run on
+			t.Run(fmt.Sprint(tc.name, ", tasks of ", duration), func(t *testing.T) {
 				t.Parallel()
-				playFaults(t, faultPlan{seed: 13, limit: 20, jobs: arrays(12, 3, long, nil), rest: 330 * time.Second, troubles: func(m *scenario) {
-					hosts := m.busy()
-					m.strikeWorkers(hosts, 7*time.Second, holdNextHeartbeat) // held, and newer ones have come
-					m.crashController(m.leader, 6*time.Second)
+				runFaultPlan(t, faultPlan{seed: 13, teamCPULimit: 20, jobs: arrays(12, 3, duration, nil), recovery: 330 * time.Second, faults: func(m *scenario) {
+					hosts := m.busyWorkers()
+					m.injectWorkerFault(hosts, 7*time.Second, holdNextHeartbeat) // held, and newer ones have come
+					m.crashController(m.initialLeader, 6*time.Second)
 					tc.then(m, hosts)
 					came := m.deliverHeldHeartbeats(hosts)
 					if came == 0 {
@@ -208,21 +208,21 @@
 		also func(m *scenario)
 	}{
 		{"tasks are placed and end", func(m *scenario) { time.Sleep(40 * time.Second) }},
-		{"jobs are withdrawn", func(m *scenario) { m.cancelRepeatedly(m.leader, cancel, ref(0), ref(1), ref(2), ref(3)) }},
-		{"the leader ends", func(m *scenario) { m.crashController(m.leader, 5*time.Second); time.Sleep(20 * time.Second) }},
+		{"jobs are withdrawn", func(m *scenario) { m.cancelRepeatedly(m.initialLeader, cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3)) }},
+		{"the leader ends", func(m *scenario) { m.crashController(m.initialLeader, 5*time.Second); time.Sleep(20 * time.Second) }},
 		{"the leader is refused alone", func(m *scenario) {
-			m.st.refuseAlone(name(m.leader), true)
+			m.store.refuseController(controllerName(m.initialLeader), true)
 			time.Sleep(20 * time.Second)
-			m.st.refuseAlone(name(m.leader), false)
+			m.store.refuseController(controllerName(m.initialLeader), false)
 		}},
-		{"machines come and go", func(m *scenario) { m.partition(m.randomWorkers(0.5), m.controllers(), lease+8*time.Second) }},
+		{"machines come and go", func(m *scenario) { m.partition(m.randomWorkers(0.5), m.controllerNames(), leaseDuration+8*time.Second) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			playFaults(t, faultPlan{seed: 14, limit: 20, jobs: arrays(14, 3, 12*time.Second, nil), troubles: func(m *scenario) {
-				m.st.delayTransactions(0.5)
+			runFaultPlan(t, faultPlan{seed: 14, teamCPULimit: 20, jobs: arrays(14, 3, 12*time.Second, nil), faults: func(m *scenario) {
+				m.store.delayTransactions(0.5)
 				tc.also(m)
-				m.st.delayTransactions(0)
+				m.store.delayTransactions(0)
 				time.Sleep(12 * time.Second) // the last is carried out
 			}})
 		})
@@ -230,33 +230,33 @@
 }
 
 // Old heartbeats come again after newer ones, also from an earlier session or attempt.
-func TestOldReports(t *testing.T) {
+func TestDuplicatedHeartbeats(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		also func(m *scenario)
 	}{
 		{"tasks come and go", func(m *scenario) { time.Sleep(60 * time.Second) }},
-		{"sessions end", func(m *scenario) { m.partition(m.randomWorkers(0.7), m.controllers(), lease+5*time.Second) }},
-		{"the leader ends", func(m *scenario) { m.crashController(m.leader, 8*time.Second) }},
+		{"sessions end", func(m *scenario) { m.partition(m.randomWorkers(0.7), m.controllerNames(), leaseDuration+5*time.Second) }},
+		{"the leader ends", func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
 		{"machines die", func(m *scenario) {
 			for _, h := range m.randomWorkers(0.4) {
-				m.cl.killInstance(h)
+				m.cloud.killInstance(h)
 			}
 			time.Sleep(40 * time.Second)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			playFaults(t, faultPlan{seed: 15, limit: 20, jobs: arrays(14, 3, 12*time.Second, nil), troubles: func(m *scenario) {
+			runFaultPlan(t, faultPlan{seed: 15, teamCPULimit: 20, jobs: arrays(14, 3, 12*time.Second, nil), faults: func(m *scenario) {
 				m.w.duplicateHeartbeats(0.6)
 				concurrently(func() { tc.also(m) }, func() {
 					for i := range 6 {
 						time.Sleep(4 * time.Second)
-						m.cancelRepeatedly((m.leader+1)%nodes, cancel, ref(i))
+						m.cancelRepeatedly((m.initialLeader+1)%controllerCount, cancelTimeout, testJobID(i))
 					}
 				})
 				m.w.duplicateHeartbeats(0)
-				time.Sleep(2 * lease)
+				time.Sleep(2 * leaseDuration)
 			}})
 		})
 	}
--- a/internal/sim/network_test.go
+++ b/internal/sim/network_test.go
@@ -17,27 +17,27 @@
 type network struct {
 	mu    sync.Mutex
 	cond  *sync.Cond
-	lis   map[string]*listener // by address
-	owner map[string]string    // address to host
-	cuts  map[[2]string]bool
+	listeners   map[string]*listener // by address
+	hostOfAddress map[string]string    // address to host
+	blocked  map[[2]string]bool
 	conns map[*conn]bool
 	rnd   *rand.Rand
-	dead  map[string]bool                 // hosts whose process is ending: it reaches nobody any more
-	tap   func(from, to string, b []byte) // sees what is sent, if set
-	lag   map[string]time.Duration        // by which what a host sends or is sent is slower
-	ended bool
+	crashing  map[string]bool                 // hosts whose process is ending: it reaches nobody any more
+	onSend   func(from, to string, b []byte) // sees what is sent, if set
+	delays   map[string]time.Duration        // by which what a host sends or is sent is slower
+	closed bool
 }
 
 func newNetwork(rnd *rand.Rand) *network {
-	n := &network{lis: map[string]*listener{}, owner: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[*conn]bool{}, dead: map[string]bool{}, lag: map[string]time.Duration{}, rnd: rnd}
+	n := &network{listeners: map[string]*listener{}, hostOfAddress: map[string]string{}, blocked: map[[2]string]bool{}, conns: map[*conn]bool{}, crashing: map[string]bool{}, delays: map[string]time.Duration{}, rnd: rnd}
 	n.cond = sync.NewCond(&n.mu)
 	return n
 }
 
-func (n *network) cut(a, b string, on bool) {
+func (n *network) setBlocked(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{a, b}], n.cuts[[2]string{b, a}] = on, on
+	n.blocked[[2]string{a, b}], n.blocked[[2]string{b, a}] = on, on
 	n.cond.Broadcast()
 	for c := range n.conns {
 		c.cond.Broadcast()
@@ -45,45 +45,45 @@
 }
 
 // slow has links to hosts be slow, or as quick as ever again.
-func (n *network) slow(lag time.Duration, hosts ...string) {
+func (n *network) setDelay(lag time.Duration, hosts ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, h := range hosts {
-		n.lag[h] = lag
+		n.delays[h] = lag
 	}
 }
 
 // reset ends all connections of a host, as when its process ends.
-func (n *network) reset(host string) {
+func (n *network) resetHost(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if c.from == host || c.to == host {
-			c.kill()
+			c.abort()
 		}
 	}
-	n.unlisten(host)
+	n.closeListeners(host)
 	n.cond.Broadcast()
 }
 
 // unlisten ends a host's listeners; run it with the lock held.
-func (n *network) unlisten(host string) {
-	for a, l := range n.lis {
-		if n.owner[a] == host {
+func (n *network) closeListeners(host string) {
+	for a, l := range n.listeners {
+		if n.hostOfAddress[a] == host {
 			l.closed = true
 			l.cond.Broadcast()
-			delete(n.lis, a)
+			delete(n.listeners, a)
 		}
 	}
 }
 
 // fall is how a process ends in the middle of things: what it had sent still arrives, up
 // to so much later, and only behind that do those it spoke with see that it is gone.
-func (n *network) fall(host string, late time.Duration) {
+func (n *network) crashHost(host string, late time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dead[host] = true
-	n.unlisten(host)
+	n.crashing[host] = true
+	n.closeListeners(host)
 	for c := range n.conns {
 		if c.from != host {
 			continue
@@ -94,42 +94,42 @@
 			by = time.Duration(n.rnd.Int64N(int64(late)))
 		}
 		for i := range c.out {
-			c.out[i].at = c.out[i].at.Add(by)
+			c.out[i].arrival = c.out[i].arrival.Add(by)
 		}
-		c.out = append(c.out, packet{at: time.Now().Add(by)})
+		c.out = append(c.out, packet{arrival: time.Now().Add(by)})
 		c.cond.Broadcast()
 	}
 	n.cond.Broadcast()
 }
 
 // fallen says that a process has ended; another may take its place.
-func (n *network) fallen(host string) {
+func (n *network) hostExited(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.dead, host)
+	delete(n.crashing, host)
 }
 
-func (n *network) end() {
+func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ended = true
+	n.closed = true
 	for c := range n.conns {
-		c.kill()
+		c.abort()
 	}
-	for _, l := range n.lis {
+	for _, l := range n.listeners {
 		l.closed = true
 		l.cond.Broadcast()
 	}
 	n.cond.Broadcast()
 }
 
-func (n *network) at(host string) serve.Network {
+func (n *network) forHost(host string) serve.Network {
 	return serve.Network{
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) { return n.dial(ctx, host, addr) },
 		Listen: func(addr string) (net.Listener, error) {
 			return n.listen(host, addr), nil
 		},
-		WallClock: func() time.Time { return time.Now().Add(clockOff[host]) },
+		WallClock: func() time.Time { return time.Now().Add(clockOffsets[host]) },
 	}
 }
 
@@ -145,7 +145,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := &listener{n: n, addr: addr, cond: sync.NewCond(&n.mu)}
-	n.lis[addr], n.owner[addr] = l, host
+	n.listeners[addr], n.hostOfAddress[addr] = l, host
 	n.cond.Broadcast() // some may wait for it
 	return l
 }
@@ -168,8 +168,8 @@
 	l.n.mu.Lock()
 	defer l.n.mu.Unlock()
 	l.closed = true
-	if l.n.lis[l.addr] == l {
-		delete(l.n.lis, l.addr)
+	if l.n.listeners[l.addr] == l {
+		delete(l.n.listeners, l.addr)
 	}
 	l.cond.Broadcast()
 	return nil
@@ -193,12 +193,12 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for {
-		if ctx.Err() != nil || n.ended {
+		if ctx.Err() != nil || n.closed {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 		}
-		host, known := n.owner[to]
-		if known && !n.cuts[[2]string{from, host}] && !n.dead[from] {
-			l := n.lis[to]
+		host, known := n.hostOfAddress[to]
+		if known && !n.blocked[[2]string{from, host}] && !n.crashing[from] {
+			l := n.listeners[to]
 			if l == nil {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: io.EOF}
 			}
@@ -206,8 +206,8 @@
 			b := &conn{n: n, from: host, to: from, cond: sync.NewCond(&n.mu)}
 			a.peer, b.peer = b, a
 			n.conns[a], n.conns[b] = true, true
-			go a.pump()
-			go b.pump()
+			go a.deliver()
+			go b.deliver()
 			l.queue = append(l.queue, b)
 			l.cond.Signal()
 			return a, nil
@@ -217,7 +217,7 @@
 }
 
 type packet struct {
-	at   time.Time
+	arrival   time.Time
 	data []byte
 }
 
@@ -236,7 +236,7 @@
 	timer    *time.Timer
 }
 
-func (c *conn) kill() {
+func (c *conn) abort() {
 	c.broken, c.peer.broken = true, true
 	delete(c.n.conns, c)
 	delete(c.n.conns, c.peer)
@@ -244,11 +244,11 @@
 	c.peer.cond.Broadcast()
 }
 
-func (c *conn) pump() {
+func (c *conn) deliver() {
 	n := c.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !c.broken && !n.ended {
+	for !c.broken && !n.closed {
 		if len(c.out) == 0 {
 			if c.closed {
 				c.peer.eof = true
@@ -262,13 +262,13 @@
 			c.cond.Wait()
 			continue
 		}
-		if wait := time.Until(c.out[0].at); wait > 0 {
+		if wait := time.Until(c.out[0].arrival); wait > 0 {
 			n.mu.Unlock()
 			time.Sleep(wait)
 			n.mu.Lock()
 			continue
 		}
-		if n.cuts[[2]string{c.from, c.to}] {
+		if n.blocked[[2]string{c.from, c.to}] {
 			c.cond.Wait()
 			continue
 		}
@@ -284,10 +284,10 @@
 	if c.closed || c.broken {
 		return 0, net.ErrClosed
 	}
-	if c.n.tap != nil {
-		c.n.tap(c.from, c.to, b)
+	if c.n.onSend != nil {
+		c.n.onSend(c.from, c.to, b)
 	}
-	delay := time.Millisecond + time.Duration(c.n.rnd.IntN(2000))*time.Microsecond + c.n.lag[c.from] + c.n.lag[c.to]
+	delay := time.Millisecond + time.Duration(c.n.rnd.IntN(2000))*time.Microsecond + c.n.delays[c.from] + c.n.delays[c.to]
 	c.out = append(c.out, packet{time.Now().Add(delay), append([]byte(nil), b...)})
 	c.cond.Broadcast()
 	return len(b), nil
--- a/internal/sim/placementfaults_test.go
+++ b/internal/sim/placementfaults_test.go
@@ -14,7 +14,7 @@
 // Jobs bound to a zone, to one place, or spread over zones lose workers: what replaces
 // them never is elsewhere, nor while what was lost may live, and nothing waits once the
 // zone has room.
-func TestZoneBound(t *testing.T) {
+func TestZoneConstraints(t *testing.T) {
 	bound := map[string]func(i int, j *wire.Job){
 		"a zone":          func(i int, j *wire.Job) { j.Zone = "a" },
 		"a zone, on spot": func(i int, j *wire.Job) { j.Zone, j.AllowSpot = "a", true },
@@ -31,34 +31,34 @@
 		lose func(m *scenario)
 	}{
 		{"machines die", func(m *scenario) {
-			for i, h := range m.busy() {
+			for i, h := range m.busyWorkers() {
 				if i%2 == 0 {
-					m.cl.killInstance(h)
+					m.cloud.killInstance(h)
 				}
 			}
 		}},
 		{"machines can't be reached for longer than a lease", func(m *scenario) {
-			m.partition(m.randomWorkers(0.5), m.controllers(), lease+lease/2)
+			m.partition(m.randomWorkers(0.5), m.controllerNames(), leaseDuration+leaseDuration/2)
 		}},
 		{"machines die, and the zone has no more", func(m *scenario) {
 			m.limitCapacity("a", 0)
-			for _, h := range m.machines("a") {
-				m.cl.killInstance(h)
+			for _, h := range m.workerNames("a") {
+				m.cloud.killInstance(h)
 			}
-			time.Sleep(2 * lease)
+			time.Sleep(2 * leaseDuration)
 			m.limitCapacity("a", -1)
 		}},
 		{"a zone dies while the leader changes", func(m *scenario) {
-			for _, h := range m.machines("a") {
-				m.cl.killInstance(h)
+			for _, h := range m.workerNames("a") {
+				m.cloud.killInstance(h)
 			}
-			m.crashController(m.leader, 8*time.Second)
+			m.crashController(m.initialLeader, 8*time.Second)
 		}},
 	} {
 		for _, b := range slices.Sorted(maps.Keys(bound)) {
 			t.Run(tc.name+", "+b, func(t *testing.T) {
 				t.Parallel()
-				playFaults(t, faultPlan{seed: 1, jobs: arrays(6, 5, 40*time.Second, bound[b]), troubles: tc.lose})
+				runFaultPlan(t, faultPlan{seed: 1, jobs: arrays(6, 5, 40*time.Second, bound[b]), faults: tc.lose})
 			})
 		}
 	}
@@ -66,7 +66,7 @@
 
 // A zone with workers and a controller is cut off for longer than a lease: nothing is on
 // two workers, what is cancelled meanwhile is gone in time, and the cut heals in any order.
-func TestZoneBehindCut(t *testing.T) {
+func TestZonePartition(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		zone  string
@@ -78,35 +78,35 @@
 		{"the zone of two controllers", "a", ""},
 		{"the zone of two controllers, workers first", "a", "workers"},
 	} {
-		for _, long := range []time.Duration{lease + 4*time.Second, 3 * lease} {
-			t.Run(fmt.Sprint(tc.name, " after ", long), func(t *testing.T) {
+		for _, duration := range []time.Duration{leaseDuration + 4*time.Second, 3 * leaseDuration} {
+			t.Run(fmt.Sprint(tc.name, " after ", duration), func(t *testing.T) {
 				t.Parallel()
-				playFaults(t, faultPlan{seed: 3, jobs: arrays(8, 3, 120*time.Second, nil), rest: 330 * time.Second, troubles: func(m *scenario) {
-					m.w.partitionZone(m.cl, tc.zone, true)
+				runFaultPlan(t, faultPlan{seed: 3, jobs: arrays(8, 3, 120*time.Second, nil), recovery: 330 * time.Second, faults: func(m *scenario) {
+					m.w.partitionZone(m.cloud, tc.zone, true)
 					outside := 0
 					for zoneOf(outside) == tc.zone {
 						outside++
 					}
 					time.Sleep(4 * time.Second)
-					m.cancelRepeatedly(outside, 30*time.Second, ref(0), ref(1))
-					time.Sleep(max(0, long-time.Since(m.began)+25*time.Second))
+					m.cancelRepeatedly(outside, 30*time.Second, testJobID(0), testJobID(1))
+					time.Sleep(max(0, duration-time.Since(m.startedAt)+25*time.Second))
 					rest := []string{"state", "cloud", "user"}
 					var in []string
-					for n := range m.w.size {
+					for n := range m.w.clusterSize {
 						if zoneOf(n) == tc.zone {
-							in = append(in, name(n))
+							in = append(in, controllerName(n))
 						} else {
-							rest = append(rest, name(n))
+							rest = append(rest, controllerName(n))
 						}
 					}
-					back := map[string][]string{"workers": m.machines(tc.zone), "controllers": in}[tc.first]
+					back := map[string][]string{"workers": m.workerNames(tc.zone), "controllers": in}[tc.first]
 					for _, a := range back {
 						for _, b := range rest {
-							m.w.net.cut(a, b, false)
+							m.w.net.setBlocked(a, b, false)
 						}
 					}
 					time.Sleep(6 * time.Second)
-					m.w.partitionZone(m.cl, tc.zone, false)
+					m.w.partitionZone(m.cloud, tc.zone, false)
 				}})
 			})
 		}
@@ -115,33 +115,33 @@
 
 // There is more work than room, urgent and not, over slow links: what is urgent goes
 // first, nothing is on two workers, and no more is stopped for it than it needs.
-func TestCrowded(t *testing.T) {
+func TestUrgentJobsUnderContention(t *testing.T) {
 	for _, lag := range []time.Duration{0, 150 * time.Millisecond, 600 * time.Millisecond} {
 		t.Run(lag.String(), func(t *testing.T) {
 			t.Parallel()
-			const urgent, members = 6, 6
-			playFaults(t, faultPlan{seed: 8, limit: 40, most: 3, jobs: arrays(16, 8, 40*time.Second, func(i int, j *wire.Job) { j.Priority = "idle"; j.AllowSpot = true }), rest: 330 * time.Second,
-				troubles: func(m *scenario) {
-					m.w.net.slow(lag, append(m.controllers(), m.machines("")...)...)
+			const urgent, tasksPerJob = 6, 6
+			runFaultPlan(t, faultPlan{seed: 8, teamCPULimit: 40, maxInstances: 3, jobs: arrays(16, 8, 40*time.Second, func(i int, j *wire.Job) { j.Priority = "idle"; j.AllowSpot = true }), recovery: 330 * time.Second,
+				faults: func(m *scenario) {
+					m.w.net.setDelay(lag, append(m.controllerNames(), m.workerNames("")...)...)
 					for i := range urgent {
-						j := array(50+i, members, 10*time.Second)
+						j := array(50+i, tasksPerJob, 10*time.Second)
 						j.Priority = "urgent"
 						m.w.submit(m.ctx, j, time.Duration(i)*3*time.Second, 0)
 					}
 					time.Sleep(70 * time.Second)
-					m.w.net.slow(0, append(m.controllers(), m.machines("")...)...)
-				}, ends: func(m *scenario) {
+					m.w.net.setDelay(0, append(m.controllerNames(), m.workerNames("")...)...)
+				}, check: func(m *scenario) {
 					m.w.mu.Lock()
 					defer m.w.mu.Unlock()
 					for i := range urgent {
-						if wait := m.w.begun[ref(50+i)].Sub(m.w.taken[ref(50+i)]); wait > 30*time.Second {
-							m.Errorf("%s is urgent, and began after %v", ref(50+i), wait)
+						if wait := m.w.firstStart[testJobID(50+i)].Sub(m.w.acceptedAt[testJobID(50+i)]); wait > 30*time.Second {
+							m.Errorf("%s is urgent, and began after %v", testJobID(50+i), wait)
 						}
 					}
-					if most := 16*8 + 3*urgent*members; m.w.starts > most {
+					if most := 16*8 + 3*urgent*tasksPerJob; m.w.starts > most {
 						m.Errorf("%d starts, at most %d expected", m.w.starts, most)
 					}
-					m.Logf("%d starts of %d tasks", m.w.starts, 16*8+urgent*members)
+					m.Logf("%d starts of %d tasks", m.w.starts, 16*8+urgent*tasksPerJob)
 				}})
 		})
 	}
@@ -149,10 +149,10 @@
 
 // Small jobs keep coming, somewhat more than there is room for: the largest begin within four
 // minutes all the same.
-func TestLargestBegin(t *testing.T) {
-	const big, members = 4, 8
-	jobs := arrays(big, members, 20*time.Second, func(i int, j *wire.Job) { j.Team = "a" })
-	playFaults(t, faultPlan{seed: 18, limit: 16, most: 2, jobs: nil, operator: "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>", rest: 150 * time.Second, troubles: func(m *scenario) {
+func TestLargestJobsStart(t *testing.T) {
+	const big, tasksPerJob = 4, 8
+	jobs := arrays(big, tasksPerJob, 20*time.Second, func(i int, j *wire.Job) { j.Team = "a" })
+	runFaultPlan(t, faultPlan{seed: 18, teamCPULimit: 16, maxInstances: 2, jobs: nil, operatorSettings: "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>", recovery: 150 * time.Second, faults: func(m *scenario) {
 		var fs []func()
 		for i := range 480 { // 17 cores' worth, of 16
 			fs = append(fs, func() {
@@ -172,8 +172,8 @@
 			m.w.mu.Lock()
 			defer m.w.mu.Unlock()
 			for _, j := range jobs {
-				if at := m.w.begun[j.ID]; at.IsZero() || at.Sub(m.w.taken[j.ID]) > largest {
-					m.Errorf("%s has not begun within %v", j.ID, largest)
+				if at := m.w.firstStart[j.ID]; at.IsZero() || at.Sub(m.w.acceptedAt[j.ID]) > maxLargestJobWait {
+					m.Errorf("%s has not begun within %v", j.ID, maxLargestJobWait)
 				}
 			}
 		})
@@ -183,7 +183,7 @@
 
 // The tasks of a job of two or three end far apart, and the leader changes between: what
 // was done is done, and done once, and the job is done with its last task.
-func TestEndsFarApart(t *testing.T) {
+func TestTasksEndFarApart(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		change func(m *scenario)
@@ -192,27 +192,27 @@
 		{"it is back at once", func(m *scenario) { m.crashController(m.leaderIndex(), 50*time.Millisecond) }},
 		{"it is refused alone", func(m *scenario) {
 			n := m.leaderIndex()
-			m.st.refuseAlone(name(n), true)
+			m.store.refuseController(controllerName(n), true)
 			time.Sleep(15 * time.Second)
-			m.st.refuseAlone(name(n), false)
+			m.store.refuseController(controllerName(n), false)
 		}},
 		{"all end, and one returns", func(m *scenario) {
-			for n := range m.w.size {
-				m.cs[n].crash()
+			for n := range m.w.clusterSize {
+				m.processes[n].crash()
 			}
 			time.Sleep(300 * time.Millisecond)
-			m.cs[1] = m.w.boot(1)
+			m.processes[1] = m.w.boot(1)
 			time.Sleep(20 * time.Second)
-			m.cs[0], m.cs[2] = m.w.boot(0), m.w.boot(2)
+			m.processes[0], m.processes[2] = m.w.boot(0), m.w.boot(2)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, w, st, cl, cs, end := begin(t, 3, 40, 6, "")
-				w.spread = 4
-				m := newScenario(t, ctx, w, st, cl, cs)
+				ctx, w, store, cloud, controllers, end := startWorld(t, 3, 40, 6, "")
+				w.durationSpread = 4
+				m := newScenario(t, ctx, w, store, cloud, controllers)
 				for i := range 9 {
-					w.submit(ctx, wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 8 + 1.7*float64(i)}, 0, 0)
+					w.submit(ctx, wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 8 + 1.7*float64(i)}, 0, 0)
 				}
 				time.Sleep(22 * time.Second) // the first of some are done, of others about to be
 				for range 4 {
@@ -221,12 +221,12 @@
 				}
 				time.Sleep(220 * time.Second)
 				end()
-				for _, b := range w.breaches {
+				for _, b := range w.violations {
 					t.Error(b)
 				}
 				for i := range 9 {
-					if r := ref(i); w.told[r] != wire.PhaseDone {
-						t.Errorf("%s is %q", r, w.told[r])
+					if r := testJobID(i); w.lastPhase[r] != wire.PhaseDone {
+						t.Errorf("%s is %q", r, w.lastPhase[r])
 					}
 				}
 				if want := 5*2 + 4*3; w.starts != want {
--- a/internal/sim/pollstorm_test.go
+++ b/internal/sim/pollstorm_test.go
@@ -17,15 +17,15 @@
 	m.w.mu.Lock()
 	m.w.storeRPS, m.w.storeWriteRPS = requests, writes
 	m.w.mu.Unlock()
-	m.st.limitRates(requests, writes)
+	m.store.limitRates(requests, writes)
 	m.restartControllers(time.Second, 0, 1, 2)
 }
 
 // pollEvery has users ask again so often; 0: as usual.
-func (m *scenario) pollEvery(pause time.Duration) {
+func (m *scenario) setMaxPollPause(pause time.Duration) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	m.w.pollEvery = pause
+	m.w.maxPollPause = pause
 }
 
 // chains are jobs in lines of three, each waiting for the one before it. The first runs on.
@@ -37,7 +37,7 @@
 			if i == 0 {
 				j.ExpectedSeconds = 3600
 			} else {
-				j.DependsOn = []string{ref(head + i - 1)}
+				j.DependsOn = []string{testJobID(head + i - 1)}
 			}
 			js = append(js, j)
 		}
@@ -49,47 +49,47 @@
 func TestDependentsCancelledThroughPollStorm(t *testing.T) {
 	const services, lines, firstHead = 60, 24, 100
 	jobs := arrays(services, 1, 0, func(_ int, j *wire.Job) { j.Kind, j.Priority, j.CPUs = wire.KindService, "production", 0.25 })
-	playFaults(t, faultPlan{
-		seed: 778, most: 12, jobs: append(jobs, chains(firstHead, lines)...),
-		troubles: func(m *scenario) {
+	runFaultPlan(t, faultPlan{
+		seed: 778, maxInstances: 12, jobs: append(jobs, chains(firstHead, lines)...),
+		faults: func(m *scenario) {
 			m.limitStore(60, 30)
 			time.Sleep(20 * time.Second)
-			m.pollEvery(stormPollEvery)
+			m.setMaxPollPause(stormPollEvery)
 			time.Sleep(5 * time.Second)
 			leader := m.leaderIndex()
 			concurrently(
 				func() { m.crashController(leader, 5*time.Second) },
-				func() { m.crashController((leader+1)%nodes, 5*time.Second) },
+				func() { m.crashController((leader+1)%controllerCount, 5*time.Second) },
 				func() {
 					time.Sleep(10 * time.Second)
 					for line := range lines {
-						m.w.wg.Go(func() { m.cancelRepeatedly(line%nodes, 100*time.Second, ref(firstHead+3*line)) })
+						m.w.wg.Go(func() { m.cancelRepeatedly(line%controllerCount, 100*time.Second, testJobID(firstHead+3*line)) })
 						time.Sleep(time.Second)
 					}
 				},
 				func() {
 					time.Sleep(20 * time.Second)
-					m.st.outage(true)
+					m.store.setOutage(true)
 					time.Sleep(10 * time.Second)
-					m.st.outage(false)
+					m.store.setOutage(false)
 				},
 			)
 			time.Sleep(90 * time.Second)
-			m.pollEvery(0)
+			m.setMaxPollPause(0)
 		},
-		ends: func(m *scenario) {
-			if n := m.st.leaderChanges(m.w.calm.Add(recoveryTime)); n > 0 {
+		check: func(m *scenario) {
+			if n := m.store.leaderChanges(m.w.faultsEndedAt.Add(recoveryTime)); n > 0 {
 				m.Errorf("%d leader changes later than %v after the last fault", n, recoveryTime)
 			}
 			for line := range lines {
-				if head := ref(firstHead + 3*line); m.w.gone[head].IsZero() {
+				if head := testJobID(firstHead + 3*line); m.w.cancelledAt[head].IsZero() {
 					m.Errorf("%s was never told cancelled", head)
 				}
 			}
-			if n := m.st.requestsRefused; n > 0 {
+			if n := m.store.rateRefusals; n > 0 {
 				m.Errorf("%d requests were refused for their rate: the controllers' shares are too large", n)
 			}
-			m.Logf("%d leader changes in all", m.st.leaderChanges(m.began))
+			m.Logf("%d leader changes in all", m.store.leaderChanges(m.startedAt))
 		},
 	})
 }
--- a/internal/sim/respond_test.go
+++ b/internal/sim/respond_test.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, _ := json.Marshal(v)
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	w.WriteHeader(status)
@@ -15,8 +15,8 @@
 
 // Ways to lose data. All are told by nothing but what is read after.
 const (
-	wiped    = "all keys, generation back to 1"
-	restored = "back to some time ago, generation too"
-	holes    = "a third of the keys"
-	rotten   = "a value"
+	allKeysLost    = "all keys, generation back to 1"
+	restoredFromBackup = "back to some time ago, generation too"
+	someKeysLost    = "a third of the keys"
+	valueCorrupted   = "a value"
 )
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -19,43 +19,43 @@
 type scenario struct {
 	*testing.T
 	w      *world
-	st     *store
-	cl     *cloud
-	cs     []*node
-	leader int // at the start
+	store     *fakeStore
+	cloud     *fakeCloud
+	processes     []*controllerProcess
+	initialLeader int // at the start
 	client *http.Client
 	ctx    context.Context
-	began  time.Time
-	fate   fate
-	told   []string // what troubles came
+	startedAt  time.Time
+	processLocks   processLocks
+	faultLog   []string // what troubles came
 }
 
-func newScenario(t *testing.T, ctx context.Context, w *world, st *store, cl *cloud, cs []*node) *scenario {
-	return &scenario{T: t, w: w, st: st, cl: cl, cs: cs, ctx: ctx, began: time.Now(), client: w.client()}
+func newScenario(t *testing.T, ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess) *scenario {
+	return &scenario{T: t, w: w, store: store, cloud: cloud, processes: controllers, ctx: ctx, startedAt: time.Now(), client: w.client()}
 }
 
 // leaderIndex is the controller that leads now; the first if none does.
-func (m *scenario) leaderIndex() int { return max(0, m.st.leads()) }
+func (m *scenario) leaderIndex() int { return max(0, m.store.leaderIndex()) }
 
-func name(n int) string { return fmt.Sprintf("host-%d", n) }
+func controllerName(n int) string { return fmt.Sprintf("host-%d", n) }
 
 // cutFromPeers cuts a controller off from the others.
 func (m *scenario) cutFromPeers(n int, on bool) {
-	for o := range m.w.size {
+	for o := range m.w.clusterSize {
 		if o != n {
-			m.w.net.cut(name(n), name(o), on)
+			m.w.net.setBlocked(controllerName(n), controllerName(o), on)
 		}
 	}
 }
 
 // withdraw asks a controller to cancel a job, once, and notes when it said so.
-func (m *scenario) withdraw(n int, ref string) bool {
+func (m *scenario) cancelJob(n int, jobID string) bool {
 	m.w.mu.Lock()
-	m.w.asked[ref] = true
+	m.w.cancelRequested[jobID] = true
 	m.w.mu.Unlock()
 	ctx, cancel := context.WithTimeout(m.ctx, 5*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+front(n)+"/v1/jobs/"+ref+"/withdraw", nil)
+	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+frontAddress(n)+"/v1/jobs/"+jobID+"/withdraw", nil)
 	res, err := m.client.Do(req)
 	if err != nil {
 		return false
@@ -67,8 +67,8 @@
 	}
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	if m.w.gone[ref].IsZero() {
-		m.w.gone[ref] = time.Now()
+	if m.w.cancelledAt[jobID].IsZero() {
+		m.w.cancelledAt[jobID] = time.Now()
 	}
 	return true
 }
@@ -79,38 +79,38 @@
 func checkScenario(t *testing.T, seed uint64, keep bool, troubles func(m *scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx, w, st, cl, cs, end := begin(t, seed, 40, 6, "")
-		m := newScenario(t, ctx, w, st, cl, cs)
+		ctx, w, store, cloud, controllers, end := startWorld(t, seed, 40, 6, "")
+		m := newScenario(t, ctx, w, store, cloud, controllers)
 		for i := range 8 {
-			j := wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 200 + 5*float64(i)}
+			j := wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 200 + 5*float64(i)}
 			if i%4 == 3 {
 				j.Kind, j.Priority, j.SpreadZones, j.ExpectedSeconds = wire.KindService, "production", true, 0
 			}
 			w.submit(ctx, j, 0, time.Hour)
 		}
 		time.Sleep(25 * time.Second)
-		m.leader = st.leads()
+		m.initialLeader = store.leaderIndex()
 		began := time.Now()
 		troubles(m)
-		w.calms(cl)
+		w.faultsEnded(cloud)
 		w.checkCancelledTasksGone()
 		time.Sleep(max(0, 400*time.Second-time.Since(began)))
 		end()
-		for _, b := range w.breaches {
+		for _, b := range w.violations {
 			t.Error(b)
 		}
 		for i := range 8 {
-			r := ref(i)
-			_, gone := w.gone[r]
+			r := testJobID(i)
+			_, gone := w.cancelledAt[r]
 			switch {
 			case gone:
 				for k := range w.jobs[r].TaskCount {
-					if at := w.where[ledger.Task{JobID: r, Index: k}]; at != "" {
+					if at := w.hostOf[ledger.Task{JobID: r, Index: k}]; at != "" {
 						t.Errorf("%s/%d is withdrawn and on %s at the end", r, k, at)
 					}
 				}
-			case w.jobs[r].Kind == wire.KindArray && w.told[r] != wire.PhaseDone:
-				t.Errorf("%s is %q at the end", r, w.told[r])
+			case w.jobs[r].Kind == wire.KindArray && w.lastPhase[r] != wire.PhaseDone:
+				t.Errorf("%s is %q at the end", r, w.lastPhase[r])
 			}
 		}
 		if want := 2*2 + 2*3 + 2*2 + 2*3; keep && w.starts != want {
@@ -123,7 +123,7 @@
 func (w *world) duplicateHeartbeats(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.echoes = share
+	w.duplicateShare = share
 }
 
 // checkCancelledTasksGone checks what is on workers: what stays there breaks the rule too, not only what
@@ -131,30 +131,30 @@
 func (w *world) checkCancelledTasksGone() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for task, host := range w.where {
-		if at, ok := w.gone[task.JobID]; ok && time.Since(at) > cancel {
-			w.broke("ran_cancelled: %s is on %s %v after", task, host, time.Since(at))
+	for task, host := range w.hostOf {
+		if at, ok := w.cancelledAt[task.JobID]; ok && time.Since(at) > cancelTimeout {
+			w.recordViolation("ran_cancelled: %s is on %s %v after", task, host, time.Since(at))
 		}
 	}
 }
 
-func ref(i int) string { return fmt.Sprintf("req-%06d", i) }
+func testJobID(i int) string { return fmt.Sprintf("req-%06d", i) }
 
-func (m *scenario) crashController(n int, long time.Duration) {
-	if !m.fate[n].TryLock() {
+func (m *scenario) crashController(n int, duration time.Duration) {
+	if !m.processLocks[n].TryLock() {
 		return // it is being ended as it is; to wait for a lock would stop the clock
 	}
-	defer m.fate[n].Unlock()
-	m.cs[n].crash()
-	time.Sleep(long)
-	m.cs[n] = m.w.boot(n)
+	defer m.processLocks[n].Unlock()
+	m.processes[n].crash()
+	time.Sleep(duration)
+	m.processes[n] = m.w.boot(n)
 }
 
 // randomWorkers are a few workers, by lot.
 func (m *scenario) randomWorkers(share float64) (out []string) {
-	m.cl.mu.Lock()
-	defer m.cl.mu.Unlock()
-	for _, h := range slices.Sorted(maps.Keys(m.cl.hosts)) {
+	m.cloud.mu.Lock()
+	defer m.cloud.mu.Unlock()
+	for _, h := range slices.Sorted(maps.Keys(m.cloud.instances)) {
 		if m.w.intN(100) < int(100*share) {
 			out = append(out, h)
 		}
@@ -163,21 +163,21 @@
 }
 
 // partition cuts ways, or ends that.
-func (m *scenario) partition(from []string, to []string, long time.Duration) {
+func (m *scenario) partition(from []string, to []string, duration time.Duration) {
 	for _, on := range []bool{true, false} {
 		for _, a := range from {
 			for _, b := range to {
-				m.w.net.cut(a, b, on)
+				m.w.net.setBlocked(a, b, on)
 			}
 		}
 		if on {
-			time.Sleep(long)
+			time.Sleep(duration)
 		}
 	}
 }
 
 // strikeWorkers does something to workers, and undoes it.
-func (m *scenario) strikeWorkers(hosts []string, long time.Duration, do func(k *worker, on bool)) {
+func (m *scenario) injectWorkerFault(hosts []string, duration time.Duration, do func(k *fakeWorker, on bool)) {
 	for _, on := range []bool{true, false} {
 		for _, h := range hosts {
 			m.w.mu.Lock()
@@ -190,19 +190,19 @@
 			}
 		}
 		if on {
-			time.Sleep(long)
+			time.Sleep(duration)
 		}
 	}
 }
 
 // What strikeWorkers does to workers.
-func dropHeartbeats(k *worker, on bool) { k.mute, k.muted = on, time.Now() }
+func dropHeartbeats(k *fakeWorker, on bool) { k.dropsHeartbeats, k.mutedSince = on, time.Now() }
 
-func pause(k *worker, on bool) { k.hung = on }
+func pauseWorker(k *fakeWorker, on bool) { k.paused = on }
 
-func dropAnswers(k *worker, on bool) { k.deaf = on }
+func dropAnswers(k *fakeWorker, on bool) { k.dropsAnswers = on }
 
-func holdNextHeartbeat(k *worker, on bool) { k.keep = on }
+func holdNextHeartbeat(k *fakeWorker, on bool) { k.holdsNext = on }
 
 // deliverHeldHeartbeats has the heartbeats of workers that were held back arrive at whoever leads now, and
 // tells how many there were.
@@ -212,7 +212,7 @@
 		m.w.mu.Lock()
 		k := m.w.workers[h]
 		m.w.mu.Unlock()
-		if k != nil && k.late(m.ctx, n) {
+		if k != nil && k.deliverHeld(m.ctx, n) {
 			came++
 		}
 	}
@@ -220,10 +220,10 @@
 }
 
 // others are the other controllers.
-func (m *scenario) others(n int) (out []string) {
-	for o := range m.w.size {
+func (m *scenario) otherControllers(n int) (out []string) {
+	for o := range m.w.clusterSize {
 		if o != n {
-			out = append(out, name(o))
+			out = append(out, controllerName(o))
 		}
 	}
 	return out
--- a/internal/sim/store_test.go
+++ b/internal/sim/store_test.go
@@ -15,7 +15,7 @@
 
 // store stands in for the key-value store of the protocol's page on the state service: keys with
 // revisions, transactions, leases, watches, limits. It is as consistent as the real one.
-type store struct {
+type fakeStore struct {
 	mu   sync.Mutex // guards what follows
 	cond *sync.Cond // tells watches of changes
 	rnd  *rand.Rand
@@ -35,38 +35,38 @@
 	requestRate, writeRate *rate.Limiter
 
 	// Faults.
-	down         bool            // nobody is served
-	refusedAlone map[string]bool // controllers that alone are refused
+	unavailable         bool            // nobody is served
+	refusedControllers map[string]bool // controllers that alone are refused
 	latency      time.Duration   // requests and their answers take up to so long
 	lateShare    float64         // of transactions that get no answer and are carried out much later
 	// onCommit sees each transaction that is carried out, and may have its answer lost; nil: none.
 	onCommit func(controller string, txn wire.Txn) (lost bool)
 
 	// What is checked and counted.
-	broke           func(string, ...any)
-	tooLargeSeen    map[string]int // transactions refused for their size
-	requestsRefused int            // for their rate
-	asked, wrote    map[int64]int  // requests and changes, by the second
+	recordViolation           func(string, ...any)
+	tooLargeCounts    map[string]int // transactions refused for their size
+	rateRefusals int            // for their rate
+	requestsBySecond, writesBySecond    map[int64]int  // requests and changes, by the second
 }
 
-func newStore(rnd *rand.Rand, broke func(string, ...any)) *store {
-	s := &store{
-		rnd: rnd, broke: broke, revision: 1, keys: map[string]wire.KeyValue{},
+func newFakeStore(rnd *rand.Rand, broke func(string, ...any)) *fakeStore {
+	s := &fakeStore{
+		rnd: rnd, recordViolation: broke, revision: 1, keys: map[string]wire.KeyValue{},
 		leaseEnds: map[uint64]time.Time{}, leaseTTLs: map[uint64]time.Duration{},
-		maxValueBytes: 16 << 10, maxOperations: 16, refusedAlone: map[string]bool{},
-		tooLargeSeen: map[string]int{}, asked: map[int64]int{}, wrote: map[int64]int{},
+		maxValueBytes: 16 << 10, maxOperations: 16, refusedControllers: map[string]bool{},
+		tooLargeCounts: map[string]int{}, requestsBySecond: map[int64]int{}, writesBySecond: map[int64]int{},
 	}
 	s.cond = sync.NewCond(&s.mu)
 	return s
 }
 
 // withinRate takes so many from a limit, if it allows them; run it with the lock held.
-func (s *store) withinRate(limit *rate.Limiter, n int) bool {
+func (s *fakeStore) takeRate(limit *rate.Limiter, n int) bool {
 	return limit == nil || limit.AllowN(time.Now(), n)
 }
 
 // leaderChanges is how often a controller took the leader's key since a time.
-func (s *store) leaderChanges(since time.Time) (changes int) {
+func (s *fakeStore) leaderChanges(since time.Time) (changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i, c := range s.log {
@@ -78,24 +78,24 @@
 }
 
 // peakRates is the most requests and changes in a second since a time.
-func (s *store) peakRates(since time.Time) (asked, wrote int) {
+func (s *fakeStore) peakRates(since time.Time) (asked, wrote int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for sec, n := range s.asked {
+	for sec, n := range s.requestsBySecond {
 		if sec >= since.Unix() {
-			asked, wrote = max(asked, n), max(wrote, s.wrote[sec])
+			asked, wrote = max(asked, n), max(wrote, s.writesBySecond[sec])
 		}
 	}
 	return asked, wrote
 }
 
 // recordEvent adds to the log; run it with the lock held.
-func (s *store) recordEvent(c wire.Operation) {
+func (s *fakeStore) recordEvent(c wire.Operation) {
 	s.log, s.logTimes = append(s.log, c), append(s.logTimes, time.Now())
 }
 
 // apply carries a change out; run it with the lock held.
-func (s *store) apply(c wire.Operation) {
+func (s *fakeStore) apply(c wire.Operation) {
 	if c.Put != "" {
 		s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: c.ModRevision, LeaseID: c.LeaseID}
 	} else {
@@ -104,8 +104,8 @@
 }
 
 // expireLeases ends leases that ran out; run it with the lock held.
-func (s *store) expireLeases() {
-	if s.down {
+func (s *fakeStore) expireLeases() {
+	if s.unavailable {
 		return
 	}
 	for t, at := range s.leaseEnds {
@@ -116,7 +116,7 @@
 }
 
 // dropLease ends a lease, and removes the keys on it; run it with the lock held.
-func (s *store) dropLease(leaseID uint64) {
+func (s *fakeStore) dropLease(leaseID uint64) {
 	delete(s.leaseEnds, leaseID)
 	for k, it := range s.keys {
 		if it.LeaseID == leaseID {
@@ -129,13 +129,13 @@
 }
 
 // leads is the controller that the leader's key names; -1: none.
-func (s *store) leads() int {
+func (s *fakeStore) leaderIndex() int {
 	n := -1
 	fmt.Sscanf(s.get("lead"), `{"node":"host-%d"`, &n)
 	return n
 }
 
-func (s *store) get(key string) string {
+func (s *fakeStore) get(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return string(s.keys[key].Value)
@@ -144,23 +144,23 @@
 // tooLarge tells whether a transaction is over the limits. Once they have fallen
 // as announced, one may be sent that a controller could not know to be too large, but
 // not again. Two may come: one whose packets were held is sent anew without an answer.
-func (s *store) tooLarge(t wire.Txn) bool {
+func (s *fakeStore) tooLarge(t wire.Txn) bool {
 	large := len(t.Operations) > s.maxOperations || len(t.Compares) > 4*s.maxOperations
 	for _, c := range t.Operations {
 		large = large || len(c.Value) > s.maxValueBytes
 	}
 	if large {
 		b, _ := json.Marshal(t)
-		if !s.limitsLowered || s.tooLargeSeen[string(b)] > 1 {
-			s.broke("a transaction of %d changes, %d guards and %d bytes", len(t.Operations), len(t.Compares), len(b))
+		if !s.limitsLowered || s.tooLargeCounts[string(b)] > 1 {
+			s.recordViolation("a transaction of %d changes, %d guards and %d bytes", len(t.Operations), len(t.Compares), len(b))
 		}
-		s.tooLargeSeen[string(b)]++
+		s.tooLargeCounts[string(b)]++
 	}
 	return large
 }
 
 // commit carries a transaction out, or refuses it; run it with the lock held.
-func (s *store) commit(t wire.Txn) (int, any) {
+func (s *fakeStore) commit(t wire.Txn) (int, any) {
 	if s.tooLarge(t) {
 		return http.StatusBadRequest, wire.ErrorResponse{Error: "too large"}
 	}
--- a/internal/sim/storefaults_test.go
+++ b/internal/sim/storefaults_test.go
@@ -12,7 +12,7 @@
 )
 
 // limitRates has the store refuse what is above so many requests and writes a second.
-func (s *store) limitRates(requests, writes float64) {
+func (s *fakeStore) limitRates(requests, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestRate = rate.NewLimiter(rate.Limit(requests), int(requests))
@@ -20,17 +20,17 @@
 }
 
 // lowerLimits lets the limits fall, as was announced to the controllers.
-func (s *store) lowerLimits(value, ops int) {
+func (s *fakeStore) lowerLimits(value, ops int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxValueBytes, s.maxOperations, s.limitsLowered = value, ops, true
 }
 
 // outage has the store refuse everybody; once it is over, every lease has its full time again.
-func (s *store) outage(on bool) {
+func (s *fakeStore) setOutage(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = on
+	s.unavailable = on
 	for t, life := range s.leaseTTLs {
 		if !on && !s.leaseEnds[t].IsZero() {
 			s.leaseEnds[t] = time.Now().Add(life)
@@ -40,47 +40,47 @@
 }
 
 // delayTransactions has a share of the transactions get no answer and be carried out late.
-func (s *store) delayTransactions(share float64) {
+func (s *fakeStore) delayTransactions(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lateShare = share
 }
 
 // respondSlowly has answers take up to so long.
-func (s *store) respondSlowly(slow time.Duration) {
+func (s *fakeStore) respondSlowly(slow time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latency = slow
 }
 
 // applyLate carries a transaction out after a while, whatever came of it before.
-func (s *store) applyLate(t wire.Txn, after time.Duration) {
+func (s *fakeStore) applyLate(t wire.Txn, after time.Duration) {
 	time.AfterFunc(after, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.expireLeases(); !s.down {
+		if s.expireLeases(); !s.unavailable {
 			s.commit(t)
 		}
 	})
 }
 
 // refuseAlone has the store refuse a controller alone, or ends that.
-func (s *store) refuseAlone(node string, on bool) {
+func (s *fakeStore) refuseController(node string, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusedAlone[node] = on
+	s.refusedControllers[node] = on
 	s.cond.Broadcast()
 }
 
 // loseData has the store lose data.
-func (s *store) loseData(how string, ago time.Duration, key string) {
+func (s *fakeStore) loseData(how string, ago time.Duration, key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch how {
-	case wiped:
+	case allKeysLost:
 		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, nil, nil
 		clear(s.leaseEnds)
-	case restored:
+	case restoredFromBackup:
 		n := 0
 		for n < len(s.log) && n < len(s.logTimes) && time.Since(s.logTimes[n]) > ago {
 			n++
@@ -96,14 +96,14 @@
 				s.leaseEnds[it.LeaseID] = time.Now().Add(s.leaseTTLs[it.LeaseID])
 			}
 		}
-	case holes:
+	case someKeysLost:
 		ks := slices.Sorted(maps.Keys(s.keys))
 		for i, k := range ks {
 			if i%3 == 1 {
 				delete(s.keys, k)
 			}
 		}
-	case rotten:
+	case valueCorrupted:
 		for _, k := range slices.Sorted(maps.Keys(s.keys)) {
 			if strings.HasPrefix(k, key) {
 				it := s.keys[k]
--- a/internal/sim/storeserver_test.go
+++ b/internal/sim/storeserver_test.go
@@ -13,7 +13,7 @@
 )
 
 // ServeHTTP serves the store's protocol. It models no connection limits and no body limits.
-func (s *store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	controller, _, _ := strings.Cut(r.RemoteAddr, ":")
 	// Ahead of the lock: a body may come in several packets, and whoever waits for a lock
 	// that is held meanwhile stops the simulation's clock.
@@ -26,14 +26,14 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if s.down || s.refusedAlone[controller] {
-		answer(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
+	if s.unavailable || s.refusedControllers[controller] {
+		writeJSON(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
 		return
 	}
-	s.asked[time.Now().Unix()]++
-	if !s.withinRate(s.requestRate, 1) {
-		s.requestsRefused++
-		answer(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "rate"})
+	s.requestsBySecond[time.Now().Unix()]++
+	if !s.takeRate(s.requestRate, 1) {
+		s.rateRefusals++
+		writeJSON(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "rate"})
 		return
 	}
 	switch path := r.URL.Path; {
@@ -53,7 +53,7 @@
 }
 
 // drawLatency is how long a request and its answer take together.
-func (s *store) drawLatency() time.Duration {
+func (s *fakeStore) drawLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.latency == 0 {
@@ -64,11 +64,11 @@
 
 // serveCommit carries a transaction out, or a fault of one. It and all below are called with the
 // lock held.
-func (s *store) serveCommit(w http.ResponseWriter, r *http.Request, controller string, body []byte) {
+func (s *fakeStore) serveCommit(w http.ResponseWriter, r *http.Request, controller string, body []byte) {
 	var txn wire.Txn
 	json.Unmarshal(body, &txn)
-	if !s.withinRate(s.writeRate, len(txn.Operations)) {
-		answer(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "rate"})
+	if !s.takeRate(s.writeRate, len(txn.Operations)) {
+		writeJSON(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "rate"})
 		return
 	}
 	if s.lateShare > 0 && s.rnd.Float64() < s.lateShare {
@@ -82,20 +82,20 @@
 		return
 	}
 	status, result := s.commit(txn)
-	s.wrote[time.Now().Unix()] += len(txn.Operations)
+	s.writesBySecond[time.Now().Unix()] += len(txn.Operations)
 	if s.rnd.IntN(50) == 0 { // a copy of it comes once more, much later or at once
-		s.applyLate(txn, time.Duration(s.rnd.Int64N(int64(2*lease))))
+		s.applyLate(txn, time.Duration(s.rnd.Int64N(int64(2*leaseDuration))))
 	}
 	if status == http.StatusOK && s.onCommit != nil && s.onCommit(controller, txn) || s.rnd.IntN(100) == 0 {
 		panic(http.ErrAbortHandler) // executed, but the answer is lost
 	}
-	answer(w, status, result)
+	writeJSON(w, status, result)
 }
 
 // rangeLimit is how many keys a page of a listing has: few, so that listings take several.
 const rangeLimit = 10
 
-func (s *store) serveRange(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStore) serveRange(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	var page wire.RangeResponse
 	for key, item := range s.keys {
@@ -108,19 +108,19 @@
 		page.Items, page.More = page.Items[:rangeLimit], true
 	}
 	page.Revision = s.revision
-	answer(w, http.StatusOK, page)
+	writeJSON(w, http.StatusOK, page)
 }
 
-func (s *store) serveGet(w http.ResponseWriter, key string) {
+func (s *fakeStore) serveGet(w http.ResponseWriter, key string) {
 	if item, ok := s.keys[key]; ok {
-		answer(w, http.StatusOK, item)
+		writeJSON(w, http.StatusOK, item)
 	} else {
-		answer(w, http.StatusNotFound, wire.RangeResponse{Revision: s.revision})
+		writeJSON(w, http.StatusNotFound, wire.RangeResponse{Revision: s.revision})
 	}
 }
 
 // serveWatch answers once there are changes, or the time asked for is over. An outage lets it wait.
-func (s *store) serveWatch(w http.ResponseWriter, r *http.Request, controller string) {
+func (s *fakeStore) serveWatch(w http.ResponseWriter, r *http.Request, controller string) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	waitMillis, _ := strconv.Atoi(query.Get("wait_ms"))
@@ -134,10 +134,10 @@
 				changes.Events = append(changes.Events, change)
 			}
 		}
-		isServed := !s.down && !s.refusedAlone[controller]
+		isServed := !s.unavailable && !s.refusedControllers[controller]
 		if isServed && (len(changes.Events) > 0 || !time.Now().Before(end)) {
 			changes.Revision = s.revision
-			answer(w, http.StatusOK, changes)
+			writeJSON(w, http.StatusOK, changes)
 			return
 		}
 		if r.Context().Err() != nil {
@@ -148,20 +148,20 @@
 	}
 }
 
-func (s *store) serveGrant(w http.ResponseWriter, body []byte) {
+func (s *fakeStore) serveGrant(w http.ResponseWriter, body []byte) {
 	var asked wire.Lease
 	json.Unmarshal(body, &asked)
 	s.lastLease++
 	ttl := time.Duration(asked.TTLMillis) * time.Millisecond
 	s.leaseEnds[s.lastLease], s.leaseTTLs[s.lastLease] = time.Now().Add(ttl), ttl
-	answer(w, http.StatusOK, wire.Lease{ID: s.lastLease})
+	writeJSON(w, http.StatusOK, wire.Lease{ID: s.lastLease})
 }
 
 // serveLease renews or revokes a lease.
-func (s *store) serveLease(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStore) serveLease(w http.ResponseWriter, r *http.Request) {
 	leaseID, _ := strconv.ParseUint(strings.Split(r.URL.Path, "/")[2], 10, 64)
 	if s.leaseEnds[leaseID].IsZero() {
-		answer(w, http.StatusNotFound, struct{}{})
+		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
 	if r.Method == http.MethodDelete {
@@ -169,5 +169,5 @@
 	} else {
 		s.leaseEnds[leaseID] = time.Now().Add(s.leaseTTLs[leaseID])
 	}
-	answer(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -10,13 +10,13 @@
 )
 
 // reboot has all controllers begin anew, with what the test changed of the world.
-func (w *world) reboot(cs []*node, change func()) {
+func (w *world) restartAll(controllers []*controllerProcess, change func()) {
 	w.mu.Lock()
 	change()
 	w.mu.Unlock()
-	for n := range w.size {
-		cs[n].crash()
-		cs[n] = w.boot(n)
+	for n := range w.clusterSize {
+		controllers[n].crash()
+		controllers[n] = w.boot(n)
 	}
 }
 
@@ -26,12 +26,12 @@
 func TestSixteenTeams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const teams = 16
-		ctx, w, _, _, cs, end := begin(t, 31, 48, 12, "")
-		w.reboot(cs, func() { w.teams = teams })
+		ctx, w, _, _, controllers, end := startWorld(t, 31, 48, 12, "")
+		w.restartAll(controllers, func() { w.teamCount = teams })
 		n := 0
-		submit := func(team int, rank string, members int, at time.Duration) {
+		submit := func(team int, rank string, tasksPerJob int, at time.Duration) {
 			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: teamName(team), Kind: wire.KindArray, Priority: rank,
-				TaskCount: members, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, at, 0)
+				TaskCount: tasksPerJob, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, at, 0)
 			n++
 		}
 		for i := range 20 {
@@ -47,12 +47,12 @@
 		least, most := 1.0, 0.0
 		for team := range teams {
 			asked, done := 0, 0
-			for ref, j := range w.jobs {
+			for jobID, j := range w.jobs {
 				if j.Team != teamName(team) {
 					continue
 				}
 				asked++
-				if w.finished(ref) {
+				if w.allTasksDone(jobID) {
 					done++
 				}
 			}
@@ -67,7 +67,7 @@
 		}
 		w.mu.Unlock()
 		end()
-		for _, b := range w.breaches {
+		for _, b := range w.violations {
 			t.Error(b)
 		}
 		if least < 0.95 {
@@ -83,11 +83,11 @@
 // ones wait.
 func TestScarceZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, w, _, cl, cs, end := begin(t, 33, 400, 40, "<rillflow><fleet><thrift>always</thrift></fleet></rillflow>")
-		cl.mu.Lock()
-		cl.few = map[string]int{"b": 2} // 16 cores
-		cl.mu.Unlock()
-		w.reboot(cs, func() {})
+		ctx, w, _, cloud, controllers, end := startWorld(t, 33, 400, 40, "<rillflow><fleet><thrift>always</thrift></fleet></rillflow>")
+		cloud.mu.Lock()
+		cloud.zoneLimits = map[string]int{"b": 2} // 16 cores
+		cloud.mu.Unlock()
+		w.restartAll(controllers, func() {})
 		for i := range 12 { // 8 cores of each zone... 48 wanted of the small one
 			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "s", Team: "ab"[i%2 : i%2+1], Kind: wire.KindService, Priority: "production",
 				TaskCount: 4, CPUs: 2, MemoryGB: 2, Image: "img", SpreadZones: true}, time.Duration(1+i)*time.Second, 0)
@@ -99,20 +99,20 @@
 		time.Sleep(260 * time.Second)
 		w.mu.Lock()
 		inZone := map[string]int{}
-		for id, host := range w.where {
+		for id, host := range w.hostOf {
 			if w.jobs[id.JobID].Kind == wire.KindService {
-				inZone[w.workers[host].h.Zone]++
+				inZone[w.workers[host].instance.Zone]++
 			}
 		}
 		w.mu.Unlock()
-		cl.mu.Lock()
+		cloud.mu.Lock()
 		cores := map[string]int{}
-		for _, h := range cl.hosts {
+		for _, h := range cloud.instances {
 			cores[h.Zone] += 8
 		}
-		cl.mu.Unlock()
+		cloud.mu.Unlock()
 		end()
-		for _, b := range w.breaches {
+		for _, b := range w.violations {
 			t.Error(b)
 		}
 		if inZone["a"] != 24 || inZone["b"] != 8 {
@@ -122,9 +122,9 @@
 		if cores["a"] > 96 {
 			t.Errorf("%d cores are kept in the large zone long after the arrays", cores["a"])
 		}
-		for ref, j := range w.jobs {
-			if j.Kind == wire.KindArray && w.told[ref] != wire.PhaseDone {
-				t.Errorf("%s is %q", ref, w.told[ref])
+		for jobID, j := range w.jobs {
+			if j.Kind == wire.KindArray && w.lastPhase[jobID] != wire.PhaseDone {
+				t.Errorf("%s is %q", jobID, w.lastPhase[jobID])
 			}
 		}
 		t.Logf("replicas by zone %v, cores by zone %v", inZone, cores)
--- a/internal/sim/users_test.go
+++ b/internal/sim/users_test.go
@@ -20,7 +20,7 @@
 }
 
 // playUser submits a job, polls it, and may withdraw it.
-func (w *world) playUser(ctx context.Context, j wire.Job, withdraw time.Duration) {
+func (w *world) runUser(ctx context.Context, j wire.Job, withdraw time.Duration) {
 	client := w.client()
 	body, _ := json.Marshal(map[string]any{
 		"ref": j.ID, "jobclass": j.Class, "owner": j.Team, "shape": j.Kind, "rank": j.Priority, "members": j.TaskCount, "cores": j.CPUs,
@@ -29,7 +29,7 @@
 	})
 	for _, n := range j.DependsOn {
 		w.mu.Lock()
-		known := w.accepted[n]
+		known := w.acceptedSignal[n]
 		w.mu.Unlock()
 		select {
 		case <-ctx.Done():
@@ -38,7 +38,7 @@
 		}
 	}
 	ask := func(method, path string, body []byte) (int, string) {
-		return w.ask(ctx, client, w.intN(w.size), method, path, body)
+		return w.request(ctx, client, w.intN(w.clusterSize), method, path, body)
 	}
 	start := time.Now()
 	accepted := false
@@ -51,21 +51,21 @@
 			status, phase = ask("POST", "/v1/jobs", body)
 			if status == 400 || status == 422 {
 				w.mu.Lock()
-				w.broke("%s was refused: %d", j.ID, status)
+				w.recordViolation("%s was refused: %d", j.ID, status)
 				w.mu.Unlock()
 			}
 			if accepted = status == 200 || status == 201; accepted {
 				taken = time.Now()
 				w.mu.Lock()
-				if w.taken[j.ID].IsZero() {
-					close(w.accepted[j.ID])
-					w.taken[j.ID] = taken
+				if w.acceptedAt[j.ID].IsZero() {
+					close(w.acceptedSignal[j.ID])
+					w.acceptedAt[j.ID] = taken
 				}
 				w.mu.Unlock()
 			}
 		case withdraw > 0 && time.Since(start) > withdraw:
 			w.mu.Lock()
-			w.asked[j.ID] = true
+			w.cancelRequested[j.ID] = true
 			w.mu.Unlock()
 			status, phase = ask("POST", "/v1/jobs/"+j.ID+"/withdraw", nil)
 		default:
@@ -73,37 +73,37 @@
 		}
 		w.mu.Lock()
 		if accepted {
-			w.heard(j.ID, status)
+			w.recordAnswer(j.ID, status)
 		}
 		if accepted && status == 404 {
-			w.broke("forgotten: %s", j.ID)
-			accepted = w.again == nil
+			w.recordViolation("forgotten: %s", j.ID)
+			accepted = w.shouldResubmit == nil
 		}
-		if accepted && w.again != nil && w.again(j.ID) {
+		if accepted && w.shouldResubmit != nil && w.shouldResubmit(j.ID) {
 			accepted = false
 		}
-		if was := w.told[j.ID]; (was == wire.PhaseDone || was == wire.PhaseCancelled) && phase != "" && phase != was {
-			w.broke("went_back: %s from %s to %s", j.ID, was, phase)
+		if was := w.lastPhase[j.ID]; (was == wire.PhaseDone || was == wire.PhaseCancelled) && phase != "" && phase != was {
+			w.recordViolation("went_back: %s from %s to %s", j.ID, was, phase)
 		}
 		if phase != "" {
-			w.told[j.ID] = phase
+			w.lastPhase[j.ID] = phase
 		}
 		if phase == wire.PhaseCancelled {
-			if !w.asked[j.ID] && !w.dependsOnCancelled(j.ID) {
-				w.broke("went_back: %s called withdrawn", j.ID)
+			if !w.cancelRequested[j.ID] && !w.dependsOnCancelled(j.ID) {
+				w.recordViolation("went_back: %s called withdrawn", j.ID)
 			}
-			if w.gone[j.ID].IsZero() {
-				w.gone[j.ID] = time.Now()
+			if w.cancelledAt[j.ID].IsZero() {
+				w.cancelledAt[j.ID] = time.Now()
 			}
 		}
 		// A job may be accepted long after what it needs was cancelled.
-		if at := w.orphan(j.ID); time.Since(taken) > cancel && (phase == wire.PhaseQueued || phase == wire.PhaseRunning) && !at.IsZero() && time.Since(at) > cancel {
-			w.broke("orphaned: %s is %s %v after", j.ID, phase, time.Since(at))
+		if at := w.dependencyCancelledAt(j.ID); time.Since(taken) > cancelTimeout && (phase == wire.PhaseQueued || phase == wire.PhaseRunning) && !at.IsZero() && time.Since(at) > cancelTimeout {
+			w.recordViolation("orphaned: %s is %s %v after", j.ID, phase, time.Since(at))
 		}
 		if phase == wire.PhaseDone {
 			for i := range j.TaskCount {
-				if !w.done[ledger.Task{JobID: j.ID, Index: i}] {
-					w.broke("not_done: %s/%d", j.ID, i)
+				if !w.doneTasks[ledger.Task{JobID: j.ID, Index: i}] {
+					w.recordViolation("not_done: %s/%d", j.ID, i)
 				}
 			}
 		}
@@ -120,17 +120,17 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	longest := 4 * time.Second
-	if w.pollEvery > 0 {
-		longest = w.pollEvery
+	if w.maxPollPause > 0 {
+		longest = w.maxPollPause
 	}
 	return longest/2 + time.Duration(w.rnd.Int64N(int64(longest/2)))
 }
 
 // dependsOnCancelled tells whether a user has asked to withdraw something before a job; run
 // it with the lock held.
-func (w *world) dependsOnCancelled(ref string) bool {
-	for _, n := range w.jobs[ref].DependsOn {
-		if w.asked[n] || w.dependsOnCancelled(n) {
+func (w *world) dependsOnCancelled(jobID string) bool {
+	for _, n := range w.jobs[jobID].DependsOn {
+		if w.cancelRequested[n] || w.dependsOnCancelled(n) {
 			return true
 		}
 	}
@@ -141,13 +141,13 @@
 func (w *world) submit(ctx context.Context, j wire.Job, delay, withdraw time.Duration) {
 	w.mu.Lock()
 	w.jobs[j.ID] = j
-	w.accepted[j.ID] = make(chan struct{})
+	w.acceptedSignal[j.ID] = make(chan struct{})
 	w.mu.Unlock()
 	w.wg.Go(func() {
 		select {
 		case <-ctx.Done():
 		case <-time.After(delay):
-			w.playUser(ctx, j, withdraw)
+			w.runUser(ctx, j, withdraw)
 		}
 	})
 }
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -18,37 +18,37 @@
 )
 
 // task is one attempt on a worker.
-type task struct {
+type workerTask struct {
 	wire.TaskStatus
 	timer *time.Timer
 }
 
 // worker stands in for a worker's worker.
-type worker struct {
+type fakeWorker struct {
 	w      *world
-	h      wire.Instance
+	instance      wire.Instance
 	cancel context.CancelFunc
 	client *http.Client
 
 	mu     sync.Mutex
-	tenure uint64
-	tick   uint64
+	incarnation uint64
+	sequence   uint64
 	epoch  uint64
-	sent   time.Time // of the last report that was answered
-	tasks  map[string]*task
-	node   int
-	wake   chan struct{}
-	deaf   bool      // answers and commands to it are lost
-	mute   bool      // it reaches no controller, while commands reach it
-	muted  time.Time // since when
-	keep   bool      // its next report is held back
-	kept   []byte
-	hung   bool // it stands still, and may go on within its lease; past that nothing is left to go on
+	lastAnswered   time.Time // of the last report that was answered
+	tasks  map[string]*workerTask
+	controller   int
+	heartbeatNow   chan struct{}
+	dropsAnswers   bool      // answers and commands to it are lost
+	dropsHeartbeats   bool      // it reaches no controller, while commands reach it
+	mutedSince  time.Time // since when
+	holdsNext   bool      // its next report is held back
+	heldHeartbeat   []byte
+	paused   bool // it stands still, and may go on within its lease; past that nothing is left to go on
 }
 
-func (k *worker) report() wire.Heartbeat {
-	k.tick++
-	r := wire.Heartbeat{Worker: k.h.Name, Address: k.h.Address, InstanceType: k.h.InstanceType, Zone: k.h.Zone, Spot: k.h.Spot, Incarnation: k.tenure, Sequence: k.tick, Epoch: k.epoch, Tasks: []wire.TaskStatus{}}
+func (k *fakeWorker) heartbeat() wire.Heartbeat {
+	k.sequence++
+	r := wire.Heartbeat{Worker: k.instance.Name, Address: k.instance.Address, InstanceType: k.instance.InstanceType, Zone: k.instance.Zone, Spot: k.instance.Spot, Incarnation: k.incarnation, Sequence: k.sequence, Epoch: k.epoch, Tasks: []wire.TaskStatus{}}
 	for _, t := range k.tasks {
 		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
@@ -57,42 +57,42 @@
 }
 
 // expire ends the session once the lease is over; run it with the lock held.
-func (k *worker) expire() {
-	if time.Since(k.sent) <= lease {
+func (k *fakeWorker) expire() {
+	if time.Since(k.lastAnswered) <= leaseDuration {
 		return
 	}
-	k.clear()
-	k.tenure++
-	k.sent = time.Now()
+	k.endTasks()
+	k.incarnation++
+	k.lastAnswered = time.Now()
 }
 
-func (k *worker) clear() {
+func (k *fakeWorker) endTasks() {
 	for _, t := range k.tasks {
-		k.finish(t, "killed")
+		k.endTask(t, "killed")
 	}
-	k.tasks = map[string]*task{}
+	k.tasks = map[string]*workerTask{}
 }
 
-func (k *worker) finish(t *task, cause string) {
+func (k *fakeWorker) endTask(t *workerTask, cause string) {
 	if t.timer != nil {
 		t.timer.Stop()
 	}
 	if t.Phase == wire.TaskRunning {
-		k.w.taskLeft(t.TaskStatus.Task, k.h.Name)
+		k.w.taskStopped(t.TaskStatus.Task, k.instance.Name)
 	}
 	t.Phase, t.ExitReason = wire.TaskExited, cause
 }
 
-func (k *worker) run(ctx context.Context) {
+func (k *fakeWorker) run(ctx context.Context) {
 	srv := &http.Server{Handler: k, ErrorLog: log.New(io.Discard, "", 0)}
-	go srv.Serve(k.w.net.listen(k.h.Name, k.h.Address))
+	go srv.Serve(k.w.net.listen(k.instance.Name, k.instance.Address))
 	defer srv.Close()
 	// The lease ends when it ends, whatever the worker waits for.
 	go func() {
 		for {
 			k.mu.Lock()
 			k.expire()
-			left := lease - time.Since(k.sent) + time.Millisecond
+			left := leaseDuration - time.Since(k.lastAnswered) + time.Millisecond
 			k.mu.Unlock()
 			select {
 			case <-ctx.Done():
@@ -102,76 +102,76 @@
 		}
 	}()
 	for {
-		d := report*3/4 + time.Duration(k.w.intN(int(report/2)))
+		d := heartbeatInterval*3/4 + time.Duration(k.w.intN(int(heartbeatInterval/2)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(d):
-		case <-k.wake:
+		case <-k.heartbeatNow:
 			time.Sleep(500 * time.Millisecond)
 		}
-		k.beat(ctx)
+		k.sendHeartbeat(ctx)
 	}
 }
 
-func (k *worker) beat(ctx context.Context) {
+func (k *fakeWorker) sendHeartbeat(ctx context.Context) {
 	k.mu.Lock()
-	if k.hung {
+	if k.paused {
 		k.mu.Unlock()
 		return
 	}
 	k.expire()
-	r := k.report()
-	sent, node := time.Now(), k.node
+	r := k.heartbeat()
+	sent, node := time.Now(), k.controller
 	k.mu.Unlock()
 	body, _ := json.Marshal(r)
-	if k.lost(ctx, body) {
+	if k.isHeartbeatLost(ctx, body) {
 		return
 	}
 	rctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(rctx, "POST", "http://"+front(node)+"/agent/beat", bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(rctx, "POST", "http://"+frontAddress(node)+"/agent/beat", bytes.NewReader(body))
 	res, err := k.client.Do(req)
 	var data []byte
 	if err == nil {
 		data, err = io.ReadAll(res.Body)
 		res.Body.Close()
 	}
-	k.echo(ctx, node, body)
+	k.duplicateLater(ctx, node, body)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
 	switch {
 	case ctx.Err() != nil:
-	case k.deaf || k.hung:
-		k.node = (node + 1) % k.w.size
-		k.nudge()
+	case k.dropsAnswers || k.paused:
+		k.controller = (node + 1) % k.w.clusterSize
+		k.requestHeartbeat()
 	case err == nil && res.StatusCode == 200:
 		var o wire.CommandBatch
 		json.Unmarshal(data, &o)
-		if k.tenure != r.Incarnation || o.Epoch < k.epoch {
+		if k.incarnation != r.Incarnation || o.Epoch < k.epoch {
 			return
 		}
-		k.epoch, k.sent = o.Epoch, sent
+		k.epoch, k.lastAnswered = o.Epoch, sent
 		k.execute(o.Commands)
 	case err == nil && res.StatusCode == 421 && strings.Contains(string(data), "host-"):
 		var s wire.Redirect
 		json.Unmarshal(data, &s)
-		k.node = int(s.Controller[len("host-")] - '0')
-		k.nudge()
+		k.controller = int(s.Controller[len("host-")] - '0')
+		k.requestHeartbeat()
 	default:
-		k.node = (node + 1) % k.w.size
-		k.nudge()
+		k.controller = (node + 1) % k.w.clusterSize
+		k.requestHeartbeat()
 	}
 }
 
 // lost tells whether a heartbeat does not arrive: the worker waits for an answer, and tries
 // the next controller.
-func (k *worker) lost(ctx context.Context, body []byte) bool {
+func (k *fakeWorker) isHeartbeatLost(ctx context.Context, body []byte) bool {
 	k.mu.Lock()
-	mute, keep := k.mute, k.keep
+	mute, keep := k.dropsHeartbeats, k.holdsNext
 	if keep {
-		k.kept, k.keep = body, false
+		k.heldHeartbeat, k.holdsNext = body, false
 	}
 	k.mu.Unlock()
 	if !mute && !keep {
@@ -184,17 +184,17 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
-	k.node = (k.node + 1) % k.w.size
-	k.nudge()
+	k.controller = (k.controller + 1) % k.w.clusterSize
+	k.requestHeartbeat()
 	return true
 }
 
 // late delivers the heartbeat that was held back, to a controller, and tells whether there
 // was one. Nobody waits for the answer any more.
-func (k *worker) late(ctx context.Context, node int) bool {
+func (k *fakeWorker) deliverHeld(ctx context.Context, node int) bool {
 	k.mu.Lock()
-	body := k.kept
-	k.kept = nil
+	body := k.heldHeartbeat
+	k.heldHeartbeat = nil
 	k.mu.Unlock()
 	if body != nil {
 		k.post(ctx, node, body)
@@ -203,10 +203,10 @@
 }
 
 // post sends a heartbeat whose answer goes to nobody.
-func (k *worker) post(ctx context.Context, node int, body []byte) {
+func (k *fakeWorker) post(ctx context.Context, node int, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+front(node)+"/agent/beat", bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+frontAddress(node)+"/agent/beat", bytes.NewReader(body))
 	if res, err := k.client.Do(req); err == nil {
 		io.Copy(io.Discard, res.Body)
 		res.Body.Close()
@@ -215,10 +215,10 @@
 
 // echo has a copy of a heartbeat arrive again, for a share of them: much later, and at
 // whichever controller is there.
-func (k *worker) echo(ctx context.Context, node int, body []byte) {
+func (k *fakeWorker) duplicateLater(ctx context.Context, node int, body []byte) {
 	k.w.mu.Lock()
-	again := k.w.rnd.Float64() < k.w.echoes
-	by := 2*time.Second + time.Duration(k.w.rnd.Int64N(int64(3*lease/2)))
+	again := k.w.rnd.Float64() < k.w.duplicateShare
+	by := 2*time.Second + time.Duration(k.w.rnd.Int64N(int64(3*leaseDuration/2)))
 	k.w.mu.Unlock()
 	if !again {
 		return
@@ -226,14 +226,14 @@
 	time.AfterFunc(by, func() { k.post(ctx, node, body) })
 }
 
-func (k *worker) nudge() {
+func (k *fakeWorker) requestHeartbeat() {
 	select {
-	case k.wake <- struct{}{}:
+	case k.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
-func (k *worker) execute(os []wire.Command) {
+func (k *fakeWorker) execute(os []wire.Command) {
 	for _, o := range os {
 		key := o.Task
 		t := k.tasks[key]
@@ -241,95 +241,95 @@
 		case wire.ActionStart:
 			if t != nil {
 				if t.Attempt != o.Attempt && t.Phase != wire.TaskExited {
-					k.w.broke("%s: launched as try %d while try %d is there", key, o.Attempt, t.Attempt)
+					k.w.recordViolation("%s: launched as try %d while try %d is there", key, o.Attempt, t.Attempt)
 				}
 				if t.Attempt == o.Attempt || t.Phase != wire.TaskExited {
 					continue
 				}
 			}
-			t = &task{TaskStatus: wire.TaskStatus{Task: key, Attempt: o.Attempt, Phase: wire.TaskFetching}}
+			t = &workerTask{TaskStatus: wire.TaskStatus{Task: key, Attempt: o.Attempt, Phase: wire.TaskFetching}}
 			k.tasks[key] = t
-			t.timer = time.AfterFunc(time.Second, func() { k.begin(t) })
+			t.timer = time.AfterFunc(time.Second, func() { k.startTask(t) })
 		case wire.ActionStop:
 			if t != nil && t.Attempt == o.Attempt && t.Phase != wire.TaskExited {
-				k.finish(t, wire.ExitStopped)
+				k.endTask(t, wire.ExitStopped)
 			}
 		case wire.ActionForget:
 			if t != nil && t.Attempt == o.Attempt && t.Phase == wire.TaskExited {
 				delete(k.tasks, key)
 			}
 		}
-		k.nudge()
+		k.requestHeartbeat()
 	}
 }
 
-func (k *worker) begin(t *task) {
+func (k *fakeWorker) startTask(t *workerTask) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
-	if k.hung {
-		t.timer = time.AfterFunc(time.Second, func() { k.begin(t) })
+	if k.paused {
+		t.timer = time.AfterFunc(time.Second, func() { k.startTask(t) })
 		return
 	}
 	if t.Phase != wire.TaskFetching || k.tasks[t.TaskStatus.Task] != t {
 		return
 	}
 	id, _ := ledger.ParseTask(t.TaskStatus.Task)
-	j := k.w.taskStarted(id, t.Attempt, k.h)
-	if long := time.Since(k.muted); k.mute && long > lease {
+	j := k.w.taskStarted(id, t.Attempt, k.instance)
+	if duration := time.Since(k.mutedSince); k.dropsHeartbeats && duration > leaseDuration {
 		k.w.mu.Lock()
-		k.w.broke("mute: %s starts on %s, which has reached no controller for %v", id, k.h.Name, long)
+		k.w.recordViolation("mute: %s starts on %s, which has reached no controller for %v", id, k.instance.Name, duration)
 		k.w.mu.Unlock()
 	}
 	t.Phase = wire.TaskRunning
-	k.nudge()
+	k.requestHeartbeat()
 	if j.Kind == wire.KindArray {
-		if k.w.isDone(id) { // the result was kept
-			t.timer = time.AfterFunc(0, func() { k.complete(t, id) })
+		if k.w.isTaskDone(id) { // the result was kept
+			t.timer = time.AfterFunc(0, func() { k.completeTask(t, id) })
 			return
 		}
-		long := j.ExpectedSeconds * (1 + k.w.spread*float64(id.Index))
-		t.timer = time.AfterFunc(time.Duration(long*float64(time.Second)), func() { k.complete(t, id) })
+		duration := j.ExpectedSeconds * (1 + k.w.durationSpread*float64(id.Index))
+		t.timer = time.AfterFunc(time.Duration(duration*float64(time.Second)), func() { k.completeTask(t, id) })
 	}
 }
 
 // complete ends a task that is done, once its worker goes on.
-func (k *worker) complete(t *task, id ledger.Task) {
+func (k *fakeWorker) completeTask(t *workerTask, id ledger.Task) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.hung {
-		t.timer = time.AfterFunc(time.Second, func() { k.complete(t, id) })
+	if k.paused {
+		t.timer = time.AfterFunc(time.Second, func() { k.completeTask(t, id) })
 		return
 	}
 	k.expire()
 	if t.Phase == wire.TaskRunning && k.tasks[t.TaskStatus.Task] == t {
-		k.finish(t, wire.ExitDone)
-		k.w.complete(id)
-		k.nudge()
+		k.endTask(t, wire.ExitDone)
+		k.w.taskDone(id)
+		k.requestHeartbeat()
 	}
 }
 
-func (k *worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (k *fakeWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	var o wire.CommandBatch
 	if r.Method == http.MethodPost {
 		json.NewDecoder(r.Body).Decode(&o)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.deaf || k.hung {
+	if k.dropsAnswers || k.paused {
 		panic(http.ErrAbortHandler)
 	}
 	k.expire()
 	status := 200
 	if r.URL.Path == "/do" {
-		if o.Epoch < k.epoch || o.Incarnation != k.tenure {
+		if o.Epoch < k.epoch || o.Incarnation != k.incarnation {
 			status = 409
 		} else {
 			k.epoch = o.Epoch
 			k.execute(o.Commands)
 		}
 	}
-	answer(w, status, k.report())
+	writeJSON(w, status, k.heartbeat())
 }
 
 var _ net.Listener = (*listener)(nil)
--- a/internal/sim/writeoverload_test.go
+++ b/internal/sim/writeoverload_test.go
@@ -26,45 +26,45 @@
 // Guards against users left without an answer about accepted jobs: more writes than the store
 // takes have jobs pile up that are polled, and polls that cost a read each exceed its rate.
 func TestPollsAnsweredWhileWritesPileUp(t *testing.T) {
-	playFaults(t, faultPlan{
-		seed: 778, most: 12, limit: 100,
-		troubles: func(m *scenario) { m.overloadWrites(30, 12) },
-		rest:     300 * time.Second,
+	runFaultPlan(t, faultPlan{
+		seed: 778, maxInstances: 12, teamCPULimit: 100,
+		faults: func(m *scenario) { m.overloadWrites(30, 12) },
+		recovery:     300 * time.Second,
 	})
 }
 
 // backlogGone is how long after the load every job that ended is told to its user.
-const backlogGone = 60 * time.Second
+const endReportDeadline = 60 * time.Second
 
 // checkToldDone checks, a while after the load, that users were told of the end of every job that
 // was accepted while it lasted.
-func (m *scenario) checkToldDone() {
+func (m *scenario) checkEndsReported() {
 	loadEnded := time.Now()
-	time.Sleep(backlogGone)
+	time.Sleep(endReportDeadline)
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	waiting, accepted := 0, 0
-	for ref, at := range m.w.taken {
+	for jobID, at := range m.w.acceptedAt {
 		if at.After(loadEnded) {
 			continue
 		}
-		if accepted++; m.w.told[ref] != wire.PhaseDone {
+		if accepted++; m.w.lastPhase[jobID] != wire.PhaseDone {
 			waiting++
 		}
 	}
 	if waiting > 0 {
-		m.Errorf("%d of %d jobs are not told done %v after the load", waiting, accepted, backlogGone)
+		m.Errorf("%d of %d jobs are not told done %v after the load", waiting, accepted, endReportDeadline)
 	}
 }
 
 // Guards against ends of jobs that are told long after a load that was too much: they wait behind
 // deletions and finishes that nobody waits for.
-func TestEndsToldSoonAfterOverload(t *testing.T) {
-	playFaults(t, faultPlan{
-		seed: 778, most: 12, limit: 100,
-		troubles: func(m *scenario) {
+func TestEndsReportedSoonAfterOverload(t *testing.T) {
+	runFaultPlan(t, faultPlan{
+		seed: 778, maxInstances: 12, teamCPULimit: 100,
+		faults: func(m *scenario) {
 			m.overloadWrites(60, 12)
-			m.checkToldDone()
+			m.checkEndsReported()
 		},
 	})
 }
@@ -72,13 +72,13 @@
 // Guards against jobs that are accepted for minutes beyond what can be stored of them: new ones
 // are refused while ends wait for long.
 func TestAcceptedJobsEndInLongOverload(t *testing.T) {
-	playFaults(t, faultPlan{
-		seed: 778, most: 12, limit: 100,
-		troubles: func(m *scenario) {
+	runFaultPlan(t, faultPlan{
+		seed: 778, maxInstances: 12, teamCPULimit: 100,
+		faults: func(m *scenario) {
 			m.overloadWrites(60, 8)
-			m.checkToldDone()
+			m.checkEndsReported()
 		},
-		rest: 300 * time.Second,
+		recovery: 300 * time.Second,
 	})
 }
 
@@ -86,32 +86,32 @@
 // wait behind it: the leader crashes in an overload, the store is away, and chains are cancelled.
 func TestOverloadThroughLeaderCrashAndOutage(t *testing.T) {
 	const lines, firstHead = 8, overloadJobs
-	playFaults(t, faultPlan{
-		seed: 778, most: 12, limit: 100, jobs: chains(firstHead, lines),
-		troubles: func(m *scenario) {
+	runFaultPlan(t, faultPlan{
+		seed: 778, maxInstances: 12, teamCPULimit: 100, jobs: chains(firstHead, lines),
+		faults: func(m *scenario) {
 			concurrently(
 				func() { m.overloadWrites(60, 12) },
 				func() {
 					time.Sleep(60 * time.Second)
-					m.crashController(max(0, m.st.leads()), 5*time.Second)
+					m.crashController(max(0, m.store.leaderIndex()), 5*time.Second)
 				},
 				func() {
 					time.Sleep(75 * time.Second)
 					for line := range lines {
-						m.w.wg.Go(func() { m.cancelRepeatedly(line%nodes, 60*time.Second, ref(firstHead+3*line)) })
+						m.w.wg.Go(func() { m.cancelRepeatedly(line%controllerCount, 60*time.Second, testJobID(firstHead+3*line)) })
 					}
 				},
 				func() {
 					time.Sleep(90 * time.Second)
-					m.st.outage(true)
+					m.store.setOutage(true)
 					time.Sleep(15 * time.Second)
-					m.st.outage(false)
+					m.store.setOutage(false)
 				},
 			)
 		},
-		ends: func(m *scenario) {
+		check: func(m *scenario) {
 			for line := range lines {
-				if head := ref(firstHead + 3*line); m.w.gone[head].IsZero() {
+				if head := testJobID(firstHead + 3*line); m.w.cancelledAt[head].IsZero() {
 					m.Errorf("%s was never told cancelled", head)
 				}
 			}
