--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -22,31 +22,31 @@
 func (s *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it, ok := s.keys[key]
+	item, ok := s.keys[key]
 	if !ok {
-		return it, kvstore.ErrNotFound
+		return item, kvstore.ErrNotFound
 	}
-	return it, nil
+	return item, nil
 }
 
-func (s *fakeStore) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
+func (s *fakeStore) List(_ context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, it := range s.keys {
-		if strings.HasPrefix(k, under) {
-			out = append(out, it)
+	for key, item := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			items = append(items, item)
 		}
 	}
-	slices.SortFunc(out, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
-	return out, s.revision, nil
+	slices.SortFunc(items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
+	return items, s.revision, nil
 }
 
-func (s *fakeStore) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
+func (s *fakeStore) Commit(_ context.Context, txn wire.Txn) (uint64, []string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, res := s.commit(t)
-	r := res.(wire.TxnResponse)
-	return r.Revision, r.FailedKeys, nil
+	_, response := s.commit(txn)
+	txnResponse := response.(wire.TxnResponse)
+	return txnResponse.Revision, txnResponse.FailedKeys, nil
 }
 
 // newRing makes a key ring in a file.
@@ -64,25 +64,25 @@
 
 // history reads the record that a day left, and checks it.
 func readAuditLog(t *testing.T, w *world, ring *keyring.Ring) (*audit.History, *audit.Archive) {
-	a, err := audit.Read(context.Background(), w.store, ring)
+	archive, err := audit.Read(context.Background(), w.store, ring)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range a.Found {
+	for _, f := range archive.Found {
 		t.Error(f)
 	}
-	h := audit.NewHistory()
-	v := audit.NewVerifier(ring, a.Before)
-	for _, raw := range a.Blocks {
-		b, err := v.Add(raw)
+	history := audit.NewHistory()
+	verifier := audit.NewVerifier(ring, archive.Before)
+	for _, raw := range archive.Blocks {
+		b, err := verifier.Add(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range b.Entries {
-			h.Add(e)
+			history.Add(e)
 		}
 	}
-	return h, a
+	return history, archive
 }
 
 // A day of crashes, cuts and takeovers is told by its record alone: who was accepted
@@ -98,61 +98,61 @@
 					rotate := time.AfterFunc(20*time.Second, func() { keyring.Rotate(path, time.Now().Add(2*leaseDuration)) })
 					defer rotate.Stop()
 				}
-				breaches, w := runRandomScenario(t, 100+seed, seed%2 == 1, fmt.Sprintf("<rillflow><access><audit>on</audit><keys>%s</keys></access></rillflow>", path), nil)
-				for _, b := range breaches {
+				violations, w := runRandomScenario(t, 100+seed, seed%2 == 1, fmt.Sprintf("<rillflow><access><audit>on</audit><keys>%s</keys></access></rillflow>", path), nil)
+				for _, b := range violations {
 					t.Error(b)
 				}
-				h, a := readAuditLog(t, w, ring)
-				checkAuditLog(t, w, h)
-				if last, err := audit.Open(a.Blocks[len(a.Blocks)-1]); err != nil || (last.Key == 2) != (seed%3 == 0) {
+				history, archive := readAuditLog(t, w, ring)
+				checkAuditLog(t, w, history)
+				if last, err := audit.Open(archive.Blocks[len(archive.Blocks)-1]); err != nil || (last.Key == 2) != (seed%3 == 0) {
 					t.Errorf("the last block is sealed under key %d, %v", last.Key, err)
 				}
 				leaders := 0
-				for _, e := range h.Others {
+				for _, e := range history.Others {
 					if e.Action == audit.TookOver {
 						leaders++
 					}
 				}
-				t.Logf("%d blocks, %d entries, %d leaders, %d starts", len(a.Blocks), h.Entries, leaders, w.starts)
+				t.Logf("%d blocks, %d entries, %d leaders, %d starts", len(archive.Blocks), history.Entries, leaders, w.starts)
 			})
 		})
 	}
 }
 
 // told compares a record with what the world knows to be true.
-func checkAuditLog(t *testing.T, w *world, h *audit.History) {
+func checkAuditLog(t *testing.T, w *world, history *audit.History) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.Missed > 0 {
-		t.Errorf("%d entries tell of others that are missing", h.Missed)
+	if history.Missed > 0 {
+		t.Errorf("%d entries tell of others that are missing", history.Missed)
 	}
 	for jobID := range w.jobs {
-		s := h.Jobs[jobID]
-		if s == nil {
+		recorded := history.Jobs[jobID]
+		if recorded == nil {
 			t.Errorf("%s is not in the record", jobID)
 			continue
 		}
-		for _, f := range s.Faults {
+		for _, f := range recorded.Faults {
 			t.Errorf("%s: %s", jobID, f)
 		}
-		j := w.jobs[jobID]
-		if e := s.Accepted; e == nil || e.Action != audit.Accepted || e.Team != j.Team || e.Priority != j.Priority || e.Tasks[0].Index != j.TaskCount || e.Controller == "" {
+		job := w.jobs[jobID]
+		if e := recorded.Accepted; e == nil || e.Action != audit.Accepted || e.Team != job.Team || e.Priority != job.Priority || e.Tasks[0].Index != job.TaskCount || e.Controller == "" {
 			t.Errorf("%s: its acceptance is told as %+v", jobID, e)
 		}
-		if (w.lastPhase[jobID] == wire.PhaseCancelled) != (s.Cancelled != nil) || (w.lastPhase[jobID] == wire.PhaseDone) != (s.Done != nil) {
-			t.Errorf("%s is %s, told withdrawn %v, done %v", jobID, w.lastPhase[jobID], s.Cancelled, s.Done)
+		if (w.lastPhase[jobID] == wire.PhaseCancelled) != (recorded.Cancelled != nil) || (w.lastPhase[jobID] == wire.PhaseDone) != (recorded.Done != nil) {
+			t.Errorf("%s is %s, told withdrawn %v, done %v", jobID, w.lastPhase[jobID], recorded.Cancelled, recorded.Done)
 		}
 		// One that was asked for may have been carried there from a needed job first.
-		if e := s.Cancelled; e != nil && (e.Controller != "" && !w.cancelRequested[jobID] || e.Controller == "" && e.Reason == "") {
+		if e := recorded.Cancelled; e != nil && (e.Controller != "" && !w.cancelRequested[jobID] || e.Controller == "" && e.Reason == "") {
 			t.Errorf("%s: asked %v, told %s", jobID, w.cancelRequested[jobID], e.Describe())
 		}
 	}
 	claimed := make(map[startedAttempt]bool)
-	for jobID, s := range h.Jobs {
+	for jobID, recorded := range history.Jobs {
 		if _, ok := w.jobs[jobID]; !ok {
 			t.Errorf("%s is in the record, and nobody submitted it", jobID)
 		}
-		for _, e := range s.Entries {
+		for _, e := range recorded.Entries {
 			for _, c := range e.Tasks {
 				if e.Action == audit.Claimed {
 					claimed[startedAttempt{ledger.Task{JobID: jobID, Index: c.Index}, c.Attempt, c.Worker}] = true
--- a/internal/sim/cancellationfaults_test.go
+++ b/internal/sim/cancellationfaults_test.go
@@ -14,35 +14,35 @@
 // Jobs are cancelled at the very moment at which the store refuses the leader, and
 // a second later it is out for all, for longer than cancelled tasks may stay.
 func TestCancelAsStoreRefusesLeader(t *testing.T) {
-	type row struct {
+	type testCase struct {
 		name string
-		at   time.Duration // of the first request, from the refusal on
-		then time.Duration // from the refusal to the outage
-		by   int           // the controller asked, counted from the leader
-		size int
-		also func(m *scenario) // beside it
+		cancelAfter   time.Duration // of the first request, from the refusal on
+		outageAfter time.Duration // from the refusal to the outage
+		controllerOffset   int           // the controller asked, counted from the leader
+		clusterSize int
+		concurrentFault func(m *scenario) // beside it
 	}
-	var rows []row
+	var testCases []testCase
 	for at := -500 * time.Millisecond; at <= 1500*time.Millisecond; at += 100 * time.Millisecond {
-		for by, who := range []string{"the leader", "the next", "a third"} {
-			rows = append(rows, row{fmt.Sprintf("%v, by %s", at, who), at, time.Second, by, controllerCount, nil})
+		for offset, via := range []string{"the leader", "the next", "a third"} {
+			testCases = append(testCases, testCase{fmt.Sprintf("%v, by %s", at, via), at, time.Second, offset, controllerCount, nil})
 		}
 	}
 	// Who confirmed ends, or freezes, right after.
-	ends := func(back time.Duration) func(m *scenario) {
+	crashConfirming := func(downtime time.Duration) func(m *scenario) {
 		return func(m *scenario) {
 			time.Sleep(1100 * time.Millisecond)
-			m.crashController((m.initialLeader+1)%m.w.clusterSize, back)
+			m.crashController((m.initialLeader+1)%m.w.clusterSize, downtime)
 		}
 	}
-	rows = append(rows,
-		row{"who confirmed ends", 200 * time.Millisecond, time.Second, 1, controllerCount, ends(8 * time.Second)},
-		row{"who confirmed is back at once", 200 * time.Millisecond, time.Second, 1, controllerCount, ends(100 * time.Millisecond)},
-		row{"the old leader is back within a second", 0, time.Second, 1, controllerCount, func(m *scenario) {
+	testCases = append(testCases,
+		testCase{"who confirmed ends", 200 * time.Millisecond, time.Second, 1, controllerCount, crashConfirming(8 * time.Second)},
+		testCase{"who confirmed is back at once", 200 * time.Millisecond, time.Second, 1, controllerCount, crashConfirming(100 * time.Millisecond)},
+		testCase{"the old leader is back within a second", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			time.Sleep(3 * time.Second)
 			m.crashController(m.initialLeader, 500*time.Millisecond)
 		}},
-		row{"all end, and one returns", 0, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"all end, and one returns", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			time.Sleep(3 * time.Second)
 			m.restartControllers(300*time.Millisecond, (m.initialLeader+2)%controllerCount)
 			time.Sleep(20 * time.Second)
@@ -52,31 +52,31 @@
 				}
 			}
 		}},
-		row{"peers can't reach the leader", 0, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"peers can't reach the leader", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			m.partition([]string{controllerName(m.initialLeader)}, []string{controllerName((m.initialLeader + 1) % controllerCount)}, 60*time.Second)
 		}},
-		row{"five controllers", 0, time.Second, 2, 5, nil},
-		row{"five controllers, one dead", 0, time.Second, 2, 5, func(m *scenario) { m.crashController((m.initialLeader+3)%5, 60*time.Second) }},
-		row{"two are told at once", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"five controllers", 0, time.Second, 2, 5, nil},
+		testCase{"five controllers, one dead", 0, time.Second, 2, 5, func(m *scenario) { m.crashController((m.initialLeader+3)%5, 60*time.Second) }},
+		testCase{"two are told at once", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			time.Sleep(100 * time.Millisecond)
 			m.cancelRepeatedly((m.initialLeader+2)%controllerCount, 10*time.Second, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
 		}},
-		row{"told by a submission sent again", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"told by a submission sent again", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			m.w.mu.Lock()
 			m.w.shouldResubmit = func(r string) bool { return r <= testJobID(3) && m.w.cancelledAt[r].IsZero() && m.w.cancelRequested[r] }
 			m.w.mu.Unlock()
 		}},
-		row{"the state service is slow", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"the state service is slow", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			m.store.respondSlowly(600 * time.Millisecond)
 			time.Sleep(time.Second)
 			m.store.respondSlowly(0)
 		}},
-		row{"transactions are late", -200 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"transactions are late", -200 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			m.store.delayTransactions(0.5)
 			time.Sleep(time.Second)
 			m.store.delayTransactions(0)
 		}},
-		row{"tasks are just being launched", 0, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"tasks are just being launched", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			for i := range 4 {
 				m.w.submit(m.ctx, array(20+i, 3, 150*time.Second), 0, 0)
 			}
@@ -84,33 +84,33 @@
 			m.cancelRepeatedly((m.initialLeader+1)%controllerCount, 10*time.Second, testJobID(20), testJobID(21), testJobID(22), testJobID(23))
 		}},
 	)
-	for _, tc := range rows {
+	for _, tc := range testCases {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runFaultPlan(t, faultPlan{seed: 5, clusterSize: tc.size, jobs: arrays(8, 2, 200*time.Second, nil), recovery: 330 * time.Second, faults: func(m *scenario) {
-				refused := time.Now()
-				if tc.at < 0 {
-					refused = refused.Add(-tc.at)
+			runFaultPlan(t, faultPlan{seed: 5, clusterSize: tc.clusterSize, jobs: arrays(8, 2, 200*time.Second, nil), recovery: 330 * time.Second, faults: func(m *scenario) {
+				refusedAt := time.Now()
+				if tc.cancelAfter < 0 {
+					refusedAt = refusedAt.Add(-tc.cancelAfter)
 				}
-				fs := []func(){
+				steps := []func(){
 					func() {
-						time.Sleep(time.Until(refused))
+						time.Sleep(time.Until(refusedAt))
 						m.store.refuseController(controllerName(m.initialLeader), true)
-						time.Sleep(tc.then)
+						time.Sleep(tc.outageAfter)
 						m.store.setOutage(true)
 						time.Sleep(2 * cancelTimeout)
 						m.store.setOutage(false)
 						m.store.refuseController(controllerName(m.initialLeader), false)
 					},
 					func() {
-						time.Sleep(time.Until(refused.Add(tc.at)))
-						m.cancelRepeatedly((m.initialLeader+tc.by)%m.w.clusterSize, 3*cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
+						time.Sleep(time.Until(refusedAt.Add(tc.cancelAfter)))
+						m.cancelRepeatedly((m.initialLeader+tc.controllerOffset)%m.w.clusterSize, 3*cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
 					},
 				}
-				if tc.also != nil {
-					fs = append(fs, func() { tc.also(m) })
+				if tc.concurrentFault != nil {
+					steps = append(steps, func() { tc.concurrentFault(m) })
 				}
-				concurrently(fs...)
+				concurrently(steps...)
 			}})
 		})
 	}
@@ -122,59 +122,59 @@
 func TestRequestsAroundLastTaskEnd(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		ask  func(m *scenario, n int, r string) (status int, phase string)
+		request  func(m *scenario, n int, jobID string) (status int, phase string)
 	}{
-		{"a withdrawal", func(m *scenario, n int, r string) (int, string) {
-			return m.requestPhase(n, "POST", "/v1/jobs/"+r+"/withdraw", nil)
+		{"a withdrawal", func(m *scenario, n int, jobID string) (int, string) {
+			return m.requestPhase(n, "POST", "/v1/jobs/"+jobID+"/withdraw", nil)
 		}},
-		{"a question", func(m *scenario, n int, r string) (int, string) { return m.requestPhase(n, "GET", "/v1/jobs/"+r, nil) }},
-		{"a submission sent again", func(m *scenario, n int, r string) (int, string) {
-			return m.requestPhase(n, "POST", "/v1/jobs", validSubmission(r))
+		{"a question", func(m *scenario, n int, jobID string) (int, string) { return m.requestPhase(n, "GET", "/v1/jobs/"+jobID, nil) }},
+		{"a submission sent again", func(m *scenario, n int, jobID string) (int, string) {
+			return m.requestPhase(n, "POST", "/v1/jobs", validSubmission(jobID))
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			const moments = 40 // from 400 ms before the end, in steps of 50 ms
-			jobs := arrays(moments, 1, 20*time.Second, func(i int, j *wire.Job) { j.CPUs = 0.5 })
+			const offsets = 40 // from 400 ms before the end, in steps of 50 ms
+			jobs := arrays(offsets, 1, 20*time.Second, func(i int, j *wire.Job) { j.CPUs = 0.5 })
 			runFaultPlan(t, faultPlan{seed: 6, jobs: jobs, recovery: 60 * time.Second, faults: func(m *scenario) {
 				var wg sync.WaitGroup
-				for i := range moments {
+				for i := range offsets {
 					wg.Go(func() {
-						r := testJobID(i)
-						var at time.Time
-						for at.IsZero() {
+						jobID := testJobID(i)
+						var startedAt time.Time
+						for startedAt.IsZero() {
 							m.w.mu.Lock()
-							at = m.w.firstStart[r]
+							startedAt = m.w.firstStart[jobID]
 							m.w.mu.Unlock()
 							time.Sleep(20 * time.Millisecond)
 						}
-						end := at.Add(20 * time.Second)
-						time.Sleep(time.Until(end.Add(time.Duration(i-8) * 50 * time.Millisecond)))
+						endsAt := startedAt.Add(20 * time.Second)
+						time.Sleep(time.Until(endsAt.Add(time.Duration(i-8) * 50 * time.Millisecond)))
 						if tc.name == "a withdrawal" {
 							m.w.mu.Lock()
-							m.w.cancelRequested[r] = true
+							m.w.cancelRequested[jobID] = true
 							m.w.mu.Unlock()
 						}
-						var over string
-						see := func(status int, phase string) {
+						var finalPhase string
+						checkAnswer := func(status int, phase string) {
 							if status != 200 || phase != wire.PhaseDone && phase != wire.PhaseCancelled {
-								if over != "" && phase != "" {
-									m.Errorf("%s: %q after %q", r, phase, over)
+								if finalPhase != "" && phase != "" {
+									m.Errorf("%s: %q after %q", jobID, phase, finalPhase)
 								}
 								return
 							}
-							if over != "" && over != phase {
-								m.Errorf("%s: %s and %s", r, over, phase)
+							if finalPhase != "" && finalPhase != phase {
+								m.Errorf("%s: %s and %s", jobID, finalPhase, phase)
 							}
-							over = phase
+							finalPhase = phase
 						}
-						see(tc.ask(m, i%controllerCount, r))
+						checkAnswer(tc.request(m, i%controllerCount, jobID))
 						for k := range 12 {
 							time.Sleep(300 * time.Millisecond)
-							see(m.requestPhase((i+k)%controllerCount, "GET", "/v1/jobs/"+r, nil))
+							checkAnswer(m.requestPhase((i+k)%controllerCount, "GET", "/v1/jobs/"+jobID, nil))
 						}
-						if over == "" && time.Since(end) > 3*time.Second {
-							m.Errorf("%s: no end is told %v after its last task", r, time.Since(end))
+						if finalPhase == "" && time.Since(endsAt) > 3*time.Second {
+							m.Errorf("%s: no end is told %v after its last task", jobID, time.Since(endsAt))
 						}
 					})
 				}
@@ -187,31 +187,31 @@
 // Without faults no task starts once its user was told that its job is cancelled: not
 // one whose image is being fetched, nor one whose launch is on its way.
 func TestNoStartAfterCancellation(t *testing.T) {
-	for by, who := range []string{"the leader", "the next", "a third"} {
-		t.Run("by "+who, func(t *testing.T) {
+	for offset, via := range []string{"the leader", "the next", "a third"} {
+		t.Run("by "+via, func(t *testing.T) {
 			t.Parallel()
 			runFaultPlan(t, faultPlan{seed: 17, teamCPULimit: 400, maxInstances: 24, recovery: 60 * time.Second, jobs: arrays(1, 2, 300*time.Second, nil), faults: func(m *scenario) {
-				var fs []func()
+				var steps []func()
 				var mu sync.Mutex
-				var waits []time.Duration
+				var latencies []time.Duration
 				for i := range 100 { // they start about a second after they were accepted
-					fs = append(fs, func() {
-						r := testJobID(100 + i)
+					steps = append(steps, func() {
+						jobID := testJobID(100 + i)
 						time.Sleep(time.Duration(i) * heartbeatInterval / 16) // at the pace of the state service
 						m.w.submit(m.ctx, array(100+i, 2, 60*time.Second), 0, 0)
 						time.Sleep(time.Duration(500+10*i) * time.Millisecond)
-						asked := time.Now()
-						m.cancelRepeatedly((m.initialLeader+by)%controllerCount, 20*time.Second, r)
+						requestedAt := time.Now()
+						m.cancelRepeatedly((m.initialLeader+offset)%controllerCount, 20*time.Second, jobID)
 						mu.Lock()
 						defer mu.Unlock()
-						waits = append(waits, time.Since(asked))
+						latencies = append(latencies, time.Since(requestedAt))
 					})
 				}
-				concurrently(fs...)
-				slices.Sort(waits)
-				m.Logf("a withdrawal was told after %v, at most %v", waits[len(waits)/2], waits[len(waits)-1])
-				if most := waits[len(waits)-1]; most > time.Second {
-					m.Errorf("a withdrawal was told after %v", most)
+				concurrently(steps...)
+				slices.Sort(latencies)
+				m.Logf("a withdrawal was told after %v, at most %v", latencies[len(latencies)/2], latencies[len(latencies)-1])
+				if longest := latencies[len(latencies)-1]; longest > time.Second {
+					m.Errorf("a withdrawal was told after %v", longest)
 				}
 				m.cancelRepeatedly(m.initialLeader, 20*time.Second, testJobID(0))
 			}, check: func(m *scenario) {
@@ -272,7 +272,7 @@
 func TestInvalidRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		also func(m *scenario)
+		concurrentFault func(m *scenario)
 	}{
 		{"alone", func(m *scenario) { time.Sleep(40 * time.Second) }},
 		{"in an outage", func(m *scenario) {
@@ -290,7 +290,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			runFaultPlan(t, faultPlan{seed: 16, jobs: arrays(10, 3, 15*time.Second, nil), faults: func(m *scenario) {
-				concurrently(func() { m.w.sendInvalidRequests(m.ctx, 60*time.Second) }, func() { time.Sleep(5 * time.Second); tc.also(m) })
+				concurrently(func() { m.w.sendInvalidRequests(m.ctx, 60*time.Second) }, func() { time.Sleep(5 * time.Second); tc.concurrentFault(m) })
 			}})
 		})
 	}
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -57,13 +57,13 @@
 
 // idle notes which jobs wait though a worker that fits has room, and their team too.
 func (w *world) checkWaitingJobs(cloud *fakeCloud) {
-	rooms := cloud.workerCapacities()
+	capacities := cloud.workerCapacities()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
 	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
-		j := w.jobs[jobID]
-		if !w.canPlace(j, rooms) {
+		job := w.jobs[jobID]
+		if !w.canPlace(job, capacities) {
 			delete(w.waitingWithRoomSince, jobID)
 			continue
 		}
@@ -86,80 +86,80 @@
 }
 
 // rooms are the free resources of the workers that are up and well.
-func (c *fakeCloud) workerCapacities() (out []workerCapacity) {
-	c.mu.Lock()
-	hosts := maps.Clone(c.instances)
-	types := c.types
-	c.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(hosts)) {
-		c.w.mu.Lock()
-		k := c.w.workers[name]
-		c.w.mu.Unlock()
-		if k == nil {
+func (client *fakeCloud) workerCapacities() (capacities []workerCapacity) {
+	client.mu.Lock()
+	instances := maps.Clone(client.instances)
+	types := client.types
+	client.mu.Unlock()
+	for _, name := range slices.Sorted(maps.Keys(instances)) {
+		client.w.mu.Lock()
+		worker := client.w.workers[name]
+		client.w.mu.Unlock()
+		if worker == nil {
 			continue
 		}
-		i := slices.IndexFunc(types, func(t wire.InstanceType) bool { return t.Name == k.instance.InstanceType })
-		f := workerCapacity{instance: k.instance, freeCPUs: types[i].CPUs, freeMemoryGB: types[i].MemoryGB, unfinishedTasks: make(map[string]bool)}
-		k.mu.Lock()
-		well := !k.paused && !k.dropsAnswers && !k.dropsHeartbeats
-		for n, t := range k.tasks {
+		i := slices.IndexFunc(types, func(t wire.InstanceType) bool { return t.Name == worker.instance.InstanceType })
+		capacity := workerCapacity{instance: worker.instance, freeCPUs: types[i].CPUs, freeMemoryGB: types[i].MemoryGB, unfinishedTasks: make(map[string]bool)}
+		worker.mu.Lock()
+		healthy := !worker.paused && !worker.dropsAnswers && !worker.dropsHeartbeats
+		for taskName, t := range worker.tasks {
 			if t.Phase != wire.TaskExited {
-				f.unfinishedTasks[n] = true
+				capacity.unfinishedTasks[taskName] = true
 			}
 		}
-		k.mu.Unlock()
-		c.w.mu.Lock()
-		for n := range f.unfinishedTasks {
-			id, _ := ledger.ParseTask(n)
-			j := c.w.jobs[id.JobID]
-			f.freeCPUs, f.freeMemoryGB = f.freeCPUs-j.CPUs, f.freeMemoryGB-j.MemoryGB
+		worker.mu.Unlock()
+		client.w.mu.Lock()
+		for taskName := range capacity.unfinishedTasks {
+			id, _ := ledger.ParseTask(taskName)
+			job := client.w.jobs[id.JobID]
+			capacity.freeCPUs, capacity.freeMemoryGB = capacity.freeCPUs-job.CPUs, capacity.freeMemoryGB-job.MemoryGB
 		}
-		c.w.mu.Unlock()
-		if well {
-			out = append(out, f)
+		client.w.mu.Unlock()
+		if healthy {
+			capacities = append(capacities, capacity)
 		}
 	}
-	return out
+	return capacities
 }
 
 // fits tells whether a task of a job waits that one of the rooms fits; run it with
 // the lock held.
-func (w *world) canPlace(j wire.Job, rooms []workerCapacity) bool {
-	if w.acceptedAt[j.ID].IsZero() || w.cancelRequested[j.ID] || j.Kind == wire.KindGang || w.usedCPUs[j.Team]+j.CPUs > w.teamCPULimit {
+func (w *world) canPlace(job wire.Job, capacities []workerCapacity) bool {
+	if w.acceptedAt[job.ID].IsZero() || w.cancelRequested[job.ID] || job.Kind == wire.KindGang || w.usedCPUs[job.Team]+job.CPUs > w.teamCPULimit {
 		return false
 	}
-	for _, n := range j.DependsOn {
-		if !w.allTasksDone(n) {
+	for _, dependency := range job.DependsOn {
+		if !w.allTasksDone(dependency) {
 			return false
 		}
 	}
-	waits, zones, all := false, make(map[string]int), 0
-	for i := range j.TaskCount {
-		id := ledger.Task{JobID: j.ID, Index: i}
+	hasWaitingTask, tasksByZone, placed := false, make(map[string]int), 0
+	for i := range job.TaskCount {
+		id := ledger.Task{JobID: job.ID, Index: i}
 		if w.doneTasks[id] {
 			continue
 		}
-		at := ""
-		for _, f := range rooms {
-			if f.unfinishedTasks[id.String()] {
-				at = f.instance.Zone
+		placedIn := ""
+		for _, capacity := range capacities {
+			if capacity.unfinishedTasks[id.String()] {
+				placedIn = capacity.instance.Zone
 			}
 		}
-		if at == "" && w.hostOf[id] != "" {
-			at = w.workers[w.hostOf[id]].instance.Zone
+		if placedIn == "" && w.hostOf[id] != "" {
+			placedIn = w.workers[w.hostOf[id]].instance.Zone
 		}
-		if at == "" {
-			waits = true
+		if placedIn == "" {
+			hasWaitingTask = true
 			continue
 		}
-		zones[at]++
-		all++
+		tasksByZone[placedIn]++
+		placed++
 	}
-	return waits && slices.ContainsFunc(rooms, func(f workerCapacity) bool {
-		z := f.instance.Zone
-		return f.freeCPUs >= j.CPUs && f.freeMemoryGB >= j.MemoryGB && (j.AllowSpot || !f.instance.Spot) && (j.Zone == "" || j.Zone == z) &&
-			(len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, f.instance.InstanceType)) &&
-			(!j.SpreadZones || zones[z]+1 <= (j.TaskCount+1)/2) && (!j.SingleZone || zones[z] == all)
+	return hasWaitingTask && slices.ContainsFunc(capacities, func(capacity workerCapacity) bool {
+		zone := capacity.instance.Zone
+		return capacity.freeCPUs >= job.CPUs && capacity.freeMemoryGB >= job.MemoryGB && (job.AllowSpot || !capacity.instance.Spot) && (job.Zone == "" || job.Zone == zone) &&
+			(len(job.InstanceTypes) == 0 || slices.Contains(job.InstanceTypes, capacity.instance.InstanceType)) &&
+			(!job.SpreadZones || tasksByZone[zone]+1 <= (job.TaskCount+1)/2) && (!job.SingleZone || tasksByZone[zone] == placed)
 	})
 }
 
@@ -169,12 +169,12 @@
 	size := func(jobID string) float64 { return float64(w.jobs[jobID].TaskCount) * w.jobs[jobID].CPUs }
 	jobIDs := slices.SortedFunc(maps.Keys(w.acceptedAt), func(a, b string) int { return int(100 * (size(b) - size(a))) })
 	for _, jobID := range jobIDs[:len(jobIDs)/4] {
-		from, at := w.acceptedAt[jobID], w.firstStart[jobID]
-		if at.IsZero() {
-			at = time.Now()
+		acceptedAt, startedAt := w.acceptedAt[jobID], w.firstStart[jobID]
+		if startedAt.IsZero() {
+			startedAt = time.Now()
 		}
-		if !w.cancelRequested[jobID] && len(w.jobs[jobID].DependsOn) == 0 && at.Sub(from) > maxLargestJobWait {
-			w.recordViolation("largest: %s began after %v", jobID, at.Sub(from))
+		if !w.cancelRequested[jobID] && len(w.jobs[jobID].DependsOn) == 0 && startedAt.Sub(acceptedAt) > maxLargestJobWait {
+			w.recordViolation("largest: %s began after %v", jobID, startedAt.Sub(acceptedAt))
 		}
 	}
 }
@@ -186,31 +186,31 @@
 
 // ask sends a request to a controller, and gives the answer's status, 0 if there is none,
 // and the phase that it tells.
-func (w *world) request(ctx context.Context, c *http.Client, n int, method, path string, body []byte) (status int, phase string) {
+func (w *world) request(ctx context.Context, client *http.Client, controller int, method, path string, body []byte) (status int, phase string) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, method, "http://"+frontAddress(n)+path, bytes.NewReader(body))
-	res, err := c.Do(req)
+	req, _ := http.NewRequestWithContext(ctx, method, "http://"+frontAddress(controller)+path, bytes.NewReader(body))
+	res, err := client.Do(req)
 	if err != nil {
 		return 0, ""
 	}
 	defer res.Body.Close()
-	var p wire.JobStatus
-	b, _ := io.ReadAll(res.Body)
-	json.Unmarshal(b, &p)
-	return res.StatusCode, p.Phase
+	var jobStatus wire.JobStatus
+	answerBody, _ := io.ReadAll(res.Body)
+	json.Unmarshal(answerBody, &jobStatus)
+	return res.StatusCode, jobStatus.Phase
 }
 
 // strangers has users ask about, and withdraw, jobs that nobody submitted.
 func (w *world) requestUnknownJobs(ctx context.Context) {
-	c := w.client()
+	client := w.client()
 	for i := 0; ctx.Err() == nil; i++ {
 		jobID := fmt.Sprintf("req-8%05d", i%7)
 		status := 0
 		if i%3 == 2 {
-			status, _ = w.request(ctx, c, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil)
+			status, _ = w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil)
 		} else {
-			status, _ = w.request(ctx, c, w.intN(w.clusterSize), "GET", "/v1/jobs/"+jobID, nil)
+			status, _ = w.request(ctx, client, w.intN(w.clusterSize), "GET", "/v1/jobs/"+jobID, nil)
 		}
 		if status == http.StatusOK {
 			w.mu.Lock()
@@ -253,35 +253,35 @@
 // oddities has users send what can't be taken, repeat what was taken with bodies that
 // can't be, and withdraw what is done, until the time is up.
 func (w *world) sendInvalidRequests(ctx context.Context, duration time.Duration) {
-	c := w.client()
-	end := time.Now().Add(duration)
-	for i := 0; ctx.Err() == nil && time.Now().Before(end); i++ {
-		o := invalidSubmissions[i%len(invalidSubmissions)]
-		bad := func(jobID string) []byte {
-			return bytes.Replace(validSubmission(jobID), []byte(o.old), []byte(o.new), 1)
+	client := w.client()
+	deadline := time.Now().Add(duration)
+	for i := 0; ctx.Err() == nil && time.Now().Before(deadline); i++ {
+		invalid := invalidSubmissions[i%len(invalidSubmissions)]
+		invalidBody := func(jobID string) []byte {
+			return bytes.Replace(validSubmission(jobID), []byte(invalid.old), []byte(invalid.new), 1)
 		}
-		status, _ := w.request(ctx, c, w.intN(w.clusterSize), "POST", "/v1/jobs", bad(fmt.Sprintf("req-7%05d", i)))
+		status, _ := w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs", invalidBody(fmt.Sprintf("req-7%05d", i)))
 		w.mu.Lock()
-		if status != o.status && status != 503 && status != 0 {
-			w.recordViolation("accepted: %s was answered %d", o.name, status)
+		if status != invalid.status && status != 503 && status != 0 {
+			w.recordViolation("accepted: %s was answered %d", invalid.name, status)
 		}
-		var known []string
+		var accepted []string
 		for jobID := range w.acceptedAt {
-			known = append(known, jobID)
+			accepted = append(accepted, jobID)
 		}
-		slices.Sort(known)
+		slices.Sort(accepted)
 		w.mu.Unlock()
-		if len(known) > 0 && o.old != "{" { // what is no object names no job
-			jobID := known[w.intN(len(known))]
-			status, _ = w.request(ctx, c, w.intN(w.clusterSize), "POST", "/v1/jobs", bad(jobID))
+		if len(accepted) > 0 && invalid.old != "{" { // what is no object names no job
+			jobID := accepted[w.intN(len(accepted))]
+			status, _ = w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs", invalidBody(jobID))
 			w.mu.Lock()
 			if status != 200 && status != 503 && status != 0 {
-				w.recordViolation("forgotten: %s submitted again with %s was answered %d", jobID, o.name, status)
+				w.recordViolation("forgotten: %s submitted again with %s was answered %d", jobID, invalid.name, status)
 			}
-			over := w.lastPhase[jobID] == wire.PhaseDone
+			isDone := w.lastPhase[jobID] == wire.PhaseDone
 			w.mu.Unlock()
-			if over {
-				if status, _ := w.request(ctx, c, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil); status != 200 && status != 503 && status != 0 {
+			if isDone {
+				if status, _ := w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil); status != 200 && status != 503 && status != 0 {
 					w.mu.Lock()
 					w.recordViolation("forgotten: %s is done, and its withdrawal was answered %d", jobID, status)
 					w.mu.Unlock()
--- a/internal/sim/cloud_test.go
+++ b/internal/sim/cloud_test.go
@@ -38,83 +38,83 @@
 	case "/machine_types":
 		writeJSON(w, 200, wire.InstanceTypeList{Types: c.types})
 	case "/hosts/release":
-		var l wire.InstanceNames
-		json.Unmarshal(body, &l)
-		for _, n := range l.Names {
-			if h, ok := c.instances[n]; ok {
-				c.instanceCount[h.InstanceType+h.Zone]--
-				delete(c.instances, n)
+		var list wire.InstanceNames
+		json.Unmarshal(body, &list)
+		for _, name := range list.Names {
+			if instance, ok := c.instances[name]; ok {
+				c.instanceCount[instance.InstanceType+instance.Zone]--
+				delete(c.instances, name)
 				c.released++
-				c.w.stopWorker(n)
+				c.w.stopWorker(name)
 			}
 		}
 		writeJSON(w, 200, struct{}{})
 	case "/hosts":
 		if r.Method == http.MethodGet {
-			var l wire.InstancePage
-			for n, h := range c.instances {
-				if time.Since(c.createdAt[n]) > 2*time.Second {
-					l.Instances = append(l.Instances, h)
+			var list wire.InstancePage
+			for name, instance := range c.instances {
+				if time.Since(c.createdAt[name]) > 2*time.Second {
+					list.Instances = append(list.Instances, instance)
 				}
 			}
-			slices.SortFunc(l.Instances, func(a, b wire.Instance) int { return strings.Compare(a.Name, b.Name) })
-			writeJSON(w, 200, l)
+			slices.SortFunc(list.Instances, func(a, b wire.Instance) int { return strings.Compare(a.Name, b.Name) })
+			writeJSON(w, 200, list)
 			return
 		}
-		var q wire.ScaleOutRequest
-		json.Unmarshal(body, &q)
-		if was, ok := c.requests[q.RequestID]; ok && was != q {
+		var request wire.ScaleOutRequest
+		json.Unmarshal(body, &request)
+		if previous, ok := c.requests[request.RequestID]; ok && previous != request {
 			c.w.mu.Lock()
-			c.w.recordViolation("names: %s was used for %v and for %v", q.RequestID, was, q)
+			c.w.recordViolation("names: %s was used for %v and for %v", request.RequestID, previous, request)
 			c.w.mu.Unlock()
 		}
-		c.requests[q.RequestID] = q
-		if names, ok := c.grantedNames[q.RequestID]; ok {
+		c.requests[request.RequestID] = request
+		if names, ok := c.grantedNames[request.RequestID]; ok {
 			writeJSON(w, 200, wire.InstanceNames{Names: names})
 			return
 		}
 		var names []string
-		most := c.maxInstances
-		if n, ok := c.zoneLimits[q.Zone]; ok {
-			most = n
+		limit := c.maxInstances
+		if name, ok := c.zoneLimits[request.Zone]; ok {
+			limit = name
 		}
-		for len(names) < q.Count && c.instanceCount[q.InstanceType+q.Zone] < most {
-			c.instanceCount[q.InstanceType+q.Zone]++
+		for len(names) < request.Count && c.instanceCount[request.InstanceType+request.Zone] < limit {
+			c.instanceCount[request.InstanceType+request.Zone]++
 			c.lastNumber++
-			n := fmt.Sprintf("i-%06d", c.lastNumber)
-			h := wire.Instance{Name: n, Address: n + ":9000", InstanceType: q.InstanceType, Zone: q.Zone, Spot: q.Spot, Phase: wire.InstanceStarting}
-			c.instances[n], c.createdAt[n] = h, time.Now()
-			names = append(names, n)
-			time.AfterFunc(3*time.Second, func() { c.startInstance(n) })
+			name := fmt.Sprintf("i-%06d", c.lastNumber)
+			instance := wire.Instance{Name: name, Address: name + ":9000", InstanceType: request.InstanceType, Zone: request.Zone, Spot: request.Spot, Phase: wire.InstanceStarting}
+			c.instances[name], c.createdAt[name] = instance, time.Now()
+			names = append(names, name)
+			time.AfterFunc(3*time.Second, func() { c.startInstance(name) })
 		}
 		if len(names) == 0 {
 			writeJSON(w, 503, wire.ErrorResponse{Error: "no capacity"})
 			return
 		}
-		c.grantedNames[q.RequestID] = names
+		c.grantedNames[request.RequestID] = names
 		writeJSON(w, 200, wire.InstanceNames{Names: names})
 	}
 }
 
 // killInstance has a worker stop on its own. It is listed as running for some more time.
-func (c *fakeCloud) killInstance(n string) {
-	c.w.stopWorker(n)
+func (c *fakeCloud) killInstance(name string) {
+	c.w.stopWorker(name)
 	time.AfterFunc(30*time.Second, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if h, ok := c.instances[n]; ok {
-			h.Phase = wire.InstanceFailed
-			c.instances[n] = h
+		if instance, ok := c.instances[name]; ok {
+			instance.Phase = wire.InstanceFailed
+			c.instances[name] = instance
 		}
 	})
 }
 
-func (c *fakeCloud) startInstance(n string) {
+func (c *fakeCloud) startInstance(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h, ok := c.instances[n]; ok && !c.w.stopped() {
-		h.Phase = wire.InstanceRunning
-		c.instances[n] = h
-		c.w.startWorker(h)
+	if instance, ok := c.instances[name]; ok && !c.w.stopped() {
+		instance.Phase = wire.InstanceRunning
+		c.instances[name] = instance
+		c.w.startWorker(instance)
 	}
 }
--- a/internal/sim/controllers_test.go
+++ b/internal/sim/controllers_test.go
@@ -22,20 +22,20 @@
 	exited chan struct{}
 }
 
-func (w *world) boot(n int) *controllerProcess {
+func (w *world) boot(index int) *controllerProcess {
 	ctx, kill := context.WithCancel(context.Background())
-	c := &controllerProcess{w: w, index: n, kill: kill, exited: make(chan struct{})}
+	process := &controllerProcess{w: w, index: index, kill: kill, exited: make(chan struct{})}
 	level := slog.LevelError
 	if os.Getenv("SIM_LOG") != "" {
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	set := w.controllerSettings(n)
+	settings := w.controllerSettings(index)
 	go func() {
-		defer close(c.exited)
-		serve.Run(ctx, set, w.net.forHost(set.Name), log.With("node", set.Name))
+		defer close(process.exited)
+		serve.Run(ctx, settings, w.net.forHost(settings.Name), log.With("node", settings.Name))
 	}()
-	return c
+	return process
 }
 
 // crash ends the process without a goodbye. What it sent in its last moment may arrive
@@ -67,15 +67,15 @@
 // cutWorkersOff cuts every worker off from all controllers for a moment.
 func (w *world) cutWorkersOff(cloud *fakeCloud, duration time.Duration) {
 	cloud.mu.Lock()
-	hosts := slices.Sorted(maps.Keys(cloud.instances))
+	workers := slices.Sorted(maps.Keys(cloud.instances))
 	cloud.mu.Unlock()
-	for _, on := range []bool{true, false} {
-		for _, h := range hosts {
+	for _, blocked := range []bool{true, false} {
+		for _, worker := range workers {
 			for n := range w.clusterSize {
-				w.net.setBlocked(fmt.Sprintf("host-%d", n), h, on)
+				w.net.setBlocked(fmt.Sprintf("host-%d", n), worker, blocked)
 			}
 		}
-		if on {
+		if blocked {
 			time.Sleep(duration)
 		}
 	}
--- a/internal/sim/drawnday_test.go
+++ b/internal/sim/drawnday_test.go
@@ -59,32 +59,32 @@
 // seed; after them there is time to recover. On a day with pipelines the
 // controllers first come back one by one knowing of lower limits, which then
 // come into force while jobs laid out before are on hand.
-func runRandomScenario(t testing.TB, seed uint64, piped bool, operator string, tamper func(*world)) (breaches []string, w *world) {
-	return runRandomScenarioWith(t, seed, controllerCount, piped, slices.Concat(commonFaults, crashAndDelayFaults), operator, tamper)
+func runRandomScenario(t testing.TB, seed uint64, withPipelines bool, operatorSettings string, tamper func(*world)) (violations []string, w *world) {
+	return runRandomScenarioWith(t, seed, controllerCount, withPipelines, slices.Concat(commonFaults, crashAndDelayFaults), operatorSettings, tamper)
 }
 
 // playWith plays a day of so many controllers with faults of the kinds given.
 func runRandomScenarioWith(
-	t testing.TB, seed uint64, size int, piped bool, faults []scenarioFault, operator string, tamper func(*world),
-) (breaches []string, w *world) {
-	ctx, w, store, cloud, controllers, stop := startWorldOfSize(t, seed, size, 24, 3, operator)
-	day := &randomScenario{rand.New(rand.NewPCG(seed, 7)), ctx, w, store, cloud, controllers}
-	began := time.Now()
-	day.submitJobs()
+	t testing.TB, seed uint64, clusterSize int, withPipelines bool, faults []scenarioFault, operatorSettings string, tamper func(*world),
+) (violations []string, w *world) {
+	ctx, w, store, cloud, controllers, stop := startWorldOfSize(t, seed, clusterSize, 24, 3, operatorSettings)
+	scenario := &randomScenario{rand.New(rand.NewPCG(seed, 7)), ctx, w, store, cloud, controllers}
+	startedAt := time.Now()
+	scenario.submitJobs()
 	if tamper != nil {
 		tamper(w)
 	}
 	time.Sleep(15 * time.Second)
-	if piped {
-		day.upgradeToLowerLimits()
+	if withPipelines {
+		scenario.upgradeToLowerLimits()
 	}
 	for range 8 {
-		controller := day.rnd.IntN(w.clusterSize)
-		faults[day.rnd.IntN(len(faults))].inject(day, controller)
-		time.Sleep(day.seconds(0, 6))
+		controller := scenario.rnd.IntN(w.clusterSize)
+		faults[scenario.rnd.IntN(len(faults))].inject(scenario, controller)
+		time.Sleep(scenario.seconds(0, 6))
 	}
 	// Faults that take no time make a short day; the last user cancels after 260 s.
-	time.Sleep(max(150*time.Second, 300*time.Second-time.Since(began)))
+	time.Sleep(max(150*time.Second, 300*time.Second-time.Since(startedAt)))
 	if slices.ContainsFunc(faults, func(f scenarioFault) bool { return f.losesData }) {
 		time.Sleep(120 * time.Second) // losses take no time, so the day was shorter
 	}
@@ -102,19 +102,19 @@
 // submitJobs has arrays and services submitted over two minutes, some of which are cancelled.
 func (d *randomScenario) submitJobs() {
 	for i := range 14 {
-		j := wire.Job{
+		job := wire.Job{
 			ID: testJobID(i), Class: "c", Team: []string{"a", "b"}[i%2], Kind: wire.KindArray, Priority: "standard",
 			TaskCount: 1 + d.rnd.IntN(8), CPUs: float64(1 + d.rnd.IntN(3)), MemoryGB: 2, Image: "img",
 			AllowSpot: i%3 == 0, ExpectedSeconds: float64(3 + d.rnd.IntN(20)),
 		}
 		if i%3 == 1 {
-			j.Kind, j.Priority, j.TaskCount, j.CPUs, j.SpreadZones = wire.KindService, "production", 2, 1, true
+			job.Kind, job.Priority, job.TaskCount, job.CPUs, job.SpreadZones = wire.KindService, "production", 2, 1, true
 		}
-		withdraw := time.Duration(0)
-		if j.Kind == wire.KindService || i%5 == 0 {
-			withdraw = d.seconds(40, 100)
+		cancelAfter := time.Duration(0)
+		if job.Kind == wire.KindService || i%5 == 0 {
+			cancelAfter = d.seconds(40, 100)
 		}
-		d.world.submit(d.ctx, j, d.seconds(0, 120), withdraw)
+		d.world.submit(d.ctx, job, d.seconds(0, 120), cancelAfter)
 	}
 }
 
@@ -138,9 +138,9 @@
 		}
 		time.Sleep(d.seconds(0, 8))
 	}
-	jobs, withdraw := pipelines(d.rnd)
-	for _, j := range jobs {
-		w.submit(d.ctx, j, d.seconds(0, 20), withdraw[j.ID])
+	jobs, cancelAfter := pipelines(d.rnd)
+	for _, job := range jobs {
+		w.submit(d.ctx, job, d.seconds(0, 20), cancelAfter[job.ID])
 	}
 	time.Sleep(d.seconds(0, 5))
 	d.store.lowerLimits(loweredValueBytes, loweredOperations)
@@ -208,21 +208,21 @@
 // partitionWorker cuts a worker from all controllers, for longer than its lease or not.
 func (d *randomScenario) partitionWorker(int) {
 	d.cloud.mu.Lock()
-	var host string
-	for h := range d.cloud.instances {
-		if host == "" || h < host {
-			host = h
+	var worker string
+	for name := range d.cloud.instances {
+		if worker == "" || name < worker {
+			worker = name
 		}
 	}
 	d.cloud.mu.Unlock()
-	cut := func(on bool) {
+	setPartitioned := func(blocked bool) {
 		for n := range d.world.clusterSize {
-			d.world.net.setBlocked(controllerName(n), host, on)
+			d.world.net.setBlocked(controllerName(n), worker, blocked)
 		}
 	}
-	cut(true)
+	setPartitioned(true)
 	time.Sleep(d.seconds(5, 40))
-	cut(false)
+	setPartitioned(false)
 }
 
 func (d *randomScenario) partitionAllWorkers(int) {
@@ -230,16 +230,16 @@
 }
 
 func (d *randomScenario) partitionFromPeers(controller int) {
-	cut := func(on bool) {
+	setPartitioned := func(blocked bool) {
 		for n := range d.world.clusterSize {
 			if n != controller {
-				d.world.net.setBlocked(controllerName(controller), controllerName(n), on)
+				d.world.net.setBlocked(controllerName(controller), controllerName(n), blocked)
 			}
 		}
 	}
-	cut(true)
+	setPartitioned(true)
 	time.Sleep(d.seconds(5, 20))
-	cut(false)
+	setPartitioned(false)
 }
 
 // partitionZone cuts a controller's zone off from everything, for longer than a lease or not.
@@ -251,27 +251,27 @@
 
 // partitionZone cuts a zone's workers and controllers off from all that is outside, or
 // ends that.
-func (w *world) partitionZone(cloud *fakeCloud, zone string, on bool) {
-	var in []string
-	out := []string{"state", "cloud", "user"}
+func (w *world) partitionZone(cloud *fakeCloud, zone string, blocked bool) {
+	var inside []string
+	outside := []string{"state", "cloud", "user"}
 	for n := range w.clusterSize {
 		name := fmt.Sprintf("host-%d", n)
 		if zoneOf(n) == zone {
-			in = append(in, name)
+			inside = append(inside, name)
 		} else {
-			out = append(out, name)
+			outside = append(outside, name)
 		}
 	}
 	cloud.mu.Lock()
-	for jobID, h := range cloud.instances {
-		if h.Zone == zone {
-			in = append(in, jobID)
+	for worker, instance := range cloud.instances {
+		if instance.Zone == zone {
+			inside = append(inside, worker)
 		}
 	}
 	cloud.mu.Unlock()
-	for _, a := range in {
-		for _, b := range out {
-			w.net.setBlocked(a, b, on)
+	for _, a := range inside {
+		for _, b := range outside {
+			w.net.setBlocked(a, b, blocked)
 		}
 	}
 }
--- a/internal/sim/faultplan_test.go
+++ b/internal/sim/faultplan_test.go
@@ -49,8 +49,8 @@
 	ctx, w, store, cloud, controllers, end := startWorldOfSize(t, p.seed+40, p.clusterSize, p.teamCPULimit, p.maxInstances, p.operatorSettings)
 	m := newScenario(t, ctx, w, store, cloud, controllers)
 	w.wg.Go(func() { w.requestUnknownJobs(ctx) })
-	for _, j := range p.jobs {
-		w.submit(ctx, j, 0, 0)
+	for _, job := range p.jobs {
+		w.submit(ctx, job, 0, 0)
 	}
 	time.Sleep(25 * time.Second)
 	m.initialLeader = max(0, store.leaderIndex())
@@ -74,11 +74,11 @@
 		t.Error(b)
 	}
 	for _, jobID := range slices.Sorted(maps.Keys(w.acceptedAt)) {
-		got, j := w.lastPhase[jobID], w.jobs[jobID]
+		got, job := w.lastPhase[jobID], w.jobs[jobID]
 		switch {
 		case got == wire.PhaseDone || got == wire.PhaseCancelled && (w.cancelRequested[jobID] || w.dependsOnCancelled(jobID)):
-		case j.Kind == wire.KindService && !w.cancelRequested[jobID]:
-			for i := range j.TaskCount {
+		case job.Kind == wire.KindService && !w.cancelRequested[jobID]:
+			for i := range job.TaskCount {
 				if w.hostOf[ledger.Task{JobID: jobID, Index: i}] == "" {
 					t.Errorf("%s/%d does not run at the end", jobID, i)
 				}
@@ -93,26 +93,26 @@
 }
 
 // array is a job of a few tasks that run for so long.
-func array(i, tasksPerJob int, duration time.Duration) wire.Job {
-	return wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: tasksPerJob, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: duration.Seconds()}
+func array(i, taskCount int, duration time.Duration) wire.Job {
+	return wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: taskCount, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: duration.Seconds()}
 }
 
 // arrays are so many of them, changed as is told.
-func arrays(n, tasksPerJob int, duration time.Duration, change func(i int, j *wire.Job)) (js []wire.Job) {
-	for i := range n {
-		j := array(i, tasksPerJob, duration)
+func arrays(count, taskCount int, duration time.Duration, change func(i int, job *wire.Job)) (jobs []wire.Job) {
+	for i := range count {
+		job := array(i, taskCount, duration)
 		if change != nil {
-			change(i, &j)
+			change(i, &job)
 		}
-		js = append(js, j)
+		jobs = append(jobs, job)
 	}
-	return js
+	return jobs
 }
 
 // concurrently runs faults at once, and waits for all to be over.
-func concurrently(fs ...func()) {
+func concurrently(functions ...func()) {
 	var wg sync.WaitGroup
-	for _, f := range fs {
+	for _, f := range functions {
 		wg.Go(f)
 	}
 	wg.Wait()
@@ -120,11 +120,11 @@
 
 // cancelRepeatedly cancels jobs through a controller, again and again until it says so, or for so
 // long.
-func (m *scenario) cancelRepeatedly(n int, duration time.Duration, jobIDs ...string) {
+func (m *scenario) cancelRepeatedly(controller int, duration time.Duration, jobIDs ...string) {
 	var wg sync.WaitGroup
-	for _, r := range jobIDs {
+	for _, jobID := range jobIDs {
 		wg.Go(func() {
-			for end := time.Now().Add(duration); !m.cancelJob(n, r) && time.Now().Before(end) && m.ctx.Err() == nil; {
+			for deadline := time.Now().Add(duration); !m.cancelJob(controller, jobID) && time.Now().Before(deadline) && m.ctx.Err() == nil; {
 				time.Sleep(time.Second)
 			}
 		})
@@ -133,64 +133,64 @@
 }
 
 // controllers are the names of all.
-func (m *scenario) controllerNames() (out []string) {
+func (m *scenario) controllerNames() (names []string) {
 	for n := range m.w.clusterSize {
-		out = append(out, controllerName(n))
+		names = append(names, controllerName(n))
 	}
-	return out
+	return names
 }
 
 // workers are those of a zone, or of all for "".
-func (m *scenario) workerNames(zone string) (out []string) {
+func (m *scenario) workerNames(zone string) (names []string) {
 	m.cloud.mu.Lock()
 	defer m.cloud.mu.Unlock()
-	for _, h := range slices.Sorted(maps.Keys(m.cloud.instances)) {
-		if zone == "" || m.cloud.instances[h].Zone == zone {
-			out = append(out, h)
+	for _, name := range slices.Sorted(maps.Keys(m.cloud.instances)) {
+		if zone == "" || m.cloud.instances[name].Zone == zone {
+			names = append(names, name)
 		}
 	}
-	return out
+	return names
 }
 
 // busy are workers that have a task now.
 func (m *scenario) busyWorkers() []string {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	on := make(map[string]bool)
-	for _, h := range m.w.hostOf {
-		on[h] = true
+	busy := make(map[string]bool)
+	for _, worker := range m.w.hostOf {
+		busy[worker] = true
 	}
-	return slices.Sorted(maps.Keys(on))
+	return slices.Sorted(maps.Keys(busy))
 }
 
 // limitCapacity lets a zone have no more workers than so many, or as many as ever for -1.
-func (m *scenario) limitCapacity(zone string, n int) {
+func (m *scenario) limitCapacity(zone string, limit int) {
 	m.cloud.mu.Lock()
 	defer m.cloud.mu.Unlock()
 	if m.cloud.zoneLimits == nil {
 		m.cloud.zoneLimits = make(map[string]int)
 	}
-	if n < 0 {
+	if limit < 0 {
 		delete(m.cloud.zoneLimits, zone)
 	} else {
-		m.cloud.zoneLimits[zone] = n
+		m.cloud.zoneLimits[zone] = limit
 	}
 }
 
 // restartControllers ends every controller, and begins those given anew after a while.
-func (m *scenario) restartControllers(back time.Duration, ns ...int) {
+func (m *scenario) restartControllers(downtime time.Duration, restarted ...int) {
 	for n := range m.w.clusterSize {
 		if !m.processes[n].hasExited() {
 			m.processes[n].crash()
 		}
 	}
-	time.Sleep(back)
-	for _, n := range ns {
+	time.Sleep(downtime)
+	for _, n := range restarted {
 		m.processes[n] = m.w.boot(n)
 	}
 }
 
 // phase asks a controller, and gives what it says of a job.
-func (m *scenario) requestPhase(n int, method, path string, body []byte) (int, string) {
-	return m.w.request(m.ctx, m.client, n, method, path, body)
+func (m *scenario) requestPhase(controller int, method, path string, body []byte) (int, string) {
+	return m.w.request(m.ctx, m.client, controller, method, path, body)
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -27,17 +27,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, w, store, cloud, controllers, end := startWorld(t, 11, float64(4*workerCount), workerCount/2, "")
 		for i := range 24 {
-			j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
+			job := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
 				TaskCount: workerCount / 8, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(8 + i)}
-			withdraw := time.Duration(0)
+			cancelAfter := time.Duration(0)
 			if i%4 == 3 {
-				j.Kind, j.Priority, j.TaskCount, j.CPUs, j.SpreadZones = wire.KindService, "production", workerCount/16, 1, true
-				withdraw = 260 * time.Second
+				job.Kind, job.Priority, job.TaskCount, job.CPUs, job.SpreadZones = wire.KindService, "production", workerCount/16, 1, true
+				cancelAfter = 260 * time.Second
 				if i == 11 {
-					withdraw = 29 * time.Second // while its zone is cut off
+					cancelAfter = 29 * time.Second // while its zone is cut off
 				}
 			}
-			w.submit(ctx, j, time.Duration(2+i)*time.Second, withdraw)
+			w.submit(ctx, job, time.Duration(2+i)*time.Second, cancelAfter)
 		}
 		time.Sleep(40 * time.Second)
 		cloud.mu.Lock()
@@ -57,33 +57,33 @@
 		time.Sleep(35 * time.Second)
 		w.partitionZone(cloud, zone, false)
 		cloud.mu.Lock()
-		surviving, all := 0, 0
-		for jobID, h := range before {
-			if h.Zone == zone {
-				all++
+		kept, total := 0, 0
+		for jobID, worker := range before {
+			if worker.Zone == zone {
+				total++
 				if _, ok := cloud.instances[jobID]; ok {
-					surviving++
+					kept++
 				}
 			}
 		}
-		hosts := slices.Sorted(maps.Keys(cloud.instances))
+		workers := slices.Sorted(maps.Keys(cloud.instances))
 		cloud.mu.Unlock()
 		time.Sleep(20 * time.Second)
-		for i, h := range hosts {
+		for i, worker := range workers {
 			switch i % 10 {
 			case 3:
-				w.stopWorker(h) // with all that is on it
+				w.stopWorker(worker) // with all that is on it
 			case 7:
 				for n := range controllerCount {
-					w.net.setBlocked(fmt.Sprintf("host-%d", n), h, true)
+					w.net.setBlocked(fmt.Sprintf("host-%d", n), worker, true)
 				}
 			}
 		}
 		time.Sleep(20 * time.Second)
-		for i, h := range hosts {
+		for i, worker := range workers {
 			if i%10 == 7 {
 				for n := range controllerCount {
-					w.net.setBlocked(fmt.Sprintf("host-%d", n), h, false)
+					w.net.setBlocked(fmt.Sprintf("host-%d", n), worker, false)
 				}
 			}
 		}
@@ -92,16 +92,16 @@
 		for _, b := range w.violations {
 			t.Error(b)
 		}
-		for jobID, j := range w.jobs {
-			if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; w.lastPhase[jobID] != want {
+		for jobID, job := range w.jobs {
+			if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; w.lastPhase[jobID] != want {
 				t.Errorf("%s is %q, want %s", jobID, w.lastPhase[jobID], want)
 			}
 		}
 		// Only workers with a cancelled task, which would outlive its time, go.
-		if surviving*2 < all || all < workerCount/4 {
-			t.Errorf("%d of %d machines behind the cut were kept", surviving, all)
+		if kept*2 < total || total < workerCount/4 {
+			t.Errorf("%d of %d machines behind the cut were kept", kept, total)
 		}
-		t.Logf("%d machines rented in all, %d of %d behind the cut kept, %d changes written", cloud.lastNumber, surviving, all, len(store.log))
+		t.Logf("%d machines rented in all, %d of %d behind the cut kept, %d changes written", cloud.lastNumber, kept, total, len(store.log))
 	})
 }
 
@@ -137,16 +137,16 @@
 			}
 		}
 		expired := 0
-		for _, k := range w.workers {
-			k.mu.Lock()
-			if k.incarnation > 1 {
+		for _, worker := range w.workers {
+			worker.mu.Lock()
+			if worker.incarnation > 1 {
 				expired++
 			}
-			k.mu.Unlock()
+			worker.mu.Unlock()
 		}
 		w.mu.Unlock()
 		cloud.mu.Lock()
-		up := len(cloud.instances)
+		rented := len(cloud.instances)
 		cloud.mu.Unlock()
 		controllers[0], controllers[1] = w.boot(0), w.boot(1)
 		end()
@@ -154,8 +154,8 @@
 			t.Error(b)
 		}
 		if len(before) < workerCount/2 || surviving != len(before) || expired > 0 {
-			t.Errorf("%d of %d tasks run on, %d machines, %d leases ran out", surviving, len(before), up, expired)
+			t.Errorf("%d of %d tasks run on, %d machines, %d leases ran out", surviving, len(before), rented, expired)
 		}
-		t.Logf("%d of %d tasks run on, %d machines, %d leases ran out", surviving, len(before), up, expired)
+		t.Logf("%d of %d tasks run on, %d machines, %d leases ran out", surviving, len(before), rented, expired)
 	})
 }
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -52,11 +52,11 @@
 		time.Sleep(30 * time.Second)
 		client := &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
 		// ask keeps at it until there is an answer that settles it.
-		ask := func(node int, token, method, path string, body any) int {
+		request := func(controller int, token, method, path string, body any) int {
 			data, _ := json.Marshal(body)
 			for range 20 {
-				rctx, cancel := context.WithTimeout(ctx, 5*time.Second)
-				req, _ := http.NewRequestWithContext(rctx, method, "http://"+frontAddress(node)+path, strings.NewReader(string(data)))
+				requestCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
+				req, _ := http.NewRequestWithContext(requestCtx, method, "http://"+frontAddress(controller)+path, strings.NewReader(string(data)))
 				if token != "" {
 					req.Header.Set("Authorization", "Bearer "+token)
 				}
@@ -73,7 +73,7 @@
 			}
 			return 0
 		}
-		job := func(jobID, owner, rank string, needs ...string) map[string]any {
+		jobBody := func(jobID, owner, rank string, needs ...string) map[string]any {
 			w.mu.Lock()
 			w.jobs[jobID] = wire.Job{ID: jobID, Team: owner, Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 30, DependsOn: needs}
 			w.mu.Unlock()
@@ -81,83 +81,83 @@
 				"bundle": "img", "size_gb": 1, "same_place": false, "scatter": false, "loaners": true, "expect_s": 30, "snapshot_s": 0, "flush_s": 0, "waits_on": needs}
 		}
 		for i, tc := range []struct {
-			what         string
+			name         string
 			token        string
 			method, path string
 			body         any
 			want         int
 		}{
-			{"anonymous may not submit", "", "POST", "/v1/jobs", job("req-1", "a", "idle"), 403},
-			{"a curator may, for her team", ana, "POST", "/v1/jobs", job("req-2", "a", "urgent"), 201},
-			{"and not for another", ana, "POST", "/v1/jobs", job("req-3", "b", "idle"), 403},
-			{"a guest may not go above its rank", gus, "POST", "/v1/jobs", job("req-4", "b", "standard"), 403},
-			{"and may go at it", gus, "POST", "/v1/jobs", job("req-5", "b", "idle"), 201},
-			{"but not wait for another's job, which it would lift", gus, "POST", "/v1/jobs", job("req-6", "b", "idle", "req-2"), 403},
+			{"anonymous may not submit", "", "POST", "/v1/jobs", jobBody("req-1", "a", "idle"), 403},
+			{"a curator may, for her team", ana, "POST", "/v1/jobs", jobBody("req-2", "a", "urgent"), 201},
+			{"and not for another", ana, "POST", "/v1/jobs", jobBody("req-3", "b", "idle"), 403},
+			{"a guest may not go above its rank", gus, "POST", "/v1/jobs", jobBody("req-4", "b", "standard"), 403},
+			{"and may go at it", gus, "POST", "/v1/jobs", jobBody("req-5", "b", "idle"), 201},
+			{"but not wait for another's job, which it would lift", gus, "POST", "/v1/jobs", jobBody("req-6", "b", "idle", "req-2"), 403},
 			{"nor withdraw one", gus, "POST", "/v1/jobs/req-2/withdraw", nil, 403},
 			{"it may look", gus, "GET", "/v1/jobs/req-2", nil, 200},
 			{"who has no token may not", "", "GET", "/v1/jobs/req-2", nil, 403},
 			{"no such token", "rft_aaaaaaaa_bbbbbbbb", "GET", "/v1/jobs/req-2", nil, 401},
 			{"another's secret", ana[:13] + gus[13:], "GET", "/v1/jobs/req-2", nil, 401},
-			{"a retry is told the state", ana, "POST", "/v1/jobs", job("req-2", "a", "urgent"), 200},
+			{"a retry is told the state", ana, "POST", "/v1/jobs", jobBody("req-2", "a", "urgent"), 200},
 			{"she may withdraw her own", ana, "POST", "/v1/jobs/req-2/withdraw", nil, 200},
 		} {
-			if got := ask(i%controllerCount, tc.token, tc.method, tc.path, tc.body); got != tc.want {
-				t.Errorf("%s: %d, want %d", tc.what, got, tc.want)
+			if got := request(i%controllerCount, tc.token, tc.method, tc.path, tc.body); got != tc.want {
+				t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
 			}
 		}
 
 		// The store refuses one controller; meanwhile the guest is cancelled.
-		refuse := func(on bool) {
+		setRefused := func(refused bool) {
 			store.mu.Lock()
 			defer store.mu.Unlock()
-			store.refusedControllers["host-1"] = on
+			store.refusedControllers["host-1"] = refused
 			store.cond.Broadcast()
 		}
-		refuse(true)
+		setRefused(true)
 		time.Sleep(time.Second)
 		if err := admin.Revoke(ctx, "gus"); err != nil {
 			t.Fatal(err)
 		}
 		for n, when := range []string{"cut off", "cut off for a lease", "back"} {
-			if got := ask(1, gus, "POST", "/v1/jobs", job(fmt.Sprintf("req-1%d", n), "b", "idle")); got == 200 || got == 201 {
+			if got := request(1, gus, "POST", "/v1/jobs", jobBody(fmt.Sprintf("req-1%d", n), "b", "idle")); got == 200 || got == 201 {
 				t.Errorf("%s: a withdrawn token was taken: %d", when, got)
 			}
 			time.Sleep([]time.Duration{leaseDuration, 0, 0}[n])
 			if n == 1 {
-				refuse(false)
+				setRefused(false)
 			}
 		}
-		if got := ask(0, gus, "GET", "/v1/jobs/req-5", nil); got != 401 {
+		if got := request(0, gus, "GET", "/v1/jobs/req-5", nil); got != 401 {
 			t.Errorf("a withdrawn token is answered %d", got)
 		}
-		fresh, err := admin.Rotate(ctx, "ana", time.Hour, 0)
+		newToken, err := admin.Rotate(ctx, "ana", time.Hour, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(2 * heartbeatInterval)
-		if old, now := ask(2, ana, "GET", "/v1/jobs/req-2", nil), ask(2, fresh, "GET", "/v1/jobs/req-2", nil); old != 401 || now != 200 {
-			t.Errorf("after a rotation the old token is answered %d, the new one %d", old, now)
+		if oldStatus, newStatus := request(2, ana, "GET", "/v1/jobs/req-2", nil), request(2, newToken, "GET", "/v1/jobs/req-2", nil); oldStatus != 401 || newStatus != 200 {
+			t.Errorf("after a rotation the old token is answered %d, the new one %d", oldStatus, newStatus)
 		}
 		time.Sleep(60 * time.Second)
 		end()
 		for _, b := range w.violations {
 			t.Error(b)
 		}
-		h, _ := readAuditLog(t, w, ring)
-		if s := h.Jobs["req-2"]; s == nil || s.Accepted == nil || s.Accepted.Actor != "ana" || s.Cancelled == nil || s.Cancelled.Actor != "ana" {
+		history, _ := readAuditLog(t, w, ring)
+		if s := history.Jobs["req-2"]; s == nil || s.Accepted == nil || s.Accepted.Actor != "ana" || s.Cancelled == nil || s.Cancelled.Actor != "ana" {
 			t.Errorf("req-2 is told as %+v", s)
 		}
 		for jobID, who := range map[string]string{"req-1": "", "req-3": "ana", "req-4": "gus", "req-6": "gus"} {
-			if s := h.Jobs[jobID]; s == nil || len(s.Refused) == 0 || s.Refused[0].Actor != who || s.Accepted != nil {
+			if s := history.Jobs[jobID]; s == nil || len(s.Refused) == 0 || s.Refused[0].Actor != who || s.Accepted != nil {
 				t.Errorf("%s, refused to %q, is told as %+v", jobID, who, s)
 			}
 		}
-		acts := make(map[string]int)
-		for _, e := range h.Others {
-			acts[e.Action.String()+" "+e.Subject]++
+		actionCounts := make(map[string]int)
+		for _, e := range history.Others {
+			actionCounts[e.Action.String()+" "+e.Subject]++
 		}
-		if acts[audit.Issued.String()+" gus"] != 1 || acts[audit.Revoked.String()+" gus"] < 1 || acts[audit.Revoked.String()+" ana"] != 1 {
-			t.Errorf("identities are told as %v", acts)
+		if actionCounts[audit.Issued.String()+" gus"] != 1 || actionCounts[audit.Revoked.String()+" gus"] < 1 || actionCounts[audit.Revoked.String()+" ana"] != 1 {
+			t.Errorf("identities are told as %v", actionCounts)
 		}
 	})
 }
--- a/internal/sim/leaderfaults_test.go
+++ b/internal/sim/leaderfaults_test.go
@@ -17,8 +17,8 @@
 func TestTeamLimitInTakeover(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		cut    time.Duration // of machines from all controllers
-		change func(m *scenario)
+		partitionFor    time.Duration // of machines from all controllers
+		fault func(m *scenario)
 	}{
 		{"it crashes", leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
 		{"it crashes, for longer than a lease", 3 * leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
@@ -39,13 +39,13 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runFaultPlan(t, faultPlan{seed: 2, teamCPULimit: 12, jobs: arrays(10, 4, 60*time.Second, func(i int, j *wire.Job) { j.CPUs = 1.5 }), recovery: 400 * time.Second,
+			runFaultPlan(t, faultPlan{seed: 2, teamCPULimit: 12, jobs: arrays(10, 4, 60*time.Second, func(i int, job *wire.Job) { job.CPUs = 1.5 }), recovery: 400 * time.Second,
 				faults: func(m *scenario) {
-					cut := m.busyWorkers()
-					cut = cut[:(len(cut)+1)/2]
+					partitioned := m.busyWorkers()
+					partitioned = partitioned[:(len(partitioned)+1)/2]
 					concurrently(
-						func() { m.partition(cut, m.controllerNames(), tc.cut) },
-						func() { time.Sleep(time.Second); tc.change(m) },
+						func() { m.partition(partitioned, m.controllerNames(), tc.partitionFor) },
+						func() { time.Sleep(time.Second); tc.fault(m) },
 						func() {
 							time.Sleep(3 * time.Second)
 							m.cancelRepeatedly((m.initialLeader+1)%controllerCount, time.Minute, testJobID(0), testJobID(1), testJobID(2))
@@ -62,22 +62,22 @@
 func TestTenLeaderChanges(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change func(m *scenario, i int)
-		keep   bool // everything runs on
+		changeLeader func(m *scenario, i int)
+		tasksContinue   bool // everything runs on
 	}{
 		{"refused alone", func(m *scenario, i int) {
-			n := m.leaderIndex()
-			m.store.refuseController(controllerName(n), true)
+			leader := m.leaderIndex()
+			m.store.refuseController(controllerName(leader), true)
 			time.Sleep(9 * time.Second)
-			m.store.refuseController(controllerName(n), false)
+			m.store.refuseController(controllerName(leader), false)
 		}, true},
 		{"crashed", func(m *scenario, i int) { m.crashController(m.leaderIndex(), 7*time.Second) }, true},
 		{"crashed, some inside an outage", func(m *scenario, i int) {
-			n := m.leaderIndex()
+			leader := m.leaderIndex()
 			if i%3 == 1 {
 				m.store.setOutage(true)
 			}
-			m.crashController(n, 5*time.Second)
+			m.crashController(leader, 5*time.Second)
 			m.store.setOutage(false)
 		}, true},
 		{"back at once", func(m *scenario, i int) { m.crashController(m.leaderIndex(), 100*time.Millisecond) }, true},
@@ -89,31 +89,31 @@
 			runFaultPlan(t, faultPlan{seed: 4, jobs: arrays(jobs, tasksPerJob, 150*time.Second, nil), faults: func(m *scenario) {
 				m.store.mu.Lock()
 				epochs = nil
-				m.store.onCommit = func(_ string, c wire.Txn) bool {
-					for _, p := range c.Operations {
-						var e election.ShardMap
-						if p.Put == "epoch" && json.Unmarshal(p.Value, &e) == nil {
-							epochs = append(epochs, e.Epoch)
+				m.store.onCommit = func(_ string, txn wire.Txn) bool {
+					for _, op := range txn.Operations {
+						var shardMap election.ShardMap
+						if op.Put == "epoch" && json.Unmarshal(op.Value, &shardMap) == nil {
+							epochs = append(epochs, shardMap.Epoch)
 						}
 					}
 					return false
 				}
 				m.store.mu.Unlock()
-				var first, last int // requests of a takeover
+				var firstPeak, lastPeak int // requests of a takeover
 				for i := range 10 {
-					from := time.Now()
-					tc.change(m, i)
-					time.Sleep(max(0, 12*time.Second-time.Since(from)))
-					asked, wrote := m.store.peakRates(from)
+					startedAt := time.Now()
+					tc.changeLeader(m, i)
+					time.Sleep(max(0, 12*time.Second-time.Since(startedAt)))
+					requests, writes := m.store.peakRates(startedAt)
 					if i < 3 {
-						first = max(first, asked)
+						firstPeak = max(firstPeak, requests)
 					}
-					last = asked
-					if asked > 200 || wrote > 50 {
-						m.Errorf("%d requests and %d changes in a second", asked, wrote)
+					lastPeak = requests
+					if requests > 200 || writes > 50 {
+						m.Errorf("%d requests and %d changes in a second", requests, writes)
 					}
 				}
-				m.Logf("at most %d requests a second at first, %d at last; epochs %v", first, last, epochs)
+				m.Logf("at most %d requests a second at first, %d at last; epochs %v", firstPeak, lastPeak, epochs)
 			}, check: func(m *scenario) {
 				m.store.mu.Lock()
 				defer m.store.mu.Unlock()
@@ -125,7 +125,7 @@
 				if len(epochs) < 8 {
 					m.Errorf("%d epochs: the leader did not change ten times", len(epochs))
 				}
-				if tc.keep && m.w.starts != jobs*tasksPerJob {
+				if tc.tasksContinue && m.w.starts != jobs*tasksPerJob {
 					m.Errorf("%d starts of %d tasks", m.w.starts, jobs*tasksPerJob)
 				}
 			}})
@@ -138,31 +138,31 @@
 func TestLeaderCrashWithUnreachableWorkers(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		long time.Duration
-		keep bool
-		do   func(m *scenario, hosts []string, duration time.Duration)
+		duration time.Duration
+		tasksContinue bool
+		fault   func(m *scenario, workers []string, duration time.Duration)
 	}{
 		{"out of reach, for less than a lease", leaseDuration / 2, true, func(m *scenario, _ []string, duration time.Duration) { // a few would be taken for dead
 			m.partition(m.workerNames(""), m.controllerNames(), duration)
 		}},
-		{"out of reach, for longer than a lease", 2 * leaseDuration, false, func(m *scenario, hosts []string, duration time.Duration) { m.partition(hosts, m.controllerNames(), duration) }},
-		{"they don't hear, for less than a lease", leaseDuration / 2, true, func(m *scenario, hosts []string, duration time.Duration) {
-			m.injectWorkerFault(hosts, duration, dropAnswers)
+		{"out of reach, for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) { m.partition(workers, m.controllerNames(), duration) }},
+		{"they don't hear, for less than a lease", leaseDuration / 2, true, func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropAnswers)
 		}},
-		{"they don't hear, for longer than a lease", 2 * leaseDuration, false, func(m *scenario, hosts []string, duration time.Duration) {
-			m.injectWorkerFault(hosts, duration, dropAnswers)
+		{"they don't hear, for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropAnswers)
 		}},
-		{"they don't hear, for much longer", 5 * leaseDuration, false, func(m *scenario, hosts []string, duration time.Duration) {
-			m.injectWorkerFault(hosts, duration, dropAnswers)
+		{"they don't hear, for much longer", 5 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropAnswers)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			const jobs, tasksPerJob = 8, 3
 			runFaultPlan(t, faultPlan{seed: 10, jobs: arrays(jobs, tasksPerJob, 150*time.Second, nil), recovery: 420 * time.Second, faults: func(m *scenario) {
-				concurrently(func() { tc.do(m, m.randomWorkers(0.6), tc.long) }, func() { m.crashController(m.initialLeader, 8*time.Second) })
+				concurrently(func() { tc.fault(m, m.randomWorkers(0.6), tc.duration) }, func() { m.crashController(m.initialLeader, 8*time.Second) })
 			}, check: func(m *scenario) {
-				if tc.keep && m.w.starts != jobs*tasksPerJob {
+				if tc.tasksContinue && m.w.starts != jobs*tasksPerJob {
 					m.Errorf("%d starts of %d tasks", m.w.starts, jobs*tasksPerJob)
 				}
 			}})
@@ -172,9 +172,9 @@
 
 // Controllers hand over and back, all end, and one returns, also within a second.
 func TestAllControllersCrashOneReturns(t *testing.T) {
-	for _, back := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second} {
-		for returns := range controllerCount {
-			t.Run(fmt.Sprint("host-", returns, " returns after ", back), func(t *testing.T) {
+	for _, downtime := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second} {
+		for returning := range controllerCount {
+			t.Run(fmt.Sprint("host-", returning, " returns after ", downtime), func(t *testing.T) {
 				t.Parallel()
 				const jobs, tasksPerJob = 8, 3
 				runFaultPlan(t, faultPlan{seed: 11, jobs: arrays(jobs, tasksPerJob, 100*time.Second, nil), faults: func(m *scenario) {
@@ -185,11 +185,11 @@
 						m.store.refuseController(controllerName(n), false)
 						time.Sleep(4 * time.Second)
 					}
-					m.restartControllers(back, returns)
-					m.cancelRepeatedly(returns, 30*time.Second, testJobID(0), testJobID(1))
+					m.restartControllers(downtime, returning)
+					m.cancelRepeatedly(returning, 30*time.Second, testJobID(0), testJobID(1))
 					time.Sleep(15 * time.Second)
 					for n := range controllerCount {
-						if n != returns {
+						if n != returning {
 							m.processes[n] = m.w.boot(n)
 						}
 					}
@@ -207,26 +207,26 @@
 // results come back, no end is lost, and workers are neither returned nor rented anew
 // without need.
 func TestAllControllersDownPastLease(t *testing.T) {
-	for _, away := range []time.Duration{leaseDuration + 2*time.Second, 2 * leaseDuration, 5 * leaseDuration} {
-		t.Run(away.String(), func(t *testing.T) {
+	for _, downtime := range []time.Duration{leaseDuration + 2*time.Second, 2 * leaseDuration, 5 * leaseDuration} {
+		t.Run(downtime.String(), func(t *testing.T) {
 			t.Parallel()
-			runFaultPlan(t, faultPlan{seed: 12, jobs: arrays(8, 3, 30*time.Second, func(i int, j *wire.Job) {
+			runFaultPlan(t, faultPlan{seed: 12, jobs: arrays(8, 3, 30*time.Second, func(i int, job *wire.Job) {
 				if i == 7 {
-					j.Kind, j.Priority = wire.KindService, "production"
+					job.Kind, job.Priority = wire.KindService, "production"
 				}
 			}), faults: func(m *scenario) {
 				before := m.workerNames("")
-				m.restartControllers(away, 0, 1, 2)
+				m.restartControllers(downtime, 0, 1, 2)
 				time.Sleep(leaseDuration)
-				gone := 0
+				released := 0
 				after := m.workerNames("")
-				for _, h := range before {
-					if !slices.Contains(after, h) {
-						gone++
+				for _, worker := range before {
+					if !slices.Contains(after, worker) {
+						released++
 					}
 				}
-				if gone > 0 || len(after) > len(before) {
-					m.Errorf("of %d machines %d were returned, and there are %d", len(before), gone, len(after))
+				if released > 0 || len(after) > len(before) {
+					m.Errorf("of %d machines %d were returned, and there are %d", len(before), released, len(after))
 				}
 			}})
 		})
@@ -238,10 +238,10 @@
 func TestCancelWhileLeaderPartitioned(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		after  time.Duration // the cut, until users withdraw
-		only   bool          // workers reach nobody but the old leader
-		outage time.Duration // of the state service, beginning with the first withdrawal told; 0: none
-		deaf   bool          // machines don't hear the new leader's answers
+		cancelAfter  time.Duration // the cut, until users withdraw
+		onlyOldLeaderReachable   bool          // workers reach nobody but the old leader
+		outageDuration time.Duration // of the state service, beginning with the first withdrawal told; 0: none
+		workersDropAnswers   bool          // machines don't hear the new leader's answers
 	}{
 		{"before another leads", time.Second, false, 0, false},
 		{"once another leads", 8 * time.Second, false, 0, false},
@@ -255,22 +255,22 @@
 				workerCount := m.randomWorkers(1)
 				m.cutFromPeers(m.initialLeader, true)
 				m.w.net.setBlocked(controllerName(m.initialLeader), "state", true)
-				if tc.only {
+				if tc.onlyOldLeaderReachable {
 					go m.partition(m.otherControllers(m.initialLeader), workerCount, 3*cancelTimeout)
 				}
-				if tc.deaf {
+				if tc.workersDropAnswers {
 					go m.injectWorkerFault(workerCount, leaseDuration/2, dropAnswers)
 				}
-				time.Sleep(tc.after)
+				time.Sleep(tc.cancelAfter)
 				for i := range 4 {
-					for n := 0; !m.cancelJob(other, testJobID(i)) && n < 30; n++ {
+					for attempt := 0; !m.cancelJob(other, testJobID(i)) && attempt < 30; attempt++ {
 						time.Sleep(time.Second)
 					}
 				}
 				if len(m.w.cancelledAt) == 0 {
 					m.Error("nobody was told of a withdrawal")
 				}
-				m.store.setOutage(tc.outage > 0)
+				m.store.setOutage(tc.outageDuration > 0)
 				time.Sleep(2 * cancelTimeout)
 				m.w.checkCancelledTasksGone()
 				m.store.setOutage(false)
@@ -288,11 +288,11 @@
 func TestStoreRefusesLeaderThenOutage(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		refused time.Duration // the leader alone, before the first withdrawal
-		then    time.Duration // until the state service is down for all
-		cut     bool          // the leader is cut off from the others too
-		hang    bool          // half of the machines hang from the outage on
-		keep    bool          // all other tasks run on through it
+		cancelAfter time.Duration // the leader alone, before the first withdrawal
+		outageAfter    time.Duration // until the state service is down for all
+		cutFromPeers     bool          // the leader is cut off from the others too
+		workersPause    bool          // half of the machines hang from the outage on
+		tasksContinue    bool          // all other tasks run on through it
 	}{
 		{"at once", 300 * time.Millisecond, 700 * time.Millisecond, false, false, true},
 		{"as it is about to hand over", 2 * time.Second, time.Second, false, false, true},
@@ -309,13 +309,13 @@
 		{"cut off too, once another leads", 9 * time.Second, 2 * time.Second, true, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			checkScenario(t, 5, tc.keep, func(m *scenario) {
-				other, told := (m.initialLeader+1)%controllerCount, 0
+			checkScenario(t, 5, tc.tasksContinue, func(m *scenario) {
+				other, cancelled := (m.initialLeader+1)%controllerCount, 0
 				m.store.refuseController(controllerName(m.initialLeader), true)
-				if tc.cut {
+				if tc.cutFromPeers {
 					m.cutFromPeers(m.initialLeader, true)
 				}
-				time.Sleep(tc.refused)
+				time.Sleep(tc.cancelAfter)
 				for i := range 4 {
 					go func() {
 						for !m.cancelJob(other, testJobID(i)) && m.ctx.Err() == nil {
@@ -323,16 +323,16 @@
 						}
 					}()
 				}
-				time.Sleep(tc.then)
+				time.Sleep(tc.outageAfter)
 				m.store.setOutage(true)
-				if tc.hang {
+				if tc.workersPause {
 					go m.injectWorkerFault(m.randomWorkers(0.5), 2*cancelTimeout, pauseWorker)
 				}
 				time.Sleep(2 * cancelTimeout)
 				m.w.mu.Lock()
-				told = len(m.w.cancelledAt)
+				cancelled = len(m.w.cancelledAt)
 				m.w.mu.Unlock()
-				if !tc.cut && told == 0 {
+				if !tc.cutFromPeers && cancelled == 0 {
 					m.Error("nobody was told of a withdrawal")
 				}
 				m.store.setOutage(false)
--- a/internal/sim/loss_test.go
+++ b/internal/sim/loss_test.go
@@ -39,13 +39,13 @@
 
 func (d *lossScenario) leader() int { return max(0, d.store.leaderIndex()) }
 
-func (d *lossScenario) crash(n int, back time.Duration) {
-	d.processes[n].crash()
-	time.Sleep(back)
-	d.processes[n] = d.w.boot(n)
+func (d *lossScenario) crash(controller int, downtime time.Duration) {
+	d.processes[controller].crash()
+	time.Sleep(downtime)
+	d.processes[controller] = d.w.boot(controller)
 }
 
-func (d *lossScenario) loseData(how string, ago time.Duration, key string) { d.store.loseData(how, ago, key) }
+func (d *lossScenario) loseData(kind string, age time.Duration, keyPrefix string) { d.store.loseData(kind, age, keyPrefix) }
 
 func lossCases() []lossCase {
 	return []lossCase{
@@ -101,10 +101,10 @@
 // With any controller alive, a loss of data breaks no rule, forgets no accepted job,
 // takes no end back, and what runs runs on.
 func TestStoreDataLoss(t *testing.T) {
-	for i, l := range lossCases() {
-		t.Run(l.name, func(t *testing.T) {
+	for i, tc := range lossCases() {
+		t.Run(tc.name, func(t *testing.T) {
 			for seed := range seedCount(1) {
-				synctest.Test(t, func(t *testing.T) { runLossScenario(t, l, uint64(i)+100*seed, 24) })
+				synctest.Test(t, func(t *testing.T) { runLossScenario(t, tc, uint64(i)+100*seed, 24) })
 			}
 		})
 	}
@@ -119,7 +119,7 @@
 			const age = leaseDuration / 2
 			operator := fmt.Sprintf("<rillflow><rebuild><folder>%s</folder><every>%v</every></rebuild></rillflow>", t.TempDir(), float64(age)/float64(leaseDuration))
 			d, before, end := startLossScenario(t, 40+seed, 24, operator)
-			at := time.Now()
+			crashedAt := time.Now()
 			for _, c := range d.processes {
 				c.crash()
 			}
@@ -137,7 +137,7 @@
 			missing := 0
 			for _, b := range d.w.violations {
 				jobID, forgotten := strings.CutPrefix(b, "forgotten: ")
-				if forgotten && d.w.acceptedAt[jobID].After(at.Add(-age-time.Second)) && !before.hasJob(jobID) {
+				if forgotten && d.w.acceptedAt[jobID].After(crashedAt.Add(-age-time.Second)) && !before.hasJob(jobID) {
 					missing++
 					continue
 				}
@@ -167,16 +167,16 @@
 			}
 			time.Sleep(20 * time.Second)
 			d.w.mu.Lock()
-			asked, unknown := map[string]bool{}, 0
+			resubmitted, knownFromWorkers := map[string]bool{}, 0
 			for id, host := range before {
 				if d.w.hostOf[id] == host && d.w.lastPhase[id.JobID] == wire.PhaseRunning {
-					unknown++
+					knownFromWorkers++
 				}
 			}
 			d.w.shouldResubmit = func(jobID string) bool { // every user submits once more
-				was := asked[jobID]
-				asked[jobID] = true
-				return !was && d.w.lastPhase[jobID] != wire.PhaseDone && d.w.lastPhase[jobID] != wire.PhaseCancelled
+				alreadySubmitted := resubmitted[jobID]
+				resubmitted[jobID] = true
+				return !alreadySubmitted && d.w.lastPhase[jobID] != wire.PhaseDone && d.w.lastPhase[jobID] != wire.PhaseCancelled
 			}
 			d.w.mu.Unlock()
 			surviving := d.countSurviving(before, 40*time.Second)
@@ -190,15 +190,15 @@
 				}
 				t.Error(b)
 			}
-			for jobID, j := range d.w.jobs {
-				if got := d.w.lastPhase[jobID]; before.hasJob(jobID) && j.Kind == wire.KindArray && got != wire.PhaseDone {
+			for jobID, job := range d.w.jobs {
+				if got := d.w.lastPhase[jobID]; before.hasJob(jobID) && job.Kind == wire.KindArray && got != wire.PhaseDone {
 					t.Errorf("%s is %q", jobID, got)
 				}
 			}
-			if float64(surviving) < 0.95*float64(len(before)) || unknown == 0 {
-				t.Errorf("%d of %d tasks run on, or are done; %d were known from machines", surviving, len(before), unknown)
+			if float64(surviving) < 0.95*float64(len(before)) || knownFromWorkers == 0 {
+				t.Errorf("%d of %d tasks run on, or are done; %d were known from machines", surviving, len(before), knownFromWorkers)
 			}
-			t.Logf("%d of %d tasks run on or are done; %d were known from machines alone", surviving, len(before), unknown)
+			t.Logf("%d of %d tasks run on or are done; %d were known from machines alone", surviving, len(before), knownFromWorkers)
 		})
 	}
 }
@@ -231,30 +231,30 @@
 	time.Sleep(after)
 	d.w.mu.Lock()
 	defer d.w.mu.Unlock()
-	n := 0
+	count := 0
 	for id, host := range before {
 		if d.w.hostOf[id] == host || d.w.doneTasks[id] || d.w.cancelRequested[id.JobID] {
-			n++
+			count++
 		}
 	}
-	return n
+	return count
 }
 
 // lossDayOf plays the first 50 s of a day, and tells where tasks are then.
-func startLossScenario(t *testing.T, seed uint64, size int, operator string) (*lossScenario, taskHosts, func()) {
-	ctx, w, store, cloud, controllers, end := startWorld(t, seed, float64(4*size), size/2, operator)
+func startLossScenario(t *testing.T, seed uint64, workerCount int, operatorSettings string) (*lossScenario, taskHosts, func()) {
+	ctx, w, store, cloud, controllers, end := startWorld(t, seed, float64(4*workerCount), workerCount/2, operatorSettings)
 	for i := range 24 {
-		j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
-			TaskCount: max(2, size/8), CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(8 + 3*i)}
-		withdraw := time.Duration(0)
+		job := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
+			TaskCount: max(2, workerCount/8), CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(8 + 3*i)}
+		cancelAfter := time.Duration(0)
 		if i%4 == 3 {
-			j.Kind, j.Priority, j.TaskCount, j.CPUs, j.SpreadZones = wire.KindService, "production", max(2, size/16), 1, true
-			withdraw = 190 * time.Second
+			job.Kind, job.Priority, job.TaskCount, job.CPUs, job.SpreadZones = wire.KindService, "production", max(2, workerCount/16), 1, true
+			cancelAfter = 190 * time.Second
 			if i == 11 {
-				withdraw = 38 * time.Second // a few seconds before
+				cancelAfter = 38 * time.Second // a few seconds before
 			}
 		}
-		w.submit(ctx, j, time.Duration(2+2*i)*time.Second, withdraw)
+		w.submit(ctx, job, time.Duration(2+2*i)*time.Second, cancelAfter)
 	}
 	time.Sleep(50 * time.Second)
 	w.mu.Lock()
@@ -263,10 +263,10 @@
 }
 
 // playLoss plays a day with a loss. SIM_LOG shows the controllers' logs.
-func runLossScenario(t *testing.T, l lossCase, seed uint64, size int) {
-	d, before, end := startLossScenario(t, seed, size, "")
+func runLossScenario(t *testing.T, tc lossCase, seed uint64, workerCount int) {
+	d, before, end := startLossScenario(t, seed, workerCount, "")
 	w := d.w
-	l.inject(d)
+	tc.inject(d)
 	surviving := d.countSurviving(before, 60*time.Second)
 	time.Sleep(150 * time.Second)
 	end()
@@ -277,18 +277,18 @@
 		}
 		t.Error(b)
 	}
-	if float64(surviving) < l.minSurviving*float64(len(before)) {
+	if float64(surviving) < tc.minSurviving*float64(len(before)) {
 		t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
 	}
-	ends := 0
-	for jobID, j := range w.jobs {
-		if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[j.Kind]; w.lastPhase[jobID] == want {
-			ends++
+	finishedJobs := 0
+	for jobID, job := range w.jobs {
+		if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; w.lastPhase[jobID] == want {
+			finishedJobs++
 		} else {
 			t.Errorf("%s is %q, want %s", jobID, w.lastPhase[jobID], want)
 		}
 	}
-	t.Logf("%d of %d tasks run on or are done, %d of %d jobs told to an end, %d breaches", surviving, len(before), ends, len(w.jobs), len(w.violations))
+	t.Logf("%d of %d tasks run on or are done, %d of %d jobs told to an end, %d breaches", surviving, len(before), finishedJobs, len(w.jobs), len(w.violations))
 }
 
 // Losses among all other faults, one after the other, some within seconds, with three to
@@ -299,8 +299,8 @@
 	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				breaches, w := runRandomScenarioWith(t, 1000+seed, controllerCount+int(seed%5), seed%2 == 1, slices.Concat(commonFaults, dataLossFaults), "", nil)
-				for _, b := range breaches {
+				violations, w := runRandomScenarioWith(t, 1000+seed, controllerCount+int(seed%5), seed%2 == 1, slices.Concat(commonFaults, dataLossFaults), "", nil)
+				for _, b := range violations {
 					t.Error(b)
 				}
 				for jobID := range w.jobs {
@@ -320,62 +320,62 @@
 	if n, err := strconv.Atoi(os.Getenv("SIM_FLEET")); err == nil {
 		workerCount = n
 	}
-	for _, l := range lossCases() {
-		if l.name != "all keys" && l.name != "all keys, and the leader" {
+	for _, tc := range lossCases() {
+		if tc.name != "all keys" && tc.name != "all keys, and the leader" {
 			continue
 		}
-		t.Run(l.name, func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { runLossAtScale(t, l, workerCount) })
+		t.Run(tc.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) { runLossAtScale(t, tc, workerCount) })
 		})
 	}
 }
 
 // playSize has ten tasks on a worker, in arrays of 50 and services of 10 replicas, and
 // then the loss.
-func runLossAtScale(t *testing.T, l lossCase, workerCount int) {
+func runLossAtScale(t *testing.T, tc lossCase, workerCount int) {
 	ctx, w, store, cloud, controllers, end := startWorld(t, 5, float64(8*workerCount), workerCount/2, "")
 	d := &lossScenario{w, store, cloud, controllers}
 	for i := range workerCount * 10 / 50 {
-		j := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
+		job := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
 			TaskCount: 50, CPUs: 0.5, MemoryGB: 1, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(100 + i%60)}
-		withdraw := time.Duration(0)
+		cancelAfter := time.Duration(0)
 		if i%4 == 3 {
-			j.Kind, j.Priority, j.TaskCount, withdraw = wire.KindService, "production", 10, 170*time.Second
+			job.Kind, job.Priority, job.TaskCount, cancelAfter = wire.KindService, "production", 10, 170*time.Second
 		}
-		w.submit(ctx, j, time.Duration(2000+10000*i/workerCount)*time.Millisecond, withdraw)
+		w.submit(ctx, job, time.Duration(2000+10000*i/workerCount)*time.Millisecond, cancelAfter)
 	}
 	time.Sleep(60 * time.Second)
 	w.mu.Lock()
 	before := taskHosts(maps.Clone(w.hostOf))
 	w.mu.Unlock()
-	l.inject(d)
+	tc.inject(d)
 	store.mu.Lock()
-	wrote := len(store.log)
+	logLength := len(store.log)
 	store.mu.Unlock()
 	time.Sleep(2 * leaseDuration)
-	b := d.recoveryStatus()
+	recovery := d.recoveryStatus()
 	store.mu.Lock()
 	changes, bytes := 0, 0
-	for _, c := range store.log[min(wrote, len(store.log)):] {
+	for _, c := range store.log[min(logLength, len(store.log)):] {
 		changes++
 		bytes += len(c.Put) + len(c.Value)
 	}
 	store.mu.Unlock()
 	surviving := d.countSurviving(before, 20*time.Second)
 	end()
-	for i, b := range w.violations {
-		if t.Error(b); i == 4 {
+	for i, recovery := range w.violations {
+		if t.Error(recovery); i == 4 {
 			break
 		}
 	}
-	if float64(surviving) < l.minSurviving*float64(len(before)) {
+	if float64(surviving) < tc.minSurviving*float64(len(before)) {
 		t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
 	}
-	if b == nil || b.PlacingS == 0 || b.PlacingS > leaseDuration.Seconds() {
-		t.Fatalf("no tasks were placed again within a lease: %+v", b)
+	if recovery == nil || recovery.PlacingS == 0 || recovery.PlacingS > leaseDuration.Seconds() {
+		t.Fatalf("no tasks were placed again within a lease: %+v", recovery)
 	}
 	t.Logf("%d machines, %d tasks on them, %d run on or are done; %d jobs, %d ends, %d claims regained by %d changes in %.1f s; placed again after %.1f s; in two leases %d changes, %d KB",
-		len(w.workers), len(before), surviving, b.Jobs, b.Ends, b.Claims, b.Written, b.DurableS, b.PlacingS, changes, bytes>>10)
+		len(w.workers), len(before), surviving, recovery.Jobs, recovery.Ends, recovery.Claims, recovery.Written, recovery.DurableS, recovery.PlacingS, changes, bytes>>10)
 }
 
 // rebuilt asks the controllers what was rebuilt, as an operator does.
--- a/internal/sim/messagefaults_test.go
+++ b/internal/sim/messagefaults_test.go
@@ -14,23 +14,23 @@
 func TestDelayedCommands(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		do   func(m *scenario, hosts []string, duration time.Duration)
+		fault   func(m *scenario, workers []string, duration time.Duration)
 	}{
-		{"held", func(m *scenario, hosts []string, duration time.Duration) { m.partition(m.controllerNames(), hosts, duration) }},
-		{"hung", func(m *scenario, hosts []string, duration time.Duration) {
-			m.injectWorkerFault(hosts, duration, pauseWorker)
+		{"held", func(m *scenario, workers []string, duration time.Duration) { m.partition(m.controllerNames(), workers, duration) }},
+		{"hung", func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, pauseWorker)
 		}},
-		{"deaf", func(m *scenario, hosts []string, duration time.Duration) {
-			m.injectWorkerFault(hosts, duration, dropAnswers)
+		{"deaf", func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropAnswers)
 		}},
-		{"mute", func(m *scenario, hosts []string, duration time.Duration) {
-			m.injectWorkerFault(hosts, duration, dropHeartbeats)
+		{"mute", func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropHeartbeats)
 		}},
-		{"held, and the leader ends", func(m *scenario, hosts []string, duration time.Duration) {
-			concurrently(func() { m.partition(m.controllerNames(), hosts, duration) }, func() { time.Sleep(duration / 2); m.crashController(m.initialLeader, 4*time.Second) })
+		{"held, and the leader ends", func(m *scenario, workers []string, duration time.Duration) {
+			concurrently(func() { m.partition(m.controllerNames(), workers, duration) }, func() { time.Sleep(duration / 2); m.crashController(m.initialLeader, 4*time.Second) })
 		}},
-		{"hung, and the leader ends", func(m *scenario, hosts []string, duration time.Duration) {
-			concurrently(func() { m.injectWorkerFault(hosts, duration, pauseWorker) }, func() { time.Sleep(duration / 2); m.crashController(m.initialLeader, 4*time.Second) })
+		{"hung, and the leader ends", func(m *scenario, workers []string, duration time.Duration) {
+			concurrently(func() { m.injectWorkerFault(workers, duration, pauseWorker) }, func() { time.Sleep(duration / 2); m.crashController(m.initialLeader, 4*time.Second) })
 		}},
 	} {
 		for _, duration := range []time.Duration{2 * time.Second, 6 * time.Second, leaseDuration - 2*time.Second, leaseDuration + 3*time.Second, 2 * cancelTimeout} {
@@ -42,7 +42,7 @@
 					}
 					time.Sleep(500 * time.Millisecond)
 					concurrently(
-						func() { tc.do(m, m.randomWorkers(0.6), duration) },
+						func() { tc.fault(m, m.randomWorkers(0.6), duration) },
 						func() {
 							time.Sleep(300 * time.Millisecond)
 							m.cancelRepeatedly((m.initialLeader+1)%controllerCount, cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3), testJobID(4), testJobID(30), testJobID(31))
@@ -71,13 +71,13 @@
 // leadership does not wander on their account.
 func TestWorkersWithoutHeartbeats(t *testing.T) {
 	const jobs, tasksPerJob = 8, 3
-	const keep = "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>" // a part without machines hears none
+	const keepIdleWorkers = "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>" // a part without machines hears none
 	for _, tc := range []struct {
 		name  string
-		which func(m *scenario) []string
-		also  func(m *scenario)
-		terms int  // at most
-		done  bool // all is done while they are mute
+		selectWorkers func(m *scenario) []string
+		concurrentFault  func(m *scenario)
+		maxTerms int  // at most
+		doneMeanwhile  bool // all is done while they are mute
 	}{
 		{"one", func(m *scenario) []string { return m.busyWorkers()[:1] }, nil, 1, true},
 		{"half", func(m *scenario) []string { return m.randomWorkers(0.5) }, nil, 2, true},
@@ -94,25 +94,25 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			runFaultPlan(t, faultPlan{seed: 9, operatorSettings: keep, teamCPULimit: 100, maxInstances: 12, jobs: arrays(jobs, tasksPerJob, 50*time.Second, nil), faults: func(m *scenario) {
+			runFaultPlan(t, faultPlan{seed: 9, operatorSettings: keepIdleWorkers, teamCPULimit: 100, maxInstances: 12, jobs: arrays(jobs, tasksPerJob, 50*time.Second, nil), faults: func(m *scenario) {
 				leaders := []string{m.store.get("lead")}
 				starts := 0
 				concurrently(
 					func() {
 						m.w.mu.Lock()
-						m.w.newWorkersMute = !tc.done
+						m.w.newWorkersMute = !tc.doneMeanwhile
 						m.w.mu.Unlock()
-						m.injectWorkerFault(tc.which(m), 4*leaseDuration, dropHeartbeats)
+						m.injectWorkerFault(tc.selectWorkers(m), 4*leaseDuration, dropHeartbeats)
 						m.w.mu.Lock()
 						m.w.newWorkersMute = false
 						m.w.mu.Unlock()
 						m.injectWorkerFault(m.workerNames(""), 0, func(k *fakeWorker, on bool) { k.dropsHeartbeats = false })
 					},
 					func() {
-						for at := time.Now(); time.Since(at) < 4*leaseDuration; {
+						for startedAt := time.Now(); time.Since(startedAt) < 4*leaseDuration; {
 							time.Sleep(time.Second)
-							if l := m.store.get("lead"); l != "" && l != leaders[len(leaders)-1] {
-								leaders = append(leaders, l)
+							if leader := m.store.get("lead"); leader != "" && leader != leaders[len(leaders)-1] {
+								leaders = append(leaders, leader)
 							}
 						}
 						m.w.mu.Lock()
@@ -120,8 +120,8 @@
 						m.w.mu.Unlock()
 					},
 					func() {
-						if tc.also != nil {
-							tc.also(m)
+						if tc.concurrentFault != nil {
+							tc.concurrentFault(m)
 						}
 					},
 					func() {
@@ -129,21 +129,21 @@
 						m.w.mu.Lock()
 						defer m.w.mu.Unlock()
 						for i := range jobs {
-							if tc.done && !m.w.cancelRequested[testJobID(i)] && !m.w.allTasksDone(testJobID(i)) {
+							if tc.doneMeanwhile && !m.w.cancelRequested[testJobID(i)] && !m.w.allTasksDone(testJobID(i)) {
 								m.Errorf("%s is not done though other machines are well", testJobID(i))
 							}
 						}
 					},
 				)
-				if len(leaders) > tc.terms {
+				if len(leaders) > tc.maxTerms {
 					m.Errorf("%d terms: %s", len(leaders), strings.Join(leaders, " "))
 				}
 				// A task is lost once with a worker that cannot send heartbeats; with one that hangs too, once more.
-				most := 2 * jobs * tasksPerJob
+				maxStarts := 2 * jobs * tasksPerJob
 				if strings.Contains(tc.name, "hang") {
-					most += jobs * tasksPerJob
+					maxStarts += jobs * tasksPerJob
 				}
-				if starts > most {
+				if starts > maxStarts {
 					m.Errorf("%d starts of %d tasks", starts, jobs*tasksPerJob)
 				}
 			}})
@@ -156,28 +156,28 @@
 func TestDelayedHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		then func(m *scenario, hosts []string) // between the report and its arrival, after the leader's end
+		beforeDelivery func(m *scenario, workers []string) // between the report and its arrival, after the leader's end
 	}{
-		{"the same session", func(m *scenario, hosts []string) { time.Sleep(10 * time.Second) }},
-		{"an earlier session", func(m *scenario, hosts []string) {
-			m.partition(hosts, m.controllerNames(), leaseDuration+6*time.Second)
+		{"the same session", func(m *scenario, workers []string) { time.Sleep(10 * time.Second) }},
+		{"an earlier session", func(m *scenario, workers []string) {
+			m.partition(workers, m.controllerNames(), leaseDuration+6*time.Second)
 			time.Sleep(4 * time.Second)
 		}},
-		{"the new leader never saw a newer one", func(m *scenario, hosts []string) {
-			go m.partition(hosts, m.controllerNames(), 20*time.Second)
+		{"the new leader never saw a newer one", func(m *scenario, workers []string) {
+			go m.partition(workers, m.controllerNames(), 20*time.Second)
 			time.Sleep(8 * time.Second)
 		}},
-		{"the machine has died", func(m *scenario, hosts []string) {
-			for _, h := range hosts {
-				m.cloud.killInstance(h)
+		{"the machine has died", func(m *scenario, workers []string) {
+			for _, worker := range workers {
+				m.cloud.killInstance(worker)
 			}
 			time.Sleep(8 * time.Second)
 		}},
-		{"jobs were withdrawn", func(m *scenario, hosts []string) {
+		{"jobs were withdrawn", func(m *scenario, workers []string) {
 			m.cancelRepeatedly((m.initialLeader+1)%controllerCount, 30*time.Second, testJobID(0), testJobID(1), testJobID(2))
 			time.Sleep(3 * time.Second)
 		}},
-		{"two leaders later", func(m *scenario, hosts []string) {
+		{"two leaders later", func(m *scenario, workers []string) {
 			m.crashController(m.leaderIndex(), 6*time.Second)
 			time.Sleep(10 * time.Second)
 		}},
@@ -186,12 +186,12 @@
 			t.Run(fmt.Sprint(tc.name, ", tasks of ", duration), func(t *testing.T) {
 				t.Parallel()
 				runFaultPlan(t, faultPlan{seed: 13, teamCPULimit: 20, jobs: arrays(12, 3, duration, nil), recovery: 330 * time.Second, faults: func(m *scenario) {
-					hosts := m.busyWorkers()
-					m.injectWorkerFault(hosts, 7*time.Second, holdNextHeartbeat) // held, and newer ones have come
+					workers := m.busyWorkers()
+					m.injectWorkerFault(workers, 7*time.Second, holdNextHeartbeat) // held, and newer ones have come
 					m.crashController(m.initialLeader, 6*time.Second)
-					tc.then(m, hosts)
-					came := m.deliverHeldHeartbeats(hosts)
-					if came == 0 {
+					tc.beforeDelivery(m, workers)
+					delivered := m.deliverHeldHeartbeats(workers)
+					if delivered == 0 {
 						m.Error("no report was held back")
 					}
 				}})
@@ -205,7 +205,7 @@
 func TestLateTransactions(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		also func(m *scenario)
+		concurrentFault func(m *scenario)
 	}{
 		{"tasks are placed and end", func(m *scenario) { time.Sleep(40 * time.Second) }},
 		{"jobs are withdrawn", func(m *scenario) { m.cancelRepeatedly(m.initialLeader, cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3)) }},
@@ -221,7 +221,7 @@
 			t.Parallel()
 			runFaultPlan(t, faultPlan{seed: 14, teamCPULimit: 20, jobs: arrays(14, 3, 12*time.Second, nil), faults: func(m *scenario) {
 				m.store.delayTransactions(0.5)
-				tc.also(m)
+				tc.concurrentFault(m)
 				m.store.delayTransactions(0)
 				time.Sleep(12 * time.Second) // the last is carried out
 			}})
@@ -233,14 +233,14 @@
 func TestDuplicatedHeartbeats(t *testing.T) {
 	for _, tc := range []struct {
 		name string
-		also func(m *scenario)
+		concurrentFault func(m *scenario)
 	}{
 		{"tasks come and go", func(m *scenario) { time.Sleep(60 * time.Second) }},
 		{"sessions end", func(m *scenario) { m.partition(m.randomWorkers(0.7), m.controllerNames(), leaseDuration+5*time.Second) }},
 		{"the leader ends", func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
 		{"machines die", func(m *scenario) {
-			for _, h := range m.randomWorkers(0.4) {
-				m.cloud.killInstance(h)
+			for _, worker := range m.randomWorkers(0.4) {
+				m.cloud.killInstance(worker)
 			}
 			time.Sleep(40 * time.Second)
 		}},
@@ -249,7 +249,7 @@
 			t.Parallel()
 			runFaultPlan(t, faultPlan{seed: 15, teamCPULimit: 20, jobs: arrays(14, 3, 12*time.Second, nil), faults: func(m *scenario) {
 				m.w.duplicateHeartbeats(0.6)
-				concurrently(func() { tc.also(m) }, func() {
+				concurrently(func() { tc.concurrentFault(m) }, func() {
 					for i := range 6 {
 						time.Sleep(4 * time.Second)
 						m.cancelRepeatedly((m.initialLeader+1)%controllerCount, cancelTimeout, testJobID(i))
--- a/internal/sim/network_test.go
+++ b/internal/sim/network_test.go
@@ -25,7 +25,7 @@
 	crashing  map[string]bool                 // hosts whose process is ending: it reaches nobody any more
 	onSend   func(from, to string, b []byte) // sees what is sent, if set
 	delays   map[string]time.Duration        // by which what a host sends or is sent is slower
-	closed bool
+	stopped bool
 }
 
 func newNetwork(rnd *rand.Rand) *network {
@@ -34,10 +34,10 @@
 	return n
 }
 
-func (n *network) setBlocked(a, b string, on bool) {
+func (n *network) setBlocked(a, b string, isBlocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.blocked[[2]string{a, b}], n.blocked[[2]string{b, a}] = on, on
+	n.blocked[[2]string{a, b}], n.blocked[[2]string{b, a}] = isBlocked, isBlocked
 	n.cond.Broadcast()
 	for c := range n.conns {
 		c.cond.Broadcast()
@@ -45,11 +45,11 @@
 }
 
 // slow has links to hosts be slow, or as quick as ever again.
-func (n *network) setDelay(lag time.Duration, hosts ...string) {
+func (n *network) setDelay(delay time.Duration, hosts ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, h := range hosts {
-		n.delays[h] = lag
+	for _, host := range hosts {
+		n.delays[host] = delay
 	}
 }
 
@@ -68,18 +68,18 @@
 
 // unlisten ends a host's listeners; run it with the lock held.
 func (n *network) closeListeners(host string) {
-	for a, l := range n.listeners {
-		if n.hostOfAddress[a] == host {
-			l.closed = true
-			l.cond.Broadcast()
-			delete(n.listeners, a)
+	for address, listener := range n.listeners {
+		if n.hostOfAddress[address] == host {
+			listener.closed = true
+			listener.cond.Broadcast()
+			delete(n.listeners, address)
 		}
 	}
 }
 
 // fall is how a process ends in the middle of things: what it had sent still arrives, up
 // to so much later, and only behind that do those it spoke with see that it is gone.
-func (n *network) crashHost(host string, late time.Duration) {
+func (n *network) crashHost(host string, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.crashing[host] = true
@@ -89,14 +89,14 @@
 			continue
 		}
 		c.closed = true
-		by := time.Duration(0)
-		if late > 0 {
-			by = time.Duration(n.rnd.Int64N(int64(late)))
+		delay := time.Duration(0)
+		if maxDelay > 0 {
+			delay = time.Duration(n.rnd.Int64N(int64(maxDelay)))
 		}
 		for i := range c.out {
-			c.out[i].arrival = c.out[i].arrival.Add(by)
+			c.out[i].arrival = c.out[i].arrival.Add(delay)
 		}
-		c.out = append(c.out, packet{arrival: time.Now().Add(by)})
+		c.out = append(c.out, packet{arrival: time.Now().Add(delay)})
 		c.cond.Broadcast()
 	}
 	n.cond.Broadcast()
@@ -109,16 +109,16 @@
 	delete(n.crashing, host)
 }
 
-func (n *network) close() {
+func (n *network) shutdown() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.closed = true
+	n.stopped = true
 	for c := range n.conns {
 		c.abort()
 	}
-	for _, l := range n.listeners {
-		l.closed = true
-		l.cond.Broadcast()
+	for _, listener := range n.listeners {
+		listener.closed = true
+		listener.cond.Broadcast()
 	}
 	n.cond.Broadcast()
 }
@@ -144,10 +144,10 @@
 func (n *network) listen(host, addr string) *listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &listener{n: n, addr: addr, cond: sync.NewCond(&n.mu)}
-	n.listeners[addr], n.hostOfAddress[addr] = l, host
+	listener := &listener{n: n, addr: addr, cond: sync.NewCond(&n.mu)}
+	n.listeners[addr], n.hostOfAddress[addr] = listener, host
 	n.cond.Broadcast() // some may wait for it
-	return l
+	return listener
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -193,24 +193,24 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for {
-		if ctx.Err() != nil || n.closed {
+		if ctx.Err() != nil || n.stopped {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 		}
 		host, known := n.hostOfAddress[to]
 		if known && !n.blocked[[2]string{from, host}] && !n.crashing[from] {
-			l := n.listeners[to]
-			if l == nil {
+			listener := n.listeners[to]
+			if listener == nil {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: io.EOF}
 			}
-			a := &conn{n: n, from: from, to: host, cond: sync.NewCond(&n.mu)}
-			b := &conn{n: n, from: host, to: from, cond: sync.NewCond(&n.mu)}
-			a.peer, b.peer = b, a
-			n.conns[a], n.conns[b] = true, true
-			go a.deliver()
-			go b.deliver()
-			l.queue = append(l.queue, b)
-			l.cond.Signal()
-			return a, nil
+			local := &conn{n: n, from: from, to: host, cond: sync.NewCond(&n.mu)}
+			remote := &conn{n: n, from: host, to: from, cond: sync.NewCond(&n.mu)}
+			local.peer, remote.peer = remote, local
+			n.conns[local], n.conns[remote] = true, true
+			go local.deliver()
+			go remote.deliver()
+			listener.queue = append(listener.queue, remote)
+			listener.cond.Signal()
+			return local, nil
 		}
 		n.cond.Wait()
 	}
@@ -248,7 +248,7 @@
 	n := c.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !c.broken && !n.closed {
+	for !c.broken && !n.stopped {
 		if len(c.out) == 0 {
 			if c.closed {
 				c.peer.eof = true
--- a/internal/sim/placementfaults_test.go
+++ b/internal/sim/placementfaults_test.go
@@ -15,25 +15,25 @@
 // them never is elsewhere, nor while what was lost may live, and nothing waits once the
 // zone has room.
 func TestZoneConstraints(t *testing.T) {
-	bound := map[string]func(i int, j *wire.Job){
-		"a zone":          func(i int, j *wire.Job) { j.Zone = "a" },
-		"a zone, on spot": func(i int, j *wire.Job) { j.Zone, j.AllowSpot = "a", true },
-		"one place":       func(i int, j *wire.Job) { j.SingleZone = true },
-		"one place, services": func(i int, j *wire.Job) {
-			j.SingleZone, j.Kind, j.Priority = true, wire.KindService, "production"
+	constraints := map[string]func(i int, job *wire.Job){
+		"a zone":          func(i int, job *wire.Job) { job.Zone = "a" },
+		"a zone, on spot": func(i int, job *wire.Job) { job.Zone, job.AllowSpot = "a", true },
+		"one place":       func(i int, job *wire.Job) { job.SingleZone = true },
+		"one place, services": func(i int, job *wire.Job) {
+			job.SingleZone, job.Kind, job.Priority = true, wire.KindService, "production"
 		},
-		"spread":           func(i int, j *wire.Job) { j.SpreadZones = true },
-		"spread, services": func(i int, j *wire.Job) { j.SpreadZones, j.Kind, j.Priority = true, wire.KindService, "production" },
-		"a type":           func(i int, j *wire.Job) { j.InstanceTypes = []string{"m"}; j.Zone = "b" },
+		"spread":           func(i int, job *wire.Job) { job.SpreadZones = true },
+		"spread, services": func(i int, job *wire.Job) { job.SpreadZones, job.Kind, job.Priority = true, wire.KindService, "production" },
+		"a type":           func(i int, job *wire.Job) { job.InstanceTypes = []string{"m"}; job.Zone = "b" },
 	}
 	for _, tc := range []struct {
 		name string
-		lose func(m *scenario)
+		fault func(m *scenario)
 	}{
 		{"machines die", func(m *scenario) {
-			for i, h := range m.busyWorkers() {
+			for i, worker := range m.busyWorkers() {
 				if i%2 == 0 {
-					m.cloud.killInstance(h)
+					m.cloud.killInstance(worker)
 				}
 			}
 		}},
@@ -42,23 +42,23 @@
 		}},
 		{"machines die, and the zone has no more", func(m *scenario) {
 			m.limitCapacity("a", 0)
-			for _, h := range m.workerNames("a") {
-				m.cloud.killInstance(h)
+			for _, worker := range m.workerNames("a") {
+				m.cloud.killInstance(worker)
 			}
 			time.Sleep(2 * leaseDuration)
 			m.limitCapacity("a", -1)
 		}},
 		{"a zone dies while the leader changes", func(m *scenario) {
-			for _, h := range m.workerNames("a") {
-				m.cloud.killInstance(h)
+			for _, worker := range m.workerNames("a") {
+				m.cloud.killInstance(worker)
 			}
 			m.crashController(m.initialLeader, 8*time.Second)
 		}},
 	} {
-		for _, b := range slices.Sorted(maps.Keys(bound)) {
-			t.Run(tc.name+", "+b, func(t *testing.T) {
+		for _, constraint := range slices.Sorted(maps.Keys(constraints)) {
+			t.Run(tc.name+", "+constraint, func(t *testing.T) {
 				t.Parallel()
-				runFaultPlan(t, faultPlan{seed: 1, jobs: arrays(6, 5, 40*time.Second, bound[b]), faults: tc.lose})
+				runFaultPlan(t, faultPlan{seed: 1, jobs: arrays(6, 5, 40*time.Second, constraints[constraint]), faults: tc.fault})
 			})
 		}
 	}
@@ -70,7 +70,7 @@
 	for _, tc := range []struct {
 		name  string
 		zone  string
-		first string // what is back before the rest: workers, controllers; "": all at once
+		healsFirst string // what is back before the rest: workers, controllers; "": all at once
 	}{
 		{"heals at once", "b", ""},
 		{"workers first", "b", "workers"},
@@ -83,25 +83,25 @@
 				t.Parallel()
 				runFaultPlan(t, faultPlan{seed: 3, jobs: arrays(8, 3, 120*time.Second, nil), recovery: 330 * time.Second, faults: func(m *scenario) {
 					m.w.partitionZone(m.cloud, tc.zone, true)
-					outside := 0
-					for zoneOf(outside) == tc.zone {
-						outside++
+					outsideController := 0
+					for zoneOf(outsideController) == tc.zone {
+						outsideController++
 					}
 					time.Sleep(4 * time.Second)
-					m.cancelRepeatedly(outside, 30*time.Second, testJobID(0), testJobID(1))
+					m.cancelRepeatedly(outsideController, 30*time.Second, testJobID(0), testJobID(1))
 					time.Sleep(max(0, duration-time.Since(m.startedAt)+25*time.Second))
-					rest := []string{"state", "cloud", "user"}
-					var in []string
+					outside := []string{"state", "cloud", "user"}
+					var insideControllers []string
 					for n := range m.w.clusterSize {
 						if zoneOf(n) == tc.zone {
-							in = append(in, controllerName(n))
+							insideControllers = append(insideControllers, controllerName(n))
 						} else {
-							rest = append(rest, controllerName(n))
+							outside = append(outside, controllerName(n))
 						}
 					}
-					back := map[string][]string{"workers": m.workerNames(tc.zone), "controllers": in}[tc.first]
-					for _, a := range back {
-						for _, b := range rest {
+					healed := map[string][]string{"workers": m.workerNames(tc.zone), "controllers": insideControllers}[tc.healsFirst]
+					for _, a := range healed {
+						for _, b := range outside {
 							m.w.net.setBlocked(a, b, false)
 						}
 					}
@@ -116,32 +116,32 @@
 // There is more work than room, urgent and not, over slow links: what is urgent goes
 // first, nothing is on two workers, and no more is stopped for it than it needs.
 func TestUrgentJobsUnderContention(t *testing.T) {
-	for _, lag := range []time.Duration{0, 150 * time.Millisecond, 600 * time.Millisecond} {
-		t.Run(lag.String(), func(t *testing.T) {
+	for _, delay := range []time.Duration{0, 150 * time.Millisecond, 600 * time.Millisecond} {
+		t.Run(delay.String(), func(t *testing.T) {
 			t.Parallel()
-			const urgent, tasksPerJob = 6, 6
-			runFaultPlan(t, faultPlan{seed: 8, teamCPULimit: 40, maxInstances: 3, jobs: arrays(16, 8, 40*time.Second, func(i int, j *wire.Job) { j.Priority = "idle"; j.AllowSpot = true }), recovery: 330 * time.Second,
+			const urgentJobs, tasksPerJob = 6, 6
+			runFaultPlan(t, faultPlan{seed: 8, teamCPULimit: 40, maxInstances: 3, jobs: arrays(16, 8, 40*time.Second, func(i int, job *wire.Job) { job.Priority = "idle"; job.AllowSpot = true }), recovery: 330 * time.Second,
 				faults: func(m *scenario) {
-					m.w.net.setDelay(lag, append(m.controllerNames(), m.workerNames("")...)...)
-					for i := range urgent {
-						j := array(50+i, tasksPerJob, 10*time.Second)
-						j.Priority = "urgent"
-						m.w.submit(m.ctx, j, time.Duration(i)*3*time.Second, 0)
+					m.w.net.setDelay(delay, append(m.controllerNames(), m.workerNames("")...)...)
+					for i := range urgentJobs {
+						job := array(50+i, tasksPerJob, 10*time.Second)
+						job.Priority = "urgent"
+						m.w.submit(m.ctx, job, time.Duration(i)*3*time.Second, 0)
 					}
 					time.Sleep(70 * time.Second)
 					m.w.net.setDelay(0, append(m.controllerNames(), m.workerNames("")...)...)
 				}, check: func(m *scenario) {
 					m.w.mu.Lock()
 					defer m.w.mu.Unlock()
-					for i := range urgent {
+					for i := range urgentJobs {
 						if wait := m.w.firstStart[testJobID(50+i)].Sub(m.w.acceptedAt[testJobID(50+i)]); wait > 30*time.Second {
 							m.Errorf("%s is urgent, and began after %v", testJobID(50+i), wait)
 						}
 					}
-					if most := 16*8 + 3*urgent*tasksPerJob; m.w.starts > most {
-						m.Errorf("%d starts, at most %d expected", m.w.starts, most)
+					if maxStarts := 16*8 + 3*urgentJobs*tasksPerJob; m.w.starts > maxStarts {
+						m.Errorf("%d starts, at most %d expected", m.w.starts, maxStarts)
 					}
-					m.Logf("%d starts of %d tasks", m.w.starts, 16*8+urgent*tasksPerJob)
+					m.Logf("%d starts of %d tasks", m.w.starts, 16*8+urgentJobs*tasksPerJob)
 				}})
 		})
 	}
@@ -150,34 +150,34 @@
 // Small jobs keep coming, somewhat more than there is room for: the largest begin within four
 // minutes all the same.
 func TestLargestJobsStart(t *testing.T) {
-	const big, tasksPerJob = 4, 8
-	jobs := arrays(big, tasksPerJob, 20*time.Second, func(i int, j *wire.Job) { j.Team = "a" })
+	const largeJobs, tasksPerJob = 4, 8
+	jobs := arrays(largeJobs, tasksPerJob, 20*time.Second, func(i int, job *wire.Job) { job.Team = "a" })
 	runFaultPlan(t, faultPlan{seed: 18, teamCPULimit: 16, maxInstances: 2, jobs: nil, operatorSettings: "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>", recovery: 150 * time.Second, faults: func(m *scenario) {
-		var fs []func()
+		var steps []func()
 		for i := range 480 { // 17 cores' worth, of 16
-			fs = append(fs, func() {
+			steps = append(steps, func() {
 				time.Sleep(time.Duration(i) * 600 * time.Millisecond)
-				j := array(200+2*i, 1, 10*time.Second) // of team a too
-				m.w.submit(m.ctx, j, 0, 0)
+				job := array(200+2*i, 1, 10*time.Second) // of team a too
+				m.w.submit(m.ctx, job, 0, 0)
 			})
 		}
-		for i, j := range jobs {
-			fs = append(fs, func() {
+		for i, job := range jobs {
+			steps = append(steps, func() {
 				time.Sleep(time.Duration(15+5*i) * time.Second)
-				m.w.submit(m.ctx, j, 0, 0)
+				m.w.submit(m.ctx, job, 0, 0)
 			})
 		}
-		fs = append(fs, func() {
+		steps = append(steps, func() {
 			time.Sleep(290 * time.Second)
 			m.w.mu.Lock()
 			defer m.w.mu.Unlock()
-			for _, j := range jobs {
-				if at := m.w.firstStart[j.ID]; at.IsZero() || at.Sub(m.w.acceptedAt[j.ID]) > maxLargestJobWait {
-					m.Errorf("%s has not begun within %v", j.ID, maxLargestJobWait)
+			for _, job := range jobs {
+				if startedAt := m.w.firstStart[job.ID]; startedAt.IsZero() || startedAt.Sub(m.w.acceptedAt[job.ID]) > maxLargestJobWait {
+					m.Errorf("%s has not begun within %v", job.ID, maxLargestJobWait)
 				}
 			}
 		})
-		concurrently(fs...)
+		concurrently(steps...)
 	}})
 }
 
@@ -186,19 +186,19 @@
 func TestTasksEndFarApart(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change func(m *scenario)
+		changeLeader func(m *scenario)
 	}{
 		{"it crashes", func(m *scenario) { m.crashController(m.leaderIndex(), 5*time.Second) }},
 		{"it is back at once", func(m *scenario) { m.crashController(m.leaderIndex(), 50*time.Millisecond) }},
 		{"it is refused alone", func(m *scenario) {
-			n := m.leaderIndex()
-			m.store.refuseController(controllerName(n), true)
+			leader := m.leaderIndex()
+			m.store.refuseController(controllerName(leader), true)
 			time.Sleep(15 * time.Second)
-			m.store.refuseController(controllerName(n), false)
+			m.store.refuseController(controllerName(leader), false)
 		}},
 		{"all end, and one returns", func(m *scenario) {
-			for n := range m.w.clusterSize {
-				m.processes[n].crash()
+			for leader := range m.w.clusterSize {
+				m.processes[leader].crash()
 			}
 			time.Sleep(300 * time.Millisecond)
 			m.processes[1] = m.w.boot(1)
@@ -216,7 +216,7 @@
 				}
 				time.Sleep(22 * time.Second) // the first of some are done, of others about to be
 				for range 4 {
-					tc.change(m)
+					tc.changeLeader(m)
 					time.Sleep(17 * time.Second)
 				}
 				time.Sleep(220 * time.Second)
@@ -225,8 +225,8 @@
 					t.Error(b)
 				}
 				for i := range 9 {
-					if r := testJobID(i); w.lastPhase[r] != wire.PhaseDone {
-						t.Errorf("%s is %q", r, w.lastPhase[r])
+					if jobID := testJobID(i); w.lastPhase[jobID] != wire.PhaseDone {
+						t.Errorf("%s is %q", jobID, w.lastPhase[jobID])
 					}
 				}
 				if want := 5*2 + 4*3; w.starts != want {
--- a/internal/sim/pollstorm_test.go
+++ b/internal/sim/pollstorm_test.go
@@ -22,35 +22,35 @@
 }
 
 // pollEvery has users ask again so often; 0: as usual.
-func (m *scenario) setMaxPollPause(pause time.Duration) {
+func (m *scenario) setMaxPollPause(maxPause time.Duration) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	m.w.maxPollPause = pause
+	m.w.maxPollPause = maxPause
 }
 
 // chains are jobs in lines of three, each waiting for the one before it. The first runs on.
-func chains(first, lines int) (js []wire.Job) {
-	for line := range lines {
-		head := first + 3*line
-		for i := range 3 {
-			j := array(head+i, 1, 10*time.Second)
-			if i == 0 {
-				j.ExpectedSeconds = 3600
+func chains(firstJob, chainCount int) (jobs []wire.Job) {
+	for chain := range chainCount {
+		head := firstJob + 3*chain
+		for position := range 3 {
+			job := array(head+position, 1, 10*time.Second)
+			if position == 0 {
+				job.ExpectedSeconds = 3600
 			} else {
-				j.DependsOn = []string{testJobID(head + i - 1)}
+				job.DependsOn = []string{testJobID(head + position - 1)}
 			}
-			js = append(js, j)
+			jobs = append(jobs, job)
 		}
 	}
-	return js
+	return jobs
 }
 
 // Guards against status reads that starve lease renewals and cancellations of dependents.
 func TestDependentsCancelledThroughPollStorm(t *testing.T) {
-	const services, lines, firstHead = 60, 24, 100
-	jobs := arrays(services, 1, 0, func(_ int, j *wire.Job) { j.Kind, j.Priority, j.CPUs = wire.KindService, "production", 0.25 })
+	const services, chainCount, firstHead = 60, 24, 100
+	jobs := arrays(services, 1, 0, func(_ int, job *wire.Job) { job.Kind, job.Priority, job.CPUs = wire.KindService, "production", 0.25 })
 	runFaultPlan(t, faultPlan{
-		seed: 778, maxInstances: 12, jobs: append(jobs, chains(firstHead, lines)...),
+		seed: 778, maxInstances: 12, jobs: append(jobs, chains(firstHead, chainCount)...),
 		faults: func(m *scenario) {
 			m.limitStore(60, 30)
 			time.Sleep(20 * time.Second)
@@ -62,8 +62,8 @@
 				func() { m.crashController((leader+1)%controllerCount, 5*time.Second) },
 				func() {
 					time.Sleep(10 * time.Second)
-					for line := range lines {
-						m.w.wg.Go(func() { m.cancelRepeatedly(line%controllerCount, 100*time.Second, testJobID(firstHead+3*line)) })
+					for chain := range chainCount {
+						m.w.wg.Go(func() { m.cancelRepeatedly(chain%controllerCount, 100*time.Second, testJobID(firstHead+3*chain)) })
 						time.Sleep(time.Second)
 					}
 				},
@@ -81,8 +81,8 @@
 			if n := m.store.leaderChanges(m.w.faultsEndedAt.Add(recoveryTime)); n > 0 {
 				m.Errorf("%d leader changes later than %v after the last fault", n, recoveryTime)
 			}
-			for line := range lines {
-				if head := testJobID(firstHead + 3*line); m.w.cancelledAt[head].IsZero() {
+			for chain := range chainCount {
+				if head := testJobID(firstHead + 3*chain); m.w.cancelledAt[head].IsZero() {
 					m.Errorf("%s was never told cancelled", head)
 				}
 			}
--- a/internal/sim/randomfaults_test.go
+++ b/internal/sim/randomfaults_test.go
@@ -16,54 +16,54 @@
 // fault is one of those that meet. It lasts for about as long as it is told.
 type randomFault struct {
 	name string
-	inject func(m *scenario, n int, duration time.Duration)
+	inject func(m *scenario, controller int, duration time.Duration)
 }
 
 // fate keeps two faults from ending or starting one process at once.
 type processLocks [9]sync.Mutex
 
 var randomFaults = []randomFault{
-	{"outage", func(m *scenario, n int, duration time.Duration) {
+	{"outage", func(m *scenario, controller int, duration time.Duration) {
 		m.store.setOutage(true)
 		time.Sleep(duration)
 		m.store.setOutage(false)
 	}},
-	{"refused alone", func(m *scenario, n int, duration time.Duration) {
-		m.store.refuseController(controllerName(n), true)
+	{"refused alone", func(m *scenario, controller int, duration time.Duration) {
+		m.store.refuseController(controllerName(controller), true)
 		time.Sleep(duration)
-		m.store.refuseController(controllerName(n), false)
+		m.store.refuseController(controllerName(controller), false)
 	}},
-	{"over and back", func(m *scenario, n int, duration time.Duration) {
-		for end := time.Now().Add(duration); time.Now().Before(end); {
-			l := m.leaderIndex()
-			m.store.refuseController(controllerName(l), true)
+	{"over and back", func(m *scenario, controller int, duration time.Duration) {
+		for deadline := time.Now().Add(duration); time.Now().Before(deadline); {
+			leader := m.leaderIndex()
+			m.store.refuseController(controllerName(leader), true)
 			time.Sleep(time.Duration(500+m.w.intN(9000)) * time.Millisecond)
-			m.store.refuseController(controllerName(l), false)
+			m.store.refuseController(controllerName(leader), false)
 			time.Sleep(time.Duration(m.w.intN(3000)) * time.Millisecond)
 		}
 	}},
-	{"slow state", func(m *scenario, n int, duration time.Duration) {
+	{"slow state", func(m *scenario, controller int, duration time.Duration) {
 		m.store.respondSlowly(time.Duration(200+m.w.intN(1000)) * time.Millisecond)
 		time.Sleep(duration)
 		m.store.respondSlowly(0)
 	}},
-	{"late writes", func(m *scenario, n int, duration time.Duration) {
+	{"late writes", func(m *scenario, controller int, duration time.Duration) {
 		m.store.delayTransactions(0.3)
 		time.Sleep(duration)
 		m.store.delayTransactions(0)
 	}},
-	{"late reports", func(m *scenario, n int, duration time.Duration) {
+	{"late reports", func(m *scenario, controller int, duration time.Duration) {
 		m.w.duplicateHeartbeats(0.5)
 		time.Sleep(duration)
 		m.w.duplicateHeartbeats(0)
 	}},
-	{"deaf machines", func(m *scenario, n int, duration time.Duration) {
+	{"deaf machines", func(m *scenario, controller int, duration time.Duration) {
 		m.injectWorkerFault(m.randomWorkers(0.5), duration, dropAnswers)
 	}},
-	{"mute machines", func(m *scenario, n int, duration time.Duration) {
+	{"mute machines", func(m *scenario, controller int, duration time.Duration) {
 		m.injectWorkerFault(m.randomWorkers(0.5), duration, dropHeartbeats)
 	}},
-	{"many withdrawn at once, and machines hang", func(m *scenario, n int, duration time.Duration) {
+	{"many withdrawn at once, and machines hang", func(m *scenario, controller int, duration time.Duration) {
 		m.w.mu.Lock()
 		var jobIDs []string
 		for t := range m.w.hostOf {
@@ -76,64 +76,64 @@
 			func() {
 				m.injectWorkerFault(m.randomWorkers(0.3), min(duration, 2*leaseDuration), pauseWorker)
 			},
-			func() { m.cancelRepeatedly(n, 4*cancelTimeout, jobIDs...) },
+			func() { m.cancelRepeatedly(controller, 4*cancelTimeout, jobIDs...) },
 		)
 	}},
-	{"odd requests", func(m *scenario, n int, duration time.Duration) { m.w.sendInvalidRequests(m.ctx, duration) }},
-	{"slow links", func(m *scenario, n int, duration time.Duration) {
-		hosts := append(m.otherControllers(n), controllerName(n))
-		m.w.net.setDelay(time.Duration(50+m.w.intN(600))*time.Millisecond, hosts...)
+	{"odd requests", func(m *scenario, controller int, duration time.Duration) { m.w.sendInvalidRequests(m.ctx, duration) }},
+	{"slow links", func(m *scenario, controller int, duration time.Duration) {
+		workers := append(m.otherControllers(controller), controllerName(controller))
+		m.w.net.setDelay(time.Duration(50+m.w.intN(600))*time.Millisecond, workers...)
 		time.Sleep(duration)
-		m.w.net.setDelay(0, hosts...)
+		m.w.net.setDelay(0, workers...)
 	}},
-	{"reports held back", func(m *scenario, n int, duration time.Duration) {
-		hosts := m.randomWorkers(0.4)
-		m.injectWorkerFault(hosts, 7*time.Second, holdNextHeartbeat)
+	{"reports held back", func(m *scenario, controller int, duration time.Duration) {
+		workers := m.randomWorkers(0.4)
+		m.injectWorkerFault(workers, 7*time.Second, holdNextHeartbeat)
 		time.Sleep(duration)
-		m.deliverHeldHeartbeats(hosts)
+		m.deliverHeldHeartbeats(workers)
 	}},
-	{"machines die", func(m *scenario, n int, duration time.Duration) {
-		for _, h := range m.randomWorkers(0.2) {
-			m.cloud.killInstance(h)
+	{"machines die", func(m *scenario, controller int, duration time.Duration) {
+		for _, worker := range m.randomWorkers(0.2) {
+			m.cloud.killInstance(worker)
 		}
 	}},
-	{"all away", func(m *scenario, n int, duration time.Duration) {
+	{"all away", func(m *scenario, controller int, duration time.Duration) {
 		var wg sync.WaitGroup
-		for n := range m.w.clusterSize {
-			wg.Go(func() { m.crashController(n, leaseDuration+duration) })
+		for controller := range m.w.clusterSize {
+			wg.Go(func() { m.crashController(controller, leaseDuration+duration) })
 		}
 		wg.Wait()
 	}},
-	{"machines hang", func(m *scenario, n int, duration time.Duration) {
+	{"machines hang", func(m *scenario, controller int, duration time.Duration) {
 		m.injectWorkerFault(m.randomWorkers(0.5), duration, pauseWorker)
 	}},
-	{"cut from the state service", func(m *scenario, n int, duration time.Duration) { m.partition([]string{controllerName(n)}, []string{"state"}, duration) }},
-	{"cut from peers", func(m *scenario, n int, duration time.Duration) { m.partition([]string{controllerName(n)}, m.otherControllers(n), duration) }},
-	{"cut from both", func(m *scenario, n int, duration time.Duration) {
-		m.partition([]string{controllerName(n)}, append(m.otherControllers(n), "state"), duration)
+	{"cut from the state service", func(m *scenario, controller int, duration time.Duration) { m.partition([]string{controllerName(controller)}, []string{"state"}, duration) }},
+	{"cut from peers", func(m *scenario, controller int, duration time.Duration) { m.partition([]string{controllerName(controller)}, m.otherControllers(controller), duration) }},
+	{"cut from both", func(m *scenario, controller int, duration time.Duration) {
+		m.partition([]string{controllerName(controller)}, append(m.otherControllers(controller), "state"), duration)
 	}},
-	{"cut from machines", func(m *scenario, n int, duration time.Duration) {
-		m.partition([]string{controllerName(n)}, m.randomWorkers(0.7), duration)
+	{"cut from machines", func(m *scenario, controller int, duration time.Duration) {
+		m.partition([]string{controllerName(controller)}, m.randomWorkers(0.7), duration)
 	}},
-	{"machines out of reach", func(m *scenario, n int, duration time.Duration) {
-		m.partition(m.randomWorkers(0.5), append(m.otherControllers(n), controllerName(n)), duration)
+	{"machines out of reach", func(m *scenario, controller int, duration time.Duration) {
+		m.partition(m.randomWorkers(0.5), append(m.otherControllers(controller), controllerName(controller)), duration)
 	}},
-	{"zone cut", func(m *scenario, n int, duration time.Duration) {
-		m.w.partitionZone(m.cloud, zoneOf(n), true)
+	{"zone cut", func(m *scenario, controller int, duration time.Duration) {
+		m.w.partitionZone(m.cloud, zoneOf(controller), true)
 		time.Sleep(duration)
-		m.w.partitionZone(m.cloud, zoneOf(n), false)
+		m.w.partitionZone(m.cloud, zoneOf(controller), false)
 	}},
-	{"crash", func(m *scenario, n int, duration time.Duration) { m.crashController(n, m.w.randomDowntime()) }},
-	{"all crash", func(m *scenario, n int, duration time.Duration) {
+	{"crash", func(m *scenario, controller int, duration time.Duration) { m.crashController(controller, m.w.randomDowntime()) }},
+	{"all crash", func(m *scenario, controller int, duration time.Duration) {
 		var wg sync.WaitGroup
-		for n := range m.w.clusterSize {
-			wg.Go(func() { m.crashController(n, m.w.randomDowntime()) })
+		for controller := range m.w.clusterSize {
+			wg.Go(func() { m.crashController(controller, m.w.randomDowntime()) })
 		}
 		wg.Wait()
 	}},
-	{"again and again", func(m *scenario, n int, duration time.Duration) {
+	{"again and again", func(m *scenario, controller int, duration time.Duration) {
 		for range 5 {
-			m.crashController(n, 20*time.Millisecond)
+			m.crashController(controller, 20*time.Millisecond)
 			time.Sleep(time.Duration(50+m.w.intN(900)) * time.Millisecond)
 		}
 	}},
@@ -146,18 +146,18 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 11))
 			// Three controllers, or up to seven on every other day.
-			size := controllerCount + int(seed%2)*(1+int(seed/2)%4)
-			checkFaults(t, seed, size, 24, func(m *scenario) {
+			clusterSize := controllerCount + int(seed%2)*(1+int(seed/2)%4)
+			checkFaults(t, seed, clusterSize, 24, func(m *scenario) {
 				for range 4 {
 					var wg sync.WaitGroup
 					for range 2 + rnd.IntN(2) {
-						x, n := randomFaults[rnd.IntN(len(randomFaults))], rnd.IntN(m.w.clusterSize)
-						after, duration := time.Duration(rnd.IntN(8000))*time.Millisecond, time.Duration(2000+rnd.IntN(1<<uint(12+rnd.IntN(5))))*time.Millisecond
-						if l := m.store.leaderIndex(); rnd.IntN(3) > 0 && l >= 0 {
-							n = l
+						fault, controller := randomFaults[rnd.IntN(len(randomFaults))], rnd.IntN(m.w.clusterSize)
+						delay, duration := time.Duration(rnd.IntN(8000))*time.Millisecond, time.Duration(2000+rnd.IntN(1<<uint(12+rnd.IntN(5))))*time.Millisecond
+						if leader := m.store.leaderIndex(); rnd.IntN(3) > 0 && leader >= 0 {
+							controller = leader
 						}
-						m.faultLog = append(m.faultLog, fmt.Sprintf("%v: %s, host-%d, for %v", time.Since(m.startedAt)+after, x.name, n, duration))
-						wg.Go(func() { time.Sleep(after); x.inject(m, n, duration) })
+						m.faultLog = append(m.faultLog, fmt.Sprintf("%v: %s, host-%d, for %v", time.Since(m.startedAt)+delay, fault.name, controller, duration))
+						wg.Go(func() { time.Sleep(delay); fault.inject(m, controller, duration) })
 					}
 					wg.Wait()
 					time.Sleep(time.Duration(rnd.IntN(10)) * time.Second)
@@ -169,31 +169,31 @@
 
 // checkFaults plays a day of faults with jobs of long tasks coming all the while and every
 // second of them cancelled, until everybody has had an answer.
-func checkFaults(t *testing.T, seed uint64, size, jobs int, troubles func(m *scenario)) {
+func checkFaults(t *testing.T, seed uint64, clusterSize, jobCount int, faults func(m *scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		rnd := rand.New(rand.NewPCG(seed, 12))
-		ctx, w, store, cloud, controllers, end := startWorldOfSize(t, seed, size, 60, 6, "")
+		ctx, w, store, cloud, controllers, deadline := startWorldOfSize(t, seed, clusterSize, 60, 6, "")
 		m := newScenario(t, ctx, w, store, cloud, controllers)
 		w.durationSpread = 0.8
 		w.wg.Go(func() { w.requestUnknownJobs(ctx) })
-		for i := range jobs {
-			j := wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + rnd.IntN(2), CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: i%3 == 0, ExpectedSeconds: float64(5 + rnd.IntN(60))}
-			withdraw := time.Duration(0)
+		for i := range jobCount {
+			job := wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + rnd.IntN(2), CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: i%3 == 0, ExpectedSeconds: float64(5 + rnd.IntN(60))}
+			cancelAfter := time.Duration(0)
 			if i%4 == 3 {
-				j.Kind, j.Priority, j.SpreadZones, j.ExpectedSeconds = wire.KindService, "production", true, 0
+				job.Kind, job.Priority, job.SpreadZones, job.ExpectedSeconds = wire.KindService, "production", true, 0
 			}
 			if i%2 == 1 {
-				withdraw = time.Duration(20+rnd.IntN(120)) * time.Second
+				cancelAfter = time.Duration(20+rnd.IntN(120)) * time.Second
 			}
-			w.submit(ctx, j, time.Duration(rnd.IntN(120))*time.Second, withdraw)
+			w.submit(ctx, job, time.Duration(rnd.IntN(120))*time.Second, cancelAfter)
 		}
 		time.Sleep(20 * time.Second)
-		troubles(m)
+		faults(m)
 		w.faultsEnded(cloud)
 		time.Sleep(max(240*time.Second, 480*time.Second-time.Since(m.startedAt))) // the longest task takes 170 s, from a start of its own
 		w.checkCancelledTasksGone()
-		end()
+		deadline()
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, b := range w.violations {
@@ -202,9 +202,9 @@
 		if len(w.lateStarts) > 0 {
 			t.Logf("%d starts after a withdrawal was told, the latest %v after", len(w.lateStarts), slices.Max(w.lateStarts))
 		}
-		for r, j := range w.jobs {
-			if got := w.lastPhase[r]; got != wire.PhaseDone && got != wire.PhaseCancelled && (j.Kind == wire.KindArray || w.cancelRequested[r]) {
-				t.Errorf("%s is %q at the end", r, got)
+		for jobID, job := range w.jobs {
+			if got := w.lastPhase[jobID]; got != wire.PhaseDone && got != wire.PhaseCancelled && (job.Kind == wire.KindArray || w.cancelRequested[jobID]) {
+				t.Errorf("%s is %q at the end", jobID, got)
 			}
 		}
 		if t.Failed() {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -38,80 +38,80 @@
 
 // begin sets up a world of controllers and what they need, with a limit for each
 // team and as many workers of a kind as the most. end takes it down again.
-func startWorld(t testing.TB, seed uint64, limit float64, most int, operator string) (ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess, end func()) {
-	return startWorldOfSize(t, seed, controllerCount, limit, most, operator)
+func startWorld(t testing.TB, seed uint64, teamCPULimit float64, maxInstances int, operatorSettings string) (ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess, end func()) {
+	return startWorldOfSize(t, seed, controllerCount, teamCPULimit, maxInstances, operatorSettings)
 }
 
 // beginWith is begin with so many controllers.
-func startWorldOfSize(t testing.TB, seed uint64, size int, limit float64, most int, operator string) (ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess, end func()) {
+func startWorldOfSize(t testing.TB, seed uint64, clusterSize int, teamCPULimit float64, maxInstances int, operatorSettings string) (ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	w = &world{t: t, ctx: ctx, teamCPULimit: limit, rnd: rand.New(rand.NewPCG(seed, 6)), net: newNetwork(rand.New(rand.NewPCG(seed, 8))), workers: map[string]*fakeWorker{}, jobs: map[string]wire.Job{},
-		hostOf: map[ledger.Task]string{}, usedCPUs: map[string]float64{}, doneTasks: map[ledger.Task]bool{}, lastPhase: map[string]string{}, cancelledAt: map[string]time.Time{}, cancelRequested: map[string]bool{}, acceptedSignal: map[string]chan struct{}{}, acceptedAt: map[string]time.Time{}, startedAttempts: map[startedAttempt]bool{}, operatorSettings: operator,
+	w = &world{t: t, ctx: ctx, teamCPULimit: teamCPULimit, rnd: rand.New(rand.NewPCG(seed, 6)), net: newNetwork(rand.New(rand.NewPCG(seed, 8))), workers: map[string]*fakeWorker{}, jobs: map[string]wire.Job{},
+		hostOf: map[ledger.Task]string{}, usedCPUs: map[string]float64{}, doneTasks: map[ledger.Task]bool{}, lastPhase: map[string]string{}, cancelledAt: map[string]time.Time{}, cancelRequested: map[string]bool{}, acceptedSignal: map[string]chan struct{}{}, acceptedAt: map[string]time.Time{}, startedAttempts: map[startedAttempt]bool{}, operatorSettings: operatorSettings,
 		firstStart: map[string]time.Time{}, lastAnswer: map[string]time.Time{}, waitingWithRoomSince: map[string]time.Time{}}
-	w.maxInstances, w.clusterSize, w.upgraded = most, size, make(map[int]bool)
+	w.maxInstances, w.clusterSize, w.upgraded = maxInstances, clusterSize, make(map[int]bool)
 	store = newFakeStore(rand.New(rand.NewPCG(seed, 9)), w.recordViolation)
 	w.store = store
-	cloud = &fakeCloud{w: w, maxInstances: most, grantedNames: map[string][]string{}, requests: map[string]wire.ScaleOutRequest{}, instances: map[string]wire.Instance{}, createdAt: map[string]time.Time{}, instanceCount: map[string]int{},
+	cloud = &fakeCloud{w: w, maxInstances: maxInstances, grantedNames: map[string][]string{}, requests: map[string]wire.ScaleOutRequest{}, instances: map[string]wire.Instance{}, createdAt: map[string]time.Time{}, instanceCount: map[string]int{},
 		types: []wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 32, DiskGB: 20, ImagePullGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5, BootSeconds: 3, Zones: []string{"a", "b"}}}}
 	var servers []*http.Server
-	for host, h := range map[string]http.Handler{"state": store, "cloud": cloud} {
-		srv := &http.Server{Handler: h, ErrorLog: log.New(io.Discard, "", 0)}
-		servers = append(servers, srv)
-		go srv.Serve(w.net.listen(host, host+":1"))
+	for host, handler := range map[string]http.Handler{"state": store, "cloud": cloud} {
+		server := &http.Server{Handler: handler, ErrorLog: log.New(io.Discard, "", 0)}
+		servers = append(servers, server)
+		go server.Serve(w.net.listen(host, host+":1"))
 	}
-	controllers = make([]*controllerProcess, size)
-	for n := range size {
+	controllers = make([]*controllerProcess, clusterSize)
+	for n := range clusterSize {
 		controllers[n] = w.boot(n)
 	}
 	return ctx, w, store, cloud, controllers, func() {
 		cancel()
-		for _, c := range controllers {
-			c.kill()
+		for _, process := range controllers {
+			process.kill()
 		}
 		store.setOutage(false)
-		w.net.close()
-		for _, srv := range servers {
-			srv.Close()
+		w.net.shutdown()
+		for _, server := range servers {
+			server.Close()
 		}
-		for _, c := range controllers {
-			<-c.exited
+		for _, process := range controllers {
+			<-process.exited
 		}
 		w.wg.Wait()
 		store.mu.Lock()
 		store.cond.Broadcast()
 		store.mu.Unlock()
-		for _, k := range w.workers {
-			k.mu.Lock()
-			for _, x := range k.tasks {
-				if x.timer != nil {
-					x.timer.Stop()
+		for _, worker := range w.workers {
+			worker.mu.Lock()
+			for _, task := range worker.tasks {
+				if task.timer != nil {
+					task.timer.Stop()
 				}
 			}
-			k.mu.Unlock()
+			worker.mu.Unlock()
 		}
 		time.Sleep(2 * leaseDuration) // what still sleeps or waits comes to its end
 	}
 }
 
 // seeds is how many days a test plays: as many as the environment says, or a few.
-func seedCount(few uint64) uint64 {
+func seedCount(defaultCount uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SIM_SEEDS"), 10, 64); err == nil {
 		return n
 	}
-	return few
+	return defaultCount
 }
 
 func TestRandomScenarios(t *testing.T) {
 	for seed := range seedCount(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				breaches, w := runRandomScenario(t, seed, seed%2 == 1, "", nil)
-				for _, b := range breaches {
+				violations, w := runRandomScenario(t, seed, seed%2 == 1, "", nil)
+				for _, b := range violations {
 					t.Error(b)
 				}
-				for jobID, j := range w.jobs {
+				for jobID, job := range w.jobs {
 					want := wire.PhaseDone
-					if j.Kind == wire.KindService {
+					if job.Kind == wire.KindService {
 						want = wire.PhaseCancelled
 					}
 					if got := w.lastPhase[jobID]; got != wire.PhaseDone && got != wire.PhaseCancelled {
@@ -129,13 +129,13 @@
 // The checks themselves can fail: each finds what is made to look wrong.
 func TestChecksDetectViolations(t *testing.T) {
 	// every changes what the world believes of each job, not what is submitted.
-	every := func(change func(w *world, jobID string, j *wire.Job)) func(*world) {
+	changeEachJob := func(change func(w *world, jobID string, job *wire.Job)) func(*world) {
 		return func(w *world) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			for jobID, j := range w.jobs {
-				change(w, jobID, &j)
-				w.jobs[jobID] = j
+			for jobID, job := range w.jobs {
+				change(w, jobID, &job)
+				w.jobs[jobID] = job
 			}
 		}
 	}
@@ -143,31 +143,31 @@
 		rule   string
 		tamper func(*world)
 	}{
-		{"ran_twice", every(func(w *world, jobID string, j *wire.Job) {
-			for i := range j.TaskCount {
+		{"ran_twice", changeEachJob(func(w *world, jobID string, job *wire.Job) {
+			for i := range job.TaskCount {
 				w.hostOf[ledger.Task{JobID: jobID, Index: i}] = "elsewhere"
 			}
 		})},
-		{"too_early", every(func(w *world, jobID string, j *wire.Job) {
+		{"too_early", changeEachJob(func(w *world, jobID string, job *wire.Job) {
 			w.jobs["req-9"] = wire.Job{ID: "req-9", TaskCount: 1}
 			if jobID != "req-9" {
-				j.DependsOn = []string{"req-9"}
+				job.DependsOn = []string{"req-9"}
 			}
 		})},
-		{"orphaned", every(func(w *world, jobID string, j *wire.Job) {
+		{"orphaned", changeEachJob(func(w *world, jobID string, job *wire.Job) {
 			w.jobs["req-9"] = wire.Job{ID: "req-9"}
 			w.cancelledAt["req-9"] = time.Now().Add(-time.Hour)
 			if jobID != "req-9" {
-				j.DependsOn = []string{"req-9"}
+				job.DependsOn = []string{"req-9"}
 			}
 		})},
-		{"quota", every(func(w *world, jobID string, j *wire.Job) { j.CPUs *= 20 })},
+		{"quota", changeEachJob(func(w *world, jobID string, job *wire.Job) { job.CPUs *= 20 })},
 	} {
 		t.Run(tc.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				breaches, _ := runRandomScenario(t, 1, false, "", tc.tamper)
-				if !slices.ContainsFunc(breaches, func(b string) bool { return strings.HasPrefix(b, tc.rule) }) {
-					t.Errorf("not noticed among %d breaches", len(breaches))
+				violations, _ := runRandomScenario(t, 1, false, "", tc.tamper)
+				if !slices.ContainsFunc(violations, func(b string) bool { return strings.HasPrefix(b, tc.rule) }) {
+					t.Errorf("not noticed among %d breaches", len(violations))
 				}
 			})
 		})
--- a/internal/sim/store_test.go
+++ b/internal/sim/store_test.go
@@ -49,9 +49,9 @@
 	requestsBySecond, writesBySecond    map[int64]int  // requests and changes, by the second
 }
 
-func newFakeStore(rnd *rand.Rand, broke func(string, ...any)) *fakeStore {
+func newFakeStore(rnd *rand.Rand, recordViolation func(string, ...any)) *fakeStore {
 	s := &fakeStore{
-		rnd: rnd, recordViolation: broke, revision: 1, keys: map[string]wire.KeyValue{},
+		rnd: rnd, recordViolation: recordViolation, revision: 1, keys: map[string]wire.KeyValue{},
 		leaseEnds: map[uint64]time.Time{}, leaseTTLs: map[uint64]time.Duration{},
 		maxValueBytes: 16 << 10, maxOperations: 16, refusedControllers: map[string]bool{},
 		tooLargeCounts: map[string]int{}, requestsBySecond: map[int64]int{}, writesBySecond: map[int64]int{},
@@ -61,16 +61,16 @@
 }
 
 // withinRate takes so many from a limit, if it allows them; run it with the lock held.
-func (s *fakeStore) takeRate(limit *rate.Limiter, n int) bool {
-	return limit == nil || limit.AllowN(time.Now(), n)
+func (s *fakeStore) takeRate(limiter *rate.Limiter, n int) bool {
+	return limiter == nil || limiter.AllowN(time.Now(), n)
 }
 
 // leaderChanges is how often a controller took the leader's key since a time.
 func (s *fakeStore) leaderChanges(since time.Time) (changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, c := range s.log {
-		if c.Put == "lead" && s.logTimes[i].After(since) {
+	for i, op := range s.log {
+		if op.Put == "lead" && s.logTimes[i].After(since) {
 			changes++
 		}
 	}
@@ -78,28 +78,28 @@
 }
 
 // peakRates is the most requests and changes in a second since a time.
-func (s *fakeStore) peakRates(since time.Time) (asked, wrote int) {
+func (s *fakeStore) peakRates(since time.Time) (requests, writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for sec, n := range s.requestsBySecond {
-		if sec >= since.Unix() {
-			asked, wrote = max(asked, n), max(wrote, s.writesBySecond[sec])
+	for second, n := range s.requestsBySecond {
+		if second >= since.Unix() {
+			requests, writes = max(requests, n), max(writes, s.writesBySecond[second])
 		}
 	}
-	return asked, wrote
+	return requests, writes
 }
 
 // recordEvent adds to the log; run it with the lock held.
-func (s *fakeStore) recordEvent(c wire.Operation) {
-	s.log, s.logTimes = append(s.log, c), append(s.logTimes, time.Now())
+func (s *fakeStore) recordEvent(op wire.Operation) {
+	s.log, s.logTimes = append(s.log, op), append(s.logTimes, time.Now())
 }
 
 // apply carries a change out; run it with the lock held.
-func (s *fakeStore) apply(c wire.Operation) {
-	if c.Put != "" {
-		s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: c.ModRevision, LeaseID: c.LeaseID}
+func (s *fakeStore) apply(op wire.Operation) {
+	if op.Put != "" {
+		s.keys[op.Put] = wire.KeyValue{Key: op.Put, Value: op.Value, ModRevision: op.ModRevision, LeaseID: op.LeaseID}
 	} else {
-		delete(s.keys, c.Delete)
+		delete(s.keys, op.Delete)
 	}
 }
 
@@ -108,9 +108,9 @@
 	if s.unavailable {
 		return
 	}
-	for t, at := range s.leaseEnds {
-		if time.Now().After(at) {
-			s.dropLease(t)
+	for leaseID, expiry := range s.leaseEnds {
+		if time.Now().After(expiry) {
+			s.dropLease(leaseID)
 		}
 	}
 }
@@ -118,11 +118,11 @@
 // dropLease ends a lease, and removes the keys on it; run it with the lock held.
 func (s *fakeStore) dropLease(leaseID uint64) {
 	delete(s.leaseEnds, leaseID)
-	for k, it := range s.keys {
-		if it.LeaseID == leaseID {
+	for key, item := range s.keys {
+		if item.LeaseID == leaseID {
 			s.revision++
-			delete(s.keys, k)
-			s.recordEvent(wire.Operation{Delete: k, ModRevision: s.revision})
+			delete(s.keys, key)
+			s.recordEvent(wire.Operation{Delete: key, ModRevision: s.revision})
 		}
 	}
 	s.cond.Broadcast()
@@ -144,45 +144,45 @@
 // tooLarge tells whether a transaction is over the limits. Once they have fallen
 // as announced, one may be sent that a controller could not know to be too large, but
 // not again. Two may come: one whose packets were held is sent anew without an answer.
-func (s *fakeStore) tooLarge(t wire.Txn) bool {
-	large := len(t.Operations) > s.maxOperations || len(t.Compares) > 4*s.maxOperations
-	for _, c := range t.Operations {
-		large = large || len(c.Value) > s.maxValueBytes
+func (s *fakeStore) tooLarge(txn wire.Txn) bool {
+	large := len(txn.Operations) > s.maxOperations || len(txn.Compares) > 4*s.maxOperations
+	for _, op := range txn.Operations {
+		large = large || len(op.Value) > s.maxValueBytes
 	}
 	if large {
-		b, _ := json.Marshal(t)
-		if !s.limitsLowered || s.tooLargeCounts[string(b)] > 1 {
-			s.recordViolation("a transaction of %d changes, %d guards and %d bytes", len(t.Operations), len(t.Compares), len(b))
+		encoded, _ := json.Marshal(txn)
+		if !s.limitsLowered || s.tooLargeCounts[string(encoded)] > 1 {
+			s.recordViolation("a transaction of %d changes, %d guards and %d bytes", len(txn.Operations), len(txn.Compares), len(encoded))
 		}
-		s.tooLargeCounts[string(b)]++
+		s.tooLargeCounts[string(encoded)]++
 	}
 	return large
 }
 
 // commit carries a transaction out, or refuses it; run it with the lock held.
-func (s *fakeStore) commit(t wire.Txn) (int, any) {
-	if s.tooLarge(t) {
+func (s *fakeStore) commit(txn wire.Txn) (int, any) {
+	if s.tooLarge(txn) {
 		return http.StatusBadRequest, wire.ErrorResponse{Error: "too large"}
 	}
 	var failed []string
-	for _, g := range t.Compares {
-		if s.keys[g.Key].ModRevision != g.ModRevision {
-			failed = append(failed, g.Key)
+	for _, compare := range txn.Compares {
+		if s.keys[compare.Key].ModRevision != compare.ModRevision {
+			failed = append(failed, compare.Key)
 		}
 	}
 	if len(failed) > 0 {
 		return http.StatusConflict, wire.TxnResponse{FailedKeys: failed, Revision: s.revision}
 	}
-	for _, c := range t.Operations {
-		if c.LeaseID != 0 && s.leaseEnds[c.LeaseID].IsZero() {
+	for _, op := range txn.Operations {
+		if op.LeaseID != 0 && s.leaseEnds[op.LeaseID].IsZero() {
 			return http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}
 		}
 	}
 	s.revision++
-	for _, c := range t.Operations {
-		c.ModRevision = s.revision
-		s.apply(c)
-		s.recordEvent(c)
+	for _, op := range txn.Operations {
+		op.ModRevision = s.revision
+		s.apply(op)
+		s.recordEvent(op)
 	}
 	s.cond.Broadcast()
 	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
--- a/internal/sim/storefaults_test.go
+++ b/internal/sim/storefaults_test.go
@@ -20,20 +20,20 @@
 }
 
 // lowerLimits lets the limits fall, as was announced to the controllers.
-func (s *fakeStore) lowerLimits(value, ops int) {
+func (s *fakeStore) lowerLimits(valueBytes, operations int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.maxValueBytes, s.maxOperations, s.limitsLowered = value, ops, true
+	s.maxValueBytes, s.maxOperations, s.limitsLowered = valueBytes, operations, true
 }
 
 // outage has the store refuse everybody; once it is over, every lease has its full time again.
-func (s *fakeStore) setOutage(on bool) {
+func (s *fakeStore) setOutage(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unavailable = on
-	for t, life := range s.leaseTTLs {
-		if !on && !s.leaseEnds[t].IsZero() {
-			s.leaseEnds[t] = time.Now().Add(life)
+	s.unavailable = unavailable
+	for leaseID, ttl := range s.leaseTTLs {
+		if !unavailable && !s.leaseEnds[leaseID].IsZero() {
+			s.leaseEnds[leaseID] = time.Now().Add(ttl)
 		}
 	}
 	s.cond.Broadcast()
@@ -47,68 +47,68 @@
 }
 
 // respondSlowly has answers take up to so long.
-func (s *fakeStore) respondSlowly(slow time.Duration) {
+func (s *fakeStore) respondSlowly(maxLatency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.latency = slow
+	s.latency = maxLatency
 }
 
 // applyLate carries a transaction out after a while, whatever came of it before.
-func (s *fakeStore) applyLate(t wire.Txn, after time.Duration) {
-	time.AfterFunc(after, func() {
+func (s *fakeStore) applyLate(txn wire.Txn, delay time.Duration) {
+	time.AfterFunc(delay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if s.expireLeases(); !s.unavailable {
-			s.commit(t)
+			s.commit(txn)
 		}
 	})
 }
 
 // refuseAlone has the store refuse a controller alone, or ends that.
-func (s *fakeStore) refuseController(node string, on bool) {
+func (s *fakeStore) refuseController(controller string, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusedControllers[node] = on
+	s.refusedControllers[controller] = refused
 	s.cond.Broadcast()
 }
 
 // loseData has the store lose data.
-func (s *fakeStore) loseData(how string, ago time.Duration, key string) {
+func (s *fakeStore) loseData(kind string, age time.Duration, keyPrefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch how {
+	switch kind {
 	case allKeysLost:
 		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, nil, nil
 		clear(s.leaseEnds)
 	case restoredFromBackup:
-		n := 0
-		for n < len(s.log) && n < len(s.logTimes) && time.Since(s.logTimes[n]) > ago {
-			n++
+		restored := 0
+		for restored < len(s.log) && restored < len(s.logTimes) && time.Since(s.logTimes[restored]) > age {
+			restored++
 		}
-		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, s.log[:n:n], s.logTimes[:n:n]
-		for _, c := range s.log {
-			s.revision = c.ModRevision
-			s.apply(c)
+		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, s.log[:restored:restored], s.logTimes[:restored:restored]
+		for _, op := range s.log {
+			s.revision = op.ModRevision
+			s.apply(op)
 		}
 		clear(s.leaseEnds)
-		for _, it := range s.keys { // grants come back with what is on them
-			if it.LeaseID != 0 {
-				s.leaseEnds[it.LeaseID] = time.Now().Add(s.leaseTTLs[it.LeaseID])
+		for _, item := range s.keys { // grants come back with what is on them
+			if item.LeaseID != 0 {
+				s.leaseEnds[item.LeaseID] = time.Now().Add(s.leaseTTLs[item.LeaseID])
 			}
 		}
 	case someKeysLost:
-		ks := slices.Sorted(maps.Keys(s.keys))
-		for i, k := range ks {
+		keys := slices.Sorted(maps.Keys(s.keys))
+		for i, key := range keys {
 			if i%3 == 1 {
-				delete(s.keys, k)
+				delete(s.keys, key)
 			}
 		}
 	case valueCorrupted:
-		for _, k := range slices.Sorted(maps.Keys(s.keys)) {
-			if strings.HasPrefix(k, key) {
-				it := s.keys[k]
-				it.Value = []byte(`"rot"`)
-				s.keys[k] = it
+		for _, key := range slices.Sorted(maps.Keys(s.keys)) {
+			if strings.HasPrefix(key, keyPrefix) {
+				item := s.keys[key]
+				item.Value = []byte(`"rot"`)
+				s.keys[key] = item
 				break
 			}
 		}
--- a/internal/sim/storeserver_test.go
+++ b/internal/sim/storeserver_test.go
@@ -149,10 +149,10 @@
 }
 
 func (s *fakeStore) serveGrant(w http.ResponseWriter, body []byte) {
-	var asked wire.Lease
-	json.Unmarshal(body, &asked)
+	var request wire.Lease
+	json.Unmarshal(body, &request)
 	s.lastLease++
-	ttl := time.Duration(asked.TTLMillis) * time.Millisecond
+	ttl := time.Duration(request.TTLMillis) * time.Millisecond
 	s.leaseEnds[s.lastLease], s.leaseTTLs[s.lastLease] = time.Now().Add(ttl), ttl
 	writeJSON(w, http.StatusOK, wire.Lease{ID: s.lastLease})
 }
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -29,9 +29,9 @@
 		ctx, w, _, _, controllers, end := startWorld(t, 31, 48, 12, "")
 		w.restartAll(controllers, func() { w.teamCount = teams })
 		n := 0
-		submit := func(team int, rank string, tasksPerJob int, at time.Duration) {
-			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: teamName(team), Kind: wire.KindArray, Priority: rank,
-				TaskCount: tasksPerJob, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, at, 0)
+		submit := func(team int, priority string, taskCount int, delay time.Duration) {
+			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: teamName(team), Kind: wire.KindArray, Priority: priority,
+				TaskCount: taskCount, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, delay, 0)
 			n++
 		}
 		for i := range 20 {
@@ -44,25 +44,25 @@
 		}
 		time.Sleep(215 * time.Second)
 		w.mu.Lock()
-		least, most := 1.0, 0.0
+		worst, best := 1.0, 0.0
 		for team := range teams {
-			asked, done := 0, 0
-			for jobID, j := range w.jobs {
-				if j.Team != teamName(team) {
+			submitted, done := 0, 0
+			for jobID, job := range w.jobs {
+				if job.Team != teamName(team) {
 					continue
 				}
-				asked++
+				submitted++
 				if w.allTasksDone(jobID) {
 					done++
 				}
 			}
-			share := float64(done) / float64(asked)
+			share := float64(done) / float64(submitted)
 			if team > 0 {
-				least, most = min(least, share), max(most, share)
+				worst, best = min(worst, share), max(best, share)
 			} else if share == 0 {
 				t.Error("the greedy team got nothing")
 			} else {
-				t.Logf("the greedy team: %.2f of %d jobs", share, asked)
+				t.Logf("the greedy team: %.2f of %d jobs", share, submitted)
 			}
 		}
 		w.mu.Unlock()
@@ -70,10 +70,10 @@
 		for _, b := range w.violations {
 			t.Error(b)
 		}
-		if least < 0.95 {
-			t.Errorf("of the others, the worst served has %.2f of its jobs done, the best %.2f", least, most)
+		if worst < 0.95 {
+			t.Errorf("of the others, the worst served has %.2f of its jobs done, the best %.2f", worst, best)
 		}
-		t.Logf("the others: %.2f to %.2f", least, most)
+		t.Logf("the others: %.2f to %.2f", worst, best)
 	})
 }
 
@@ -107,8 +107,8 @@
 		w.mu.Unlock()
 		cloud.mu.Lock()
 		cores := map[string]int{}
-		for _, h := range cloud.instances {
-			cores[h.Zone] += 8
+		for _, instance := range cloud.instances {
+			cores[instance.Zone] += 8
 		}
 		cloud.mu.Unlock()
 		end()
@@ -122,8 +122,8 @@
 		if cores["a"] > 96 {
 			t.Errorf("%d cores are kept in the large zone long after the arrays", cores["a"])
 		}
-		for jobID, j := range w.jobs {
-			if j.Kind == wire.KindArray && w.lastPhase[jobID] != wire.PhaseDone {
+		for jobID, job := range w.jobs {
+			if job.Kind == wire.KindArray && w.lastPhase[jobID] != wire.PhaseDone {
 				t.Errorf("%s is %q", jobID, w.lastPhase[jobID])
 			}
 		}
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -48,12 +48,12 @@
 
 func (k *fakeWorker) heartbeat() wire.Heartbeat {
 	k.sequence++
-	r := wire.Heartbeat{Worker: k.instance.Name, Address: k.instance.Address, InstanceType: k.instance.InstanceType, Zone: k.instance.Zone, Spot: k.instance.Spot, Incarnation: k.incarnation, Sequence: k.sequence, Epoch: k.epoch, Tasks: []wire.TaskStatus{}}
-	for _, t := range k.tasks {
-		r.Tasks = append(r.Tasks, t.TaskStatus)
+	heartbeat := wire.Heartbeat{Worker: k.instance.Name, Address: k.instance.Address, InstanceType: k.instance.InstanceType, Zone: k.instance.Zone, Spot: k.instance.Spot, Incarnation: k.incarnation, Sequence: k.sequence, Epoch: k.epoch, Tasks: []wire.TaskStatus{}}
+	for _, task := range k.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, task.TaskStatus)
 	}
-	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Task < r.Tasks[b].Task })
-	return r
+	sort.Slice(heartbeat.Tasks, func(a, b int) bool { return heartbeat.Tasks[a].Task < heartbeat.Tasks[b].Task })
+	return heartbeat
 }
 
 // expire ends the session once the lease is over; run it with the lock held.
@@ -61,52 +61,52 @@
 	if time.Since(k.lastAnswered) <= leaseDuration {
 		return
 	}
-	k.endTasks()
+	k.clear()
 	k.incarnation++
 	k.lastAnswered = time.Now()
 }
 
-func (k *fakeWorker) endTasks() {
-	for _, t := range k.tasks {
-		k.endTask(t, "killed")
+func (k *fakeWorker) clear() {
+	for _, task := range k.tasks {
+		k.endTask(task, "killed")
 	}
 	k.tasks = map[string]*workerTask{}
 }
 
-func (k *fakeWorker) endTask(t *workerTask, cause string) {
-	if t.timer != nil {
-		t.timer.Stop()
+func (k *fakeWorker) endTask(task *workerTask, cause string) {
+	if task.timer != nil {
+		task.timer.Stop()
 	}
-	if t.Phase == wire.TaskRunning {
-		k.w.taskStopped(t.TaskStatus.Task, k.instance.Name)
+	if task.Phase == wire.TaskRunning {
+		k.w.taskStopped(task.TaskStatus.Task, k.instance.Name)
 	}
-	t.Phase, t.ExitReason = wire.TaskExited, cause
+	task.Phase, task.ExitReason = wire.TaskExited, cause
 }
 
 func (k *fakeWorker) run(ctx context.Context) {
-	srv := &http.Server{Handler: k, ErrorLog: log.New(io.Discard, "", 0)}
-	go srv.Serve(k.w.net.listen(k.instance.Name, k.instance.Address))
-	defer srv.Close()
+	server := &http.Server{Handler: k, ErrorLog: log.New(io.Discard, "", 0)}
+	go server.Serve(k.w.net.listen(k.instance.Name, k.instance.Address))
+	defer server.Close()
 	// The lease ends when it ends, whatever the worker waits for.
 	go func() {
 		for {
 			k.mu.Lock()
 			k.expire()
-			left := leaseDuration - time.Since(k.lastAnswered) + time.Millisecond
+			remaining := leaseDuration - time.Since(k.lastAnswered) + time.Millisecond
 			k.mu.Unlock()
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(left):
+			case <-time.After(remaining):
 			}
 		}
 	}()
 	for {
-		d := heartbeatInterval*3/4 + time.Duration(k.w.intN(int(heartbeatInterval/2)))
+		delay := heartbeatInterval*3/4 + time.Duration(k.w.intN(int(heartbeatInterval/2)))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(d):
+		case <-time.After(delay):
 		case <-k.heartbeatNow:
 			time.Sleep(500 * time.Millisecond)
 		}
@@ -121,46 +121,46 @@
 		return
 	}
 	k.expire()
-	r := k.heartbeat()
-	sent, node := time.Now(), k.controller
+	heartbeat := k.heartbeat()
+	sentAt, controller := time.Now(), k.controller
 	k.mu.Unlock()
-	body, _ := json.Marshal(r)
+	body, _ := json.Marshal(heartbeat)
 	if k.isHeartbeatLost(ctx, body) {
 		return
 	}
-	rctx, cancel := context.WithTimeout(ctx, 4*time.Second)
+	requestCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(rctx, "POST", "http://"+frontAddress(node)+"/agent/beat", bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(requestCtx, "POST", "http://"+frontAddress(controller)+"/agent/beat", bytes.NewReader(body))
 	res, err := k.client.Do(req)
 	var data []byte
 	if err == nil {
 		data, err = io.ReadAll(res.Body)
 		res.Body.Close()
 	}
-	k.duplicateLater(ctx, node, body)
+	k.duplicateLater(ctx, controller, body)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
 	switch {
 	case ctx.Err() != nil:
 	case k.dropsAnswers || k.paused:
-		k.controller = (node + 1) % k.w.clusterSize
+		k.controller = (controller + 1) % k.w.clusterSize
 		k.requestHeartbeat()
 	case err == nil && res.StatusCode == 200:
-		var o wire.CommandBatch
-		json.Unmarshal(data, &o)
-		if k.incarnation != r.Incarnation || o.Epoch < k.epoch {
+		var commands wire.CommandBatch
+		json.Unmarshal(data, &commands)
+		if k.incarnation != heartbeat.Incarnation || commands.Epoch < k.epoch {
 			return
 		}
-		k.epoch, k.lastAnswered = o.Epoch, sent
-		k.execute(o.Commands)
+		k.epoch, k.lastAnswered = commands.Epoch, sentAt
+		k.execute(commands.Commands)
 	case err == nil && res.StatusCode == 421 && strings.Contains(string(data), "host-"):
-		var s wire.Redirect
-		json.Unmarshal(data, &s)
-		k.controller = int(s.Controller[len("host-")] - '0')
+		var redirect wire.Redirect
+		json.Unmarshal(data, &redirect)
+		k.controller = int(redirect.Controller[len("host-")] - '0')
 		k.requestHeartbeat()
 	default:
-		k.controller = (node + 1) % k.w.clusterSize
+		k.controller = (controller + 1) % k.w.clusterSize
 		k.requestHeartbeat()
 	}
 }
@@ -169,12 +169,12 @@
 // the next controller.
 func (k *fakeWorker) isHeartbeatLost(ctx context.Context, body []byte) bool {
 	k.mu.Lock()
-	mute, keep := k.dropsHeartbeats, k.holdsNext
-	if keep {
+	drops, holds := k.dropsHeartbeats, k.holdsNext
+	if holds {
 		k.heldHeartbeat, k.holdsNext = body, false
 	}
 	k.mu.Unlock()
-	if !mute && !keep {
+	if !drops && !holds {
 		return false
 	}
 	select {
@@ -191,22 +191,22 @@
 
 // late delivers the heartbeat that was held back, to a controller, and tells whether there
 // was one. Nobody waits for the answer any more.
-func (k *fakeWorker) deliverHeld(ctx context.Context, node int) bool {
+func (k *fakeWorker) deliverHeld(ctx context.Context, controller int) bool {
 	k.mu.Lock()
 	body := k.heldHeartbeat
 	k.heldHeartbeat = nil
 	k.mu.Unlock()
 	if body != nil {
-		k.post(ctx, node, body)
+		k.post(ctx, controller, body)
 	}
 	return body != nil
 }
 
 // post sends a heartbeat whose answer goes to nobody.
-func (k *fakeWorker) post(ctx context.Context, node int, body []byte) {
+func (k *fakeWorker) post(ctx context.Context, controller int, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+frontAddress(node)+"/agent/beat", bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+frontAddress(controller)+"/agent/beat", bytes.NewReader(body))
 	if res, err := k.client.Do(req); err == nil {
 		io.Copy(io.Discard, res.Body)
 		res.Body.Close()
@@ -215,15 +215,15 @@
 
 // echo has a copy of a heartbeat arrive again, for a share of them: much later, and at
 // whichever controller is there.
-func (k *fakeWorker) duplicateLater(ctx context.Context, node int, body []byte) {
+func (k *fakeWorker) duplicateLater(ctx context.Context, controller int, body []byte) {
 	k.w.mu.Lock()
-	again := k.w.rnd.Float64() < k.w.duplicateShare
-	by := 2*time.Second + time.Duration(k.w.rnd.Int64N(int64(3*leaseDuration/2)))
+	duplicate := k.w.rnd.Float64() < k.w.duplicateShare
+	delay := 2*time.Second + time.Duration(k.w.rnd.Int64N(int64(3*leaseDuration/2)))
 	k.w.mu.Unlock()
-	if !again {
+	if !duplicate {
 		return
 	}
-	time.AfterFunc(by, func() { k.post(ctx, node, body) })
+	time.AfterFunc(delay, func() { k.post(ctx, controller, body) })
 }
 
 func (k *fakeWorker) requestHeartbeat() {
@@ -233,29 +233,29 @@
 	}
 }
 
-func (k *fakeWorker) execute(os []wire.Command) {
-	for _, o := range os {
-		key := o.Task
-		t := k.tasks[key]
-		switch o.Action {
+func (k *fakeWorker) execute(commands []wire.Command) {
+	for _, command := range commands {
+		key := command.Task
+		task := k.tasks[key]
+		switch command.Action {
 		case wire.ActionStart:
-			if t != nil {
-				if t.Attempt != o.Attempt && t.Phase != wire.TaskExited {
-					k.w.recordViolation("%s: launched as try %d while try %d is there", key, o.Attempt, t.Attempt)
+			if task != nil {
+				if task.Attempt != command.Attempt && task.Phase != wire.TaskExited {
+					k.w.recordViolation("%s: launched as try %d while try %d is there", key, command.Attempt, task.Attempt)
 				}
-				if t.Attempt == o.Attempt || t.Phase != wire.TaskExited {
+				if task.Attempt == command.Attempt || task.Phase != wire.TaskExited {
 					continue
 				}
 			}
-			t = &workerTask{TaskStatus: wire.TaskStatus{Task: key, Attempt: o.Attempt, Phase: wire.TaskFetching}}
-			k.tasks[key] = t
-			t.timer = time.AfterFunc(time.Second, func() { k.startTask(t) })
+			task = &workerTask{TaskStatus: wire.TaskStatus{Task: key, Attempt: command.Attempt, Phase: wire.TaskFetching}}
+			k.tasks[key] = task
+			task.timer = time.AfterFunc(time.Second, func() { k.startTask(task) })
 		case wire.ActionStop:
-			if t != nil && t.Attempt == o.Attempt && t.Phase != wire.TaskExited {
-				k.endTask(t, wire.ExitStopped)
+			if task != nil && task.Attempt == command.Attempt && task.Phase != wire.TaskExited {
+				k.endTask(task, wire.ExitStopped)
 			}
 		case wire.ActionForget:
-			if t != nil && t.Attempt == o.Attempt && t.Phase == wire.TaskExited {
+			if task != nil && task.Attempt == command.Attempt && task.Phase == wire.TaskExited {
 				delete(k.tasks, key)
 			}
 		}
@@ -263,56 +263,56 @@
 	}
 }
 
-func (k *fakeWorker) startTask(t *workerTask) {
+func (k *fakeWorker) startTask(task *workerTask) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
 	if k.paused {
-		t.timer = time.AfterFunc(time.Second, func() { k.startTask(t) })
+		task.timer = time.AfterFunc(time.Second, func() { k.startTask(task) })
 		return
 	}
-	if t.Phase != wire.TaskFetching || k.tasks[t.TaskStatus.Task] != t {
+	if task.Phase != wire.TaskFetching || k.tasks[task.TaskStatus.Task] != task {
 		return
 	}
-	id, _ := ledger.ParseTask(t.TaskStatus.Task)
-	j := k.w.taskStarted(id, t.Attempt, k.instance)
+	id, _ := ledger.ParseTask(task.TaskStatus.Task)
+	job := k.w.taskStarted(id, task.Attempt, k.instance)
 	if duration := time.Since(k.mutedSince); k.dropsHeartbeats && duration > leaseDuration {
 		k.w.mu.Lock()
 		k.w.recordViolation("mute: %s starts on %s, which has reached no controller for %v", id, k.instance.Name, duration)
 		k.w.mu.Unlock()
 	}
-	t.Phase = wire.TaskRunning
+	task.Phase = wire.TaskRunning
 	k.requestHeartbeat()
-	if j.Kind == wire.KindArray {
+	if job.Kind == wire.KindArray {
 		if k.w.isTaskDone(id) { // the result was kept
-			t.timer = time.AfterFunc(0, func() { k.completeTask(t, id) })
+			task.timer = time.AfterFunc(0, func() { k.completeTask(task, id) })
 			return
 		}
-		duration := j.ExpectedSeconds * (1 + k.w.durationSpread*float64(id.Index))
-		t.timer = time.AfterFunc(time.Duration(duration*float64(time.Second)), func() { k.completeTask(t, id) })
+		duration := job.ExpectedSeconds * (1 + k.w.durationSpread*float64(id.Index))
+		task.timer = time.AfterFunc(time.Duration(duration*float64(time.Second)), func() { k.completeTask(task, id) })
 	}
 }
 
 // complete ends a task that is done, once its worker goes on.
-func (k *fakeWorker) completeTask(t *workerTask, id ledger.Task) {
+func (k *fakeWorker) completeTask(task *workerTask, id ledger.Task) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.paused {
-		t.timer = time.AfterFunc(time.Second, func() { k.completeTask(t, id) })
+		task.timer = time.AfterFunc(time.Second, func() { k.completeTask(task, id) })
 		return
 	}
 	k.expire()
-	if t.Phase == wire.TaskRunning && k.tasks[t.TaskStatus.Task] == t {
-		k.endTask(t, wire.ExitDone)
+	if task.Phase == wire.TaskRunning && k.tasks[task.TaskStatus.Task] == task {
+		k.endTask(task, wire.ExitDone)
 		k.w.taskDone(id)
 		k.requestHeartbeat()
 	}
 }
 
 func (k *fakeWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var o wire.CommandBatch
+	var batch wire.CommandBatch
 	if r.Method == http.MethodPost {
-		json.NewDecoder(r.Body).Decode(&o)
+		json.NewDecoder(r.Body).Decode(&batch)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -322,11 +322,11 @@
 	k.expire()
 	status := 200
 	if r.URL.Path == "/do" {
-		if o.Epoch < k.epoch || o.Incarnation != k.incarnation {
+		if batch.Epoch < k.epoch || batch.Incarnation != k.incarnation {
 			status = 409
 		} else {
-			k.epoch = o.Epoch
-			k.execute(o.Commands)
+			k.epoch = batch.Epoch
+			k.execute(batch.Commands)
 		}
 	}
 	writeJSON(w, status, k.heartbeat())
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -67,8 +67,8 @@
 
 func (w *world) stopped() bool { return w.ctx.Err() != nil }
 
-func (w *world) recordViolation(format string, a ...any) {
-	w.violations = append(w.violations, fmt.Sprintf(format, a...))
+func (w *world) recordViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
 // run is an attempt of a task on a worker.
@@ -79,84 +79,84 @@
 }
 
 // taskStarted notes a task's start and checks the rules that a start can break.
-func (w *world) taskStarted(id ledger.Task, try uint64, h wire.Instance) wire.Job {
+func (w *world) taskStarted(id ledger.Task, attempt uint64, instance wire.Instance) wire.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts++
-	w.startedAttempts[startedAttempt{id, try, h.Name}] = true
+	w.startedAttempts[startedAttempt{id, attempt, instance.Name}] = true
 	if w.firstStart[id.JobID].IsZero() {
 		w.firstStart[id.JobID] = time.Now()
 	}
-	j, ok := w.jobs[id.JobID]
+	job, ok := w.jobs[id.JobID]
 	if !ok {
 		w.recordViolation("%s started, which nobody submitted", id)
-		return j
+		return job
 	}
-	for _, n := range j.DependsOn {
-		for i := range w.jobs[n].TaskCount {
-			if !w.doneTasks[ledger.Task{JobID: n, Index: i}] {
-				w.recordViolation("too_early: %s starts before %s/%d is done", id, n, i)
+	for _, dependency := range job.DependsOn {
+		for i := range w.jobs[dependency].TaskCount {
+			if !w.doneTasks[ledger.Task{JobID: dependency, Index: i}] {
+				w.recordViolation("too_early: %s starts before %s/%d is done", id, dependency, i)
 			}
 		}
 	}
 	if other := w.hostOf[id]; other != "" {
-		w.recordViolation("ran_twice: %s starts on %s while on %s", id, h.Name, other)
+		w.recordViolation("ran_twice: %s starts on %s while on %s", id, instance.Name, other)
 	}
-	w.setTaskHost(id, h.Name)
-	if at, ok := w.cancelledAt[id.JobID]; ok {
-		w.lateStarts = append(w.lateStarts, time.Since(at))
-		if time.Since(at) > cancelTimeout {
-			w.recordViolation("ran_cancelled: %s starts %v after", id, time.Since(at))
+	w.setTaskHost(id, instance.Name)
+	if cancelledAt, ok := w.cancelledAt[id.JobID]; ok {
+		w.lateStarts = append(w.lateStarts, time.Since(cancelledAt))
+		if time.Since(cancelledAt) > cancelTimeout {
+			w.recordViolation("ran_cancelled: %s starts %v after", id, time.Since(cancelledAt))
 		}
 	}
-	if h.Spot && !j.AllowSpot {
+	if instance.Spot && !job.AllowSpot {
 		w.recordViolation("wrong_place: %s on a spot machine", id)
 	}
-	if len(j.InstanceTypes) > 0 && !slices.Contains(j.InstanceTypes, h.InstanceType) {
-		w.recordViolation("wrong_place: %s on a machine of type %s", id, h.InstanceType)
+	if len(job.InstanceTypes) > 0 && !slices.Contains(job.InstanceTypes, instance.InstanceType) {
+		w.recordViolation("wrong_place: %s on a machine of type %s", id, instance.InstanceType)
 	}
-	if j.Zone != "" && j.Zone != h.Zone {
-		w.recordViolation("wrong_place: %s in zone %s, not %s", id, h.Zone, j.Zone)
+	if job.Zone != "" && job.Zone != instance.Zone {
+		w.recordViolation("wrong_place: %s in zone %s, not %s", id, instance.Zone, job.Zone)
 	}
-	used, zone, all := w.usedCPUs[j.Team], 0, 0
-	for i := range j.TaskCount {
-		if k := w.workers[w.hostOf[ledger.Task{JobID: id.JobID, Index: i}]]; k != nil {
-			if all++; k.instance.Zone == h.Zone {
-				zone++
+	teamCPUs, inZone, placed := w.usedCPUs[job.Team], 0, 0
+	for i := range job.TaskCount {
+		if worker := w.workers[w.hostOf[ledger.Task{JobID: id.JobID, Index: i}]]; worker != nil {
+			if placed++; worker.instance.Zone == instance.Zone {
+				inZone++
 			}
 		}
 	}
-	if used > w.teamCPULimit+1e-6 {
-		w.recordViolation("quota: %v CPUs of %s", used, j.Team)
+	if teamCPUs > w.teamCPULimit+1e-6 {
+		w.recordViolation("quota: %v CPUs of %s", teamCPUs, job.Team)
 	}
-	if j.SpreadZones && zone > (j.TaskCount+1)/2 {
-		w.recordViolation("wrong_place: %d of %d tasks of %s in a zone", zone, j.TaskCount, id.JobID)
+	if job.SpreadZones && inZone > (job.TaskCount+1)/2 {
+		w.recordViolation("wrong_place: %d of %d tasks of %s in a zone", inZone, job.TaskCount, id.JobID)
 	}
-	if j.SingleZone && zone < all {
-		w.recordViolation("wrong_place: %s in another zone than %d tasks of its job", id, all-zone)
+	if job.SingleZone && inZone < placed {
+		w.recordViolation("wrong_place: %s in another zone than %d tasks of its job", id, placed-inZone)
 	}
-	return j
+	return job
 }
 
 // orphan tells since when a user knows that something before a job is cancelled;
 // run it with the lock held.
-func (w *world) dependencyCancelledAt(jobID string) (at time.Time) {
-	for _, n := range w.jobs[jobID].DependsOn {
-		for _, t := range []time.Time{w.cancelledAt[n], w.dependencyCancelledAt(n)} {
-			if !t.IsZero() && (at.IsZero() || t.Before(at)) {
-				at = t
+func (w *world) dependencyCancelledAt(jobID string) (earliest time.Time) {
+	for _, dependency := range w.jobs[jobID].DependsOn {
+		for _, candidate := range []time.Time{w.cancelledAt[dependency], w.dependencyCancelledAt(dependency)} {
+			if !candidate.IsZero() && (earliest.IsZero() || candidate.Before(earliest)) {
+				earliest = candidate
 			}
 		}
 	}
-	return at
+	return earliest
 }
 
-func (w *world) taskStopped(member, host string) {
-	id, _ := ledger.ParseTask(member)
+func (w *world) taskStopped(taskName, host string) {
+	id, _ := ledger.ParseTask(taskName)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if at, ok := w.cancelledAt[id.JobID]; ok && time.Since(at) > cancelTimeout {
-		w.recordViolation("ran_cancelled: %s was on %s %v after", id, host, time.Since(at))
+	if cancelledAt, ok := w.cancelledAt[id.JobID]; ok && time.Since(cancelledAt) > cancelTimeout {
+		w.recordViolation("ran_cancelled: %s was on %s %v after", id, host, time.Since(cancelledAt))
 	}
 	if w.hostOf[id] == host {
 		w.setTaskHost(id, "")
@@ -166,14 +166,14 @@
 // place notes where a task is, "" for nowhere, and what its team uses; run it with the
 // lock held.
 func (w *world) setTaskHost(id ledger.Task, host string) {
-	j := w.jobs[id.JobID]
-	if _, there := w.hostOf[id]; there {
-		w.usedCPUs[j.Team] -= j.CPUs
+	job := w.jobs[id.JobID]
+	if _, placed := w.hostOf[id]; placed {
+		w.usedCPUs[job.Team] -= job.CPUs
 		delete(w.hostOf, id)
 	}
 	if host != "" {
 		w.hostOf[id] = host
-		w.usedCPUs[j.Team] += j.CPUs
+		w.usedCPUs[job.Team] += job.CPUs
 	}
 }
 
@@ -189,40 +189,40 @@
 	return w.doneTasks[id]
 }
 
-func (w *world) startWorker(h wire.Instance) {
+func (w *world) startWorker(instance wire.Instance) {
 	ctx, cancel := context.WithCancel(w.ctx)
-	k := &fakeWorker{w: w, instance: h, cancel: cancel, incarnation: 1, lastAnswered: time.Now(), tasks: map[string]*workerTask{}, controller: w.intN(w.clusterSize), heartbeatNow: make(chan struct{}, 1),
-		client: &http.Client{Transport: &http.Transport{DialContext: w.net.forHost(h.Name).Dial}}}
+	worker := &fakeWorker{w: w, instance: instance, cancel: cancel, incarnation: 1, lastAnswered: time.Now(), tasks: map[string]*workerTask{}, controller: w.intN(w.clusterSize), heartbeatNow: make(chan struct{}, 1),
+		client: &http.Client{Transport: &http.Transport{DialContext: w.net.forHost(instance.Name).Dial}}}
 	w.mu.Lock()
-	k.dropsHeartbeats, k.mutedSince = w.newWorkersMute, time.Now()
-	w.workers[h.Name] = k
+	worker.dropsHeartbeats, worker.mutedSince = w.newWorkersMute, time.Now()
+	w.workers[instance.Name] = worker
 	w.mu.Unlock()
-	w.wg.Go(func() { k.run(ctx); k.client.CloseIdleConnections() })
+	w.wg.Go(func() { worker.run(ctx); worker.client.CloseIdleConnections() })
 }
 
 // stop takes a worker away with all that is on it.
 func (w *world) stopWorker(name string) {
 	w.mu.Lock()
-	k := w.workers[name]
+	worker := w.workers[name]
 	w.mu.Unlock()
-	if k == nil {
+	if worker == nil {
 		return
 	}
-	k.cancel()
+	worker.cancel()
 	w.net.resetHost(name)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.endTasks()
-	k.lastAnswered = time.Now().Add(time.Hour) // it is off: nothing happens there any more
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.clear()
+	worker.lastAnswered = time.Now().Add(time.Hour) // it is off: nothing happens there any more
 }
 
-func (w *world) controllerSettings(n int) *settings.Settings {
-	op, err := settings.ParseOperator([]byte(w.operatorSettings))
+func (w *world) controllerSettings(index int) *settings.Settings {
+	operator, err := settings.ParseOperator([]byte(w.operatorSettings))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	s := &settings.Settings{
-		Name: fmt.Sprintf("host-%d", n), Zone: zoneOf(n), FrontAddress: frontAddress(n), PeerAddress: peerAddress(n), Operator: op,
+		Name: fmt.Sprintf("host-%d", index), Zone: zoneOf(index), FrontAddress: frontAddress(index), PeerAddress: peerAddress(index), Operator: operator,
 		Services: settings.Services{Cloud: "cloud:1", Store: "state:1"},
 		Facts: settings.Facts{
 			ClockErrorMillis: 1000,
@@ -251,22 +251,22 @@
 	if w.storeRPS > 0 {
 		s.Facts.Store.RPS, s.Facts.Store.WriteRPS = w.storeRPS, w.storeWriteRPS
 	}
-	if w.upgraded[n] {
+	if w.upgraded[index] {
 		s.Facts.Store.Announced = &settings.AnnouncedStoreLimits{WriteRPS: 35, ValueKB: loweredValueBytes / 1024., TxnOps: loweredOperations}
 	}
-	for m := range w.clusterSize {
-		if m != n {
-			s.Peers = append(s.Peers, settings.Peer{Name: fmt.Sprintf("host-%d", m), Zone: zoneOf(m), Endpoint: peerAddress(m)})
+	for peer := range w.clusterSize {
+		if peer != index {
+			s.Peers = append(s.Peers, settings.Peer{Name: fmt.Sprintf("host-%d", peer), Zone: zoneOf(peer), Endpoint: peerAddress(peer)})
 		}
 	}
 	return s
 }
 
-func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
+func teamName(index int) string { return fmt.Sprintf("team-%02d", index) }
 
 // zoneOf is the zone of a controller.
-func zoneOf(n int) string { return []string{"a", "b", "a"}[n%3] }
+func zoneOf(controller int) string { return []string{"a", "b", "a"}[controller%3] }
 
-func frontAddress(n int) string { return fmt.Sprintf("front-%d:80", n) }
+func frontAddress(controller int) string { return fmt.Sprintf("front-%d:80", controller) }
 
-func peerAddress(n int) string { return fmt.Sprintf("back-%d:81", n) }
+func peerAddress(controller int) string { return fmt.Sprintf("back-%d:81", controller) }
--- a/internal/sim/writeoverload_test.go
+++ b/internal/sim/writeoverload_test.go
@@ -44,8 +44,8 @@
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	waiting, accepted := 0, 0
-	for jobID, at := range m.w.acceptedAt {
-		if at.After(loadEnded) {
+	for jobID, acceptedAt := range m.w.acceptedAt {
+		if acceptedAt.After(loadEnded) {
 			continue
 		}
 		if accepted++; m.w.lastPhase[jobID] != wire.PhaseDone {
@@ -85,9 +85,9 @@
 // Guards against a successor that does not go on with the backlog, and against cancellations that
 // wait behind it: the leader crashes in an overload, the store is away, and chains are cancelled.
 func TestOverloadThroughLeaderCrashAndOutage(t *testing.T) {
-	const lines, firstHead = 8, overloadJobs
+	const chainCount, firstHead = 8, overloadJobs
 	runFaultPlan(t, faultPlan{
-		seed: 778, maxInstances: 12, teamCPULimit: 100, jobs: chains(firstHead, lines),
+		seed: 778, maxInstances: 12, teamCPULimit: 100, jobs: chains(firstHead, chainCount),
 		faults: func(m *scenario) {
 			concurrently(
 				func() { m.overloadWrites(60, 12) },
@@ -97,8 +97,8 @@
 				},
 				func() {
 					time.Sleep(75 * time.Second)
-					for line := range lines {
-						m.w.wg.Go(func() { m.cancelRepeatedly(line%controllerCount, 60*time.Second, testJobID(firstHead+3*line)) })
+					for chain := range chainCount {
+						m.w.wg.Go(func() { m.cancelRepeatedly(chain%controllerCount, 60*time.Second, testJobID(firstHead+3*chain)) })
 					}
 				},
 				func() {
@@ -110,8 +110,8 @@
 			)
 		},
 		check: func(m *scenario) {
-			for line := range lines {
-				if head := testJobID(firstHead + 3*line); m.w.cancelledAt[head].IsZero() {
+			for chain := range chainCount {
+				if head := testJobID(firstHead + 3*chain); m.w.cancelledAt[head].IsZero() {
 					m.Errorf("%s was never told cancelled", head)
 				}
 			}
