--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -17,7 +17,7 @@
 	"rillflow/internal/wire"
 )
 
-// Get, List and Commit are what tools ask of the store.
+// Get, List and Commit serve the operators' tools, which use the store directly.
 
 func (s *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	s.mu.Lock()
@@ -49,7 +49,7 @@
 	return txnResponse.Revision, txnResponse.FailedKeys, nil
 }
 
-// newRing makes a key ring in a file.
+// newKeyring creates a key ring and returns it with the path of its file.
 func newKeyring(t *testing.T) (*keyring.Ring, string) {
 	path := filepath.Join(t.TempDir(), "keys")
 	if err := keyring.Init(path); err != nil {
@@ -62,7 +62,7 @@
 	return ring, path
 }
 
-// history reads the record that a day left, and checks it.
+// readAuditLog reads and verifies the audit log that a run left in the store.
 func readAuditLog(t *testing.T, w *world, ring *keyring.Ring) (*audit.History, *audit.Archive) {
 	archive, err := audit.Read(context.Background(), w.store, ring)
 	if err != nil {
@@ -85,27 +85,27 @@
 	return history, archive
 }
 
-// A day of crashes, cuts and takeovers is told by its record alone: who was accepted
-// and cancelled, every start of a task with the claim that allowed it, every end, and
-// nothing that did not happen.
+// Guards against an audit log that misses events or invents them. After a run of
+// crashes, partitions and leader changes, the log holds every acceptance, cancellation
+// and end, a claim for every task start, and nothing that did not happen.
 func TestAuditLogMatchesEvents(t *testing.T) {
 	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			ring, path := newKeyring(t)
 			synctest.Test(t, func(t *testing.T) {
 				if seed%3 == 0 {
-					// The key is replaced in the middle of the day.
+					// The key is rotated during the run.
 					rotate := time.AfterFunc(20*time.Second, func() { keyring.Rotate(path, time.Now().Add(2*leaseDuration)) })
 					defer rotate.Stop()
 				}
 				violations, w := runRandomScenario(t, 100+seed, seed%2 == 1, fmt.Sprintf("<rillflow><access><audit>on</audit><keys>%s</keys></access></rillflow>", path), nil)
-				for _, b := range violations {
-					t.Error(b)
+				for _, violation := range violations {
+					t.Error(violation)
 				}
 				history, archive := readAuditLog(t, w, ring)
 				checkAuditLog(t, w, history)
 				if last, err := audit.Open(archive.Blocks[len(archive.Blocks)-1]); err != nil || (last.Key == 2) != (seed%3 == 0) {
-					t.Errorf("the last block is sealed under key %d, %v", last.Key, err)
+					t.Errorf("the last block is sealed with key %d (error %v), want key 2 only after a rotation", last.Key, err)
 				}
 				leaders := 0
 				for _, e := range history.Others {
@@ -113,44 +113,44 @@
 						leaders++
 					}
 				}
-				t.Logf("%d blocks, %d entries, %d leaders, %d starts", len(archive.Blocks), history.Entries, leaders, w.starts)
+				t.Logf("%d blocks, %d entries, %d leader changes, %d task starts", len(archive.Blocks), history.Entries, leaders, w.starts)
 			})
 		})
 	}
 }
 
-// told compares a record with what the world knows to be true.
+// checkAuditLog compares an audit log with the true events of the run.
 func checkAuditLog(t *testing.T, w *world, history *audit.History) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if history.Missed > 0 {
-		t.Errorf("%d entries tell of others that are missing", history.Missed)
+		t.Errorf("%d entries refer to missing entries", history.Missed)
 	}
 	for jobID := range w.jobs {
 		recorded := history.Jobs[jobID]
 		if recorded == nil {
-			t.Errorf("%s is not in the record", jobID)
+			t.Errorf("job %s is not in the audit log", jobID)
 			continue
 		}
 		for _, f := range recorded.Faults {
-			t.Errorf("%s: %s", jobID, f)
+			t.Errorf("job %s: %s", jobID, f)
 		}
 		job := w.jobs[jobID]
 		if e := recorded.Accepted; e == nil || e.Action != audit.Accepted || e.Team != job.Team || e.Priority != job.Priority || e.Tasks[0].Index != job.TaskCount || e.Controller == "" {
-			t.Errorf("%s: its acceptance is told as %+v", jobID, e)
+			t.Errorf("job %s: acceptance is logged as %+v", jobID, e)
 		}
 		if (w.lastPhase[jobID] == wire.PhaseCancelled) != (recorded.Cancelled != nil) || (w.lastPhase[jobID] == wire.PhaseDone) != (recorded.Done != nil) {
-			t.Errorf("%s is %s, told withdrawn %v, done %v", jobID, w.lastPhase[jobID], recorded.Cancelled, recorded.Done)
+			t.Errorf("job %s is %s, but the log has cancellation %v, completion %v", jobID, w.lastPhase[jobID], recorded.Cancelled, recorded.Done)
 		}
-		// One that was asked for may have been carried there from a needed job first.
+		// A job whose cancellation was requested may already have been cancelled with a dependency.
 		if e := recorded.Cancelled; e != nil && (e.Controller != "" && !w.cancelRequested[jobID] || e.Controller == "" && e.Reason == "") {
-			t.Errorf("%s: asked %v, told %s", jobID, w.cancelRequested[jobID], e.Describe())
+			t.Errorf("job %s: cancellation requested %v, but logged as %s", jobID, w.cancelRequested[jobID], e.Describe())
 		}
 	}
 	claimed := make(map[startedAttempt]bool)
 	for jobID, recorded := range history.Jobs {
 		if _, ok := w.jobs[jobID]; !ok {
-			t.Errorf("%s is in the record, and nobody submitted it", jobID)
+			t.Errorf("job %s is in the audit log but was never submitted", jobID)
 		}
 		for _, e := range recorded.Entries {
 			for _, c := range e.Tasks {
@@ -162,7 +162,7 @@
 	}
 	for r := range w.startedAttempts {
 		if !claimed[r] {
-			t.Errorf("%s ran as try %d on %s without a claim in the record", r.task, r.attempt, r.host)
+			t.Errorf("%s ran as attempt %d on %s without a claim in the audit log", r.task, r.attempt, r.host)
 		}
 	}
 }
--- a/internal/sim/cancellationfaults_test.go
+++ b/internal/sim/cancellationfaults_test.go
@@ -11,24 +11,25 @@
 	"rillflow/internal/wire"
 )
 
-// Jobs are cancelled at the very moment at which the store refuses the leader, and
-// a second later it is out for all, for longer than cancelled tasks may stay.
+// Guards against cancelled tasks that run on past the cancel timeout. Jobs are cancelled
+// around the moment at which the store starts to refuse the leader, and a second later the
+// store fails for all controllers, for longer than the timeout.
 func TestCancelAsStoreRefusesLeader(t *testing.T) {
 	type testCase struct {
-		name string
-		cancelAfter   time.Duration // of the first request, from the refusal on
-		outageAfter time.Duration // from the refusal to the outage
-		controllerOffset   int           // the controller asked, counted from the leader
-		clusterSize int
-		concurrentFault func(m *scenario) // beside it
+		name             string
+		cancelAfter      time.Duration // from the refusal to the first cancellation
+		outageAfter      time.Duration // from the refusal to the store outage
+		controllerOffset int           // of the controller that is asked to cancel, from the leader
+		clusterSize      int
+		concurrentFault  func(m *scenario) // nil: none
 	}
 	var testCases []testCase
 	for at := -500 * time.Millisecond; at <= 1500*time.Millisecond; at += 100 * time.Millisecond {
-		for offset, via := range []string{"the leader", "the next", "a third"} {
-			testCases = append(testCases, testCase{fmt.Sprintf("%v, by %s", at, via), at, time.Second, offset, controllerCount, nil})
+		for offset, via := range []string{"the leader", "the next controller", "a third controller"} {
+			testCases = append(testCases, testCase{fmt.Sprintf("%v after the refusal, by %s", at, via), at, time.Second, offset, controllerCount, nil})
 		}
 	}
-	// Who confirmed ends, or freezes, right after.
+	// crashConfirming crashes the controller that confirmed the cancellations, right afterwards.
 	crashConfirming := func(downtime time.Duration) func(m *scenario) {
 		return func(m *scenario) {
 			time.Sleep(1100 * time.Millisecond)
@@ -36,13 +37,13 @@
 		}
 	}
 	testCases = append(testCases,
-		testCase{"who confirmed ends", 200 * time.Millisecond, time.Second, 1, controllerCount, crashConfirming(8 * time.Second)},
-		testCase{"who confirmed is back at once", 200 * time.Millisecond, time.Second, 1, controllerCount, crashConfirming(100 * time.Millisecond)},
-		testCase{"the old leader is back within a second", 0, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"confirming controller crashes", 200 * time.Millisecond, time.Second, 1, controllerCount, crashConfirming(8 * time.Second)},
+		testCase{"confirming controller restarts at once", 200 * time.Millisecond, time.Second, 1, controllerCount, crashConfirming(100 * time.Millisecond)},
+		testCase{"old leader restarts within a second", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			time.Sleep(3 * time.Second)
 			m.crashController(m.initialLeader, 500*time.Millisecond)
 		}},
-		testCase{"all end, and one returns", 0, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"all controllers crash, one restarts", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			time.Sleep(3 * time.Second)
 			m.restartControllers(300*time.Millisecond, (m.initialLeader+2)%controllerCount)
 			time.Sleep(20 * time.Second)
@@ -52,31 +53,31 @@
 				}
 			}
 		}},
-		testCase{"peers can't reach the leader", 0, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"a peer cannot reach the leader", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			m.partition([]string{controllerName(m.initialLeader)}, []string{controllerName((m.initialLeader + 1) % controllerCount)}, 60*time.Second)
 		}},
 		testCase{"five controllers", 0, time.Second, 2, 5, nil},
-		testCase{"five controllers, one dead", 0, time.Second, 2, 5, func(m *scenario) { m.crashController((m.initialLeader+3)%5, 60*time.Second) }},
-		testCase{"two are told at once", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"five controllers, one crashed", 0, time.Second, 2, 5, func(m *scenario) { m.crashController((m.initialLeader+3)%5, 60*time.Second) }},
+		testCase{"cancelled through two controllers at once", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			time.Sleep(100 * time.Millisecond)
 			m.cancelRepeatedly((m.initialLeader+2)%controllerCount, 10*time.Second, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
 		}},
-		testCase{"told by a submission sent again", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"cancellation reported to a resubmission", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			m.w.mu.Lock()
 			m.w.shouldResubmit = func(r string) bool { return r <= testJobID(3) && m.w.cancelledAt[r].IsZero() && m.w.cancelRequested[r] }
 			m.w.mu.Unlock()
 		}},
-		testCase{"the state service is slow", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"slow store", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			m.store.respondSlowly(600 * time.Millisecond)
 			time.Sleep(time.Second)
 			m.store.respondSlowly(0)
 		}},
-		testCase{"transactions are late", -200 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"late transactions", -200 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			m.store.delayTransactions(0.5)
 			time.Sleep(time.Second)
 			m.store.delayTransactions(0)
 		}},
-		testCase{"tasks are just being launched", 0, time.Second, 1, controllerCount, func(m *scenario) {
+		testCase{"tasks being launched", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			for i := range 4 {
 				m.w.submit(m.ctx, array(20+i, 3, 150*time.Second), 0, 0)
 			}
@@ -116,19 +117,22 @@
 	}
 }
 
-// A cancellation, a question and a repeated submission meet the end of a job's last task, at
-// each moment around it, with no other fault: exactly one of done and cancelled is told,
-// the same by every controller ever after, and done is told in time.
+// Guards against two final phases for one job. Without other faults, a cancellation, a
+// status read or a resubmission arrives shortly before or after the end of the job's last
+// task: every controller must report the same one of done and cancelled from then on,
+// within 3 s.
 func TestRequestsAroundLastTaskEnd(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		request  func(m *scenario, n int, jobID string) (status int, phase string)
+		name    string
+		request func(m *scenario, n int, jobID string) (status int, phase string)
 	}{
-		{"a withdrawal", func(m *scenario, n int, jobID string) (int, string) {
+		{"a cancellation", func(m *scenario, n int, jobID string) (int, string) {
 			return m.requestPhase(n, "POST", "/v1/jobs/"+jobID+"/withdraw", nil)
 		}},
-		{"a question", func(m *scenario, n int, jobID string) (int, string) { return m.requestPhase(n, "GET", "/v1/jobs/"+jobID, nil) }},
-		{"a submission sent again", func(m *scenario, n int, jobID string) (int, string) {
+		{"a status read", func(m *scenario, n int, jobID string) (int, string) {
+			return m.requestPhase(n, "GET", "/v1/jobs/"+jobID, nil)
+		}},
+		{"a resubmission", func(m *scenario, n int, jobID string) (int, string) {
 			return m.requestPhase(n, "POST", "/v1/jobs", validSubmission(jobID))
 		}},
 	} {
@@ -150,7 +154,7 @@
 						}
 						endsAt := startedAt.Add(20 * time.Second)
 						time.Sleep(time.Until(endsAt.Add(time.Duration(i-8) * 50 * time.Millisecond)))
-						if tc.name == "a withdrawal" {
+						if tc.name == "a cancellation" {
 							m.w.mu.Lock()
 							m.w.cancelRequested[jobID] = true
 							m.w.mu.Unlock()
@@ -159,12 +163,12 @@
 						checkAnswer := func(status int, phase string) {
 							if status != 200 || phase != wire.PhaseDone && phase != wire.PhaseCancelled {
 								if finalPhase != "" && phase != "" {
-									m.Errorf("%s: %q after %q", jobID, phase, finalPhase)
+									m.Errorf("job %s: got phase %q after %q", jobID, phase, finalPhase)
 								}
 								return
 							}
 							if finalPhase != "" && finalPhase != phase {
-								m.Errorf("%s: %s and %s", jobID, finalPhase, phase)
+								m.Errorf("job %s: reported %s, then %s", jobID, finalPhase, phase)
 							}
 							finalPhase = phase
 						}
@@ -174,7 +178,7 @@
 							checkAnswer(m.requestPhase((i+k)%controllerCount, "GET", "/v1/jobs/"+jobID, nil))
 						}
 						if finalPhase == "" && time.Since(endsAt) > 3*time.Second {
-							m.Errorf("%s: no end is told %v after its last task", jobID, time.Since(endsAt))
+							m.Errorf("job %s: no final phase reported %v after its last task ended", jobID, time.Since(endsAt))
 						}
 					})
 				}
@@ -184,20 +188,20 @@
 	}
 }
 
-// Without faults no task starts once its user was told that its job is cancelled: not
-// one whose image is being fetched, nor one whose launch is on its way.
+// Guards against tasks that start after their job's cancellation was confirmed, without
+// any fault: tasks whose image is still being fetched, or whose start command is in flight.
 func TestNoStartAfterCancellation(t *testing.T) {
-	for offset, via := range []string{"the leader", "the next", "a third"} {
-		t.Run("by "+via, func(t *testing.T) {
+	for offset, via := range []string{"the leader", "the next controller", "a third controller"} {
+		t.Run("through "+via, func(t *testing.T) {
 			t.Parallel()
 			runFaultPlan(t, faultPlan{seed: 17, teamCPULimit: 400, maxInstances: 24, recovery: 60 * time.Second, jobs: arrays(1, 2, 300*time.Second, nil), faults: func(m *scenario) {
 				var steps []func()
 				var mu sync.Mutex
 				var latencies []time.Duration
-				for i := range 100 { // they start about a second after they were accepted
+				for i := range 100 { // their tasks start about a second after acceptance
 					steps = append(steps, func() {
 						jobID := testJobID(100 + i)
-						time.Sleep(time.Duration(i) * heartbeatInterval / 16) // at the pace of the state service
+						time.Sleep(time.Duration(i) * heartbeatInterval / 16) // spaced out for the store's write rate
 						m.w.submit(m.ctx, array(100+i, 2, 60*time.Second), 0, 0)
 						time.Sleep(time.Duration(500+10*i) * time.Millisecond)
 						requestedAt := time.Now()
@@ -209,28 +213,28 @@
 				}
 				concurrently(steps...)
 				slices.Sort(latencies)
-				m.Logf("a withdrawal was told after %v, at most %v", latencies[len(latencies)/2], latencies[len(latencies)-1])
+				m.Logf("cancellations were confirmed after %v (median), %v (maximum)", latencies[len(latencies)/2], latencies[len(latencies)-1])
 				if longest := latencies[len(latencies)-1]; longest > time.Second {
-					m.Errorf("a withdrawal was told after %v", longest)
+					m.Errorf("a cancellation was confirmed after %v, want at most 1 s", longest)
 				}
 				m.cancelRepeatedly(m.initialLeader, 20*time.Second, testJobID(0))
 			}, check: func(m *scenario) {
 				m.w.mu.Lock()
 				defer m.w.mu.Unlock()
 				if n := len(m.w.lateStarts); n > 0 {
-					m.Errorf("%d of %d starts came after the withdrawal was told, the latest %v after", n, m.w.starts, slices.Max(m.w.lateStarts))
+					m.Errorf("%d of %d task starts came after the confirmed cancellation, the latest %v after it", n, m.w.starts, slices.Max(m.w.lateStarts))
 				}
 				if m.w.starts < 40 {
-					m.Errorf("%d starts: the moments are off", m.w.starts)
+					m.Errorf("got %d task starts, want at least 40: the cancellations come too early", m.w.starts)
 				}
 			}})
 		})
 	}
 }
 
-// A cancellation that the leader heard of from another controller, ahead of the store,
-// is in all copies nevertheless: the store loses all, and who took the cancellation has
-// ended. Taken for known, it was not read, and the job came back to life.
+// Guards against a cancelled job that runs again after data loss. The leader learned of the
+// cancellation from a peer before it read it from the store, took it for known and did not
+// replicate it. Then the peer crashed and the store lost all keys.
 func TestCancellationReplicatedBeforeStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, w, store, cloud, controllers, end := startWorld(t, 7, 40, 6, "")
@@ -242,50 +246,51 @@
 		time.Sleep(25 * time.Second)
 		leader := store.leaderIndex()
 		other := (leader + 1) % controllerCount
-		store.refuseController(controllerName(leader), true) // for a moment: it leads on
+		store.refuseController(controllerName(leader), true) // too short for a leader change
 		for i := range jobs {
 			if !m.cancelJob(other, testJobID(i)) {
-				t.Fatalf("%s was not withdrawn", testJobID(i))
+				t.Fatalf("job %s was not cancelled", testJobID(i))
 			}
 		}
 		store.refuseController(controllerName(leader), false)
-		time.Sleep(heartbeatInterval / 6) // the copies are told, and not yet checked against what is stored
+		time.Sleep(heartbeatInterval / 6) // the replicas are updated, but not yet compared with the store
 		controllers[other].crash()
 		store.loseData(allKeysLost, 0, "")
 		time.Sleep(time.Second)
 		controllers[other] = w.boot(other)
 		time.Sleep(90 * time.Second)
 		end()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		for i := range jobs {
 			if w.lastPhase[testJobID(i)] != wire.PhaseCancelled {
-				t.Errorf("%s is %q", testJobID(i), w.lastPhase[testJobID(i)])
+				t.Errorf("job %s is %q, want cancelled", testJobID(i), w.lastPhase[testJobID(i)])
 			}
 		}
 	})
 }
 
-// Users submit again what is not done, withdraw what is done, and send what can't be taken
-// or run, also while the leader changes or the store is out.
+// Guards against wrong answers to unusual requests: resubmissions with other content,
+// cancellations of jobs that are done, and malformed or unrunnable submissions, also
+// while the leader changes or the store is unavailable.
 func TestInvalidRequests(t *testing.T) {
 	for _, tc := range []struct {
-		name string
+		name            string
 		concurrentFault func(m *scenario)
 	}{
-		{"alone", func(m *scenario) { time.Sleep(40 * time.Second) }},
-		{"in an outage", func(m *scenario) {
+		{"no fault", func(m *scenario) { time.Sleep(40 * time.Second) }},
+		{"store outage", func(m *scenario) {
 			m.store.setOutage(true)
 			time.Sleep(20 * time.Second)
 			m.store.setOutage(false)
 		}},
-		{"the leader is refused alone", func(m *scenario) {
+		{"store refuses the leader", func(m *scenario) {
 			m.store.refuseController(controllerName(m.initialLeader), true)
 			time.Sleep(20 * time.Second)
 			m.store.refuseController(controllerName(m.initialLeader), false)
 		}},
-		{"all end and return", func(m *scenario) { m.restartControllers(2*time.Second, 0, 1, 2) }},
+		{"all controllers restart", func(m *scenario) { m.restartControllers(2*time.Second, 0, 1, 2) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -15,14 +15,15 @@
 	"rillflow/internal/wire"
 )
 
-// What users may count on once the faults are over, and at all times.
+// Bounds that hold for users once the faults have ended.
 const (
-	maxAnswerGap = 75 * time.Second // without an answer about a job it is forgotten
-	maxWaitWithRoom   = 90 * time.Second // a job waits no longer while a machine has room for it
-	maxLargestJobWait    = 4 * time.Minute  // in which the largest jobs begin
+	maxAnswerGap      = 75 * time.Second // longest time without an answer about a job
+	maxWaitWithRoom   = 90 * time.Second // longest wait of a job while a worker has room for it
+	maxLargestJobWait = 4 * time.Minute  // by when the largest jobs have started
 )
 
-// heard notes an answer about a job; run it with the lock held.
+// recordAnswer records the status of an answer about a job, and a violation if the user
+// has waited too long for a successful one. The caller holds w.mu.
 func (w *world) recordAnswer(jobID string, status int) {
 	now := time.Now()
 	if status == http.StatusOK || status == http.StatusCreated || w.lastAnswer[jobID].IsZero() {
@@ -33,13 +34,13 @@
 		since = w.faultsEndedAt
 	}
 	if !w.faultsEndedAt.IsZero() && now.Sub(since) > maxAnswerGap {
-		w.recordViolation("forgotten: nothing is answered about %s for %v", jobID, now.Sub(since))
+		w.recordViolation("forgotten: no answer about %s for %v", jobID, now.Sub(since))
 		w.lastAnswer[jobID] = now
 	}
 }
 
-// calms says that the last fault is over, and watches from then on that nothing waits
-// where there is room.
+// faultsEnded marks the end of the last fault and checks from then on that no job waits
+// while there is room for it.
 func (w *world) faultsEnded(cloud *fakeCloud) {
 	w.mu.Lock()
 	w.faultsEndedAt = time.Now()
@@ -55,7 +56,8 @@
 	})
 }
 
-// idle notes which jobs wait though a worker that fits has room, and their team too.
+// checkWaitingJobs finds jobs that wait although a suitable worker has room and their
+// team is below its limit, and records a violation for those that wait too long.
 func (w *world) checkWaitingJobs(cloud *fakeCloud) {
 	capacities := cloud.workerCapacities()
 	w.mu.Lock()
@@ -71,30 +73,30 @@
 		if !ok {
 			w.waitingWithRoomSince[jobID] = now
 		} else if now.Sub(since) > maxWaitWithRoom {
-			w.recordViolation("waits: %s for %v though there is room", jobID, now.Sub(since))
+			w.recordViolation("waits: %s has waited %v although there is room", jobID, now.Sub(since))
 			w.waitingWithRoomSince[jobID] = now
 		}
 	}
 }
 
-// free is what is free of a worker.
+// workerCapacity is the free capacity of a worker, and the tasks that use the rest.
 type workerCapacity struct {
-	instance     wire.Instance
-	freeCPUs float64
-	freeMemoryGB   float64
+	instance        wire.Instance
+	freeCPUs        float64
+	freeMemoryGB    float64
 	unfinishedTasks map[string]bool
 }
 
-// rooms are the free resources of the workers that are up and well.
-func (client *fakeCloud) workerCapacities() (capacities []workerCapacity) {
-	client.mu.Lock()
-	instances := maps.Clone(client.instances)
-	types := client.types
-	client.mu.Unlock()
+// workerCapacities returns the free capacities of all healthy workers.
+func (c *fakeCloud) workerCapacities() (capacities []workerCapacity) {
+	c.mu.Lock()
+	instances := maps.Clone(c.instances)
+	types := c.types
+	c.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(instances)) {
-		client.w.mu.Lock()
-		worker := client.w.workers[name]
-		client.w.mu.Unlock()
+		c.w.mu.Lock()
+		worker := c.w.workers[name]
+		c.w.mu.Unlock()
 		if worker == nil {
 			continue
 		}
@@ -108,13 +110,13 @@
 			}
 		}
 		worker.mu.Unlock()
-		client.w.mu.Lock()
+		c.w.mu.Lock()
 		for taskName := range capacity.unfinishedTasks {
 			id, _ := ledger.ParseTask(taskName)
-			job := client.w.jobs[id.JobID]
+			job := c.w.jobs[id.JobID]
 			capacity.freeCPUs, capacity.freeMemoryGB = capacity.freeCPUs-job.CPUs, capacity.freeMemoryGB-job.MemoryGB
 		}
-		client.w.mu.Unlock()
+		c.w.mu.Unlock()
 		if healthy {
 			capacities = append(capacities, capacity)
 		}
@@ -122,8 +124,8 @@
 	return capacities
 }
 
-// fits tells whether a task of a job waits that one of the rooms fits; run it with
-// the lock held.
+// canPlace reports whether a job has a waiting task that fits on one of the workers. The
+// caller holds w.mu.
 func (w *world) canPlace(job wire.Job, capacities []workerCapacity) bool {
 	if w.acceptedAt[job.ID].IsZero() || w.cancelRequested[job.ID] || job.Kind == wire.KindGang || w.usedCPUs[job.Team]+job.CPUs > w.teamCPULimit {
 		return false
@@ -163,8 +165,8 @@
 	})
 }
 
-// begins checks that the largest jobs, a quarter of them, began in time; run it with the
-// lock held.
+// checkLargestJobsStarted checks that the largest quarter of the jobs started in time. The
+// caller holds w.mu.
 func (w *world) checkLargestJobsStarted() {
 	size := func(jobID string) float64 { return float64(w.jobs[jobID].TaskCount) * w.jobs[jobID].CPUs }
 	jobIDs := slices.SortedFunc(maps.Keys(w.acceptedAt), func(a, b string) int { return int(100 * (size(b) - size(a))) })
@@ -174,18 +176,18 @@
 			startedAt = time.Now()
 		}
 		if !w.cancelRequested[jobID] && len(w.jobs[jobID].DependsOn) == 0 && startedAt.Sub(acceptedAt) > maxLargestJobWait {
-			w.recordViolation("largest: %s began after %v", jobID, startedAt.Sub(acceptedAt))
+			w.recordViolation("largest: %s started %v after it was accepted", jobID, startedAt.Sub(acceptedAt))
 		}
 	}
 }
 
-// client is a user's, who opens a connection for each request.
+// client returns a user's HTTP client, which opens a connection for each request.
 func (w *world) client() *http.Client {
 	return &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
 }
 
-// ask sends a request to a controller, and gives the answer's status, 0 if there is none,
-// and the phase that it tells.
+// request sends a user's request to a controller and returns the status of the answer, 0 if
+// there is none, and the job's phase in it.
 func (w *world) request(ctx context.Context, client *http.Client, controller int, method, path string, body []byte) (status int, phase string) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
@@ -201,7 +203,7 @@
 	return res.StatusCode, jobStatus.Phase
 }
 
-// strangers has users ask about, and withdraw, jobs that nobody submitted.
+// requestUnknownJobs reads the status of, and cancels, jobs that were never submitted.
 func (w *world) requestUnknownJobs(ctx context.Context) {
 	client := w.client()
 	for i := 0; ctx.Err() == nil; i++ {
@@ -214,7 +216,7 @@
 		}
 		if status == http.StatusOK {
 			w.mu.Lock()
-			w.recordViolation("invented: %s", jobID)
+			w.recordViolation("invented: %s was never submitted, but a request for it succeeded", jobID)
 			w.mu.Unlock()
 		}
 		select {
@@ -224,34 +226,34 @@
 	}
 }
 
-// odd are bodies that can never be taken: what of a sound submission is replaced by what,
-// and the answer.
+// invalidSubmissions are valid submissions in which old is replaced by new, and the status
+// that they are answered with.
 var invalidSubmissions = []struct {
 	name, old, new string
 	status         int
 }{
 	{"no team", `"owner":"a",`, ``, 400},
-	{"null", `"rank":"standard"`, `"rank":null`, 400},
-	{"negative", `"cores":1,`, `"cores":-1,`, 400},
-	{"a wrong type", `"members":2`, `"members":"2"`, 400},
-	{"another case", `"cores":1,`, `"Cores":1,`, 400},
-	{"twice", `"cores":1,`, `"cores":1,"cores":2,`, 400},
+	{"null field", `"rank":"standard"`, `"rank":null`, 400},
+	{"negative number", `"cores":1,`, `"cores":-1,`, 400},
+	{"wrong type", `"members":2`, `"members":"2"`, 400},
+	{"wrong case of a name", `"cores":1,`, `"Cores":1,`, 400},
+	{"duplicate field", `"cores":1,`, `"cores":1,"cores":2,`, 400},
 	{"not an object", `{`, `[{`, 400},
-	{"larger than any machine", `"cores":1,`, `"cores":9,`, 422},
-	{"no such type", `"flavors":null`, `"flavors":["x"]`, 422},
-	{"no such zone", `"locale":null`, `"locale":"x"`, 422},
+	{"larger than any worker", `"cores":1,`, `"cores":9,`, 422},
+	{"unknown instance type", `"flavors":null`, `"flavors":["x"]`, 422},
+	{"unknown zone", `"locale":null`, `"locale":"x"`, 422},
 	{"unknown team", `"owner":"a"`, `"owner":"x"`, 422},
 	{"more than the team's limit", `"shape":"batch","members":2`, `"shape":"standing","members":500`, 422},
 }
 
-// soundBody is a submission that is sound.
+// validSubmission returns the body of a valid submission.
 func validSubmission(jobID string) []byte {
 	return fmt.Appendf(nil, `{"ref":%q,"jobclass":"c","owner":"a","rank":"standard","shape":"batch","members":2,"cores":1,"accelerators":0,"ram_gb":1,"bundle":"img","size_gb":1,`+
 		`"flavors":null,"locale":null,"same_place":false,"scatter":false,"loaners":false,"expect_s":5,"snapshot_s":0,"flush_s":0,"due_s":null}`, jobID)
 }
 
-// oddities has users send what can't be taken, repeat what was taken with bodies that
-// can't be, and withdraw what is done, until the time is up.
+// sendInvalidRequests sends invalid submissions, resubmits accepted jobs with invalid
+// bodies and cancels jobs that are done, for the given time.
 func (w *world) sendInvalidRequests(ctx context.Context, duration time.Duration) {
 	client := w.client()
 	deadline := time.Now().Add(duration)
@@ -263,7 +265,7 @@
 		status, _ := w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs", invalidBody(fmt.Sprintf("req-7%05d", i)))
 		w.mu.Lock()
 		if status != invalid.status && status != 503 && status != 0 {
-			w.recordViolation("accepted: %s was answered %d", invalid.name, status)
+			w.recordViolation("accepted: invalid submission (%s) was answered with status %d", invalid.name, status)
 		}
 		var accepted []string
 		for jobID := range w.acceptedAt {
@@ -271,19 +273,19 @@
 		}
 		slices.Sort(accepted)
 		w.mu.Unlock()
-		if len(accepted) > 0 && invalid.old != "{" { // what is no object names no job
+		if len(accepted) > 0 && invalid.old != "{" { // a body that is not an object names no job
 			jobID := accepted[w.intN(len(accepted))]
 			status, _ = w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs", invalidBody(jobID))
 			w.mu.Lock()
 			if status != 200 && status != 503 && status != 0 {
-				w.recordViolation("forgotten: %s submitted again with %s was answered %d", jobID, invalid.name, status)
+				w.recordViolation("forgotten: resubmission of %s (%s) was answered with status %d", jobID, invalid.name, status)
 			}
 			isDone := w.lastPhase[jobID] == wire.PhaseDone
 			w.mu.Unlock()
 			if isDone {
 				if status, _ := w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil); status != 200 && status != 503 && status != 0 {
 					w.mu.Lock()
-					w.recordViolation("forgotten: %s is done, and its withdrawal was answered %d", jobID, status)
+					w.recordViolation("forgotten: %s is done, but its cancellation was answered with status %d", jobID, status)
 					w.mu.Unlock()
 				}
 			}
--- a/internal/sim/cloud_test.go
+++ b/internal/sim/cloud_test.go
@@ -13,21 +13,21 @@
 	"rillflow/internal/wire"
 )
 
-// cloud stands in for the cloud. Machines come up after a while; the list is
-// two seconds old.
+// fakeCloud is a fake of the cloud API. Instances boot in 3 s, and the listing shows
+// them 2 s after their creation.
 type fakeCloud struct {
-	w     *world
-	mu    sync.Mutex
-	types []wire.InstanceType
-	grantedNames  map[string][]string
-	instances map[string]wire.Instance
-	createdAt  map[string]time.Time // when listed first
+	w             *world
+	mu            sync.Mutex
+	types         []wire.InstanceType
+	grantedNames  map[string][]string // instances granted, by request ID
+	instances     map[string]wire.Instance
+	createdAt     map[string]time.Time
 	instanceCount map[string]int
-	lastNumber  int
-	requests map[string]wire.ScaleOutRequest // what was asked for, by its name
-	released int                             // machines returned
-	maxInstances  int                             // machines of a type, zone and kind
-	zoneLimits   map[string]int                  // in zones that have less
+	lastNumber    int
+	requests      map[string]wire.ScaleOutRequest // by request ID
+	released      int                             // instances released
+	maxInstances  int                             // per instance type and zone
+	zoneLimits    map[string]int                  // replaces maxInstances in a zone
 }
 
 func (c *fakeCloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -65,7 +65,7 @@
 		json.Unmarshal(body, &request)
 		if previous, ok := c.requests[request.RequestID]; ok && previous != request {
 			c.w.mu.Lock()
-			c.w.recordViolation("names: %s was used for %v and for %v", request.RequestID, previous, request)
+			c.w.recordViolation("names: request ID %s was used for %v and for %v", request.RequestID, previous, request)
 			c.w.mu.Unlock()
 		}
 		c.requests[request.RequestID] = request
@@ -75,8 +75,8 @@
 		}
 		var names []string
 		limit := c.maxInstances
-		if name, ok := c.zoneLimits[request.Zone]; ok {
-			limit = name
+		if zoneLimit, ok := c.zoneLimits[request.Zone]; ok {
+			limit = zoneLimit
 		}
 		for len(names) < request.Count && c.instanceCount[request.InstanceType+request.Zone] < limit {
 			c.instanceCount[request.InstanceType+request.Zone]++
@@ -96,7 +96,7 @@
 	}
 }
 
-// killInstance has a worker stop on its own. It is listed as running for some more time.
+// killInstance stops a worker at once. The listing shows its failure 30 s later.
 func (c *fakeCloud) killInstance(name string) {
 	c.w.stopWorker(name)
 	time.AfterFunc(30*time.Second, func() {
--- a/internal/sim/controllers_test.go
+++ b/internal/sim/controllers_test.go
@@ -13,12 +13,11 @@
 	"rillflow/internal/serve"
 )
 
-// node runs a controller's process: it is killed without warning, and comes
-// back after a while.
+// controllerProcess runs a whole controller, which can be killed at any time.
 type controllerProcess struct {
-	w    *world
-	index    int
-	kill context.CancelFunc
+	w      *world
+	index  int
+	kill   context.CancelFunc
 	exited chan struct{}
 }
 
@@ -38,8 +37,8 @@
 	return process
 }
 
-// crash ends the process without a goodbye. What it sent in its last moment may arrive
-// up to a heartbeat interval later, also when another has taken its place.
+// crash kills the process. What it sent last may arrive up to a heartbeat interval later,
+// even after its successor has started.
 func (c *controllerProcess) crash() {
 	name := fmt.Sprintf("host-%d", c.index)
 	c.w.net.crashHost(name, time.Duration(c.w.intN(2))*heartbeatInterval)
@@ -48,13 +47,13 @@
 	c.w.net.hostExited(name)
 }
 
-// randomDowntime is how long a process is gone: from a moment to much longer than a lease lasts,
-// in each order of size alike.
+// randomDowntime draws the time until a process restarts, from 20 ms to 10 s with a
+// log-uniform distribution.
 func (w *world) randomDowntime() time.Duration {
 	return time.Duration(20*math.Pow(500, float64(w.intN(1000))/1000)) * time.Millisecond
 }
 
-// ended tells whether the process has ended.
+// hasExited reports whether the process has exited.
 func (c *controllerProcess) hasExited() bool {
 	select {
 	case <-c.exited:
@@ -64,7 +63,7 @@
 	}
 }
 
-// cutWorkersOff cuts every worker off from all controllers for a moment.
+// cutWorkersOff cuts every worker off from all controllers for the given time.
 func (w *world) cutWorkersOff(cloud *fakeCloud, duration time.Duration) {
 	cloud.mu.Lock()
 	workers := slices.Sorted(maps.Keys(cloud.instances))
--- a/internal/sim/crashpoint_test.go
+++ b/internal/sim/crashpoint_test.go
@@ -11,12 +11,13 @@
 	"rillflow/internal/wire"
 )
 
-// atWrite waits for a write of a rebuild, by its number, and gives the node that made it;
-// its answer is lost. It tells false if the history was whole again before.
+// waitForRebuildWrite waits for the rebuild's write of the given number and returns the
+// controller that made it. The write is applied, but its answer is lost. It reports false
+// if the rebuild completed with fewer writes.
 func (d *lossScenario) waitForRebuildWrite(number int) (controller int, found bool) {
 	type write struct {
-		controller  string
-		complete bool
+		controller string
+		complete   bool
 	}
 	matched := make(chan write, 1)
 	started, count := false, 0
@@ -56,14 +57,15 @@
 	return controller, true
 }
 
-// A rebuild is cut short behind each of its writes in turn, the write carried out and its
-// answer lost; whoever wrote is back after 50 ms, or only when the next has taken over.
+// Guards against a rebuild that cannot be resumed. For each of its writes in turn, the
+// controller crashes after the write was applied and before it got the answer, and
+// restarts after 50 ms or only after another has taken over.
 func TestRebuildInterruptedAtEachWrite(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		lossKind  string
+		name     string
+		lossKind string
 		downtime time.Duration
-	}{{"all keys, back at once", allKeysLost, 50 * time.Millisecond}, {"restored, gone for longer", restoredFromBackup, 8 * time.Second}} {
+	}{{"all keys lost, immediate restart", allKeysLost, 50 * time.Millisecond}, {"restored from backup, restart after a takeover", restoredFromBackup, 8 * time.Second}} {
 		t.Run(tc.name, func(t *testing.T) {
 			interrupted := 0
 			for number := 1; ; number++ {
@@ -78,16 +80,16 @@
 					surviving := d.countSurviving(before, 40*time.Second)
 					time.Sleep(175 * time.Second)
 					end()
-					for _, b := range d.w.violations {
-						t.Errorf("write %d: %s", number, b)
+					for _, violation := range d.w.violations {
+						t.Errorf("write %d: %s", number, violation)
 					}
 					for jobID, job := range d.w.jobs {
 						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; d.w.lastPhase[jobID] != want {
-							t.Errorf("write %d: %s is %q, want %s", number, jobID, d.w.lastPhase[jobID], want)
+							t.Errorf("write %d: job %s is %q, want %s", number, jobID, d.w.lastPhase[jobID], want)
 						}
 					}
 					if float64(surviving) < 0.9*float64(len(before)) {
-						t.Errorf("write %d: %d of %d tasks run on, or are done", number, surviving, len(before))
+						t.Errorf("write %d: %d of %d tasks survived, want 90%%", number, surviving, len(before))
 					}
 				})
 				if !found {
@@ -96,9 +98,9 @@
 				interrupted = number
 			}
 			if interrupted < 3 {
-				t.Errorf("only %d writes were cut short", interrupted)
+				t.Errorf("rebuilds were interrupted at %d writes, want at least 3", interrupted)
 			}
-			t.Logf("%d writes, each the last of its leader once", interrupted)
+			t.Logf("rebuilds were interrupted at each of %d writes", interrupted)
 		})
 	}
 }
--- a/internal/sim/loss_test.go
+++ b/internal/sim/dataloss_test.go
@@ -19,21 +19,21 @@
 	"rillflow/internal/wire"
 )
 
-// lost is a day on which the store loses data.
+// lossCase is a way in which the store loses data.
 type lossCase struct {
 	name string
-	// at is what happens, 50 s into the day.
+	// inject causes the loss, 50 s into the run.
 	inject func(d *lossScenario)
-	// kept is the least share of the tasks on workers that run on where they are, or
-	// are done, a minute later.
+	// minSurviving is the least share of the running tasks that still run on their
+	// worker, or are done, a minute later.
 	minSurviving float64
 }
 
-// lossDay is what a loss can be joined with.
+// lossScenario is a run in which the store loses data, possibly among other faults.
 type lossScenario struct {
-	w  *world
-	store *fakeStore
-	cloud *fakeCloud
+	w         *world
+	store     *fakeStore
+	cloud     *fakeCloud
 	processes []*controllerProcess
 }
 
@@ -45,23 +45,29 @@
 	d.processes[controller] = d.w.boot(controller)
 }
 
-func (d *lossScenario) loseData(kind string, age time.Duration, keyPrefix string) { d.store.loseData(kind, age, keyPrefix) }
+func (d *lossScenario) loseData(kind string, age time.Duration, keyPrefix string) {
+	d.store.loseData(kind, age, keyPrefix)
+}
 
 func lossCases() []lossCase {
 	return []lossCase{
-		{"nothing", func(d *lossScenario) {}, 1},
+		{"no loss", func(d *lossScenario) {}, 1},
 		{"all keys", func(d *lossScenario) { d.loseData(allKeysLost, 0, "") }, 0.99},
-		{"20 s ago", func(d *lossScenario) { d.loseData(restoredFromBackup, 20*time.Second, "") }, 0.99},
-		{"2 s ago", func(d *lossScenario) { d.loseData(restoredFromBackup, 2*time.Second, "") }, 0.99},
-		{"a third", func(d *lossScenario) { d.loseData(someKeysLost, 0, "") }, 0.99},
-		{"the leader's value", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "lead") }, 0.99},
-		{"the part map", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "epoch") }, 0.99},
-		{"a job's record", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "j/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
-		{"a chunk", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "c/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
-		{"the history's key", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "history/id/") }, 0.99},
-		{"all keys, and the leader", func(d *lossScenario) { n := d.leader(); d.loseData(allKeysLost, 0, ""); d.crash(n, 8*time.Second) }, 0.9},
-		{"20 s ago, and the leader", func(d *lossScenario) { n := d.leader(); d.loseData(restoredFromBackup, 20*time.Second, ""); d.crash(n, 8*time.Second) }, 0.9},
-		{"all keys, all but one", func(d *lossScenario) {
+		{"restored to 20 s ago", func(d *lossScenario) { d.loseData(restoredFromBackup, 20*time.Second, "") }, 0.99},
+		{"restored to 2 s ago", func(d *lossScenario) { d.loseData(restoredFromBackup, 2*time.Second, "") }, 0.99},
+		{"a third of the keys", func(d *lossScenario) { d.loseData(someKeysLost, 0, "") }, 0.99},
+		{"leader key corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "lead") }, 0.99},
+		{"shard map corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "epoch") }, 0.99},
+		{"job record corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "j/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
+		{"chunk corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "c/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
+		{"history key corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "history/id/") }, 0.99},
+		{"all keys, leader crashes", func(d *lossScenario) { n := d.leader(); d.loseData(allKeysLost, 0, ""); d.crash(n, 8*time.Second) }, 0.9},
+		{"restored to 20 s ago, leader crashes", func(d *lossScenario) {
+			n := d.leader()
+			d.loseData(restoredFromBackup, 20*time.Second, "")
+			d.crash(n, 8*time.Second)
+		}, 0.9},
+		{"all keys, all controllers but one crash", func(d *lossScenario) {
 			n := d.leader()
 			d.loseData(allKeysLost, 0, "")
 			d.crash(n, 0)
@@ -73,33 +79,36 @@
 			time.Sleep(2 * time.Second)
 			d.loseData(allKeysLost, 0, "")
 		}, 0.99},
-		{"all keys, in an outage", func(d *lossScenario) {
+		{"all keys, during an outage", func(d *lossScenario) {
 			d.store.setOutage(true)
 			time.Sleep(5 * time.Second)
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(5 * time.Second)
 			d.store.setOutage(false)
 		}, 0.99},
-		{"all keys, an outage after", func(d *lossScenario) {
+		{"all keys, followed by an outage", func(d *lossScenario) {
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(1500 * time.Millisecond)
 			d.store.setOutage(true)
 			time.Sleep(10 * time.Second)
 			d.store.setOutage(false)
 		}, 0.99},
-		{"all keys, a zone cut off", func(d *lossScenario) {
+		{"all keys, zone partitioned", func(d *lossScenario) {
 			d.w.partitionZone(d.cloud, "b", true)
 			time.Sleep(8 * time.Second)
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(20 * time.Second)
 			d.w.partitionZone(d.cloud, "b", false)
 		}, 0.6},
-		{"20 s ago, behind a takeover", func(d *lossScenario) { d.crash(d.leader(), 8*time.Second); d.loseData(restoredFromBackup, 12*time.Second, "") }, 0.9},
+		{"restored to before a leader change", func(d *lossScenario) {
+			d.crash(d.leader(), 8*time.Second)
+			d.loseData(restoredFromBackup, 12*time.Second, "")
+		}, 0.9},
 	}
 }
 
-// With any controller alive, a loss of data breaks no rule, forgets no accepted job,
-// takes no end back, and what runs runs on.
+// Guards against data loss in the store that stops running tasks, loses accepted jobs or
+// reverts final phases while at least one controller is alive.
 func TestStoreDataLoss(t *testing.T) {
 	for i, tc := range lossCases() {
 		t.Run(tc.name, func(t *testing.T) {
@@ -110,9 +119,9 @@
 	}
 }
 
-// All controllers are down when everything is lost: there are workers, and a snapshot of
-// some age. Jobs accepted since are missing if no worker has a task of them, and are
-// named; no other is, and what runs runs on.
+// The store loses all keys while all controllers are down, so that only the workers'
+// heartbeats and an older snapshot are left. Only jobs that were accepted after the
+// snapshot and have no task on a worker may be missing; running tasks continue.
 func TestRebuildFromWorkersAndSnapshot(t *testing.T) {
 	for seed := range seedCount(1) {
 		synctest.Test(t, func(t *testing.T) {
@@ -135,24 +144,25 @@
 			time.Sleep(150 * time.Second)
 			end()
 			missing := 0
-			for _, b := range d.w.violations {
-				jobID, forgotten := strings.CutPrefix(b, "forgotten: ")
+			for _, violation := range d.w.violations {
+				jobID, forgotten := strings.CutPrefix(violation, "forgotten: ")
 				if forgotten && d.w.acceptedAt[jobID].After(crashedAt.Add(-age-time.Second)) && !before.hasJob(jobID) {
 					missing++
 					continue
 				}
-				t.Error(b)
+				t.Error(violation)
 			}
 			if float64(surviving) < 0.99*float64(len(before)) {
-				t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
+				t.Errorf("%d of %d tasks survived, want 99%%", surviving, len(before))
 			}
-			t.Logf("%d of %d tasks run on or are done; %d times a job of the last %v was not known", surviving, len(before), missing, age)
+			t.Logf("%d of %d tasks survived; %d times a job accepted in the last %v was unknown", surviving, len(before), missing, age)
 		})
 	}
 }
 
-// Not even a snapshot is left. What workers have runs on and is known to run; it is
-// whole again once its users submit it again. Nothing runs twice, and no limit breaks.
+// The store loses all keys while all controllers are down, and there is no snapshot.
+// Tasks on workers run on and are reported as running, and their jobs are complete again
+// once their users resubmit them. No task runs twice, and no team limit is exceeded.
 func TestRebuildFromWorkersAlone(t *testing.T) {
 	for seed := range seedCount(2) {
 		synctest.Test(t, func(t *testing.T) {
@@ -173,7 +183,7 @@
 					knownFromWorkers++
 				}
 			}
-			d.w.shouldResubmit = func(jobID string) bool { // every user submits once more
+			d.w.shouldResubmit = func(jobID string) bool { // every user resubmits once
 				alreadySubmitted := resubmitted[jobID]
 				resubmitted[jobID] = true
 				return !alreadySubmitted && d.w.lastPhase[jobID] != wire.PhaseDone && d.w.lastPhase[jobID] != wire.PhaseCancelled
@@ -182,28 +192,28 @@
 			surviving := d.countSurviving(before, 40*time.Second)
 			time.Sleep(170 * time.Second)
 			end()
-			for _, b := range d.w.violations {
-				// Who was told an end, or has nothing on a worker, is forgotten: nobody is
-				// left who knows.
-				if jobID, ok := strings.CutPrefix(b, "forgotten: "); ok && (!before.hasJob(jobID) || d.w.allTasksDone(jobID)) || strings.HasPrefix(b, "went_back") {
+			for _, violation := range d.w.violations {
+				// Jobs that were done or had no task on a worker are forgotten: no record of
+				// them is left.
+				if jobID, ok := strings.CutPrefix(violation, "forgotten: "); ok && (!before.hasJob(jobID) || d.w.allTasksDone(jobID)) || strings.HasPrefix(violation, "went_back") {
 					continue
 				}
-				t.Error(b)
+				t.Error(violation)
 			}
 			for jobID, job := range d.w.jobs {
 				if got := d.w.lastPhase[jobID]; before.hasJob(jobID) && job.Kind == wire.KindArray && got != wire.PhaseDone {
-					t.Errorf("%s is %q", jobID, got)
+					t.Errorf("job %s is %q, want done", jobID, got)
 				}
 			}
 			if float64(surviving) < 0.95*float64(len(before)) || knownFromWorkers == 0 {
-				t.Errorf("%d of %d tasks run on, or are done; %d were known from machines", surviving, len(before), knownFromWorkers)
+				t.Errorf("%d of %d tasks survived, want 95%%; %d were known from heartbeats, want some", surviving, len(before), knownFromWorkers)
 			}
-			t.Logf("%d of %d tasks run on or are done; %d were known from machines alone", surviving, len(before), knownFromWorkers)
+			t.Logf("%d of %d tasks survived; %d were known from heartbeats alone", surviving, len(before), knownFromWorkers)
 		})
 	}
 }
 
-// places are where tasks were.
+// taskHosts are the workers that tasks run on.
 type taskHosts map[ledger.Task]string
 
 func (p taskHosts) hasJob(jobID string) bool {
@@ -215,7 +225,7 @@
 	return false
 }
 
-// finished tells whether all of a job's tasks are done.
+// allTasksDone reports whether all tasks of a job are done. The caller holds w.mu.
 func (w *world) allTasksDone(jobID string) bool {
 	for i := range w.jobs[jobID].TaskCount {
 		if !w.doneTasks[ledger.Task{JobID: jobID, Index: i}] {
@@ -225,8 +235,8 @@
 	return true
 }
 
-// kept counts the tasks that run on where they were, are done, or were cancelled, after
-// a while.
+// countSurviving waits, then counts the tasks that still run on the same worker, are done or
+// were cancelled.
 func (d *lossScenario) countSurviving(before taskHosts, after time.Duration) int {
 	time.Sleep(after)
 	d.w.mu.Lock()
@@ -240,7 +250,8 @@
 	return count
 }
 
-// lossDayOf plays the first 50 s of a day, and tells where tasks are then.
+// startLossScenario runs the first 50 s of a scenario and returns the workers that tasks run
+// on then.
 func startLossScenario(t *testing.T, seed uint64, workerCount int, operatorSettings string) (*lossScenario, taskHosts, func()) {
 	ctx, w, store, cloud, controllers, end := startWorld(t, seed, float64(4*workerCount), workerCount/2, operatorSettings)
 	for i := range 24 {
@@ -251,7 +262,7 @@
 			job.Kind, job.Priority, job.TaskCount, job.CPUs, job.SpreadZones = wire.KindService, "production", max(2, workerCount/16), 1, true
 			cancelAfter = 190 * time.Second
 			if i == 11 {
-				cancelAfter = 38 * time.Second // a few seconds before
+				cancelAfter = 38 * time.Second // a few seconds before the loss
 			}
 		}
 		w.submit(ctx, job, time.Duration(2+2*i)*time.Second, cancelAfter)
@@ -262,7 +273,7 @@
 	return &lossScenario{w, store, cloud, controllers}, taskHosts(maps.Clone(w.hostOf)), end
 }
 
-// playLoss plays a day with a loss. SIM_LOG shows the controllers' logs.
+// runLossScenario runs a scenario with a data loss. SIM_LOG shows the controllers' logs.
 func runLossScenario(t *testing.T, tc lossCase, seed uint64, workerCount int) {
 	d, before, end := startLossScenario(t, seed, workerCount, "")
 	w := d.w
@@ -270,42 +281,42 @@
 	surviving := d.countSurviving(before, 60*time.Second)
 	time.Sleep(150 * time.Second)
 	end()
-	for i, b := range w.violations {
+	for i, violation := range w.violations {
 		if i == 5 {
-			t.Errorf("%d breaches", len(w.violations))
+			t.Errorf("%d violations in all", len(w.violations))
 			break
 		}
-		t.Error(b)
+		t.Error(violation)
 	}
 	if float64(surviving) < tc.minSurviving*float64(len(before)) {
-		t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
+		t.Errorf("%d of %d tasks survived, want a share of %v", surviving, len(before), tc.minSurviving)
 	}
 	finishedJobs := 0
 	for jobID, job := range w.jobs {
 		if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; w.lastPhase[jobID] == want {
 			finishedJobs++
 		} else {
-			t.Errorf("%s is %q, want %s", jobID, w.lastPhase[jobID], want)
+			t.Errorf("job %s is %q, want %s", jobID, w.lastPhase[jobID], want)
 		}
 	}
-	t.Logf("%d of %d tasks run on or are done, %d of %d jobs told to an end, %d breaches", surviving, len(before), finishedJobs, len(w.jobs), len(w.violations))
+	t.Logf("%d of %d tasks survived, %d of %d jobs reported as finished, %d violations", surviving, len(before), finishedJobs, len(w.jobs), len(w.violations))
 }
 
-// Losses among all other faults, one after the other, some within seconds, with three to
-// seven controllers; but not with all
-// controllers ending at once, after which nobody remembers: TestWorkersAlone has that. Few days in CI:
-// of some hundred, one may show what docs/rebuild.md says is left. SIM_SEEDS plays more.
+// Data losses among other random faults, some within seconds of each other, with three to
+// seven controllers. All controllers crashing at once is left to TestRebuildFromWorkersAlone,
+// because no controller then remembers the lost data. CI runs few seeds: of some hundred,
+// one may show a known limit that docs/rebuild.md describes. SIM_SEEDS runs more.
 func TestDataLossAmongOtherFaults(t *testing.T) {
 	for seed := range seedCount(2) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				violations, w := runRandomScenarioWith(t, 1000+seed, controllerCount+int(seed%5), seed%2 == 1, slices.Concat(commonFaults, dataLossFaults), "", nil)
-				for _, b := range violations {
-					t.Error(b)
+				for _, violation := range violations {
+					t.Error(violation)
 				}
 				for jobID := range w.jobs {
 					if got := w.lastPhase[jobID]; got != wire.PhaseDone && got != wire.PhaseCancelled {
-						t.Errorf("%s is %q at the end", jobID, got)
+						t.Errorf("job %s is %q at the end, want done or cancelled", jobID, got)
 					}
 				}
 			})
@@ -313,15 +324,16 @@
 	}
 }
 
-// A loss at the size that the environment gives, in workers: how much runs on, how long
-// until all is stored again and tasks are placed, and what that takes. In CI it is small.
+// Measures data loss with SIM_FLEET workers, few by default: the share of tasks that
+// survive, the time until everything is stored again and tasks are placed, and the number
+// of store changes.
 func TestDataLossAtScale(t *testing.T) {
 	workerCount := 48
 	if n, err := strconv.Atoi(os.Getenv("SIM_FLEET")); err == nil {
 		workerCount = n
 	}
 	for _, tc := range lossCases() {
-		if tc.name != "all keys" && tc.name != "all keys, and the leader" {
+		if tc.name != "all keys" && tc.name != "all keys, leader crashes" {
 			continue
 		}
 		t.Run(tc.name, func(t *testing.T) {
@@ -330,8 +342,8 @@
 	}
 }
 
-// playSize has ten tasks on a worker, in arrays of 50 and services of 10 replicas, and
-// then the loss.
+// runLossAtScale runs ten tasks per worker, in arrays of 50 tasks and services of 10
+// replicas, and then causes the loss.
 func runLossAtScale(t *testing.T, tc lossCase, workerCount int) {
 	ctx, w, store, cloud, controllers, end := startWorld(t, 5, float64(8*workerCount), workerCount/2, "")
 	d := &lossScenario{w, store, cloud, controllers}
@@ -363,22 +375,22 @@
 	store.mu.Unlock()
 	surviving := d.countSurviving(before, 20*time.Second)
 	end()
-	for i, recovery := range w.violations {
-		if t.Error(recovery); i == 4 {
+	for i, violation := range w.violations {
+		if t.Error(violation); i == 4 {
 			break
 		}
 	}
 	if float64(surviving) < tc.minSurviving*float64(len(before)) {
-		t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
+		t.Errorf("%d of %d tasks survived, want a share of %v", surviving, len(before), tc.minSurviving)
 	}
 	if recovery == nil || recovery.PlacingS == 0 || recovery.PlacingS > leaseDuration.Seconds() {
-		t.Fatalf("no tasks were placed again within a lease: %+v", recovery)
+		t.Fatalf("no tasks were placed within a lease after the loss: %+v", recovery)
 	}
-	t.Logf("%d machines, %d tasks on them, %d run on or are done; %d jobs, %d ends, %d claims regained by %d changes in %.1f s; placed again after %.1f s; in two leases %d changes, %d KB",
+	t.Logf("%d workers with %d tasks, %d survived; %d jobs, %d ends, %d claims restored by %d changes in %.1f s; tasks placed after %.1f s; %d changes and %d KB in two leases",
 		len(w.workers), len(before), surviving, recovery.Jobs, recovery.Ends, recovery.Claims, recovery.Written, recovery.DurableS, recovery.PlacingS, changes, bytes>>10)
 }
 
-// rebuilt asks the controllers what was rebuilt, as an operator does.
+// recoveryStatus reads the leader's recovery status from the operators' status page.
 func (d *lossScenario) recoveryStatus() *leader.RecoveryStatus {
 	client := &http.Client{Transport: &http.Transport{DialContext: d.w.net.forHost("user").Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	for n := range controllerCount {
--- a/internal/sim/doc.go
+++ b/internal/sim/doc.go
@@ -1,5 +1,5 @@
-// Package sim holds no code for the daemon: its tests play days of whole
-// controllers against stand-ins for the state service, the cloud, workers and
-// users, on a network in memory and a clock of its own, and check the
-// protocol's rules as they go.
+// Package sim contains only tests. They run whole controllers against fakes of
+// the state service, the cloud API, workers and users, over an in-memory network
+// and a simulated clock, inject faults, and check the protocol's safety rules
+// throughout each run.
 package sim
--- a/internal/sim/faultplan_test.go
+++ b/internal/sim/faultplan_test.go
@@ -12,22 +12,22 @@
 	"rillflow/internal/wire"
 )
 
-// faultPlan is a day on which faults meet: who is there, what runs, what happens, and what
-// must be true at the end beside the rules.
+// faultPlan describes a run with concurrent faults: the cluster, the jobs, the faults, and
+// what must hold at the end besides the rules.
 type faultPlan struct {
-	seed  uint64
-	clusterSize  int     // controllers; 0: three
-	teamCPULimit float64 // of each team, in CPUs; 0: plenty
-	maxInstances  int     // machines of a kind and zone; 0: six
-	jobs  []wire.Job
-	// faults come 25 s into the day, and are over when it returns.
-	faults func(m *scenario)
-	recovery     time.Duration // after them; 0: 200 s
-	operatorSettings string        // the operators' settings
-	check     func(m *scenario)
+	seed         uint64
+	clusterSize  int     // number of controllers; 0: three
+	teamCPULimit float64 // of each team; 0: 60
+	maxInstances int     // workers per instance type and zone; 0: six
+	jobs         []wire.Job
+	// faults is called 25 s into the run and returns when all faults are over.
+	faults           func(m *scenario)
+	recovery         time.Duration // time after the faults; 0: 200 s
+	operatorSettings string        // XML; "": defaults
+	check            func(m *scenario)
 }
 
-// playFaults plays a day and checks it.
+// runFaultPlan runs a plan for each seed and checks the results.
 func runFaultPlan(t *testing.T, p faultPlan) {
 	t.Helper()
 	for k := range seedCount(1) {
@@ -70,8 +70,8 @@
 	end()
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, b := range w.violations {
-		t.Error(b)
+	for _, violation := range w.violations {
+		t.Error(violation)
 	}
 	for _, jobID := range slices.Sorted(maps.Keys(w.acceptedAt)) {
 		got, job := w.lastPhase[jobID], w.jobs[jobID]
@@ -80,24 +80,24 @@
 		case job.Kind == wire.KindService && !w.cancelRequested[jobID]:
 			for i := range job.TaskCount {
 				if w.hostOf[ledger.Task{JobID: jobID, Index: i}] == "" {
-					t.Errorf("%s/%d does not run at the end", jobID, i)
+					t.Errorf("task %s/%d of a service does not run at the end", jobID, i)
 				}
 			}
 		default:
-			t.Errorf("%s is %q at the end", jobID, got)
+			t.Errorf("job %s is %q at the end", jobID, got)
 		}
 	}
 	if len(w.lateStarts) > 0 {
-		t.Logf("%d starts after a withdrawal was told, the latest %v after", len(w.lateStarts), slices.Max(w.lateStarts))
+		t.Logf("%d task starts after a confirmed cancellation, the latest %v after it", len(w.lateStarts), slices.Max(w.lateStarts))
 	}
 }
 
-// array is a job of a few tasks that run for so long.
+// array returns an array job whose tasks run for the given duration.
 func array(i, taskCount int, duration time.Duration) wire.Job {
 	return wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: taskCount, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: duration.Seconds()}
 }
 
-// arrays are so many of them, changed as is told.
+// arrays returns count array jobs, each modified by change if it is not nil.
 func arrays(count, taskCount int, duration time.Duration, change func(i int, job *wire.Job)) (jobs []wire.Job) {
 	for i := range count {
 		job := array(i, taskCount, duration)
@@ -109,7 +109,7 @@
 	return jobs
 }
 
-// concurrently runs faults at once, and waits for all to be over.
+// concurrently runs functions in parallel and waits for all of them.
 func concurrently(functions ...func()) {
 	var wg sync.WaitGroup
 	for _, f := range functions {
@@ -118,8 +118,8 @@
 	wg.Wait()
 }
 
-// cancelRepeatedly cancels jobs through a controller, again and again until it says so, or for so
-// long.
+// cancelRepeatedly cancels jobs through a controller, retrying for the given duration until
+// the controller confirms.
 func (m *scenario) cancelRepeatedly(controller int, duration time.Duration, jobIDs ...string) {
 	var wg sync.WaitGroup
 	for _, jobID := range jobIDs {
@@ -132,7 +132,7 @@
 	wg.Wait()
 }
 
-// controllers are the names of all.
+// controllerNames returns the names of all controllers.
 func (m *scenario) controllerNames() (names []string) {
 	for n := range m.w.clusterSize {
 		names = append(names, controllerName(n))
@@ -140,7 +140,7 @@
 	return names
 }
 
-// workers are those of a zone, or of all for "".
+// workerNames returns the workers in a zone, or all workers for "".
 func (m *scenario) workerNames(zone string) (names []string) {
 	m.cloud.mu.Lock()
 	defer m.cloud.mu.Unlock()
@@ -152,7 +152,7 @@
 	return names
 }
 
-// busy are workers that have a task now.
+// busyWorkers returns the workers that currently run a task.
 func (m *scenario) busyWorkers() []string {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
@@ -163,7 +163,7 @@
 	return slices.Sorted(maps.Keys(busy))
 }
 
-// limitCapacity lets a zone have no more workers than so many, or as many as ever for -1.
+// limitCapacity limits the number of new workers in a zone; -1 removes the limit.
 func (m *scenario) limitCapacity(zone string, limit int) {
 	m.cloud.mu.Lock()
 	defer m.cloud.mu.Unlock()
@@ -177,7 +177,7 @@
 	}
 }
 
-// restartControllers ends every controller, and begins those given anew after a while.
+// restartControllers crashes all controllers and starts the given ones after downtime.
 func (m *scenario) restartControllers(downtime time.Duration, restarted ...int) {
 	for n := range m.w.clusterSize {
 		if !m.processes[n].hasExited() {
@@ -190,7 +190,7 @@
 	}
 }
 
-// phase asks a controller, and gives what it says of a job.
+// requestPhase sends a request to a controller and returns the status and the job's phase.
 func (m *scenario) requestPhase(controller int, method, path string, body []byte) (int, string) {
 	return m.w.request(m.ctx, m.client, controller, method, path, body)
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -14,11 +14,11 @@
 	"rillflow/internal/wire"
 )
 
-// Many workers fall together: a zone is cut off from everything for longer than
-// a lease, with the leader outside crashing meanwhile; then some workers hang and
-// others stop, all at once. No rule is broken, what runs behind the cut is neither
-// returned nor lost, and everything is done in the end. SIM_FLEET gives another
-// number of workers; 700 take 40 s, 2,000 were not seen to the end.
+// Guards against mishandling of many worker failures at once. A zone is cut off from
+// everything for longer than a lease while a leader outside it crashes; then some workers
+// become unreachable and others stop, all at the same time. Workers in the zone are neither
+// released nor lost, and all jobs finish. SIM_FLEET sets the number of workers: 700 take
+// 40 s, and 2,000 have never run to the end.
 func TestSimultaneousWorkerFailures(t *testing.T) {
 	workerCount := 96
 	if n, err := strconv.Atoi(os.Getenv("SIM_FLEET")); err == nil {
@@ -58,10 +58,10 @@
 		w.partitionZone(cloud, zone, false)
 		cloud.mu.Lock()
 		kept, total := 0, 0
-		for jobID, worker := range before {
-			if worker.Zone == zone {
+		for name, instance := range before {
+			if instance.Zone == zone {
 				total++
-				if _, ok := cloud.instances[jobID]; ok {
+				if _, ok := cloud.instances[name]; ok {
 					kept++
 				}
 			}
@@ -69,44 +69,44 @@
 		workers := slices.Sorted(maps.Keys(cloud.instances))
 		cloud.mu.Unlock()
 		time.Sleep(20 * time.Second)
-		for i, worker := range workers {
+		for i, name := range workers {
 			switch i % 10 {
 			case 3:
-				w.stopWorker(worker) // with all that is on it
+				w.stopWorker(name) // with all its tasks
 			case 7:
 				for n := range controllerCount {
-					w.net.setBlocked(fmt.Sprintf("host-%d", n), worker, true)
+					w.net.setBlocked(fmt.Sprintf("host-%d", n), name, true)
 				}
 			}
 		}
 		time.Sleep(20 * time.Second)
-		for i, worker := range workers {
+		for i, name := range workers {
 			if i%10 == 7 {
 				for n := range controllerCount {
-					w.net.setBlocked(fmt.Sprintf("host-%d", n), worker, false)
+					w.net.setBlocked(fmt.Sprintf("host-%d", n), name, false)
 				}
 			}
 		}
 		time.Sleep(220 * time.Second)
 		end()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		for jobID, job := range w.jobs {
 			if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; w.lastPhase[jobID] != want {
-				t.Errorf("%s is %q, want %s", jobID, w.lastPhase[jobID], want)
+				t.Errorf("job %s is %q, want %s", jobID, w.lastPhase[jobID], want)
 			}
 		}
-		// Only workers with a cancelled task, which would outlive its time, go.
+		// Only workers with a cancelled task, which might outlast the cancel timeout, are released.
 		if kept*2 < total || total < workerCount/4 {
-			t.Errorf("%d of %d machines behind the cut were kept", kept, total)
+			t.Errorf("%d of %d workers in the partitioned zone were kept, want at least half", kept, total)
 		}
-		t.Logf("%d machines rented in all, %d of %d behind the cut kept, %d changes written", cloud.lastNumber, kept, total, len(store.log))
+		t.Logf("%d workers rented in all, %d of %d in the partitioned zone kept, %d store changes", cloud.lastNumber, kept, total, len(store.log))
 	})
 }
 
-// One controller is left with all workers, and has fewer places for connections than
-// there are workers: their leases last all the same, and their tasks run on.
+// Guards against leases that expire when a single controller is left and has fewer sockets
+// than there are workers. All leases are renewed and all tasks run on.
 func TestMoreWorkersThanSockets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const workerCount = 96
@@ -150,12 +150,12 @@
 		cloud.mu.Unlock()
 		controllers[0], controllers[1] = w.boot(0), w.boot(1)
 		end()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		if len(before) < workerCount/2 || surviving != len(before) || expired > 0 {
-			t.Errorf("%d of %d tasks run on, %d machines, %d leases ran out", surviving, len(before), rented, expired)
+			t.Errorf("%d of %d tasks survived, want all; %d workers, %d leases expired, want none", surviving, len(before), rented, expired)
 		}
-		t.Logf("%d of %d tasks run on, %d machines, %d leases ran out", surviving, len(before), rented, expired)
+		t.Logf("%d of %d tasks survived; %d workers, %d leases expired", surviving, len(before), rented, expired)
 	})
 }
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -24,10 +24,10 @@
 <allow who="role:guest" do="submit withdraw need" owner="own" rank="idle"/>
 </access><tls><folder>%s</folder><back>require</back><front>accept</front></tls></rillflow>`
 
-// Who may do what, on whole controllers: a guest does not get above its rank by any
-// way, a token that was cancelled is of no use on any controller, also on one that was
-// cut off when it was, and the record tells who did what and who was refused. The
-// controllers speak TLS with one another.
+// Guards against gaps in access control on whole controllers that use TLS among one
+// another. A guest cannot exceed its priority by any request, a revoked token is refused by
+// every controller, also by one that the store refused during the revocation, and the audit
+// log holds who did what and who was refused.
 func TestIdentities(t *testing.T) {
 	ring, path := newKeyring(t)
 	folder := t.TempDir()
@@ -51,7 +51,7 @@
 		ana, gus := token("ana", "a", "curator"), token("gus", "b", "guest")
 		time.Sleep(30 * time.Second)
 		client := &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
-		// ask keeps at it until there is an answer that settles it.
+		// request retries until there is an answer other than 503.
 		request := func(controller int, token, method, path string, body any) int {
 			data, _ := json.Marshal(body)
 			for range 20 {
@@ -87,26 +87,26 @@
 			body         any
 			want         int
 		}{
-			{"anonymous may not submit", "", "POST", "/v1/jobs", jobBody("req-1", "a", "idle"), 403},
-			{"a curator may, for her team", ana, "POST", "/v1/jobs", jobBody("req-2", "a", "urgent"), 201},
-			{"and not for another", ana, "POST", "/v1/jobs", jobBody("req-3", "b", "idle"), 403},
-			{"a guest may not go above its rank", gus, "POST", "/v1/jobs", jobBody("req-4", "b", "standard"), 403},
-			{"and may go at it", gus, "POST", "/v1/jobs", jobBody("req-5", "b", "idle"), 201},
-			{"but not wait for another's job, which it would lift", gus, "POST", "/v1/jobs", jobBody("req-6", "b", "idle", "req-2"), 403},
-			{"nor withdraw one", gus, "POST", "/v1/jobs/req-2/withdraw", nil, 403},
-			{"it may look", gus, "GET", "/v1/jobs/req-2", nil, 200},
-			{"who has no token may not", "", "GET", "/v1/jobs/req-2", nil, 403},
-			{"no such token", "rft_aaaaaaaa_bbbbbbbb", "GET", "/v1/jobs/req-2", nil, 401},
-			{"another's secret", ana[:13] + gus[13:], "GET", "/v1/jobs/req-2", nil, 401},
-			{"a retry is told the state", ana, "POST", "/v1/jobs", jobBody("req-2", "a", "urgent"), 200},
-			{"she may withdraw her own", ana, "POST", "/v1/jobs/req-2/withdraw", nil, 200},
+			{"anonymous user may not submit", "", "POST", "/v1/jobs", jobBody("req-1", "a", "idle"), 403},
+			{"curator may submit for her team", ana, "POST", "/v1/jobs", jobBody("req-2", "a", "urgent"), 201},
+			{"curator may not submit for another team", ana, "POST", "/v1/jobs", jobBody("req-3", "b", "idle"), 403},
+			{"guest may not submit above its priority", gus, "POST", "/v1/jobs", jobBody("req-4", "b", "standard"), 403},
+			{"guest may submit at its priority", gus, "POST", "/v1/jobs", jobBody("req-5", "b", "idle"), 201},
+			{"guest may not depend on another's job, which would raise its priority", gus, "POST", "/v1/jobs", jobBody("req-6", "b", "idle", "req-2"), 403},
+			{"guest may not cancel another's job", gus, "POST", "/v1/jobs/req-2/withdraw", nil, 403},
+			{"guest may read another's job", gus, "GET", "/v1/jobs/req-2", nil, 200},
+			{"anonymous user may not read", "", "GET", "/v1/jobs/req-2", nil, 403},
+			{"unknown token", "rft_aaaaaaaa_bbbbbbbb", "GET", "/v1/jobs/req-2", nil, 401},
+			{"token with another's secret", ana[:13] + gus[13:], "GET", "/v1/jobs/req-2", nil, 401},
+			{"resubmission is answered with the job's phase", ana, "POST", "/v1/jobs", jobBody("req-2", "a", "urgent"), 200},
+			{"curator may cancel her own job", ana, "POST", "/v1/jobs/req-2/withdraw", nil, 200},
 		} {
 			if got := request(i%controllerCount, tc.token, tc.method, tc.path, tc.body); got != tc.want {
-				t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
+				t.Errorf("%s: got status %d, want %d", tc.name, got, tc.want)
 			}
 		}
 
-		// The store refuses one controller; meanwhile the guest is cancelled.
+		// The guest's token is revoked while the store refuses one controller.
 		setRefused := func(refused bool) {
 			store.mu.Lock()
 			defer store.mu.Unlock()
@@ -118,9 +118,9 @@
 		if err := admin.Revoke(ctx, "gus"); err != nil {
 			t.Fatal(err)
 		}
-		for n, when := range []string{"cut off", "cut off for a lease", "back"} {
+		for n, when := range []string{"refused by the store", "refused by the store for a lease", "served by the store again"} {
 			if got := request(1, gus, "POST", "/v1/jobs", jobBody(fmt.Sprintf("req-1%d", n), "b", "idle")); got == 200 || got == 201 {
-				t.Errorf("%s: a withdrawn token was taken: %d", when, got)
+				t.Errorf("%s: a revoked token was answered with status %d, want an error", when, got)
 			}
 			time.Sleep([]time.Duration{leaseDuration, 0, 0}[n])
 			if n == 1 {
@@ -128,7 +128,7 @@
 			}
 		}
 		if got := request(0, gus, "GET", "/v1/jobs/req-5", nil); got != 401 {
-			t.Errorf("a withdrawn token is answered %d", got)
+			t.Errorf("a revoked token was answered with status %d, want 401", got)
 		}
 		newToken, err := admin.Rotate(ctx, "ana", time.Hour, 0)
 		if err != nil {
@@ -136,20 +136,20 @@
 		}
 		time.Sleep(2 * heartbeatInterval)
 		if oldStatus, newStatus := request(2, ana, "GET", "/v1/jobs/req-2", nil), request(2, newToken, "GET", "/v1/jobs/req-2", nil); oldStatus != 401 || newStatus != 200 {
-			t.Errorf("after a rotation the old token is answered %d, the new one %d", oldStatus, newStatus)
+			t.Errorf("after a rotation, the old token was answered with status %d, want 401, and the new one with %d, want 200", oldStatus, newStatus)
 		}
 		time.Sleep(60 * time.Second)
 		end()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		history, _ := readAuditLog(t, w, ring)
 		if s := history.Jobs["req-2"]; s == nil || s.Accepted == nil || s.Accepted.Actor != "ana" || s.Cancelled == nil || s.Cancelled.Actor != "ana" {
-			t.Errorf("req-2 is told as %+v", s)
+			t.Errorf("req-2 is logged as %+v, want ana to accept and cancel it", s)
 		}
 		for jobID, who := range map[string]string{"req-1": "", "req-3": "ana", "req-4": "gus", "req-6": "gus"} {
 			if s := history.Jobs[jobID]; s == nil || len(s.Refused) == 0 || s.Refused[0].Actor != who || s.Accepted != nil {
-				t.Errorf("%s, refused to %q, is told as %+v", jobID, who, s)
+				t.Errorf("%s, refused to %q, is logged as %+v", jobID, who, s)
 			}
 		}
 		actionCounts := make(map[string]int)
@@ -157,7 +157,7 @@
 			actionCounts[e.Action.String()+" "+e.Subject]++
 		}
 		if actionCounts[audit.Issued.String()+" gus"] != 1 || actionCounts[audit.Revoked.String()+" gus"] < 1 || actionCounts[audit.Revoked.String()+" ana"] != 1 {
-			t.Errorf("identities are told as %v", actionCounts)
+			t.Errorf("changes of identities are logged as %v", actionCounts)
 		}
 	})
 }
--- a/internal/sim/quick_test.go
+++ b/internal/sim/immediaterestart_test.go
@@ -18,7 +18,7 @@
 }
 
 // until waits for a moment, and tells whether it came. The answer to such a commit is lost.
-func (d *lossScenario) waitFor(trigger trigger) bool {
+func (d *lossScenario) waitFor(when trigger) bool {
 	signalled := make(chan struct{}, 1)
 	signal := func() {
 		select {
@@ -28,7 +28,7 @@
 	}
 	d.store.mu.Lock()
 	d.store.onCommit = func(controller string, txn wire.Txn) bool {
-		matched := trigger.matchesCommit != nil && trigger.matchesCommit(controller, txn)
+		matched := when.matchesCommit != nil && when.matchesCommit(controller, txn)
 		if matched {
 			signal()
 		}
@@ -37,7 +37,7 @@
 	d.store.mu.Unlock()
 	d.w.net.mu.Lock()
 	d.w.net.onSend = func(from, to string, data []byte) {
-		if trigger.matchesSend != nil && trigger.matchesSend(from, to, data) {
+		if when.matchesSend != nil && when.matchesSend(from, to, data) {
 			signal()
 		}
 	}
@@ -84,8 +84,8 @@
 func TestImmediateRestart(t *testing.T) {
 	const downtime = 50 * time.Millisecond
 	cases := []struct {
-		name string
-		inject   func(d *lossScenario) bool // false: the moment never came
+		name   string
+		inject func(d *lossScenario) bool // false: the moment never came
 	}{
 		{"the leader, within its grant", func(d *lossScenario) bool { d.crash(d.leader(), downtime); return true }},
 		{"the leader, 900 ms", func(d *lossScenario) bool { d.crash(d.leader(), 900*time.Millisecond); return true }},
@@ -120,7 +120,9 @@
 		{"between a claim and its launch", func(d *lossScenario) bool {
 			d.submitExtraJob()
 			n := d.leader()
-			reached := d.waitFor(trigger{matchesCommit: func(controller string, t wire.Txn) bool { return controller == fmt.Sprintf("host-%d", n) && putsKey(t, "c/") }})
+			reached := d.waitFor(trigger{matchesCommit: func(controller string, t wire.Txn) bool {
+				return controller == fmt.Sprintf("host-%d", n) && putsKey(t, "c/")
+			}})
 			d.crash(n, downtime)
 			return reached
 		}},
@@ -195,8 +197,8 @@
 					requests, writes := d.store.peakRates(startedAt)
 					time.Sleep(180 * time.Second)
 					end()
-					for _, b := range d.w.violations {
-						t.Error(b)
+					for _, violation := range d.w.violations {
+						t.Error(violation)
 					}
 					for jobID, job := range d.w.jobs {
 						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; d.w.lastPhase[jobID] != want {
--- a/internal/sim/leaderfaults_test.go
+++ b/internal/sim/leaderfaults_test.go
@@ -11,29 +11,29 @@
 	"rillflow/internal/wire"
 )
 
-// A team is at its limit when the leader changes, some of its workers can't be asked, and
-// some of its jobs are cancelled meanwhile: what is cancelled counts until it is surely
-// gone, also for a leader that never saw it live.
+// Guards against exceeding a team's CPU limit across a leader change. The team is at its
+// limit, some of its workers are unreachable and some of its jobs are cancelled: a cancelled
+// task counts until it has certainly ended, also for a leader that never saw it running.
 func TestTeamLimitInTakeover(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		partitionFor    time.Duration // of machines from all controllers
-		fault func(m *scenario)
+		name         string
+		partitionFor time.Duration // partition of workers from all controllers
+		fault        func(m *scenario)
 	}{
-		{"it crashes", leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
-		{"it crashes, for longer than a lease", 3 * leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
-		{"it is refused alone", 3 * leaseDuration / 2, func(m *scenario) {
+		{"leader crashes, partition shorter than a lease", leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
+		{"leader crashes, partition longer than a lease", 3 * leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
+		{"store refuses the leader", 3 * leaseDuration / 2, func(m *scenario) {
 			m.store.refuseController(controllerName(m.initialLeader), true)
 			time.Sleep(20 * time.Second)
 			m.store.refuseController(controllerName(m.initialLeader), false)
 		}},
-		{"it is back at once", 3 * leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 50*time.Millisecond) }},
-		{"it stays", 3 * leaseDuration / 2, func(m *scenario) {}},
-		{"it crashes once they are withdrawn", 3 * leaseDuration / 2, func(m *scenario) {
+		{"leader restarts at once", 3 * leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 50*time.Millisecond) }},
+		{"leader unaffected", 3 * leaseDuration / 2, func(m *scenario) {}},
+		{"leader crashes after the cancellations", 3 * leaseDuration / 2, func(m *scenario) {
 			time.Sleep(5 * time.Second)
 			m.crashController(m.initialLeader, 8*time.Second)
 		}},
-		{"it is cut off", 3 * leaseDuration / 2, func(m *scenario) {
+		{"leader partitioned from the store and peers", 3 * leaseDuration / 2, func(m *scenario) {
 			m.partition([]string{controllerName(m.initialLeader)}, append(m.otherControllers(m.initialLeader), "state"), 20*time.Second)
 		}},
 	} {
@@ -56,23 +56,23 @@
 	}
 }
 
-// Leaders change ten times in two minutes, also inside an outage: what was placed goes on,
-// epochs strictly rise, no rental's name is used twice, and each takeover costs no more
-// than the last.
+// Guards against state that is lost or load that grows over ten leader changes in two
+// minutes, some during an outage: placed tasks run on, epochs strictly increase, no
+// scale-out request ID is reused, and each change stays within the store's rate limits.
 func TestTenLeaderChanges(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		changeLeader func(m *scenario, i int)
-		tasksContinue   bool // everything runs on
+		name          string
+		changeLeader  func(m *scenario, i int)
+		tasksContinue bool // no task is restarted
 	}{
-		{"refused alone", func(m *scenario, i int) {
+		{"store refuses the leader", func(m *scenario, i int) {
 			leader := m.leaderIndex()
 			m.store.refuseController(controllerName(leader), true)
 			time.Sleep(9 * time.Second)
 			m.store.refuseController(controllerName(leader), false)
 		}, true},
-		{"crashed", func(m *scenario, i int) { m.crashController(m.leaderIndex(), 7*time.Second) }, true},
-		{"crashed, some inside an outage", func(m *scenario, i int) {
+		{"leader crashes", func(m *scenario, i int) { m.crashController(m.leaderIndex(), 7*time.Second) }, true},
+		{"leader crashes, sometimes during an outage", func(m *scenario, i int) {
 			leader := m.leaderIndex()
 			if i%3 == 1 {
 				m.store.setOutage(true)
@@ -80,7 +80,7 @@
 			m.crashController(leader, 5*time.Second)
 			m.store.setOutage(false)
 		}, true},
-		{"back at once", func(m *scenario, i int) { m.crashController(m.leaderIndex(), 100*time.Millisecond) }, true},
+		{"leader restarts at once", func(m *scenario, i int) { m.crashController(m.leaderIndex(), 100*time.Millisecond) }, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -99,7 +99,7 @@
 					return false
 				}
 				m.store.mu.Unlock()
-				var firstPeak, lastPeak int // requests of a takeover
+				var firstPeak, lastPeak int // most requests per second after a change
 				for i := range 10 {
 					startedAt := time.Now()
 					tc.changeLeader(m, i)
@@ -110,49 +110,51 @@
 					}
 					lastPeak = requests
 					if requests > 200 || writes > 50 {
-						m.Errorf("%d requests and %d changes in a second", requests, writes)
+						m.Errorf("%d requests and %d writes in one second, want at most 200 and 50", requests, writes)
 					}
 				}
-				m.Logf("at most %d requests a second at first, %d at last; epochs %v", firstPeak, lastPeak, epochs)
+				m.Logf("at most %d requests per second after the first changes, %d after the last; epochs %v", firstPeak, lastPeak, epochs)
 			}, check: func(m *scenario) {
 				m.store.mu.Lock()
 				defer m.store.mu.Unlock()
 				for i := 1; i < len(epochs); i++ {
 					if epochs[i] <= epochs[i-1] {
-						m.Errorf("epoch %d came after %d", epochs[i], epochs[i-1])
+						m.Errorf("epoch %d was written after %d", epochs[i], epochs[i-1])
 					}
 				}
 				if len(epochs) < 8 {
-					m.Errorf("%d epochs: the leader did not change ten times", len(epochs))
+					m.Errorf("got %d epochs, want at least 8: the leader did not change often enough", len(epochs))
 				}
 				if tc.tasksContinue && m.w.starts != jobs*tasksPerJob {
-					m.Errorf("%d starts of %d tasks", m.w.starts, jobs*tasksPerJob)
+					m.Errorf("%d task starts, want one for each of %d tasks", m.w.starts, jobs*tasksPerJob)
 				}
 			}})
 		})
 	}
 }
 
-// A leader ends while workers with long tasks can't be reached, or don't hear the new
-// leader's answer: what runs on is not started again within its lease.
+// Guards against tasks that are restarted within their worker's lease. The leader crashes
+// while workers with long tasks are unreachable or lose the new leader's answers.
 func TestLeaderCrashWithUnreachableWorkers(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		duration time.Duration
+		name          string
+		duration      time.Duration
 		tasksContinue bool
-		fault   func(m *scenario, workers []string, duration time.Duration)
+		fault         func(m *scenario, workers []string, duration time.Duration)
 	}{
-		{"out of reach, for less than a lease", leaseDuration / 2, true, func(m *scenario, _ []string, duration time.Duration) { // a few would be taken for dead
+		{"unreachable for less than a lease", leaseDuration / 2, true, func(m *scenario, _ []string, duration time.Duration) { // if only some were unreachable, they would be taken for dead
 			m.partition(m.workerNames(""), m.controllerNames(), duration)
 		}},
-		{"out of reach, for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) { m.partition(workers, m.controllerNames(), duration) }},
-		{"they don't hear, for less than a lease", leaseDuration / 2, true, func(m *scenario, workers []string, duration time.Duration) {
+		{"unreachable for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
+			m.partition(workers, m.controllerNames(), duration)
+		}},
+		{"answers lost for less than a lease", leaseDuration / 2, true, func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, dropAnswers)
 		}},
-		{"they don't hear, for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
+		{"answers lost for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, dropAnswers)
 		}},
-		{"they don't hear, for much longer", 5 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
+		{"answers lost for five leases", 5 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, dropAnswers)
 		}},
 	} {
@@ -163,14 +165,15 @@
 				concurrently(func() { tc.fault(m, m.randomWorkers(0.6), tc.duration) }, func() { m.crashController(m.initialLeader, 8*time.Second) })
 			}, check: func(m *scenario) {
 				if tc.tasksContinue && m.w.starts != jobs*tasksPerJob {
-					m.Errorf("%d starts of %d tasks", m.w.starts, jobs*tasksPerJob)
+					m.Errorf("%d task starts, want one for each of %d tasks", m.w.starts, jobs*tasksPerJob)
 				}
 			}})
 		})
 	}
 }
 
-// Controllers hand over and back, all end, and one returns, also within a second.
+// Guards against tasks that are restarted when leadership moves to another controller and
+// back, all controllers crash, and one of them restarts, also within a second.
 func TestAllControllersCrashOneReturns(t *testing.T) {
 	for _, downtime := range []time.Duration{50 * time.Millisecond, 700 * time.Millisecond, 5 * time.Second} {
 		for returning := range controllerCount {
@@ -178,7 +181,7 @@
 				t.Parallel()
 				const jobs, tasksPerJob = 8, 3
 				runFaultPlan(t, faultPlan{seed: 11, jobs: arrays(jobs, tasksPerJob, 100*time.Second, nil), faults: func(m *scenario) {
-					for range 2 { // over and back
+					for range 2 { // to another controller and back
 						n := m.leaderIndex()
 						m.store.refuseController(controllerName(n), true)
 						time.Sleep(6 * time.Second)
@@ -195,7 +198,7 @@
 					}
 				}, check: func(m *scenario) {
 					if m.w.starts != jobs*tasksPerJob {
-						m.Errorf("%d starts of %d tasks", m.w.starts, jobs*tasksPerJob)
+						m.Errorf("%d task starts, want one for each of %d tasks", m.w.starts, jobs*tasksPerJob)
 					}
 				}})
 			})
@@ -203,9 +206,8 @@
 	}
 }
 
-// All controllers are away for longer than a lease, so that every task was ended: kept
-// results come back, no end is lost, and workers are neither returned nor rented anew
-// without need.
+// All controllers are down for longer than a lease, so that the workers ended every task.
+// Stored results are used, no end is lost, and no worker is released or rented without need.
 func TestAllControllersDownPastLease(t *testing.T) {
 	for _, downtime := range []time.Duration{leaseDuration + 2*time.Second, 2 * leaseDuration, 5 * leaseDuration} {
 		t.Run(downtime.String(), func(t *testing.T) {
@@ -226,40 +228,41 @@
 					}
 				}
 				if released > 0 || len(after) > len(before) {
-					m.Errorf("of %d machines %d were returned, and there are %d", len(before), released, len(after))
+					m.Errorf("of %d workers %d were released, and there are now %d; want none released and none added", len(before), released, len(after))
 				}
 			}})
 		})
 	}
 }
 
-// A leader is cut off from the store and the other controllers while workers and
-// users reach it, and jobs are cancelled through the one that leads next.
+// Guards against cancelled tasks that run on under an old leader. The leader is cut off from
+// the store and its peers while workers and users still reach it, and jobs are cancelled
+// through the controller that leads next.
 func TestCancelWhileLeaderPartitioned(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		cancelAfter  time.Duration // the cut, until users withdraw
-		onlyOldLeaderReachable   bool          // workers reach nobody but the old leader
-		outageDuration time.Duration // of the state service, beginning with the first withdrawal told; 0: none
-		workersDropAnswers   bool          // machines don't hear the new leader's answers
+		name                   string
+		cancelAfter            time.Duration // from the partition to the cancellations
+		onlyOldLeaderReachable bool          // workers reach no other controller
+		outageDuration         time.Duration // of the store, from the first confirmed cancellation; 0: none
+		workersDropAnswers     bool          // workers lose the new leader's answers
 	}{
-		{"before another leads", time.Second, false, 0, false},
-		{"once another leads", 8 * time.Second, false, 0, false},
-		{"workers reach only the old one", 8 * time.Second, true, 0, false},
-		{"workers reach only the old one, and the state service is down", 8 * time.Second, true, 2 * cancelTimeout, false},
-		{"machines do not hear, and the state service is down", 8 * time.Second, false, 2 * cancelTimeout, true},
+		{"before the next election", time.Second, false, 0, false},
+		{"under a new leader", 8 * time.Second, false, 0, false},
+		{"workers reach only the old leader", 8 * time.Second, true, 0, false},
+		{"workers reach only the old leader, store outage", 8 * time.Second, true, 2 * cancelTimeout, false},
+		{"workers lose answers, store outage", 8 * time.Second, false, 2 * cancelTimeout, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			checkScenario(t, 9, false, func(m *scenario) {
 				other := (m.initialLeader + 1) % controllerCount
-				workerCount := m.randomWorkers(1)
+				workers := m.randomWorkers(1)
 				m.cutFromPeers(m.initialLeader, true)
 				m.w.net.setBlocked(controllerName(m.initialLeader), "state", true)
 				if tc.onlyOldLeaderReachable {
-					go m.partition(m.otherControllers(m.initialLeader), workerCount, 3*cancelTimeout)
+					go m.partition(m.otherControllers(m.initialLeader), workers, 3*cancelTimeout)
 				}
 				if tc.workersDropAnswers {
-					go m.injectWorkerFault(workerCount, leaseDuration/2, dropAnswers)
+					go m.injectWorkerFault(workers, leaseDuration/2, dropAnswers)
 				}
 				time.Sleep(tc.cancelAfter)
 				for i := range 4 {
@@ -268,7 +271,7 @@
 					}
 				}
 				if len(m.w.cancelledAt) == 0 {
-					m.Error("nobody was told of a withdrawal")
+					m.Error("no cancellation was confirmed")
 				}
 				m.store.setOutage(tc.outageDuration > 0)
 				time.Sleep(2 * cancelTimeout)
@@ -282,31 +285,32 @@
 	}
 }
 
-// The store refuses the leader alone, another controller tells users that their
-// jobs are cancelled, and then it is down for all, for longer than such a job's tasks may
-// be on a worker. Workers report to the old leader all the while.
+// Guards against cancelled tasks that run on past the cancel timeout. The store refuses only
+// the leader, another controller confirms cancellations, and then the store fails for all
+// controllers for longer than the timeout. Workers send heartbeats to the old leader
+// throughout.
 func TestStoreRefusesLeaderThenOutage(t *testing.T) {
 	for _, tc := range []struct {
-		name    string
-		cancelAfter time.Duration // the leader alone, before the first withdrawal
-		outageAfter    time.Duration // until the state service is down for all
-		cutFromPeers     bool          // the leader is cut off from the others too
-		workersPause    bool          // half of the machines hang from the outage on
-		tasksContinue    bool          // all other tasks run on through it
+		name          string
+		cancelAfter   time.Duration // from the refusal to the first cancellation
+		outageAfter   time.Duration // from the first cancellation to the store outage
+		cutFromPeers  bool          // the leader is cut off from its peers too
+		workersPause  bool          // half of the workers pause from the outage on
+		tasksContinue bool          // no other task is restarted
 	}{
-		{"at once", 300 * time.Millisecond, 700 * time.Millisecond, false, false, true},
-		{"as it is about to hand over", 2 * time.Second, time.Second, false, false, true},
-		{"as it hands over", 3500 * time.Millisecond, 800 * time.Millisecond, false, false, true},
-		{"as the next is elected", 5 * time.Second, 1500 * time.Millisecond, false, false, true},
-		{"while the next loads", 6 * time.Second, 500 * time.Millisecond, false, false, true},
-		{"once another leads", 12 * time.Second, 3 * time.Second, false, false, true},
-		{"with machines that hang, at once", 300 * time.Millisecond, 700 * time.Millisecond, false, true, false},
-		{"with machines that hang, as it is about to hand over", 2 * time.Second, time.Second, false, true, false},
-		{"with machines that hang, once another leads", 12 * time.Second, 3 * time.Second, false, true, false},
-		{"cut off too, at once", 300 * time.Millisecond, 700 * time.Millisecond, true, false, false},
-		{"cut off too, before an election", 2 * time.Second, 800 * time.Millisecond, true, false, false},
-		{"cut off too, as the next is elected", 4 * time.Second, 800 * time.Millisecond, true, false, false},
-		{"cut off too, once another leads", 9 * time.Second, 2 * time.Second, true, false, false},
+		{"cancelled at once", 300 * time.Millisecond, 700 * time.Millisecond, false, false, true},
+		{"before the leader steps down", 2 * time.Second, time.Second, false, false, true},
+		{"as the leader steps down", 3500 * time.Millisecond, 800 * time.Millisecond, false, false, true},
+		{"during the election", 5 * time.Second, 1500 * time.Millisecond, false, false, true},
+		{"while the new leader loads", 6 * time.Second, 500 * time.Millisecond, false, false, true},
+		{"under the new leader", 12 * time.Second, 3 * time.Second, false, false, true},
+		{"workers pause, cancelled at once", 300 * time.Millisecond, 700 * time.Millisecond, false, true, false},
+		{"workers pause, before the leader steps down", 2 * time.Second, time.Second, false, true, false},
+		{"workers pause, under the new leader", 12 * time.Second, 3 * time.Second, false, true, false},
+		{"leader cut off, cancelled at once", 300 * time.Millisecond, 700 * time.Millisecond, true, false, false},
+		{"leader cut off, before the election", 2 * time.Second, 800 * time.Millisecond, true, false, false},
+		{"leader cut off, during the election", 4 * time.Second, 800 * time.Millisecond, true, false, false},
+		{"leader cut off, under the new leader", 9 * time.Second, 2 * time.Second, true, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			checkScenario(t, 5, tc.tasksContinue, func(m *scenario) {
@@ -333,7 +337,7 @@
 				cancelled = len(m.w.cancelledAt)
 				m.w.mu.Unlock()
 				if !tc.cutFromPeers && cancelled == 0 {
-					m.Error("nobody was told of a withdrawal")
+					m.Error("no cancellation was confirmed")
 				}
 				m.store.setOutage(false)
 				m.store.refuseController(controllerName(m.initialLeader), false)
--- a/internal/sim/messagefaults_test.go
+++ b/internal/sim/messagefaults_test.go
@@ -13,10 +13,12 @@
 // gone in time.
 func TestDelayedCommands(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		fault   func(m *scenario, workers []string, duration time.Duration)
+		name  string
+		fault func(m *scenario, workers []string, duration time.Duration)
 	}{
-		{"held", func(m *scenario, workers []string, duration time.Duration) { m.partition(m.controllerNames(), workers, duration) }},
+		{"held", func(m *scenario, workers []string, duration time.Duration) {
+			m.partition(m.controllerNames(), workers, duration)
+		}},
 		{"hung", func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, pauseWorker)
 		}},
@@ -73,11 +75,11 @@
 	const jobs, tasksPerJob = 8, 3
 	const keepIdleWorkers = "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>" // a part without machines hears none
 	for _, tc := range []struct {
-		name  string
-		selectWorkers func(m *scenario) []string
-		concurrentFault  func(m *scenario)
-		maxTerms int  // at most
-		doneMeanwhile  bool // all is done while they are mute
+		name            string
+		selectWorkers   func(m *scenario) []string
+		concurrentFault func(m *scenario)
+		maxTerms        int  // at most
+		doneMeanwhile   bool // all is done while they are mute
 	}{
 		{"one", func(m *scenario) []string { return m.busyWorkers()[:1] }, nil, 1, true},
 		{"half", func(m *scenario) []string { return m.randomWorkers(0.5) }, nil, 2, true},
@@ -155,7 +157,7 @@
 // frees nor starts, reaps nor renews anything that was decided since.
 func TestDelayedHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
-		name string
+		name           string
 		beforeDelivery func(m *scenario, workers []string) // between the report and its arrival, after the leader's end
 	}{
 		{"the same session", func(m *scenario, workers []string) { time.Sleep(10 * time.Second) }},
@@ -204,11 +206,13 @@
 // same controller: while tasks are placed, end, are cancelled, and leaders change.
 func TestLateTransactions(t *testing.T) {
 	for _, tc := range []struct {
-		name string
+		name            string
 		concurrentFault func(m *scenario)
 	}{
 		{"tasks are placed and end", func(m *scenario) { time.Sleep(40 * time.Second) }},
-		{"jobs are withdrawn", func(m *scenario) { m.cancelRepeatedly(m.initialLeader, cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3)) }},
+		{"jobs are withdrawn", func(m *scenario) {
+			m.cancelRepeatedly(m.initialLeader, cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
+		}},
 		{"the leader ends", func(m *scenario) { m.crashController(m.initialLeader, 5*time.Second); time.Sleep(20 * time.Second) }},
 		{"the leader is refused alone", func(m *scenario) {
 			m.store.refuseController(controllerName(m.initialLeader), true)
@@ -232,7 +236,7 @@
 // Old heartbeats come again after newer ones, also from an earlier session or attempt.
 func TestDuplicatedHeartbeats(t *testing.T) {
 	for _, tc := range []struct {
-		name string
+		name            string
 		concurrentFault func(m *scenario)
 	}{
 		{"tasks come and go", func(m *scenario) { time.Sleep(60 * time.Second) }},
--- a/internal/sim/network_test.go
+++ b/internal/sim/network_test.go
@@ -12,24 +12,25 @@
 	"rillflow/internal/serve"
 )
 
-// network carries bytes between named hosts. What is sent into a cut is held
-// and comes late, also when its sender has given up meanwhile.
+// network is an in-memory network between named hosts. Data sent over a blocked
+// link is held and delivered once the link is restored, even if the sender has
+// given up by then.
 type network struct {
-	mu    sync.Mutex
-	cond  *sync.Cond
-	listeners   map[string]*listener // by address
-	hostOfAddress map[string]string    // address to host
-	blocked  map[[2]string]bool
-	conns map[*conn]bool
-	rnd   *rand.Rand
-	crashing  map[string]bool                 // hosts whose process is ending: it reaches nobody any more
-	onSend   func(from, to string, b []byte) // sees what is sent, if set
-	delays   map[string]time.Duration        // by which what a host sends or is sent is slower
-	stopped bool
+	mu            sync.Mutex
+	cond          *sync.Cond
+	listeners     map[string]*hostListener // by address
+	hostOfAddress map[string]string        // host by address
+	blocked       map[[2]string]bool
+	conns         map[*conn]bool
+	rnd           *rand.Rand
+	crashing      map[string]bool                 // hosts whose process is being killed: they cannot dial
+	onSend        func(from, to string, b []byte) // observes all data sent, if set
+	delays        map[string]time.Duration        // additional latency to and from a host
+	stopped       bool
 }
 
 func newNetwork(rnd *rand.Rand) *network {
-	n := &network{listeners: map[string]*listener{}, hostOfAddress: map[string]string{}, blocked: map[[2]string]bool{}, conns: map[*conn]bool{}, crashing: map[string]bool{}, delays: map[string]time.Duration{}, rnd: rnd}
+	n := &network{listeners: map[string]*hostListener{}, hostOfAddress: map[string]string{}, blocked: map[[2]string]bool{}, conns: map[*conn]bool{}, crashing: map[string]bool{}, delays: map[string]time.Duration{}, rnd: rnd}
 	n.cond = sync.NewCond(&n.mu)
 	return n
 }
@@ -44,7 +45,7 @@
 	}
 }
 
-// slow has links to hosts be slow, or as quick as ever again.
+// setDelay adds latency to all links of the given hosts; 0 removes it.
 func (n *network) setDelay(delay time.Duration, hosts ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,7 +54,7 @@
 	}
 }
 
-// reset ends all connections of a host, as when its process ends.
+// resetHost breaks all connections of a host and closes its listeners.
 func (n *network) resetHost(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +67,7 @@
 	n.cond.Broadcast()
 }
 
-// unlisten ends a host's listeners; run it with the lock held.
+// closeListeners closes a host's listeners. The caller holds n.mu.
 func (n *network) closeListeners(host string) {
 	for address, listener := range n.listeners {
 		if n.hostOfAddress[address] == host {
@@ -77,8 +78,8 @@
 	}
 }
 
-// fall is how a process ends in the middle of things: what it had sent still arrives, up
-// to so much later, and only behind that do those it spoke with see that it is gone.
+// crashHost simulates the sudden end of a host's process. Data already sent still
+// arrives, delayed by up to maxDelay, and only then do its peers see the end of the stream.
 func (n *network) crashHost(host string, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -102,7 +103,7 @@
 	n.cond.Broadcast()
 }
 
-// fallen says that a process has ended; another may take its place.
+// hostExited marks the end of a crashed process: a new one on the host may dial.
 func (n *network) hostExited(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -133,24 +134,24 @@
 	}
 }
 
-type listener struct {
+type hostListener struct {
 	n      *network
-	cond   *sync.Cond // of its own: thousands wait at once
+	cond   *sync.Cond // one per listener: thousands wait at once
 	addr   string
 	queue  []*conn
 	closed bool
 }
 
-func (n *network) listen(host, addr string) *listener {
+func (n *network) listen(host, addr string) *hostListener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	listener := &listener{n: n, addr: addr, cond: sync.NewCond(&n.mu)}
+	listener := &hostListener{n: n, addr: addr, cond: sync.NewCond(&n.mu)}
 	n.listeners[addr], n.hostOfAddress[addr] = listener, host
-	n.cond.Broadcast() // some may wait for it
+	n.cond.Broadcast() // wakes pending dials
 	return listener
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *hostListener) Accept() (net.Conn, error) {
 	l.n.mu.Lock()
 	defer l.n.mu.Unlock()
 	for len(l.queue) == 0 && !l.closed {
@@ -164,7 +165,7 @@
 	return c, nil
 }
 
-func (l *listener) Close() error {
+func (l *hostListener) Close() error {
 	l.n.mu.Lock()
 	defer l.n.mu.Unlock()
 	l.closed = true
@@ -175,14 +176,15 @@
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return addr(l.addr) }
+func (l *hostListener) Addr() net.Addr { return addr(l.addr) }
 
 type addr string
 
 func (a addr) Network() string { return "tcp" }
 func (a addr) String() string  { return string(a) }
 
-// dial hangs while the way is cut or the host is off, like real connections.
+// dial blocks while the link is blocked or nothing ever listened on the address, as a
+// real connection attempt without an answer does.
 func (n *network) dial(ctx context.Context, from, to string) (net.Conn, error) {
 	stop := context.AfterFunc(ctx, func() {
 		n.mu.Lock()
@@ -217,11 +219,11 @@
 }
 
 type packet struct {
-	arrival   time.Time
-	data []byte
+	arrival time.Time
+	data    []byte
 }
 
-// conn is one end. Its out queue is pumped into the peer's in buffer.
+// conn is one end of a connection. deliver moves its out queue to the peer's in buffer.
 type conn struct {
 	n        *network
 	cond     *sync.Cond
@@ -229,7 +231,7 @@
 	peer     *conn
 	out      []packet
 	in       []byte
-	eof      bool // the peer closed and all it sent has come
+	eof      bool // the peer closed and all its data was delivered
 	closed   bool
 	broken   bool
 	deadline time.Time
--- a/internal/sim/placementfaults_test.go
+++ b/internal/sim/placementfaults_test.go
@@ -22,12 +22,14 @@
 		"one place, services": func(i int, job *wire.Job) {
 			job.SingleZone, job.Kind, job.Priority = true, wire.KindService, "production"
 		},
-		"spread":           func(i int, job *wire.Job) { job.SpreadZones = true },
-		"spread, services": func(i int, job *wire.Job) { job.SpreadZones, job.Kind, job.Priority = true, wire.KindService, "production" },
-		"a type":           func(i int, job *wire.Job) { job.InstanceTypes = []string{"m"}; job.Zone = "b" },
+		"spread": func(i int, job *wire.Job) { job.SpreadZones = true },
+		"spread, services": func(i int, job *wire.Job) {
+			job.SpreadZones, job.Kind, job.Priority = true, wire.KindService, "production"
+		},
+		"a type": func(i int, job *wire.Job) { job.InstanceTypes = []string{"m"}; job.Zone = "b" },
 	}
 	for _, tc := range []struct {
-		name string
+		name  string
 		fault func(m *scenario)
 	}{
 		{"machines die", func(m *scenario) {
@@ -68,8 +70,8 @@
 // two workers, what is cancelled meanwhile is gone in time, and the cut heals in any order.
 func TestZonePartition(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		zone  string
+		name       string
+		zone       string
 		healsFirst string // what is back before the rest: workers, controllers; "": all at once
 	}{
 		{"heals at once", "b", ""},
@@ -185,7 +187,7 @@
 // was done is done, and done once, and the job is done with its last task.
 func TestTasksEndFarApart(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
+		name         string
 		changeLeader func(m *scenario)
 	}{
 		{"it crashes", func(m *scenario) { m.crashController(m.leaderIndex(), 5*time.Second) }},
@@ -221,8 +223,8 @@
 				}
 				time.Sleep(220 * time.Second)
 				end()
-				for _, b := range w.violations {
-					t.Error(b)
+				for _, violation := range w.violations {
+					t.Error(violation)
 				}
 				for i := range 9 {
 					if jobID := testJobID(i); w.lastPhase[jobID] != wire.PhaseDone {
--- a/internal/sim/randomfaults_test.go
+++ b/internal/sim/randomfaults_test.go
@@ -15,7 +15,7 @@
 
 // fault is one of those that meet. It lasts for about as long as it is told.
 type randomFault struct {
-	name string
+	name   string
 	inject func(m *scenario, controller int, duration time.Duration)
 }
 
@@ -107,8 +107,12 @@
 	{"machines hang", func(m *scenario, controller int, duration time.Duration) {
 		m.injectWorkerFault(m.randomWorkers(0.5), duration, pauseWorker)
 	}},
-	{"cut from the state service", func(m *scenario, controller int, duration time.Duration) { m.partition([]string{controllerName(controller)}, []string{"state"}, duration) }},
-	{"cut from peers", func(m *scenario, controller int, duration time.Duration) { m.partition([]string{controllerName(controller)}, m.otherControllers(controller), duration) }},
+	{"cut from the state service", func(m *scenario, controller int, duration time.Duration) {
+		m.partition([]string{controllerName(controller)}, []string{"state"}, duration)
+	}},
+	{"cut from peers", func(m *scenario, controller int, duration time.Duration) {
+		m.partition([]string{controllerName(controller)}, m.otherControllers(controller), duration)
+	}},
 	{"cut from both", func(m *scenario, controller int, duration time.Duration) {
 		m.partition([]string{controllerName(controller)}, append(m.otherControllers(controller), "state"), duration)
 	}},
@@ -123,7 +127,9 @@
 		time.Sleep(duration)
 		m.w.partitionZone(m.cloud, zoneOf(controller), false)
 	}},
-	{"crash", func(m *scenario, controller int, duration time.Duration) { m.crashController(controller, m.w.randomDowntime()) }},
+	{"crash", func(m *scenario, controller int, duration time.Duration) {
+		m.crashController(controller, m.w.randomDowntime())
+	}},
 	{"all crash", func(m *scenario, controller int, duration time.Duration) {
 		var wg sync.WaitGroup
 		for controller := range m.w.clusterSize {
@@ -196,8 +202,8 @@
 		deadline()
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		if len(w.lateStarts) > 0 {
 			t.Logf("%d starts after a withdrawal was told, the latest %v after", len(w.lateStarts), slices.Max(w.lateStarts))
--- a/internal/sim/drawnday_test.go
+++ b/internal/sim/randomscenario_test.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/wire"
 )
 
-// drawnDay is a day whose jobs and faults are drawn from a seed.
+// randomScenario is a run whose jobs and faults are drawn from a seed.
 type randomScenario struct {
 	rnd         *rand.Rand
 	ctx         context.Context
@@ -21,15 +21,15 @@
 	controllers []*controllerProcess
 }
 
-// drawnFault is a kind of fault that a drawn day may have. It strikes a controller, where it is one of
-// controllers, and is over when it returns.
+// scenarioFault is a kind of fault in a random scenario. inject returns when the fault is
+// over; it ignores the controller if the fault does not affect a single one.
 type scenarioFault struct {
 	name      string
 	losesData bool
 	inject    func(d *randomScenario, controller int)
 }
 
-// Faults that any drawn day may have; a crash is drawn twice as often.
+// commonFaults may occur in any random scenario. Crashes are twice as likely as the others.
 var commonFaults = []scenarioFault{
 	{name: "crash", inject: (*randomScenario).crash},
 	{name: "crash", inject: (*randomScenario).crash},
@@ -55,15 +55,15 @@
 	}
 )
 
-// play plays a day and returns the rules it broke. Faults are drawn from the
-// seed; after them there is time to recover. On a day with pipelines the
-// controllers first come back one by one knowing of lower limits, which then
-// come into force while jobs laid out before are on hand.
+// runRandomScenario runs a random scenario, with time to recover after the faults, and
+// returns the violations. With pipelines, the controllers first restart one by one with
+// lower store limits announced, and the limits are then lowered while jobs written under
+// the old limits still exist.
 func runRandomScenario(t testing.TB, seed uint64, withPipelines bool, operatorSettings string, tamper func(*world)) (violations []string, w *world) {
 	return runRandomScenarioWith(t, seed, controllerCount, withPipelines, slices.Concat(commonFaults, crashAndDelayFaults), operatorSettings, tamper)
 }
 
-// playWith plays a day of so many controllers with faults of the kinds given.
+// runRandomScenarioWith is runRandomScenario with the given cluster size and kinds of faults.
 func runRandomScenarioWith(
 	t testing.TB, seed uint64, clusterSize int, withPipelines bool, faults []scenarioFault, operatorSettings string, tamper func(*world),
 ) (violations []string, w *world) {
@@ -83,10 +83,10 @@
 		faults[scenario.rnd.IntN(len(faults))].inject(scenario, controller)
 		time.Sleep(scenario.seconds(0, 6))
 	}
-	// Faults that take no time make a short day; the last user cancels after 260 s.
+	// Faults may take no time, but the last user cancels after 260 s.
 	time.Sleep(max(150*time.Second, 300*time.Second-time.Since(startedAt)))
 	if slices.ContainsFunc(faults, func(f scenarioFault) bool { return f.losesData }) {
-		time.Sleep(120 * time.Second) // losses take no time, so the day was shorter
+		time.Sleep(120 * time.Second) // data losses take no time, which leaves less for recovery
 	}
 	stop()
 	w.mu.Lock()
@@ -94,12 +94,12 @@
 	return w.violations, w
 }
 
-// seconds draws whole seconds, from the least on and fewer than so many more.
+// seconds draws a whole number of seconds in [least, least+more).
 func (d *randomScenario) seconds(least, more int) time.Duration {
 	return time.Duration(least+d.rnd.IntN(more)) * time.Second
 }
 
-// submitJobs has arrays and services submitted over two minutes, some of which are cancelled.
+// submitJobs submits arrays and services over two minutes and cancels some of them.
 func (d *randomScenario) submitJobs() {
 	for i := range 14 {
 		job := wire.Job{
@@ -118,8 +118,8 @@
 	}
 }
 
-// upgradeToLowerLimits has a large array run, restarts each controller knowing of lower limits of the
-// store, has pipelines submitted and lets the limits fall.
+// upgradeToLowerLimits submits a large array, restarts each controller with lower store
+// limits announced, submits pipelines and then lowers the limits.
 func (d *randomScenario) upgradeToLowerLimits() {
 	w := d.world
 	w.submit(d.ctx, wire.Job{
@@ -133,7 +133,7 @@
 		w.mu.Unlock()
 		time.Sleep(w.randomDowntime())
 		d.controllers[n] = w.boot(n)
-		if other := (n + 1) % w.clusterSize; d.rnd.IntN(2) == 0 { // before or after its turn
+		if other := (n + 1) % w.clusterSize; d.rnd.IntN(2) == 0 { // before or after its own restart
 			d.crash(other)
 		}
 		time.Sleep(d.seconds(0, 8))
@@ -152,7 +152,8 @@
 	d.controllers[controller] = d.world.boot(controller)
 }
 
-// crashSeveral ends all controllers, the one drawn or not, which come back one after the other.
+// crashSeveral crashes all other controllers and sometimes the given one, and restarts them
+// one after the other.
 func (d *randomScenario) crashSeveral(controller int) {
 	for n := range d.world.clusterSize {
 		if n != controller || d.rnd.IntN(2) == 0 {
@@ -198,14 +199,14 @@
 	d.store.loseData(restoredFromBackup, time.Duration(d.rnd.IntN(30_000))*time.Millisecond, "")
 }
 
-// partitionFromStore holds the packets between a controller and the store.
+// partitionFromStore blocks the link between a controller and the store.
 func (d *randomScenario) partitionFromStore(controller int) {
 	d.world.net.setBlocked(controllerName(controller), "state", true)
 	time.Sleep(d.seconds(5, 30))
 	d.world.net.setBlocked(controllerName(controller), "state", false)
 }
 
-// partitionWorker cuts a worker from all controllers, for longer than its lease or not.
+// partitionWorker cuts a worker off from all controllers, for more or less than its lease.
 func (d *randomScenario) partitionWorker(int) {
 	d.cloud.mu.Lock()
 	var worker string
@@ -242,15 +243,15 @@
 	setPartitioned(false)
 }
 
-// partitionZone cuts a controller's zone off from everything, for longer than a lease or not.
+// partitionZone cuts a controller's zone off from everything, for more or less than a lease.
 func (d *randomScenario) partitionZone(controller int) {
 	d.world.partitionZone(d.cloud, zoneOf(controller), true)
 	time.Sleep(d.seconds(5, 60))
 	d.world.partitionZone(d.cloud, zoneOf(controller), false)
 }
 
-// partitionZone cuts a zone's workers and controllers off from all that is outside, or
-// ends that.
+// partitionZone blocks or restores all links between a zone's workers and controllers and
+// everything outside it.
 func (w *world) partitionZone(cloud *fakeCloud, zone string, blocked bool) {
 	var inside []string
 	outside := []string{"state", "cloud", "user"}
--- a/internal/sim/respond_test.go
+++ b/internal/sim/respond_test.go
@@ -15,8 +15,8 @@
 
 // Ways to lose data. All are told by nothing but what is read after.
 const (
-	allKeysLost    = "all keys, generation back to 1"
+	allKeysLost        = "all keys, generation back to 1"
 	restoredFromBackup = "back to some time ago, generation too"
-	someKeysLost    = "a third of the keys"
-	valueCorrupted   = "a value"
+	someKeysLost       = "a third of the keys"
+	valueCorrupted     = "a value"
 )
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -18,16 +18,16 @@
 // scenario is a day on which faults meet while long tasks run.
 type scenario struct {
 	*testing.T
-	w      *world
-	store     *fakeStore
-	cloud     *fakeCloud
+	w             *world
+	store         *fakeStore
+	cloud         *fakeCloud
 	processes     []*controllerProcess
 	initialLeader int // at the start
-	client *http.Client
-	ctx    context.Context
-	startedAt  time.Time
-	processLocks   processLocks
-	faultLog   []string // what troubles came
+	client        *http.Client
+	ctx           context.Context
+	startedAt     time.Time
+	processLocks  processLocks
+	faultLog      []string // what troubles came
 }
 
 func newScenario(t *testing.T, ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess) *scenario {
@@ -96,8 +96,8 @@
 		w.checkCancelledTasksGone()
 		time.Sleep(max(0, 400*time.Second-time.Since(startedAt)))
 		end()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		for i := range 8 {
 			jobID := testJobID(i)
@@ -196,7 +196,9 @@
 }
 
 // What strikeWorkers does to workers.
-func dropHeartbeats(worker *fakeWorker, active bool) { worker.dropsHeartbeats, worker.mutedSince = active, time.Now() }
+func dropHeartbeats(worker *fakeWorker, active bool) {
+	worker.dropsHeartbeats, worker.mutedSince = active, time.Now()
+}
 
 func pauseWorker(worker *fakeWorker, active bool) { worker.paused = active }
 
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -20,29 +20,29 @@
 )
 
 const (
-	controllerCount  = 3 // controllers, where a day does not say otherwise
+	controllerCount   = 3 // default number of controllers
 	heartbeatInterval = 3 * time.Second
-	leaseDuration  = 24 * time.Second
-	cancelTimeout = 40 * time.Second
+	leaseDuration     = 24 * time.Second
+	cancelTimeout     = 40 * time.Second
 )
 
-// clockOff is how far the clocks of controllers are off, which are told of a second.
+// clockOffsets are the clock errors of the controllers, within the 1 s of their settings.
 var clockOffsets = map[string]time.Duration{"host-0": time.Second, "host-1": -time.Second, "host-2": 300 * time.Millisecond}
 
-// The limits that the store falls to on a day with pipelines. A record
-// just fits; a chunk of the many small tasks below, as laid out before, does not.
+// The store's limits are lowered to these in runs with pipelines. A job record just
+// fits, but a chunk of many small tasks written under the old limits does not.
 const (
 	loweredValueBytes = 1 << 10
-	loweredOperations   = 4
+	loweredOperations = 4
 )
 
-// begin sets up a world of controllers and what they need, with a limit for each
-// team and as many workers of a kind as the most. end takes it down again.
+// startWorld starts controllers, a store and a cloud, with a CPU limit for each team and
+// at most maxInstances workers per type and zone. end stops them all.
 func startWorld(t testing.TB, seed uint64, teamCPULimit float64, maxInstances int, operatorSettings string) (ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess, end func()) {
 	return startWorldOfSize(t, seed, controllerCount, teamCPULimit, maxInstances, operatorSettings)
 }
 
-// beginWith is begin with so many controllers.
+// startWorldOfSize is startWorld with clusterSize controllers.
 func startWorldOfSize(t testing.TB, seed uint64, clusterSize int, teamCPULimit float64, maxInstances int, operatorSettings string) (ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w = &world{t: t, ctx: ctx, teamCPULimit: teamCPULimit, rnd: rand.New(rand.NewPCG(seed, 6)), net: newNetwork(rand.New(rand.NewPCG(seed, 8))), workers: map[string]*fakeWorker{}, jobs: map[string]wire.Job{},
@@ -89,11 +89,11 @@
 			}
 			worker.mu.Unlock()
 		}
-		time.Sleep(2 * leaseDuration) // what still sleeps or waits comes to its end
+		time.Sleep(2 * leaseDuration) // remaining timers and sleeps run out
 	}
 }
 
-// seeds is how many days a test plays: as many as the environment says, or a few.
+// seedCount returns how many seeds a test runs: SIM_SEEDS if set, or the default.
 func seedCount(defaultCount uint64) uint64 {
 	if n, err := strconv.ParseUint(os.Getenv("SIM_SEEDS"), 10, 64); err == nil {
 		return n
@@ -106,8 +106,8 @@
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				violations, w := runRandomScenario(t, seed, seed%2 == 1, "", nil)
-				for _, b := range violations {
-					t.Error(b)
+				for _, violation := range violations {
+					t.Error(violation)
 				}
 				for jobID, job := range w.jobs {
 					want := wire.PhaseDone
@@ -115,20 +115,21 @@
 						want = wire.PhaseCancelled
 					}
 					if got := w.lastPhase[jobID]; got != wire.PhaseDone && got != wire.PhaseCancelled {
-						t.Errorf("%s is %q at the end, want %s: recovery took too long", jobID, got, want)
+						t.Errorf("job %s is %q at the end, want %s: recovery took too long", jobID, got, want)
 					}
 				}
 				if w.starts == 0 {
-					t.Error("no task ran")
+					t.Error("no task started")
 				}
 			})
 		})
 	}
 }
 
-// The checks themselves can fail: each finds what is made to look wrong.
+// Guards against rule checks that never fail: each check must report a violation when
+// the world's record is falsified.
 func TestChecksDetectViolations(t *testing.T) {
-	// every changes what the world believes of each job, not what is submitted.
+	// changeEachJob changes the world's record of each job, not what is submitted.
 	changeEachJob := func(change func(w *world, jobID string, job *wire.Job)) func(*world) {
 		return func(w *world) {
 			w.mu.Lock()
@@ -167,16 +168,16 @@
 			synctest.Test(t, func(t *testing.T) {
 				violations, _ := runRandomScenario(t, 1, false, "", tc.tamper)
 				if !slices.ContainsFunc(violations, func(b string) bool { return strings.HasPrefix(b, tc.rule) }) {
-					t.Errorf("not noticed among %d breaches", len(violations))
+					t.Errorf("got %d violations, none of rule %s", len(violations), tc.rule)
 				}
 			})
 		})
 	}
 }
 
-// With hundreds of workers the rules hold through a takeover, and what is
-// written stays in proportion to the tasks: claims and finishes of many tasks
-// share a change.
+// With hundreds of workers, the rules hold through a leader change, and the number of
+// store changes stays well below the number of tasks, because claims and ends of many
+// tasks are written together.
 func TestManyWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, w, store, cloud, controllers, end := startWorld(t, 3, 1200, 100, "")
@@ -192,21 +193,21 @@
 		controllers[leader] = w.boot(leader)
 		time.Sleep(200 * time.Second)
 		end()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		for jobID := range w.jobs {
 			if w.lastPhase[jobID] != wire.PhaseDone {
-				t.Errorf("%s is %q", jobID, w.lastPhase[jobID])
+				t.Errorf("job %s is %q, want done", jobID, w.lastPhase[jobID])
 			}
 		}
 		if n := len(cloud.grantedNames); len(w.workers) < 200 {
-			t.Errorf("%d machines, %d requests for them", len(w.workers), n)
+			t.Errorf("%d workers after %d granted requests, want at least 200 workers", len(w.workers), n)
 		}
 		if n := len(store.log); n > jobs*tasksPerJob/2 {
-			t.Errorf("%d changes for %d tasks", n, jobs*tasksPerJob)
+			t.Errorf("%d store changes for %d tasks, want at most one for two tasks", n, jobs*tasksPerJob)
 		} else {
-			t.Logf("%d machines, %d changes for %d tasks", len(w.workers), n, jobs*tasksPerJob)
+			t.Logf("%d workers, %d store changes for %d tasks", len(w.workers), n, jobs*tasksPerJob)
 		}
 	})
 }
--- a/internal/sim/store_test.go
+++ b/internal/sim/store_test.go
@@ -35,18 +35,18 @@
 	requestRate, writeRate *rate.Limiter
 
 	// Faults.
-	unavailable         bool            // nobody is served
+	unavailable        bool            // nobody is served
 	refusedControllers map[string]bool // controllers that alone are refused
-	latency      time.Duration   // requests and their answers take up to so long
-	lateShare    float64         // of transactions that get no answer and are carried out much later
+	latency            time.Duration   // requests and their answers take up to so long
+	lateShare          float64         // of transactions that get no answer and are carried out much later
 	// onCommit sees each transaction that is carried out, and may have its answer lost; nil: none.
 	onCommit func(controller string, txn wire.Txn) (lost bool)
 
 	// What is checked and counted.
-	recordViolation           func(string, ...any)
-	tooLargeCounts    map[string]int // transactions refused for their size
-	rateRefusals int            // for their rate
-	requestsBySecond, writesBySecond    map[int64]int  // requests and changes, by the second
+	recordViolation                  func(string, ...any)
+	tooLargeCounts                   map[string]int // transactions refused for their size
+	rateRefusals                     int            // for their rate
+	requestsBySecond, writesBySecond map[int64]int  // requests and changes, by the second
 }
 
 func newFakeStore(rnd *rand.Rand, recordViolation func(string, ...any)) *fakeStore {
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -67,8 +67,8 @@
 		}
 		w.mu.Unlock()
 		end()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		if worst < 0.95 {
 			t.Errorf("of the others, the worst served has %.2f of its jobs done, the best %.2f", worst, best)
@@ -112,8 +112,8 @@
 		}
 		cloud.mu.Unlock()
 		end()
-		for _, b := range w.violations {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		if inZone["a"] != 24 || inZone["b"] != 8 {
 			t.Errorf("%d replicas in the large zone, want all 24 that may be there; %d in the small one, want the 8 it holds", inZone["a"], inZone["b"])
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -25,25 +25,25 @@
 
 // worker stands in for a worker's worker.
 type fakeWorker struct {
-	w      *world
-	instance      wire.Instance
-	cancel context.CancelFunc
-	client *http.Client
+	w        *world
+	instance wire.Instance
+	cancel   context.CancelFunc
+	client   *http.Client
 
-	mu     sync.Mutex
-	incarnation uint64
-	sequence   uint64
-	epoch  uint64
-	lastAnswered   time.Time // of the last report that was answered
-	tasks  map[string]*workerTask
-	controller   int
-	heartbeatNow   chan struct{}
-	dropsAnswers   bool      // answers and commands to it are lost
-	dropsHeartbeats   bool      // it reaches no controller, while commands reach it
-	mutedSince  time.Time // since when
-	holdsNext   bool      // its next report is held back
+	mu              sync.Mutex
+	incarnation     uint64
+	sequence        uint64
+	epoch           uint64
+	lastAnswered    time.Time // of the last report that was answered
+	tasks           map[string]*workerTask
+	controller      int
+	heartbeatNow    chan struct{}
+	dropsAnswers    bool      // answers and commands to it are lost
+	dropsHeartbeats bool      // it reaches no controller, while commands reach it
+	mutedSince      time.Time // since when
+	holdsNext       bool      // its next report is held back
 	heldHeartbeat   []byte
-	paused   bool // it stands still, and may go on within its lease; past that nothing is left to go on
+	paused          bool // it stands still, and may go on within its lease; past that nothing is left to go on
 }
 
 func (k *fakeWorker) heartbeat() wire.Heartbeat {
@@ -332,4 +332,4 @@
 	writeJSON(w, status, k.heartbeat())
 }
 
-var _ net.Listener = (*listener)(nil)
+var _ net.Listener = (*hostListener)(nil)
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -15,48 +15,49 @@
 	"rillflow/internal/wire"
 )
 
-// world knows what is true, and checks the rules against it.
+// world is the simulated cluster. It records the true state of jobs, tasks and
+// workers and checks the protocol's rules against it.
 type world struct {
 	t   testing.TB
 	net *network
 	ctx context.Context
 	wg  sync.WaitGroup
 
-	mu       sync.Mutex
-	rnd      *rand.Rand
-	workers  map[string]*fakeWorker
-	jobs     map[string]wire.Job
-	hostOf    map[ledger.Task]string // host that a task is on
-	usedCPUs     map[string]float64     // CPUs, by team
-	doneTasks     map[ledger.Task]bool
-	lastPhase     map[string]string    // last phase told, by job
-	cancelledAt     map[string]time.Time // withdrawn as told
-	cancelRequested    map[string]bool      // a withdrawal was sent
-	acceptedSignal map[string]chan struct{}
-	acceptedAt    map[string]time.Time  // when first told accepted
-	shouldResubmit    func(jobID string) bool // whether a user submits again now, though accepted
-	teamCPULimit    float64               // of each team, in CPUs
-	clusterSize     int                   // controllers
-	upgraded map[int]bool          // controllers told of the lower limits to come
-	starts   int
-	durationSpread   float64              // how much longer each task of a job runs than the one before it, as a ratio to the first
-	newWorkersMute     bool                 // new machines reach no controller
-	duplicateShare   float64              // share of the reports of which a copy arrives again, late
-	maxInstances     int                  // machines of a kind and zone
-	sockets  int                  // of a controller; 0: plenty
-	teamCount    int                  // equal ones; 0: two
-	startedAttempts      map[startedAttempt]bool         // tries that started
-	firstStart    map[string]time.Time // first start of a task, by job
-	lastAnswer map[string]time.Time // last answer about a job
-	faultsEndedAt     time.Time            // when the last trouble was over; zero: not yet
-	waitingWithRoomSince    map[string]time.Time // jobs that wait though there is room, since when
-	lateStarts     []time.Duration      // starts after a confirmed withdrawal, how long after
-	operatorSettings string               // the operators' settings; "": none of their own
-	store    *fakeStore
-	// What the settings say of the store's rates; 0: plenty.
+	mu                   sync.Mutex
+	rnd                  *rand.Rand
+	workers              map[string]*fakeWorker
+	jobs                 map[string]wire.Job
+	hostOf               map[ledger.Task]string // worker that a task is running on
+	usedCPUs             map[string]float64     // by team
+	doneTasks            map[ledger.Task]bool
+	lastPhase            map[string]string    // last phase reported to the user, by job
+	cancelledAt          map[string]time.Time // when the user was told of the cancellation, by job
+	cancelRequested      map[string]bool      // a cancellation was sent, by job
+	acceptedSignal       map[string]chan struct{}
+	acceptedAt           map[string]time.Time    // when first reported accepted, by job
+	shouldResubmit       func(jobID string) bool // reports whether a user resubmits an accepted job now
+	teamCPULimit         float64                 // of each team
+	clusterSize          int                     // controllers
+	upgraded             map[int]bool            // controllers that know the announced lower limits
+	starts               int
+	durationSpread       float64                 // by how much each task of a job outlasts the one before it, as a fraction of the first's duration
+	newWorkersMute       bool                    // heartbeats of new workers reach no controller
+	duplicateShare       float64                 // share of the heartbeats of which a late copy arrives
+	maxInstances         int                     // workers per instance type and zone
+	sockets              int                     // per controller; 0: enough
+	teamCount            int                     // teams with equal quotas; 0: the two default teams
+	startedAttempts      map[startedAttempt]bool // every attempt that started
+	firstStart           map[string]time.Time    // when the first task started, by job
+	lastAnswer           map[string]time.Time    // when the user last got an answer, by job
+	faultsEndedAt        time.Time               // when the last fault ended; zero: not yet
+	waitingWithRoomSince map[string]time.Time    // jobs that wait although there is room
+	lateStarts           []time.Duration         // delays of task starts after a confirmed cancellation
+	operatorSettings     string                  // operator settings (XML); "": defaults
+	store                *fakeStore
+	// Store rate limits in the controllers' settings; 0: the defaults.
 	storeRPS, storeWriteRPS float64
-	maxPollPause               time.Duration // in which a user asks again, at least half of it; 0: 4 s
-	violations                []string
+	maxPollPause            time.Duration // users poll after half to all of this time; 0: 4 s
+	violations              []string
 }
 
 func (w *world) intN(n int) int {
@@ -71,14 +72,14 @@
 	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// run is an attempt of a task on a worker.
+// startedAttempt identifies an attempt of a task that started on a worker.
 type startedAttempt struct {
-	task ledger.Task
-	attempt  uint64
-	host string
+	task    ledger.Task
+	attempt uint64
+	host    string
 }
 
-// taskStarted notes a task's start and checks the rules that a start can break.
+// taskStarted records a task's start and checks the rules that a start can break.
 func (w *world) taskStarted(id ledger.Task, attempt uint64, instance wire.Instance) wire.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,34 +90,34 @@
 	}
 	job, ok := w.jobs[id.JobID]
 	if !ok {
-		w.recordViolation("%s started, which nobody submitted", id)
+		w.recordViolation("unknown_job: %s started, but its job was never submitted", id)
 		return job
 	}
 	for _, dependency := range job.DependsOn {
 		for i := range w.jobs[dependency].TaskCount {
 			if !w.doneTasks[ledger.Task{JobID: dependency, Index: i}] {
-				w.recordViolation("too_early: %s starts before %s/%d is done", id, dependency, i)
+				w.recordViolation("too_early: %s started before its dependency %s/%d was done", id, dependency, i)
 			}
 		}
 	}
 	if other := w.hostOf[id]; other != "" {
-		w.recordViolation("ran_twice: %s starts on %s while on %s", id, instance.Name, other)
+		w.recordViolation("ran_twice: %s started on %s while running on %s", id, instance.Name, other)
 	}
 	w.setTaskHost(id, instance.Name)
 	if cancelledAt, ok := w.cancelledAt[id.JobID]; ok {
 		w.lateStarts = append(w.lateStarts, time.Since(cancelledAt))
 		if time.Since(cancelledAt) > cancelTimeout {
-			w.recordViolation("ran_cancelled: %s starts %v after", id, time.Since(cancelledAt))
+			w.recordViolation("ran_cancelled: %s started %v after its cancellation", id, time.Since(cancelledAt))
 		}
 	}
 	if instance.Spot && !job.AllowSpot {
-		w.recordViolation("wrong_place: %s on a spot machine", id)
+		w.recordViolation("wrong_place: %s started on a spot worker", id)
 	}
 	if len(job.InstanceTypes) > 0 && !slices.Contains(job.InstanceTypes, instance.InstanceType) {
-		w.recordViolation("wrong_place: %s on a machine of type %s", id, instance.InstanceType)
+		w.recordViolation("wrong_place: %s started on a worker of type %s", id, instance.InstanceType)
 	}
 	if job.Zone != "" && job.Zone != instance.Zone {
-		w.recordViolation("wrong_place: %s in zone %s, not %s", id, instance.Zone, job.Zone)
+		w.recordViolation("wrong_place: %s started in zone %s, want %s", id, instance.Zone, job.Zone)
 	}
 	teamCPUs, inZone, placed := w.usedCPUs[job.Team], 0, 0
 	for i := range job.TaskCount {
@@ -127,19 +128,19 @@
 		}
 	}
 	if teamCPUs > w.teamCPULimit+1e-6 {
-		w.recordViolation("quota: %v CPUs of %s", teamCPUs, job.Team)
+		w.recordViolation("quota: %v CPUs in use by team %s", teamCPUs, job.Team)
 	}
 	if job.SpreadZones && inZone > (job.TaskCount+1)/2 {
-		w.recordViolation("wrong_place: %d of %d tasks of %s in a zone", inZone, job.TaskCount, id.JobID)
+		w.recordViolation("wrong_place: %d of %d tasks of %s in one zone", inZone, job.TaskCount, id.JobID)
 	}
 	if job.SingleZone && inZone < placed {
-		w.recordViolation("wrong_place: %s in another zone than %d tasks of its job", id, placed-inZone)
+		w.recordViolation("wrong_place: %s started in another zone than %d tasks of its job", id, placed-inZone)
 	}
 	return job
 }
 
-// orphan tells since when a user knows that something before a job is cancelled;
-// run it with the lock held.
+// dependencyCancelledAt returns when a user was first told that a direct or
+// indirect dependency of a job is cancelled, or the zero time. The caller holds w.mu.
 func (w *world) dependencyCancelledAt(jobID string) (earliest time.Time) {
 	for _, dependency := range w.jobs[jobID].DependsOn {
 		for _, candidate := range []time.Time{w.cancelledAt[dependency], w.dependencyCancelledAt(dependency)} {
@@ -156,15 +157,15 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if cancelledAt, ok := w.cancelledAt[id.JobID]; ok && time.Since(cancelledAt) > cancelTimeout {
-		w.recordViolation("ran_cancelled: %s was on %s %v after", id, host, time.Since(cancelledAt))
+		w.recordViolation("ran_cancelled: %s was still on %s %v after its cancellation", id, host, time.Since(cancelledAt))
 	}
 	if w.hostOf[id] == host {
 		w.setTaskHost(id, "")
 	}
 }
 
-// place notes where a task is, "" for nowhere, and what its team uses; run it with the
-// lock held.
+// setTaskHost records the worker that a task runs on, "" for none, and updates the
+// CPUs that its team uses. The caller holds w.mu.
 func (w *world) setTaskHost(id ledger.Task, host string) {
 	job := w.jobs[id.JobID]
 	if _, placed := w.hostOf[id]; placed {
@@ -200,7 +201,7 @@
 	w.wg.Go(func() { worker.run(ctx); worker.client.CloseIdleConnections() })
 }
 
-// stop takes a worker away with all that is on it.
+// stopWorker ends a worker and all tasks on it.
 func (w *world) stopWorker(name string) {
 	w.mu.Lock()
 	worker := w.workers[name]
@@ -213,7 +214,7 @@
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
 	worker.clear()
-	worker.lastAnswered = time.Now().Add(time.Hour) // it is off: nothing happens there any more
+	worker.lastAnswered = time.Now().Add(time.Hour) // prevents the lease from expiring on a worker that is off
 }
 
 func (w *world) controllerSettings(index int) *settings.Settings {
@@ -245,7 +246,7 @@
 	if w.sockets > 0 {
 		s.Facts.Resources.Sockets = w.sockets
 	}
-	if w.maxInstances >= 100 { // the limits of a larger deployment
+	if w.maxInstances >= 100 { // a larger deployment has higher limits
 		s.Facts.Store.RPS, s.Facts.Store.WriteRPS, s.Facts.Cloud.RPS = 500, 80, 12
 	}
 	if w.storeRPS > 0 {
@@ -264,7 +265,7 @@
 
 func teamName(index int) string { return fmt.Sprintf("team-%02d", index) }
 
-// zoneOf is the zone of a controller.
+// zoneOf returns the zone of a controller.
 func zoneOf(controller int) string { return []string{"a", "b", "a"}[controller%3] }
 
 func frontAddress(controller int) string { return fmt.Sprintf("front-%d:80", controller) }
--- a/internal/sim/writeoverload_test.go
+++ b/internal/sim/writeoverload_test.go
@@ -28,8 +28,8 @@
 func TestPollsAnsweredWhileWritesPileUp(t *testing.T) {
 	runFaultPlan(t, faultPlan{
 		seed: 778, maxInstances: 12, teamCPULimit: 100,
-		faults: func(m *scenario) { m.overloadWrites(30, 12) },
-		recovery:     300 * time.Second,
+		faults:   func(m *scenario) { m.overloadWrites(30, 12) },
+		recovery: 300 * time.Second,
 	})
 }
 
