--- a/internal/sim/immediaterestart_test.go
+++ b/internal/sim/immediaterestart_test.go
@@ -10,14 +10,15 @@
 	"rillflow/internal/wire"
 )
 
-// moment waits until something is seen, or for long enough that it will not be; seen is
-// called for every commit that is carried out and for whatever is sent between hosts.
+// trigger matches an event during a run. matchesCommit is called for every transaction that
+// the store applies, matchesSend for all data sent between hosts; either may be nil.
 type trigger struct {
-	matchesCommit func(node string, t wire.Txn) bool
-	matchesSend   func(from, to string, b []byte) bool
+	matchesCommit func(controller string, txn wire.Txn) bool
+	matchesSend   func(from, to string, data []byte) bool
 }
 
-// until waits for a moment, and tells whether it came. The answer to such a commit is lost.
+// waitFor waits for an event, for at most a lease, and reports whether it occurred. The
+// answer to a matching transaction is lost.
 func (d *lossScenario) waitFor(when trigger) bool {
 	signalled := make(chan struct{}, 1)
 	signal := func() {
@@ -57,12 +58,12 @@
 	return reached
 }
 
-// more has a job come now, that no other gives way to.
+// submitExtraJob submits a job that preempts no other.
 func (d *lossScenario) submitExtraJob() {
 	d.w.submit(d.w.ctx, wire.Job{ID: "req-000900", Class: "c", Team: "a", Kind: wire.KindArray, Priority: "standard", TaskCount: 6, CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, 0, 0)
 }
 
-// puts tells whether a commit puts a key that begins so.
+// putsKey reports whether a transaction puts a key with the given prefix.
 func putsKey(txn wire.Txn, prefix string) bool {
 	for _, op := range txn.Operations {
 		if strings.HasPrefix(op.Put, prefix) {
@@ -72,25 +73,26 @@
 	return false
 }
 
-// offerFrame tells whether what is sent is an offer of free capacity to a part's owner.
+// isCapacityOffer reports whether data is a peer message that offers free capacity to the
+// owner of a shard.
 func isCapacityOffer(from, to string, data []byte) bool {
 	return strings.HasPrefix(from, "host-") && strings.HasPrefix(to, "host-") && len(data) > 1 && data[0] == 1 && data[1] == 3
 }
 
-// Whoever is back within a fraction of a second meets its own past: the lease that it
-// led by, links that its peers take to stand, what it sent in its last moment. No rule
-// breaks, what runs runs on, everything comes to its end, and nobody storms the state
-// service.
+// Guards against a process that restarts within a fraction of a second and is confused by
+// its predecessor: a leader lease that is still valid, connections that peers believe open,
+// and messages still in flight. Running tasks continue, all jobs finish, and the store's
+// rate limits are kept.
 func TestImmediateRestart(t *testing.T) {
 	const downtime = 50 * time.Millisecond
 	cases := []struct {
 		name   string
-		inject func(d *lossScenario) bool // false: the moment never came
+		inject func(d *lossScenario) bool // false: the event did not occur
 	}{
-		{"the leader, within its grant", func(d *lossScenario) bool { d.crash(d.leader(), downtime); return true }},
-		{"the leader, 900 ms", func(d *lossScenario) bool { d.crash(d.leader(), 900*time.Millisecond); return true }},
-		{"in an election", func(d *lossScenario) bool {
-			// As soon as another takes the lead, it ends too, and the first is back.
+		{"leader within its lease", func(d *lossScenario) bool { d.crash(d.leader(), downtime); return true }},
+		{"leader after 900 ms", func(d *lossScenario) bool { d.crash(d.leader(), 900*time.Millisecond); return true }},
+		{"leaders during an election", func(d *lossScenario) bool {
+			// The new leader crashes as soon as it is elected, and the old one restarts.
 			n := d.leader()
 			d.processes[n].crash()
 			reached := d.waitFor(trigger{matchesCommit: func(_ string, t wire.Txn) bool { return putsKey(t, "lead") }})
@@ -98,26 +100,26 @@
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"in a takeover", func(d *lossScenario) bool {
+		{"new leader while it loads", func(d *lossScenario) bool {
 			d.crash(d.leader(), downtime)
 			reached := d.waitFor(trigger{matchesCommit: func(_ string, t wire.Txn) bool { return putsKey(t, "lead") }})
-			time.Sleep(10 * time.Millisecond) // the claims are being read
+			time.Sleep(10 * time.Millisecond) // the new leader is reading the claims
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"between offer and confirm", func(d *lossScenario) bool {
+		{"leader between offer and confirmation", func(d *lossScenario) bool {
 			d.submitExtraJob()
 			reached := d.waitFor(trigger{matchesSend: isCapacityOffer})
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"the owner, between offer and confirm", func(d *lossScenario) bool {
+		{"shard owner between offer and confirmation", func(d *lossScenario) bool {
 			d.submitExtraJob()
 			reached := d.waitFor(trigger{matchesSend: isCapacityOffer})
 			d.crash((d.leader()+1)%controllerCount, downtime)
 			return reached
 		}},
-		{"between a claim and its launch", func(d *lossScenario) bool {
+		{"leader between a claim and its start command", func(d *lossScenario) bool {
 			d.submitExtraJob()
 			n := d.leader()
 			reached := d.waitFor(trigger{matchesCommit: func(controller string, t wire.Txn) bool {
@@ -126,14 +128,14 @@
 			d.crash(n, downtime)
 			return reached
 		}},
-		{"two of three", func(d *lossScenario) bool {
+		{"two of three controllers", func(d *lossScenario) bool {
 			n := d.leader()
 			d.processes[n].crash()
 			d.crash((n+1)%controllerCount, downtime)
 			d.processes[n] = d.w.boot(n)
 			return true
 		}},
-		{"all three", func(d *lossScenario) bool {
+		{"all three controllers", func(d *lossScenario) bool {
 			for _, c := range d.processes {
 				c.crash()
 			}
@@ -143,7 +145,7 @@
 			}
 			return true
 		}},
-		{"the leader again and again for 20 s", func(d *lossScenario) bool {
+		{"same controller repeatedly for 20 s", func(d *lossScenario) bool {
 			n := d.leader()
 			for range 66 {
 				d.crash(n, downtime)
@@ -151,14 +153,14 @@
 			}
 			return true
 		}},
-		{"whoever leads, again and again for 20 s", func(d *lossScenario) bool {
+		{"current leader repeatedly for 20 s", func(d *lossScenario) bool {
 			for range 20 {
 				d.crash(d.leader(), downtime)
 				time.Sleep(950 * time.Millisecond)
 			}
 			return true
 		}},
-		{"while the state service is out", func(d *lossScenario) bool {
+		{"during a store outage", func(d *lossScenario) bool {
 			d.store.setOutage(true)
 			time.Sleep(2 * time.Second)
 			d.crash(d.leader(), downtime)
@@ -167,16 +169,16 @@
 			d.store.setOutage(false)
 			return true
 		}},
-		{"an owner, before it is missed", func(d *lossScenario) bool { d.crash((d.leader()+1)%controllerCount, downtime); return true }},
-		{"in a rebuild", func(d *lossScenario) bool {
+		{"shard owner before its failure is detected", func(d *lossScenario) bool { d.crash((d.leader()+1)%controllerCount, downtime); return true }},
+		{"leader during a rebuild", func(d *lossScenario) bool {
 			d.loseData(restoredFromBackup, 10*time.Second, "")
 			reached := d.waitFor(trigger{matchesCommit: func(_ string, t wire.Txn) bool { return putsKey(t, "history/") }})
 			time.Sleep(20 * time.Millisecond)
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"machines, for 900 ms", func(d *lossScenario) bool { d.w.cutWorkersOff(d.cloud, 900*time.Millisecond); return true }},
-		{"machines and the leader", func(d *lossScenario) bool {
+		{"workers disconnected for 900 ms", func(d *lossScenario) bool { d.w.cutWorkersOff(d.cloud, 900*time.Millisecond); return true }},
+		{"workers disconnected while the leader restarts", func(d *lossScenario) bool {
 			n := d.leader()
 			d.processes[n].crash()
 			d.w.cutWorkersOff(d.cloud, 300*time.Millisecond)
@@ -191,7 +193,7 @@
 					d, before, end := startLossScenario(t, 300+uint64(i)+100*seed, 24, "")
 					startedAt := time.Now()
 					if !tc.inject(d) {
-						t.Error("the moment never came")
+						t.Error("the event to wait for did not occur")
 					}
 					surviving := d.countSurviving(before, 30*time.Second)
 					requests, writes := d.store.peakRates(startedAt)
@@ -202,17 +204,17 @@
 					}
 					for jobID, job := range d.w.jobs {
 						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; d.w.lastPhase[jobID] != want {
-							t.Errorf("%s is %q, want %s", jobID, d.w.lastPhase[jobID], want)
+							t.Errorf("job %s is %q, want %s", jobID, d.w.lastPhase[jobID], want)
 						}
 					}
 					if surviving != len(before) {
-						t.Errorf("%d of %d tasks run on, or are done", surviving, len(before))
+						t.Errorf("%d of %d tasks survived, want all", surviving, len(before))
 					}
-					// Per second, of all controllers: the limits that they were told.
+					// The limits per second in the settings, for all controllers together.
 					if requests > 200 || writes > 50 {
-						t.Errorf("%d requests and %d changes in a second", requests, writes)
+						t.Errorf("%d requests and %d writes in one second, want at most 200 and 50", requests, writes)
 					}
-					t.Logf("%d of %d tasks run on or are done; at most %d requests and %d changes a second", surviving, len(before), requests, writes)
+					t.Logf("%d of %d tasks survived; at most %d requests and %d writes per second", surviving, len(before), requests, writes)
 				})
 			}
 		})
--- a/internal/sim/messagefaults_test.go
+++ b/internal/sim/messagefaults_test.go
@@ -7,31 +7,31 @@
 	"time"
 )
 
-// A command or its answer is held up for seconds, or its worker hangs, and then goes on,
-// while its jobs are cancelled all at once and others are launched: what was sent before
-// the cancellation, the return or the new session starts nothing, and what is cancelled is
-// gone in time.
+// Guards against tasks that start from outdated commands. Commands or answers are delayed
+// for seconds, or the workers hang, while jobs are cancelled and others are launched:
+// commands sent before a cancellation, a reconnection or a new worker incarnation must not
+// start anything, and cancelled tasks must end in time.
 func TestDelayedCommands(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		fault func(m *scenario, workers []string, duration time.Duration)
 	}{
-		{"held", func(m *scenario, workers []string, duration time.Duration) {
+		{"commands delayed", func(m *scenario, workers []string, duration time.Duration) {
 			m.partition(m.controllerNames(), workers, duration)
 		}},
-		{"hung", func(m *scenario, workers []string, duration time.Duration) {
+		{"workers hang", func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, pauseWorker)
 		}},
-		{"deaf", func(m *scenario, workers []string, duration time.Duration) {
+		{"answers lost", func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, dropAnswers)
 		}},
-		{"mute", func(m *scenario, workers []string, duration time.Duration) {
+		{"heartbeats lost", func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, dropHeartbeats)
 		}},
-		{"held, and the leader ends", func(m *scenario, workers []string, duration time.Duration) {
+		{"commands delayed, leader crashes", func(m *scenario, workers []string, duration time.Duration) {
 			concurrently(func() { m.partition(m.controllerNames(), workers, duration) }, func() { time.Sleep(duration / 2); m.crashController(m.initialLeader, 4*time.Second) })
 		}},
-		{"hung, and the leader ends", func(m *scenario, workers []string, duration time.Duration) {
+		{"workers hang, leader crashes", func(m *scenario, workers []string, duration time.Duration) {
 			concurrently(func() { m.injectWorkerFault(workers, duration, pauseWorker) }, func() { time.Sleep(duration / 2); m.crashController(m.initialLeader, 4*time.Second) })
 		}},
 	} {
@@ -39,7 +39,7 @@
 			t.Run(fmt.Sprint(tc.name, " for ", duration), func(t *testing.T) {
 				t.Parallel()
 				runFaultPlan(t, faultPlan{seed: 7, jobs: arrays(8, 3, 100*time.Second, nil), recovery: 350 * time.Second, faults: func(m *scenario) {
-					for i := range 6 { // launched about when it begins
+					for i := range 6 { // launched about when the fault begins
 						m.w.submit(m.ctx, array(30+i, 3, 30*time.Second), time.Duration(i)*200*time.Millisecond, 0)
 					}
 					time.Sleep(500 * time.Millisecond)
@@ -49,7 +49,7 @@
 							time.Sleep(300 * time.Millisecond)
 							m.cancelRepeatedly((m.initialLeader+1)%controllerCount, cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3), testJobID(4), testJobID(30), testJobID(31))
 						},
-						func() { // some more once it has begun
+						func() { // cancels more jobs during the fault
 							time.Sleep(min(duration/2, 5*time.Second))
 							m.cancelRepeatedly((m.initialLeader+2)%controllerCount, cancelTimeout, testJobID(32), testJobID(33), testJobID(5))
 						},
@@ -57,10 +57,10 @@
 				}, check: func(m *scenario) {
 					m.w.mu.Lock()
 					defer m.w.mu.Unlock()
-					// Where the leader ends meanwhile, the launch is out of the next one's hands; and
-					// what most workers of a zone may yet do is not waited for for so long.
-					if n := len(m.w.lateStarts); n > 0 && duration < 22*heartbeatInterval/10 && !strings.Contains(tc.name, "leader ends") {
-						m.Errorf("%d starts came after the withdrawal was told", n)
+					// A new leader cannot recall start commands of its crashed predecessor, and if most
+					// workers of a zone are affected, the confirmation does not wait for them that long.
+					if n := len(m.w.lateStarts); n > 0 && duration < 22*heartbeatInterval/10 && !strings.Contains(tc.name, "leader crashes") {
+						m.Errorf("%d task starts came after the confirmed cancellation, want none", n)
 					}
 				}})
 			})
@@ -68,28 +68,28 @@
 	}
 }
 
-// Machines reach no controller, while direct commands reach them. Nothing renews their
-// leases, so they are given nothing again and again; what they had runs elsewhere; and the
-// leadership does not wander on their account.
+// Guards against tasks that are started again and again on workers whose heartbeats reach no
+// controller, although direct commands still reach them. Their leases are not renewed, so
+// their tasks must run elsewhere, and the leadership must not change because of them.
 func TestWorkersWithoutHeartbeats(t *testing.T) {
 	const jobs, tasksPerJob = 8, 3
-	const keepIdleWorkers = "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>" // a part without machines hears none
+	const keepIdleWorkers = "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>" // a shard without workers receives no heartbeats
 	for _, tc := range []struct {
 		name            string
 		selectWorkers   func(m *scenario) []string
 		concurrentFault func(m *scenario)
-		maxTerms        int  // at most
-		doneMeanwhile   bool // all is done while they are mute
+		maxTerms        int  // of leadership
+		doneMeanwhile   bool // all jobs finish while the heartbeats are lost
 	}{
-		{"one", func(m *scenario) []string { return m.busyWorkers()[:1] }, nil, 1, true},
-		{"half", func(m *scenario) []string { return m.randomWorkers(0.5) }, nil, 2, true},
-		{"a zone", func(m *scenario) []string { return m.workerNames("b") }, nil, 2, true},
-		{"all, new ones too", func(m *scenario) []string { return m.workerNames("") }, nil, 1, false},
+		{"one worker", func(m *scenario) []string { return m.busyWorkers()[:1] }, nil, 1, true},
+		{"half of the workers", func(m *scenario) []string { return m.randomWorkers(0.5) }, nil, 2, true},
+		{"all workers of a zone", func(m *scenario) []string { return m.workerNames("b") }, nil, 2, true},
+		{"all workers, also new ones", func(m *scenario) []string { return m.workerNames("") }, nil, 1, false},
 		{"half, while the leader changes", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }, 3, true},
-		{"half, and they hang", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) {
+		{"half, others hang", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) {
 			m.injectWorkerFault(m.randomWorkers(0.3), leaseDuration/2, pauseWorker)
 		}, 2, true},
-		{"half, and jobs are withdrawn", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) {
+		{"half, with cancellations", func(m *scenario) []string { return m.randomWorkers(0.5) }, func(m *scenario) {
 			time.Sleep(2 * time.Second)
 			m.cancelRepeatedly((m.initialLeader+1)%controllerCount, cancelTimeout, testJobID(0), testJobID(1), testJobID(2))
 		}, 2, true},
@@ -108,7 +108,7 @@
 						m.w.mu.Lock()
 						m.w.newWorkersMute = false
 						m.w.mu.Unlock()
-						m.injectWorkerFault(m.workerNames(""), 0, func(k *fakeWorker, on bool) { k.dropsHeartbeats = false })
+						m.injectWorkerFault(m.workerNames(""), 0, func(worker *fakeWorker, active bool) { worker.dropsHeartbeats = false })
 					},
 					func() {
 						for startedAt := time.Now(); time.Since(startedAt) < 4*leaseDuration; {
@@ -132,13 +132,13 @@
 						defer m.w.mu.Unlock()
 						for i := range jobs {
 							if tc.doneMeanwhile && !m.w.cancelRequested[testJobID(i)] && !m.w.allTasksDone(testJobID(i)) {
-								m.Errorf("%s is not done though other machines are well", testJobID(i))
+								m.Errorf("job %s is not done although other workers are healthy", testJobID(i))
 							}
 						}
 					},
 				)
 				if len(leaders) > tc.maxTerms {
-					m.Errorf("%d terms: %s", len(leaders), strings.Join(leaders, " "))
+					m.Errorf("got %d leadership terms, more than allowed: %s", len(leaders), strings.Join(leaders, " "))
 				}
 				// A task is lost once with a worker that cannot send heartbeats; with one that hangs too, once more.
 				maxStarts := 2 * jobs * tasksPerJob
@@ -146,55 +146,56 @@
 					maxStarts += jobs * tasksPerJob
 				}
 				if starts > maxStarts {
-					m.Errorf("%d starts of %d tasks", starts, jobs*tasksPerJob)
+					m.Errorf("%d task starts of %d tasks, want fewer", starts, jobs*tasksPerJob)
 				}
 			}})
 		})
 	}
 }
 
-// A report is held back until a new leader has acted, and then arrives there: it neither
-// frees nor starts, reaps nor renews anything that was decided since.
+// Guards against a heartbeat that undoes newer decisions. It is delayed until a new leader
+// has acted and then delivered to that leader: it must not free capacity, start or forget
+// tasks, or renew leases against what was decided since.
 func TestDelayedHeartbeat(t *testing.T) {
 	for _, tc := range []struct {
 		name           string
-		beforeDelivery func(m *scenario, workers []string) // between the report and its arrival, after the leader's end
+		beforeDelivery func(m *scenario, workers []string) // after the leader's crash
 	}{
-		{"the same session", func(m *scenario, workers []string) { time.Sleep(10 * time.Second) }},
-		{"an earlier session", func(m *scenario, workers []string) {
+		{"same incarnation", func(m *scenario, workers []string) { time.Sleep(10 * time.Second) }},
+		{"earlier incarnation", func(m *scenario, workers []string) {
 			m.partition(workers, m.controllerNames(), leaseDuration+6*time.Second)
 			time.Sleep(4 * time.Second)
 		}},
-		{"the new leader never saw a newer one", func(m *scenario, workers []string) {
+		{"new leader never got a newer one", func(m *scenario, workers []string) {
 			go m.partition(workers, m.controllerNames(), 20*time.Second)
 			time.Sleep(8 * time.Second)
 		}},
-		{"the machine has died", func(m *scenario, workers []string) {
+		{"worker has failed", func(m *scenario, workers []string) {
 			for _, worker := range workers {
 				m.cloud.killInstance(worker)
 			}
 			time.Sleep(8 * time.Second)
 		}},
-		{"jobs were withdrawn", func(m *scenario, workers []string) {
+		{"jobs cancelled", func(m *scenario, workers []string) {
 			m.cancelRepeatedly((m.initialLeader+1)%controllerCount, 30*time.Second, testJobID(0), testJobID(1), testJobID(2))
 			time.Sleep(3 * time.Second)
 		}},
-		{"two leaders later", func(m *scenario, workers []string) {
+		{"after a second leader change", func(m *scenario, workers []string) {
 			m.crashController(m.leaderIndex(), 6*time.Second)
 			time.Sleep(10 * time.Second)
 		}},
 	} {
-		for _, duration := range []time.Duration{24 * time.Second, 28 * time.Second, 90 * time.Second} { // tasks end about when it is sent, or run on
+		for _, duration := range []time.Duration{24 * time.Second, 28 * time.Second, 90 * time.Second} { // the tasks end about when the heartbeat is sent, or run on
 			t.Run(fmt.Sprint(tc.name, ", tasks of ", duration), func(t *testing.T) {
 				t.Parallel()
 				runFaultPlan(t, faultPlan{seed: 13, teamCPULimit: 20, jobs: arrays(12, 3, duration, nil), recovery: 330 * time.Second, faults: func(m *scenario) {
 					workers := m.busyWorkers()
-					m.injectWorkerFault(workers, 7*time.Second, holdNextHeartbeat) // held, and newer ones have come
+					m.injectWorkerFault(workers, 7*time.Second, holdNextHeartbeat) // newer heartbeats arrive meanwhile
 					m.crashController(m.initialLeader, 6*time.Second)
 					tc.beforeDelivery(m, workers)
 					delivered := m.deliverHeldHeartbeats(workers)
 					if delivered == 0 {
-						m.Error("no report was held back")
+						m.Error("no heartbeat was delayed")
 					}
 				}})
 			})
@@ -202,24 +203,25 @@
 	}
 }
 
-// Transactions without an answer are carried out seconds later, after newer ones of the
-// same controller: while tasks are placed, end, are cancelled, and leaders change.
+// Guards against stale writes that take effect. Unanswered transactions are applied seconds
+// later, after newer ones of the same controller, while tasks are placed, end or are
+// cancelled, and while the leader changes.
 func TestLateTransactions(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		concurrentFault func(m *scenario)
 	}{
 		{"tasks are placed and end", func(m *scenario) { time.Sleep(40 * time.Second) }},
-		{"jobs are withdrawn", func(m *scenario) {
+		{"jobs cancelled", func(m *scenario) {
 			m.cancelRepeatedly(m.initialLeader, cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
 		}},
-		{"the leader ends", func(m *scenario) { m.crashController(m.initialLeader, 5*time.Second); time.Sleep(20 * time.Second) }},
-		{"the leader is refused alone", func(m *scenario) {
+		{"leader crashes", func(m *scenario) { m.crashController(m.initialLeader, 5*time.Second); time.Sleep(20 * time.Second) }},
+		{"store refuses the leader", func(m *scenario) {
 			m.store.refuseController(controllerName(m.initialLeader), true)
 			time.Sleep(20 * time.Second)
 			m.store.refuseController(controllerName(m.initialLeader), false)
 		}},
-		{"machines come and go", func(m *scenario) { m.partition(m.randomWorkers(0.5), m.controllerNames(), leaseDuration+8*time.Second) }},
+		{"workers become unreachable and return", func(m *scenario) { m.partition(m.randomWorkers(0.5), m.controllerNames(), leaseDuration+8*time.Second) }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
@@ -227,22 +229,23 @@
 				m.store.delayTransactions(0.5)
 				tc.concurrentFault(m)
 				m.store.delayTransactions(0)
-				time.Sleep(12 * time.Second) // the last is carried out
+				time.Sleep(12 * time.Second) // until the last one is applied
 			}})
 		})
 	}
 }
 
-// Old heartbeats come again after newer ones, also from an earlier session or attempt.
+// Guards against duplicated heartbeats that take effect: copies arrive after newer heartbeats,
+// also of an earlier incarnation or attempt.
 func TestDuplicatedHeartbeats(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
 		concurrentFault func(m *scenario)
 	}{
-		{"tasks come and go", func(m *scenario) { time.Sleep(60 * time.Second) }},
-		{"sessions end", func(m *scenario) { m.partition(m.randomWorkers(0.7), m.controllerNames(), leaseDuration+5*time.Second) }},
-		{"the leader ends", func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
-		{"machines die", func(m *scenario) {
+		{"tasks start and end", func(m *scenario) { time.Sleep(60 * time.Second) }},
+		{"incarnations end", func(m *scenario) { m.partition(m.randomWorkers(0.7), m.controllerNames(), leaseDuration+5*time.Second) }},
+		{"leader crashes", func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
+		{"workers fail", func(m *scenario) {
 			for _, worker := range m.randomWorkers(0.4) {
 				m.cloud.killInstance(worker)
 			}
--- a/internal/sim/network_test.go
+++ b/internal/sim/network_test.go
@@ -23,9 +23,9 @@
 	blocked       map[[2]string]bool
 	conns         map[*conn]bool
 	rnd           *rand.Rand
-	crashing      map[string]bool                 // hosts whose process is being killed: they cannot dial
-	onSend        func(from, to string, b []byte) // observes all data sent, if set
-	delays        map[string]time.Duration        // additional latency to and from a host
+	crashing      map[string]bool                    // hosts whose process is being killed: they cannot dial
+	onSend        func(from, to string, data []byte) // observes all data sent, if set
+	delays        map[string]time.Duration           // additional latency to and from a host
 	stopped       bool
 }
 
--- a/internal/sim/placementfaults_test.go
+++ b/internal/sim/placementfaults_test.go
@@ -11,38 +11,38 @@
 	"rillflow/internal/wire"
 )
 
-// Jobs bound to a zone, to one place, or spread over zones lose workers: what replaces
-// them never is elsewhere, nor while what was lost may live, and nothing waits once the
-// zone has room.
+// Guards against replacements that break zone constraints. Jobs bound to a given zone, to a
+// single zone or spread over zones lose workers: replacements must respect the constraint,
+// must not start while the lost task may still run, and must not wait once the zone has room.
 func TestZoneConstraints(t *testing.T) {
 	constraints := map[string]func(i int, job *wire.Job){
-		"a zone":          func(i int, job *wire.Job) { job.Zone = "a" },
-		"a zone, on spot": func(i int, job *wire.Job) { job.Zone, job.AllowSpot = "a", true },
-		"one place":       func(i int, job *wire.Job) { job.SingleZone = true },
-		"one place, services": func(i int, job *wire.Job) {
+		"zone":        func(i int, job *wire.Job) { job.Zone = "a" },
+		"zone, spot":  func(i int, job *wire.Job) { job.Zone, job.AllowSpot = "a", true },
+		"single zone": func(i int, job *wire.Job) { job.SingleZone = true },
+		"single zone, services": func(i int, job *wire.Job) {
 			job.SingleZone, job.Kind, job.Priority = true, wire.KindService, "production"
 		},
 		"spread": func(i int, job *wire.Job) { job.SpreadZones = true },
 		"spread, services": func(i int, job *wire.Job) {
 			job.SpreadZones, job.Kind, job.Priority = true, wire.KindService, "production"
 		},
-		"a type": func(i int, job *wire.Job) { job.InstanceTypes = []string{"m"}; job.Zone = "b" },
+		"instance type": func(i int, job *wire.Job) { job.InstanceTypes = []string{"m"}; job.Zone = "b" },
 	}
 	for _, tc := range []struct {
 		name  string
 		fault func(m *scenario)
 	}{
-		{"machines die", func(m *scenario) {
+		{"workers fail", func(m *scenario) {
 			for i, worker := range m.busyWorkers() {
 				if i%2 == 0 {
 					m.cloud.killInstance(worker)
 				}
 			}
 		}},
-		{"machines can't be reached for longer than a lease", func(m *scenario) {
+		{"workers unreachable for longer than a lease", func(m *scenario) {
 			m.partition(m.randomWorkers(0.5), m.controllerNames(), leaseDuration+leaseDuration/2)
 		}},
-		{"machines die, and the zone has no more", func(m *scenario) {
+		{"workers fail, zone without capacity", func(m *scenario) {
 			m.limitCapacity("a", 0)
 			for _, worker := range m.workerNames("a") {
 				m.cloud.killInstance(worker)
@@ -50,7 +50,7 @@
 			time.Sleep(2 * leaseDuration)
 			m.limitCapacity("a", -1)
 		}},
-		{"a zone dies while the leader changes", func(m *scenario) {
+		{"zone fails while the leader changes", func(m *scenario) {
 			for _, worker := range m.workerNames("a") {
 				m.cloud.killInstance(worker)
 			}
@@ -66,19 +66,20 @@
 	}
 }
 
-// A zone with workers and a controller is cut off for longer than a lease: nothing is on
-// two workers, what is cancelled meanwhile is gone in time, and the cut heals in any order.
+// Guards against duplicate or late tasks when a zone with workers and controllers is cut off
+// for longer than a lease: no task runs on two workers, and tasks cancelled meanwhile end in
+// time, in whichever order the links are restored.
 func TestZonePartition(t *testing.T) {
 	for _, tc := range []struct {
 		name       string
 		zone       string
-		healsFirst string // what is back before the rest: workers, controllers; "": all at once
+		healsFirst string // links restored first: "workers" or "controllers"; "": all at once
 	}{
-		{"heals at once", "b", ""},
-		{"workers first", "b", "workers"},
-		{"the controller first", "b", "controllers"},
-		{"the zone of two controllers", "a", ""},
-		{"the zone of two controllers, workers first", "a", "workers"},
+		{"one controller, all links at once", "b", ""},
+		{"one controller, workers first", "b", "workers"},
+		{"one controller, controller first", "b", "controllers"},
+		{"two controllers, all links at once", "a", ""},
+		{"two controllers, workers first", "a", "workers"},
 	} {
 		for _, duration := range []time.Duration{leaseDuration + 4*time.Second, 3 * leaseDuration} {
 			t.Run(fmt.Sprint(tc.name, " after ", duration), func(t *testing.T) {
@@ -115,8 +116,8 @@
 	}
 }
 
-// There is more work than room, urgent and not, over slow links: what is urgent goes
-// first, nothing is on two workers, and no more is stopped for it than it needs.
+// Guards against urgent jobs that wait, and against needless preemption, when there is more
+// work than capacity and links are slow. No task runs on two workers.
 func TestUrgentJobsUnderContention(t *testing.T) {
 	for _, delay := range []time.Duration{0, 150 * time.Millisecond, 600 * time.Millisecond} {
 		t.Run(delay.String(), func(t *testing.T) {
@@ -137,29 +138,29 @@
 					defer m.w.mu.Unlock()
 					for i := range urgentJobs {
 						if wait := m.w.firstStart[testJobID(50+i)].Sub(m.w.acceptedAt[testJobID(50+i)]); wait > 30*time.Second {
-							m.Errorf("%s is urgent, and began after %v", testJobID(50+i), wait)
+							m.Errorf("urgent job %s started after %v, want at most 30 s", testJobID(50+i), wait)
 						}
 					}
 					if maxStarts := 16*8 + 3*urgentJobs*tasksPerJob; m.w.starts > maxStarts {
-						m.Errorf("%d starts, at most %d expected", m.w.starts, maxStarts)
+						m.Errorf("%d task starts, want at most %d", m.w.starts, maxStarts)
 					}
-					m.Logf("%d starts of %d tasks", m.w.starts, 16*8+urgentJobs*tasksPerJob)
+					m.Logf("%d task starts of %d tasks", m.w.starts, 16*8+urgentJobs*tasksPerJob)
 				}})
 		})
 	}
 }
 
-// Small jobs keep coming, somewhat more than there is room for: the largest begin within four
-// minutes all the same.
+// Guards against starvation of large jobs: small jobs keep arriving and need somewhat more
+// than the capacity, but the largest jobs must start within four minutes.
 func TestLargestJobsStart(t *testing.T) {
 	const largeJobs, tasksPerJob = 4, 8
 	jobs := arrays(largeJobs, tasksPerJob, 20*time.Second, func(i int, job *wire.Job) { job.Team = "a" })
 	runFaultPlan(t, faultPlan{seed: 18, teamCPULimit: 16, maxInstances: 2, jobs: nil, operatorSettings: "<rillflow><fleet><thrift>never</thrift></fleet></rillflow>", recovery: 150 * time.Second, faults: func(m *scenario) {
 		var steps []func()
-		for i := range 480 { // 17 cores' worth, of 16
+		for i := range 480 { // they need 17 cores on average, of 16
 			steps = append(steps, func() {
 				time.Sleep(time.Duration(i) * 600 * time.Millisecond)
-				job := array(200+2*i, 1, 10*time.Second) // of team a too
+				job := array(200+2*i, 1, 10*time.Second) // also of team a
 				m.w.submit(m.ctx, job, 0, 0)
 			})
 		}
@@ -175,7 +176,7 @@
 			defer m.w.mu.Unlock()
 			for _, job := range jobs {
 				if startedAt := m.w.firstStart[job.ID]; startedAt.IsZero() || startedAt.Sub(m.w.acceptedAt[job.ID]) > maxLargestJobWait {
-					m.Errorf("%s has not begun within %v", job.ID, maxLargestJobWait)
+					m.Errorf("job %s did not start within %v", job.ID, maxLargestJobWait)
 				}
 			}
 		})
@@ -183,24 +184,24 @@
 	}})
 }
 
-// The tasks of a job of two or three end far apart, and the leader changes between: what
-// was done is done, and done once, and the job is done with its last task.
+// Guards against tasks that run twice or jobs that never finish when the leader changes
+// between the ends of a job's two or three tasks.
 func TestTasksEndFarApart(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
 		changeLeader func(m *scenario)
 	}{
-		{"it crashes", func(m *scenario) { m.crashController(m.leaderIndex(), 5*time.Second) }},
-		{"it is back at once", func(m *scenario) { m.crashController(m.leaderIndex(), 50*time.Millisecond) }},
-		{"it is refused alone", func(m *scenario) {
+		{"leader crashes", func(m *scenario) { m.crashController(m.leaderIndex(), 5*time.Second) }},
+		{"leader restarts at once", func(m *scenario) { m.crashController(m.leaderIndex(), 50*time.Millisecond) }},
+		{"store refuses the leader", func(m *scenario) {
 			leader := m.leaderIndex()
 			m.store.refuseController(controllerName(leader), true)
 			time.Sleep(15 * time.Second)
 			m.store.refuseController(controllerName(leader), false)
 		}},
-		{"all end, and one returns", func(m *scenario) {
-			for leader := range m.w.clusterSize {
-				m.processes[leader].crash()
+		{"all controllers crash, one restarts", func(m *scenario) {
+			for n := range m.w.clusterSize {
+				m.processes[n].crash()
 			}
 			time.Sleep(300 * time.Millisecond)
 			m.processes[1] = m.w.boot(1)
@@ -216,7 +217,7 @@
 				for i := range 9 {
 					w.submit(ctx, wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 8 + 1.7*float64(i)}, 0, 0)
 				}
-				time.Sleep(22 * time.Second) // the first of some are done, of others about to be
+				time.Sleep(22 * time.Second) // some jobs' first tasks are done, others are about to be
 				for range 4 {
 					tc.changeLeader(m)
 					time.Sleep(17 * time.Second)
@@ -228,11 +229,11 @@
 				}
 				for i := range 9 {
 					if jobID := testJobID(i); w.lastPhase[jobID] != wire.PhaseDone {
-						t.Errorf("%s is %q", jobID, w.lastPhase[jobID])
+						t.Errorf("job %s is %q, want done", jobID, w.lastPhase[jobID])
 					}
 				}
 				if want := 5*2 + 4*3; w.starts != want {
-					t.Errorf("%d starts of %d tasks", w.starts, want)
+					t.Errorf("%d task starts, want one for each of %d tasks", w.starts, want)
 				}
 			})
 		})
--- a/internal/sim/pollstorm_test.go
+++ b/internal/sim/pollstorm_test.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	recoveryTime   = 60 * time.Second // after the last fault, by when one leader leads and stays
+	recoveryTime   = 60 * time.Second // after the last fault, until the leader no longer changes
 	stormPollEvery = 600 * time.Millisecond
 )
 
-// limitStore has the store limit its rates, and every controller start anew knowing of it.
+// limitStore limits the store's rates and restarts all controllers with these limits in
+// their settings.
 func (m *scenario) limitStore(requests, writes float64) {
 	m.w.mu.Lock()
 	m.w.storeRPS, m.w.storeWriteRPS = requests, writes
@@ -21,14 +22,15 @@
 	m.restartControllers(time.Second, 0, 1, 2)
 }
 
-// pollEvery has users ask again so often; 0: as usual.
+// setMaxPollPause sets the longest pause between two polls of a user; 0: the default.
 func (m *scenario) setMaxPollPause(maxPause time.Duration) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
 	m.w.maxPollPause = maxPause
 }
 
-// chains are jobs in lines of three, each waiting for the one before it. The first runs on.
+// chains returns chains of three jobs, each depending on the one before it. The first job of
+// a chain runs for an hour.
 func chains(firstJob, chainCount int) (jobs []wire.Job) {
 	for chain := range chainCount {
 		head := firstJob + 3*chain
@@ -45,7 +47,7 @@
 	return jobs
 }
 
-// Guards against status reads that starve lease renewals and cancellations of dependents.
+// Guards against status polls that starve lease renewals and cancellations of dependent jobs.
 func TestDependentsCancelledThroughPollStorm(t *testing.T) {
 	const services, chainCount, firstHead = 60, 24, 100
 	jobs := arrays(services, 1, 0, func(_ int, job *wire.Job) { job.Kind, job.Priority, job.CPUs = wire.KindService, "production", 0.25 })
@@ -79,17 +81,17 @@
 		},
 		check: func(m *scenario) {
 			if n := m.store.leaderChanges(m.w.faultsEndedAt.Add(recoveryTime)); n > 0 {
-				m.Errorf("%d leader changes later than %v after the last fault", n, recoveryTime)
+				m.Errorf("%d leader changes later than %v after the last fault, want none", n, recoveryTime)
 			}
 			for chain := range chainCount {
 				if head := testJobID(firstHead + 3*chain); m.w.cancelledAt[head].IsZero() {
-					m.Errorf("%s was never told cancelled", head)
+					m.Errorf("job %s was never reported as cancelled", head)
 				}
 			}
 			if n := m.store.rateRefusals; n > 0 {
-				m.Errorf("%d requests were refused for their rate: the controllers' shares are too large", n)
+				m.Errorf("the store refused %d requests for their rate: the controllers' rate shares are too large", n)
 			}
-			m.Logf("%d leader changes in all", m.store.leaderChanges(m.startedAt))
+			m.Logf("%d leader changes in total", m.store.leaderChanges(m.startedAt))
 		},
 	})
 }
--- a/internal/sim/randomfaults_test.go
+++ b/internal/sim/randomfaults_test.go
@@ -13,27 +13,29 @@
 	"rillflow/internal/wire"
 )
 
-// fault is one of those that meet. It lasts for about as long as it is told.
+// randomFault is a kind of fault that may overlap with others. inject takes about the given
+// duration.
 type randomFault struct {
 	name   string
 	inject func(m *scenario, controller int, duration time.Duration)
 }
 
-// fate keeps two faults from ending or starting one process at once.
+// processLocks keep two faults from crashing or starting the same process at once, by the
+// controller's index.
 type processLocks [9]sync.Mutex
 
 var randomFaults = []randomFault{
-	{"outage", func(m *scenario, controller int, duration time.Duration) {
+	{"store outage", func(m *scenario, controller int, duration time.Duration) {
 		m.store.setOutage(true)
 		time.Sleep(duration)
 		m.store.setOutage(false)
 	}},
-	{"refused alone", func(m *scenario, controller int, duration time.Duration) {
+	{"store refuses a controller", func(m *scenario, controller int, duration time.Duration) {
 		m.store.refuseController(controllerName(controller), true)
 		time.Sleep(duration)
 		m.store.refuseController(controllerName(controller), false)
 	}},
-	{"over and back", func(m *scenario, controller int, duration time.Duration) {
+	{"store refuses the current leader repeatedly", func(m *scenario, controller int, duration time.Duration) {
 		for deadline := time.Now().Add(duration); time.Now().Before(deadline); {
 			leader := m.leaderIndex()
 			m.store.refuseController(controllerName(leader), true)
@@ -42,28 +44,28 @@
 			time.Sleep(time.Duration(m.w.intN(3000)) * time.Millisecond)
 		}
 	}},
-	{"slow state", func(m *scenario, controller int, duration time.Duration) {
+	{"slow store", func(m *scenario, controller int, duration time.Duration) {
 		m.store.respondSlowly(time.Duration(200+m.w.intN(1000)) * time.Millisecond)
 		time.Sleep(duration)
 		m.store.respondSlowly(0)
 	}},
-	{"late writes", func(m *scenario, controller int, duration time.Duration) {
+	{"late transactions", func(m *scenario, controller int, duration time.Duration) {
 		m.store.delayTransactions(0.3)
 		time.Sleep(duration)
 		m.store.delayTransactions(0)
 	}},
-	{"late reports", func(m *scenario, controller int, duration time.Duration) {
+	{"duplicated heartbeats", func(m *scenario, controller int, duration time.Duration) {
 		m.w.duplicateHeartbeats(0.5)
 		time.Sleep(duration)
 		m.w.duplicateHeartbeats(0)
 	}},
-	{"deaf machines", func(m *scenario, controller int, duration time.Duration) {
+	{"answers to workers lost", func(m *scenario, controller int, duration time.Duration) {
 		m.injectWorkerFault(m.randomWorkers(0.5), duration, dropAnswers)
 	}},
-	{"mute machines", func(m *scenario, controller int, duration time.Duration) {
+	{"heartbeats lost", func(m *scenario, controller int, duration time.Duration) {
 		m.injectWorkerFault(m.randomWorkers(0.5), duration, dropHeartbeats)
 	}},
-	{"many withdrawn at once, and machines hang", func(m *scenario, controller int, duration time.Duration) {
+	{"jobs cancelled while workers hang", func(m *scenario, controller int, duration time.Duration) {
 		m.w.mu.Lock()
 		var jobIDs []string
 		for t := range m.w.hostOf {
@@ -79,50 +81,50 @@
 			func() { m.cancelRepeatedly(controller, 4*cancelTimeout, jobIDs...) },
 		)
 	}},
-	{"odd requests", func(m *scenario, controller int, duration time.Duration) { m.w.sendInvalidRequests(m.ctx, duration) }},
+	{"invalid requests", func(m *scenario, controller int, duration time.Duration) { m.w.sendInvalidRequests(m.ctx, duration) }},
 	{"slow links", func(m *scenario, controller int, duration time.Duration) {
-		workers := append(m.otherControllers(controller), controllerName(controller))
-		m.w.net.setDelay(time.Duration(50+m.w.intN(600))*time.Millisecond, workers...)
+		hosts := append(m.otherControllers(controller), controllerName(controller))
+		m.w.net.setDelay(time.Duration(50+m.w.intN(600))*time.Millisecond, hosts...)
 		time.Sleep(duration)
-		m.w.net.setDelay(0, workers...)
+		m.w.net.setDelay(0, hosts...)
 	}},
-	{"reports held back", func(m *scenario, controller int, duration time.Duration) {
+	{"delayed heartbeats", func(m *scenario, controller int, duration time.Duration) {
 		workers := m.randomWorkers(0.4)
 		m.injectWorkerFault(workers, 7*time.Second, holdNextHeartbeat)
 		time.Sleep(duration)
 		m.deliverHeldHeartbeats(workers)
 	}},
-	{"machines die", func(m *scenario, controller int, duration time.Duration) {
+	{"workers fail", func(m *scenario, controller int, duration time.Duration) {
 		for _, worker := range m.randomWorkers(0.2) {
 			m.cloud.killInstance(worker)
 		}
 	}},
-	{"all away", func(m *scenario, controller int, duration time.Duration) {
+	{"all controllers down past a lease", func(m *scenario, controller int, duration time.Duration) {
 		var wg sync.WaitGroup
 		for controller := range m.w.clusterSize {
 			wg.Go(func() { m.crashController(controller, leaseDuration+duration) })
 		}
 		wg.Wait()
 	}},
-	{"machines hang", func(m *scenario, controller int, duration time.Duration) {
+	{"workers hang", func(m *scenario, controller int, duration time.Duration) {
 		m.injectWorkerFault(m.randomWorkers(0.5), duration, pauseWorker)
 	}},
-	{"cut from the state service", func(m *scenario, controller int, duration time.Duration) {
+	{"controller partitioned from the store", func(m *scenario, controller int, duration time.Duration) {
 		m.partition([]string{controllerName(controller)}, []string{"state"}, duration)
 	}},
-	{"cut from peers", func(m *scenario, controller int, duration time.Duration) {
+	{"controller partitioned from peers", func(m *scenario, controller int, duration time.Duration) {
 		m.partition([]string{controllerName(controller)}, m.otherControllers(controller), duration)
 	}},
-	{"cut from both", func(m *scenario, controller int, duration time.Duration) {
+	{"controller partitioned from store and peers", func(m *scenario, controller int, duration time.Duration) {
 		m.partition([]string{controllerName(controller)}, append(m.otherControllers(controller), "state"), duration)
 	}},
-	{"cut from machines", func(m *scenario, controller int, duration time.Duration) {
+	{"controller partitioned from workers", func(m *scenario, controller int, duration time.Duration) {
 		m.partition([]string{controllerName(controller)}, m.randomWorkers(0.7), duration)
 	}},
-	{"machines out of reach", func(m *scenario, controller int, duration time.Duration) {
+	{"workers partitioned from all controllers", func(m *scenario, controller int, duration time.Duration) {
 		m.partition(m.randomWorkers(0.5), append(m.otherControllers(controller), controllerName(controller)), duration)
 	}},
-	{"zone cut", func(m *scenario, controller int, duration time.Duration) {
+	{"zone partitioned", func(m *scenario, controller int, duration time.Duration) {
 		m.w.partitionZone(m.cloud, zoneOf(controller), true)
 		time.Sleep(duration)
 		m.w.partitionZone(m.cloud, zoneOf(controller), false)
@@ -130,14 +132,14 @@
 	{"crash", func(m *scenario, controller int, duration time.Duration) {
 		m.crashController(controller, m.w.randomDowntime())
 	}},
-	{"all crash", func(m *scenario, controller int, duration time.Duration) {
+	{"all controllers crash", func(m *scenario, controller int, duration time.Duration) {
 		var wg sync.WaitGroup
 		for controller := range m.w.clusterSize {
 			wg.Go(func() { m.crashController(controller, m.w.randomDowntime()) })
 		}
 		wg.Wait()
 	}},
-	{"again and again", func(m *scenario, controller int, duration time.Duration) {
+	{"crash loop", func(m *scenario, controller int, duration time.Duration) {
 		for range 5 {
 			m.crashController(controller, 20*time.Millisecond)
 			time.Sleep(time.Duration(50+m.w.intN(900)) * time.Millisecond)
@@ -145,13 +147,12 @@
 	}},
 }
 
-// Days on which every two faults meet: one begins within the other, by lot, with users
-// who withdraw all the while.
+// Guards against broken rules when two or three random faults overlap while users cancel jobs.
 func TestOverlappingRandomFaults(t *testing.T) {
 	for seed := range seedCount(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			rnd := rand.New(rand.NewPCG(seed, 11))
-			// Three controllers, or up to seven on every other day.
+			// Three controllers with even seeds, four to seven with odd ones.
 			clusterSize := controllerCount + int(seed%2)*(1+int(seed/2)%4)
 			checkFaults(t, seed, clusterSize, 24, func(m *scenario) {
 				for range 4 {
@@ -173,13 +174,13 @@
 	}
 }
 
-// checkFaults plays a day of faults with jobs of long tasks coming all the while and every
-// second of them cancelled, until everybody has had an answer.
+// checkFaults runs faults while jobs with long tasks are submitted and every second one is
+// cancelled, and checks that every job reaches its end.
 func checkFaults(t *testing.T, seed uint64, clusterSize, jobCount int, faults func(m *scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		rnd := rand.New(rand.NewPCG(seed, 12))
-		ctx, w, store, cloud, controllers, deadline := startWorldOfSize(t, seed, clusterSize, 60, 6, "")
+		ctx, w, store, cloud, controllers, end := startWorldOfSize(t, seed, clusterSize, 60, 6, "")
 		m := newScenario(t, ctx, w, store, cloud, controllers)
 		w.durationSpread = 0.8
 		w.wg.Go(func() { w.requestUnknownJobs(ctx) })
@@ -197,20 +198,20 @@
 		time.Sleep(20 * time.Second)
 		faults(m)
 		w.faultsEnded(cloud)
-		time.Sleep(max(240*time.Second, 480*time.Second-time.Since(m.startedAt))) // the longest task takes 170 s, from a start of its own
+		time.Sleep(max(240*time.Second, 480*time.Second-time.Since(m.startedAt))) // the longest task takes 170 s, and it may start late
 		w.checkCancelledTasksGone()
-		deadline()
+		end()
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, violation := range w.violations {
 			t.Error(violation)
 		}
 		if len(w.lateStarts) > 0 {
-			t.Logf("%d starts after a withdrawal was told, the latest %v after", len(w.lateStarts), slices.Max(w.lateStarts))
+			t.Logf("%d task starts after a confirmed cancellation, the latest %v after it", len(w.lateStarts), slices.Max(w.lateStarts))
 		}
 		for jobID, job := range w.jobs {
 			if got := w.lastPhase[jobID]; got != wire.PhaseDone && got != wire.PhaseCancelled && (job.Kind == wire.KindArray || w.cancelRequested[jobID]) {
-				t.Errorf("%s is %q at the end", jobID, got)
+				t.Errorf("job %s is %q at the end", jobID, got)
 			}
 		}
 		if t.Failed() {
--- a/internal/sim/respond_test.go
+++ b/internal/sim/respond_test.go
@@ -13,7 +13,8 @@
 	w.Write(b)
 }
 
-// Ways to lose data. All are told by nothing but what is read after.
+// Kinds of data loss in the store. Controllers can notice them only by what they read
+// afterwards.
 const (
 	allKeysLost        = "all keys, generation back to 1"
 	restoredFromBackup = "back to some time ago, generation too"
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -15,31 +15,31 @@
 	"rillflow/internal/wire"
 )
 
-// scenario is a day on which faults meet while long tasks run.
+// scenario is a run in which the test injects faults while long tasks run.
 type scenario struct {
 	*testing.T
 	w             *world
 	store         *fakeStore
 	cloud         *fakeCloud
 	processes     []*controllerProcess
-	initialLeader int // at the start
+	initialLeader int // when the faults begin
 	client        *http.Client
 	ctx           context.Context
 	startedAt     time.Time
 	processLocks  processLocks
-	faultLog      []string // what troubles came
+	faultLog      []string // the faults injected, in order
 }
 
 func newScenario(t *testing.T, ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess) *scenario {
 	return &scenario{T: t, w: w, store: store, cloud: cloud, processes: controllers, ctx: ctx, startedAt: time.Now(), client: w.client()}
 }
 
-// leaderIndex is the controller that leads now; the first if none does.
+// leaderIndex returns the current leader, or the first controller if there is none.
 func (m *scenario) leaderIndex() int { return max(0, m.store.leaderIndex()) }
 
 func controllerName(index int) string { return fmt.Sprintf("host-%d", index) }
 
-// cutFromPeers cuts a controller off from the others.
+// cutFromPeers blocks or restores the links between a controller and its peers.
 func (m *scenario) cutFromPeers(controller int, blocked bool) {
 	for other := range m.w.clusterSize {
 		if other != controller {
@@ -48,7 +48,8 @@
 	}
 }
 
-// withdraw asks a controller to cancel a job, once, and notes when it said so.
+// cancelJob sends one cancellation to a controller, records when it was confirmed, and
+// reports whether it was.
 func (m *scenario) cancelJob(controller int, jobID string) bool {
 	m.w.mu.Lock()
 	m.w.cancelRequested[jobID] = true
@@ -73,9 +74,9 @@
 	return true
 }
 
-// checkScenario plays a day of faults while eight jobs of long tasks run, of which the faults
-// withdraw the first four, and checks that their tasks are gone in time, that the others
-// run on where the faults leave them a controller, and that all end well.
+// checkScenario runs faults while eight jobs with long tasks run. The faults cancel the first
+// four jobs. It checks that cancelled tasks end in time, that no task is started twice if
+// tasksContinue is set, and that the other array jobs finish.
 func checkScenario(t *testing.T, seed uint64, tasksContinue bool, faults func(m *scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -106,34 +107,34 @@
 			case cancelled:
 				for task := range w.jobs[jobID].TaskCount {
 					if worker := w.hostOf[ledger.Task{JobID: jobID, Index: task}]; worker != "" {
-						t.Errorf("%s/%d is withdrawn and on %s at the end", jobID, task, worker)
+						t.Errorf("task %s/%d is cancelled but still on %s at the end", jobID, task, worker)
 					}
 				}
 			case w.jobs[jobID].Kind == wire.KindArray && w.lastPhase[jobID] != wire.PhaseDone:
-				t.Errorf("%s is %q at the end", jobID, w.lastPhase[jobID])
+				t.Errorf("job %s is %q at the end, want done", jobID, w.lastPhase[jobID])
 			}
 		}
 		if want := 2*2 + 2*3 + 2*2 + 2*3; tasksContinue && w.starts != want {
-			t.Errorf("%d starts of %d tasks: some did not run on", w.starts, want)
+			t.Errorf("%d task starts, want one for each of %d tasks: some were restarted", w.starts, want)
 		}
 	})
 }
 
-// duplicateHeartbeats has copies of a share of the workers' heartbeats arrive again, late.
+// duplicateHeartbeats delivers late copies of a share of the workers' heartbeats.
 func (w *world) duplicateHeartbeats(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.duplicateShare = share
 }
 
-// checkCancelledTasksGone checks what is on workers: what stays there breaks the rule too, not only what
-// leaves late.
+// checkCancelledTasksGone records a violation for each cancelled task that is still running.
+// taskStopped only notices those that end too late.
 func (w *world) checkCancelledTasksGone() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for task, host := range w.hostOf {
 		if cancelledAt, ok := w.cancelledAt[task.JobID]; ok && time.Since(cancelledAt) > cancelTimeout {
-			w.recordViolation("ran_cancelled: %s is on %s %v after", task, host, time.Since(cancelledAt))
+			w.recordViolation("ran_cancelled: %s is still on %s %v after its cancellation", task, host, time.Since(cancelledAt))
 		}
 	}
 }
@@ -142,7 +143,7 @@
 
 func (m *scenario) crashController(controller int, downtime time.Duration) {
 	if !m.processLocks[controller].TryLock() {
-		return // it is being ended as it is; to wait for a lock would stop the clock
+		return // already down; waiting for a mutex would stop the simulated clock
 	}
 	defer m.processLocks[controller].Unlock()
 	m.processes[controller].crash()
@@ -150,7 +151,7 @@
 	m.processes[controller] = m.w.boot(controller)
 }
 
-// randomWorkers are a few workers, by lot.
+// randomWorkers draws about the given share of the workers.
 func (m *scenario) randomWorkers(share float64) (workers []string) {
 	m.cloud.mu.Lock()
 	defer m.cloud.mu.Unlock()
@@ -162,7 +163,7 @@
 	return workers
 }
 
-// partition cuts ways, or ends that.
+// partition blocks all links between two sets of hosts for the given duration.
 func (m *scenario) partition(from []string, to []string, duration time.Duration) {
 	for _, blocked := range []bool{true, false} {
 		for _, a := range from {
@@ -176,7 +177,7 @@
 	}
 }
 
-// strikeWorkers does something to workers, and undoes it.
+// injectWorkerFault applies a fault to workers and removes it after the given duration.
 func (m *scenario) injectWorkerFault(names []string, duration time.Duration, inject func(worker *fakeWorker, active bool)) {
 	for _, active := range []bool{true, false} {
 		for _, name := range names {
@@ -195,7 +196,8 @@
 	}
 }
 
-// What strikeWorkers does to workers.
+// Faults for injectWorkerFault.
+
 func dropHeartbeats(worker *fakeWorker, active bool) {
 	worker.dropsHeartbeats, worker.mutedSince = active, time.Now()
 }
@@ -206,8 +208,8 @@
 
 func holdNextHeartbeat(worker *fakeWorker, active bool) { worker.holdsNext = active }
 
-// deliverHeldHeartbeats has the heartbeats of workers that were held back arrive at whoever leads now, and
-// tells how many there were.
+// deliverHeldHeartbeats delivers the held heartbeats of workers to the current leader and
+// returns their number.
 func (m *scenario) deliverHeldHeartbeats(names []string) (delivered int) {
 	leader := m.leaderIndex()
 	for _, name := range names {
@@ -221,7 +223,7 @@
 	return delivered
 }
 
-// others are the other controllers.
+// otherControllers returns the names of all other controllers.
 func (m *scenario) otherControllers(controller int) (names []string) {
 	for other := range m.w.clusterSize {
 		if other != controller {
--- a/internal/sim/store_test.go
+++ b/internal/sim/store_test.go
@@ -13,11 +13,12 @@
 	"rillflow/internal/wire"
 )
 
-// store stands in for the key-value store of the protocol's page on the state service: keys with
-// revisions, transactions, leases, watches, limits. It is as consistent as the real one.
+// fakeStore is a linearizable in-memory fake of the key-value store: keys with revisions,
+// transactions, leases, watches and limits, as in the protocol's description of the state
+// service.
 type fakeStore struct {
-	mu   sync.Mutex // guards what follows
-	cond *sync.Cond // tells watches of changes
+	mu   sync.Mutex // guards all fields below
+	cond *sync.Cond // signals changes to watches
 	rnd  *rand.Rand
 
 	revision  uint64
@@ -28,25 +29,25 @@
 	leaseTTLs map[uint64]time.Duration
 	lastLease uint64
 
-	// Limits. Nil rates are none; else bursts of a second's worth are allowed.
+	// Limits. A nil rate is unlimited; others allow bursts of one second's worth.
 	maxValueBytes          int
-	maxOperations          int // of a transaction
+	maxOperations          int // per transaction
 	limitsLowered          bool
 	requestRate, writeRate *rate.Limiter
 
 	// Faults.
-	unavailable        bool            // nobody is served
-	refusedControllers map[string]bool // controllers that alone are refused
-	latency            time.Duration   // requests and their answers take up to so long
-	lateShare          float64         // of transactions that get no answer and are carried out much later
-	// onCommit sees each transaction that is carried out, and may have its answer lost; nil: none.
+	unavailable        bool            // all requests are refused
+	refusedControllers map[string]bool // controllers whose requests are refused
+	latency            time.Duration   // 0: none; else a request and its answer take 1/4 to 5/4 of it
+	lateShare          float64         // share of transactions that get no answer and are applied much later
+	// onCommit, if set, is called for each applied transaction and may drop its answer.
 	onCommit func(controller string, txn wire.Txn) (lost bool)
 
-	// What is checked and counted.
+	// Checks and counters.
 	recordViolation                  func(string, ...any)
-	tooLargeCounts                   map[string]int // transactions refused for their size
-	rateRefusals                     int            // for their rate
-	requestsBySecond, writesBySecond map[int64]int  // requests and changes, by the second
+	tooLargeCounts                   map[string]int // refusals for size, by encoded transaction
+	rateRefusals                     int            // requests refused for their rate
+	requestsBySecond, writesBySecond map[int64]int  // by Unix time
 }
 
 func newFakeStore(rnd *rand.Rand, recordViolation func(string, ...any)) *fakeStore {
@@ -60,12 +61,13 @@
 	return s
 }
 
-// withinRate takes so many from a limit, if it allows them; run it with the lock held.
+// takeRate takes n tokens from a rate limit and reports whether it allows them. The caller
+// holds s.mu.
 func (s *fakeStore) takeRate(limiter *rate.Limiter, n int) bool {
 	return limiter == nil || limiter.AllowN(time.Now(), n)
 }
 
-// leaderChanges is how often a controller took the leader's key since a time.
+// leaderChanges returns how often the leader key was written since a time.
 func (s *fakeStore) leaderChanges(since time.Time) (changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +79,7 @@
 	return changes
 }
 
-// peakRates is the most requests and changes in a second since a time.
+// peakRates returns the most requests and the most writes in one second since a time.
 func (s *fakeStore) peakRates(since time.Time) (requests, writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,12 +91,12 @@
 	return requests, writes
 }
 
-// recordEvent adds to the log; run it with the lock held.
+// recordEvent appends a change to the log. The caller holds s.mu.
 func (s *fakeStore) recordEvent(op wire.Operation) {
 	s.log, s.logTimes = append(s.log, op), append(s.logTimes, time.Now())
 }
 
-// apply carries a change out; run it with the lock held.
+// apply applies a change to the keys. The caller holds s.mu.
 func (s *fakeStore) apply(op wire.Operation) {
 	if op.Put != "" {
 		s.keys[op.Put] = wire.KeyValue{Key: op.Put, Value: op.Value, ModRevision: op.ModRevision, LeaseID: op.LeaseID}
@@ -103,7 +105,7 @@
 	}
 }
 
-// expireLeases ends leases that ran out; run it with the lock held.
+// expireLeases drops expired leases, but none during an outage. The caller holds s.mu.
 func (s *fakeStore) expireLeases() {
 	if s.unavailable {
 		return
@@ -115,7 +117,7 @@
 	}
 }
 
-// dropLease ends a lease, and removes the keys on it; run it with the lock held.
+// dropLease removes a lease and the keys attached to it. The caller holds s.mu.
 func (s *fakeStore) dropLease(leaseID uint64) {
 	delete(s.leaseEnds, leaseID)
 	for key, item := range s.keys {
@@ -128,7 +130,7 @@
 	s.cond.Broadcast()
 }
 
-// leads is the controller that the leader's key names; -1: none.
+// leaderIndex returns the controller named by the leader key, or -1.
 func (s *fakeStore) leaderIndex() int {
 	n := -1
 	fmt.Sscanf(s.get("lead"), `{"node":"host-%d"`, &n)
@@ -141,9 +143,10 @@
 	return string(s.keys[key].Value)
 }
 
-// tooLarge tells whether a transaction is over the limits. Once they have fallen
-// as announced, one may be sent that a controller could not know to be too large, but
-// not again. Two may come: one whose packets were held is sent anew without an answer.
+// tooLarge reports whether a transaction exceeds the limits, and records a violation if the
+// controller had to know that. Just after the announced limits come into force, a controller
+// may send a transaction that is too large, but not again once it was refused. Two copies are
+// allowed, because a controller that got no answer sends it again.
 func (s *fakeStore) tooLarge(txn wire.Txn) bool {
 	large := len(txn.Operations) > s.maxOperations || len(txn.Compares) > 4*s.maxOperations
 	for _, op := range txn.Operations {
@@ -152,14 +155,15 @@
 	if large {
 		encoded, _ := json.Marshal(txn)
 		if !s.limitsLowered || s.tooLargeCounts[string(encoded)] > 1 {
-			s.recordViolation("a transaction of %d changes, %d guards and %d bytes", len(txn.Operations), len(txn.Compares), len(encoded))
+			s.recordViolation("too_large: a transaction of %d operations, %d comparisons and %d bytes exceeds the limits", len(txn.Operations), len(txn.Compares), len(encoded))
 		}
 		s.tooLargeCounts[string(encoded)]++
 	}
 	return large
 }
 
-// commit carries a transaction out, or refuses it; run it with the lock held.
+// commit applies a transaction or refuses it, and returns the status and body of the answer.
+// The caller holds s.mu.
 func (s *fakeStore) commit(txn wire.Txn) (int, any) {
 	if s.tooLarge(txn) {
 		return http.StatusBadRequest, wire.ErrorResponse{Error: "too large"}
--- a/internal/sim/storefaults_test.go
+++ b/internal/sim/storefaults_test.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/wire"
 )
 
-// limitRates has the store refuse what is above so many requests and writes a second.
+// limitRates makes the store refuse requests and writes above the given rates per second.
 func (s *fakeStore) limitRates(requests, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -19,14 +19,15 @@
 	s.writeRate = rate.NewLimiter(rate.Limit(writes), int(writes))
 }
 
-// lowerLimits lets the limits fall, as was announced to the controllers.
+// lowerLimits puts the lower limits into force that were announced to the controllers.
 func (s *fakeStore) lowerLimits(valueBytes, operations int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxValueBytes, s.maxOperations, s.limitsLowered = valueBytes, operations, true
 }
 
-// outage has the store refuse everybody; once it is over, every lease has its full time again.
+// setOutage begins or ends an outage, in which all requests are refused. At its end, every
+// lease has its full TTL again.
 func (s *fakeStore) setOutage(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,21 +40,21 @@
 	s.cond.Broadcast()
 }
 
-// delayTransactions has a share of the transactions get no answer and be carried out late.
+// delayTransactions leaves a share of the transactions unanswered and applies them late.
 func (s *fakeStore) delayTransactions(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lateShare = share
 }
 
-// respondSlowly has answers take up to so long.
+// respondSlowly adds latency to requests and their answers; 0 removes it.
 func (s *fakeStore) respondSlowly(maxLatency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.latency = maxLatency
 }
 
-// applyLate carries a transaction out after a while, whatever came of it before.
+// applyLate commits a transaction after a delay, whether or not it was applied before.
 func (s *fakeStore) applyLate(txn wire.Txn, delay time.Duration) {
 	time.AfterFunc(delay, func() {
 		s.mu.Lock()
@@ -64,7 +65,7 @@
 	})
 }
 
-// refuseAlone has the store refuse a controller alone, or ends that.
+// refuseController makes the store refuse the requests of a controller, or serve them again.
 func (s *fakeStore) refuseController(controller string, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,7 +73,8 @@
 	s.cond.Broadcast()
 }
 
-// loseData has the store lose data.
+// loseData causes a loss of the given kind. age is the age of the restored backup, and
+// keyPrefix selects the key whose value is corrupted.
 func (s *fakeStore) loseData(kind string, age time.Duration, keyPrefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +93,7 @@
 			s.apply(op)
 		}
 		clear(s.leaseEnds)
-		for _, item := range s.keys { // grants come back with what is on them
+		for _, item := range s.keys { // leases are restored with the keys attached to them
 			if item.LeaseID != 0 {
 				s.leaseEnds[item.LeaseID] = time.Now().Add(s.leaseTTLs[item.LeaseID])
 			}
--- a/internal/sim/storeserver_test.go
+++ b/internal/sim/storeserver_test.go
@@ -15,13 +15,13 @@
 // ServeHTTP serves the store's protocol. It models no connection limits and no body limits.
 func (s *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	controller, _, _ := strings.Cut(r.RemoteAddr, ":")
-	// Ahead of the lock: a body may come in several packets, and whoever waits for a lock
-	// that is held meanwhile stops the simulation's clock.
+	// The body is read before locking: it may arrive in several packets, and a goroutine that
+	// waits for a mutex held meanwhile would stop the simulated clock.
 	body, _ := io.ReadAll(r.Body)
 	latency := s.drawLatency()
-	time.Sleep(latency / 4) // there
+	time.Sleep(latency / 4) // request latency
 	if r.URL.Path != "/changes" {
-		defer time.Sleep(3 * latency / 4) // and back: carried out, and not known yet
+		defer time.Sleep(3 * latency / 4) // answer latency, after the request was applied
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// drawLatency is how long a request and its answer take together.
+// drawLatency draws the total latency of a request and its answer.
 func (s *fakeStore) drawLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,8 +62,8 @@
 	return s.latency/4 + time.Duration(s.rnd.Int64N(int64(s.latency)))
 }
 
-// serveCommit carries a transaction out, or a fault of one. It and all below are called with the
-// lock held.
+// serveCommit commits a transaction, unless an injected fault delays it. The caller holds
+// s.mu, as for all handlers below.
 func (s *fakeStore) serveCommit(w http.ResponseWriter, r *http.Request, controller string, body []byte) {
 	var txn wire.Txn
 	json.Unmarshal(body, &txn)
@@ -77,22 +77,22 @@
 			panic(http.ErrAbortHandler)
 		}
 		s.mu.Unlock()
-		<-r.Context().Done() // its sender gives up
+		<-r.Context().Done() // until the sender gives up
 		s.mu.Lock()
 		return
 	}
 	status, result := s.commit(txn)
 	s.writesBySecond[time.Now().Unix()] += len(txn.Operations)
-	if s.rnd.IntN(50) == 0 { // a copy of it comes once more, much later or at once
+	if s.rnd.IntN(50) == 0 { // a duplicate arrives later
 		s.applyLate(txn, time.Duration(s.rnd.Int64N(int64(2*leaseDuration))))
 	}
 	if status == http.StatusOK && s.onCommit != nil && s.onCommit(controller, txn) || s.rnd.IntN(100) == 0 {
-		panic(http.ErrAbortHandler) // executed, but the answer is lost
+		panic(http.ErrAbortHandler) // applied, but the answer is lost
 	}
 	writeJSON(w, status, result)
 }
 
-// rangeLimit is how many keys a page of a listing has: few, so that listings take several.
+// rangeLimit is the page size of listings, small enough for most to need several pages.
 const rangeLimit = 10
 
 func (s *fakeStore) serveRange(w http.ResponseWriter, r *http.Request) {
@@ -119,7 +119,8 @@
 	}
 }
 
-// serveWatch answers once there are changes, or the time asked for is over. An outage lets it wait.
+// serveWatch answers once there are changes or the requested time is over. During an outage
+// it keeps waiting.
 func (s *fakeStore) serveWatch(w http.ResponseWriter, r *http.Request, controller string) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// reboot has all controllers begin anew, with what the test changed of the world.
+// restartAll restarts all controllers after a change to the world's settings.
 func (w *world) restartAll(controllers []*controllerProcess, change func()) {
 	w.mu.Lock()
 	change()
@@ -20,9 +20,10 @@
 	}
 }
 
-// Sixteen equal teams share workers for half as much again as their guarantees; one of
-// them asks for ten times its share all the while, ahead of the others. Each of the others
-// is served as if it were alone, and the greedy one gets what they leave.
+// Guards against a team that crowds out others. Sixteen teams with equal quotas share
+// capacity for 1.5 times their guarantees, and one of them constantly submits ten times its
+// share, ahead of the others. Each of the others must be served as if it were alone; the
+// greedy team gets the rest.
 func TestSixteenTeams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const teams = 16
@@ -38,7 +39,7 @@
 			submit(0, "urgent", 40, time.Duration(1+8*i)*time.Second)
 		}
 		for team := 1; team < teams; team++ {
-			for i := range 6 { // two cores on the average, four tasks at a time
+			for i := range 6 { // two cores on average, in bursts of four tasks
 				submit(team, "urgent", 4, time.Duration(20+25*i+team)*time.Second)
 			}
 		}
@@ -60,9 +61,9 @@
 			if team > 0 {
 				worst, best = min(worst, share), max(best, share)
 			} else if share == 0 {
-				t.Error("the greedy team got nothing")
+				t.Error("no job of the greedy team is done")
 			} else {
-				t.Logf("the greedy team: %.2f of %d jobs", share, submitted)
+				t.Logf("the greedy team finished %.2f of its %d jobs", share, submitted)
 			}
 		}
 		w.mu.Unlock()
@@ -71,16 +72,16 @@
 			t.Error(violation)
 		}
 		if worst < 0.95 {
-			t.Errorf("of the others, the worst served has %.2f of its jobs done, the best %.2f", worst, best)
+			t.Errorf("the worst served of the other teams finished %.2f of its jobs, want 0.95; the best finished %.2f", worst, best)
 		}
-		t.Logf("the others: %.2f to %.2f", worst, best)
+		t.Logf("the other teams finished %.2f to %.2f of their jobs", worst, best)
 	})
 }
 
-// Of two zones one has room for a third of what spread services want there. Arrays do not
-// hold it, each service runs with all that its other half may have, workers of the large
-// zone do not pile up for what cannot be there, and new services start in full while old
-// ones wait.
+// One of two zones has room for only a third of what services spread over both zones need
+// there. Arrays must not take that room, each service runs all replicas allowed in the large
+// zone, no spare workers pile up there for replicas that belong in the small zone, and new
+// services start in full while old ones wait.
 func TestScarceZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, w, _, cloud, controllers, end := startWorld(t, 33, 400, 40, "<rillflow><fleet><thrift>always</thrift></fleet></rillflow>")
@@ -88,7 +89,7 @@
 		cloud.zoneLimits = map[string]int{"b": 2} // 16 cores
 		cloud.mu.Unlock()
 		w.restartAll(controllers, func() {})
-		for i := range 12 { // 8 cores of each zone... 48 wanted of the small one
+		for i := range 12 { // 4 cores in each zone, 48 in the small zone in total
 			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "s", Team: "ab"[i%2 : i%2+1], Kind: wire.KindService, Priority: "production",
 				TaskCount: 4, CPUs: 2, MemoryGB: 2, Image: "img", SpreadZones: true}, time.Duration(1+i)*time.Second, 0)
 		}
@@ -116,15 +117,15 @@
 			t.Error(violation)
 		}
 		if inZone["a"] != 24 || inZone["b"] != 8 {
-			t.Errorf("%d replicas in the large zone, want all 24 that may be there; %d in the small one, want the 8 it holds", inZone["a"], inZone["b"])
+			t.Errorf("%d replicas in the large zone, want all 24 allowed there; %d in the small zone, want the 8 that fit", inZone["a"], inZone["b"])
 		}
-		// 48 cores of replicas, and what is spare for a while.
+		// 48 cores for replicas, and spare workers that are kept for a while.
 		if cores["a"] > 96 {
-			t.Errorf("%d cores are kept in the large zone long after the arrays", cores["a"])
+			t.Errorf("%d cores in the large zone long after the arrays ended, want at most 96", cores["a"])
 		}
 		for jobID, job := range w.jobs {
 			if job.Kind == wire.KindArray && w.lastPhase[jobID] != wire.PhaseDone {
-				t.Errorf("%s is %q", jobID, w.lastPhase[jobID])
+				t.Errorf("job %s is %q, want done", jobID, w.lastPhase[jobID])
 			}
 		}
 		t.Logf("replicas by zone %v, cores by zone %v", inZone, cores)
--- a/internal/sim/users_test.go
+++ b/internal/sim/users_test.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/wire"
 )
 
-// orNull is a text, or null for none.
+// orNull returns a pointer to s, or nil for "", which is encoded as null.
 func orNull(s string) *string {
 	if s == "" {
 		return nil
@@ -19,7 +19,8 @@
 	return &s
 }
 
-// playUser submits a job, polls it, and may withdraw it.
+// runUser acts as the user of a job: it submits the job, polls it, cancels it if cancelAfter
+// is set, and checks the answers.
 func (w *world) runUser(ctx context.Context, job wire.Job, cancelAfter time.Duration) {
 	client := w.client()
 	body, _ := json.Marshal(map[string]any{
@@ -42,7 +43,7 @@
 	}
 	start := time.Now()
 	accepted := false
-	var acceptedAt time.Time // when it was accepted
+	var acceptedAt time.Time // last acceptance
 	for ctx.Err() == nil {
 		var status int
 		var phase string
@@ -51,7 +52,7 @@
 			status, phase = send("POST", "/v1/jobs", body)
 			if status == 400 || status == 422 {
 				w.mu.Lock()
-				w.recordViolation("%s was refused: %d", job.ID, status)
+				w.recordViolation("refused: the submission of %s was answered with status %d", job.ID, status)
 				w.mu.Unlock()
 			}
 			if accepted = status == 200 || status == 201; accepted {
@@ -83,27 +84,27 @@
 			accepted = false
 		}
 		if previous := w.lastPhase[job.ID]; (previous == wire.PhaseDone || previous == wire.PhaseCancelled) && phase != "" && phase != previous {
-			w.recordViolation("went_back: %s from %s to %s", job.ID, previous, phase)
+			w.recordViolation("went_back: %s changed from %s to %s", job.ID, previous, phase)
 		}
 		if phase != "" {
 			w.lastPhase[job.ID] = phase
 		}
 		if phase == wire.PhaseCancelled {
 			if !w.cancelRequested[job.ID] && !w.dependsOnCancelled(job.ID) {
-				w.recordViolation("went_back: %s called withdrawn", job.ID)
+				w.recordViolation("went_back: %s reported as cancelled, but neither it nor a dependency was", job.ID)
 			}
 			if w.cancelledAt[job.ID].IsZero() {
 				w.cancelledAt[job.ID] = time.Now()
 			}
 		}
-		// A job may be accepted long after what it needs was cancelled.
+		// A job may be accepted long after a dependency was cancelled.
 		if cancelledAt := w.dependencyCancelledAt(job.ID); time.Since(acceptedAt) > cancelTimeout && (phase == wire.PhaseQueued || phase == wire.PhaseRunning) && !cancelledAt.IsZero() && time.Since(cancelledAt) > cancelTimeout {
-			w.recordViolation("orphaned: %s is %s %v after", job.ID, phase, time.Since(cancelledAt))
+			w.recordViolation("orphaned: %s is %s %v after the cancellation of a dependency", job.ID, phase, time.Since(cancelledAt))
 		}
 		if phase == wire.PhaseDone {
 			for i := range job.TaskCount {
 				if !w.doneTasks[ledger.Task{JobID: job.ID, Index: i}] {
-					w.recordViolation("not_done: %s/%d", job.ID, i)
+					w.recordViolation("not_done: %s is reported as done, but task %d is not", job.ID, i)
 				}
 			}
 		}
@@ -115,7 +116,7 @@
 	}
 }
 
-// pollPause is how long a user waits before the next request.
+// pollPause draws how long a user waits before the next request.
 func (w *world) pollPause() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -126,8 +127,8 @@
 	return longest/2 + time.Duration(w.rnd.Int64N(int64(longest/2)))
 }
 
-// dependsOnCancelled tells whether a user has asked to withdraw something before a job; run
-// it with the lock held.
+// dependsOnCancelled reports whether the cancellation of a direct or indirect dependency of a
+// job was requested. The caller holds w.mu.
 func (w *world) dependsOnCancelled(jobID string) bool {
 	for _, dependency := range w.jobs[jobID].DependsOn {
 		if w.cancelRequested[dependency] || w.dependsOnCancelled(dependency) {
@@ -137,7 +138,7 @@
 	return false
 }
 
-// submit has a user submit a job after a while.
+// submit starts a user who submits a job after a delay.
 func (w *world) submit(ctx context.Context, job wire.Job, delay, cancelAfter time.Duration) {
 	w.mu.Lock()
 	w.jobs[job.ID] = job
@@ -152,9 +153,8 @@
 	})
 }
 
-// pipelines are jobs that wait for others: chains and diamonds, some cut short
-// by their users. And one of many small tasks, for the chunks that are on hand
-// when the limits fall.
+// pipelines returns jobs in chains and diamonds of dependencies, and when users cancel some of
+// them.
 func pipelines(rnd *rand.Rand) (jobs []wire.Job, cancelAfter map[string]time.Duration) {
 	cancelAfter = make(map[string]time.Duration)
 	for pipeline := range 5 {
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -17,13 +17,13 @@
 	"rillflow/internal/wire"
 )
 
-// task is one attempt on a worker.
+// workerTask is an attempt of a task on a worker.
 type workerTask struct {
 	wire.TaskStatus
 	timer *time.Timer
 }
 
-// worker stands in for a worker's worker.
+// fakeWorker is a fake of a worker's agent.
 type fakeWorker struct {
 	w        *world
 	instance wire.Instance
@@ -34,16 +34,16 @@
 	incarnation     uint64
 	sequence        uint64
 	epoch           uint64
-	lastAnswered    time.Time // of the last report that was answered
+	lastAnswered    time.Time // when the last answered heartbeat was sent
 	tasks           map[string]*workerTask
 	controller      int
 	heartbeatNow    chan struct{}
-	dropsAnswers    bool      // answers and commands to it are lost
-	dropsHeartbeats bool      // it reaches no controller, while commands reach it
-	mutedSince      time.Time // since when
-	holdsNext       bool      // its next report is held back
+	dropsAnswers    bool      // answers and commands to the worker are lost
+	dropsHeartbeats bool      // heartbeats reach no controller, but commands reach the worker
+	mutedSince      time.Time // when dropsHeartbeats was last set
+	holdsNext       bool      // the next heartbeat is held until deliverHeld
 	heldHeartbeat   []byte
-	paused          bool // it stands still, and may go on within its lease; past that nothing is left to go on
+	paused          bool // tasks make no progress, and end once the lease expires
 }
 
 func (k *fakeWorker) heartbeat() wire.Heartbeat {
@@ -56,7 +56,8 @@
 	return heartbeat
 }
 
-// expire ends the session once the lease is over; run it with the lock held.
+// expire ends all tasks and begins a new incarnation if the lease has expired. The caller
+// holds k.mu.
 func (k *fakeWorker) expire() {
 	if time.Since(k.lastAnswered) <= leaseDuration {
 		return
@@ -87,7 +88,7 @@
 	server := &http.Server{Handler: k, ErrorLog: log.New(io.Discard, "", 0)}
 	go server.Serve(k.w.net.listen(k.instance.Name, k.instance.Address))
 	defer server.Close()
-	// The lease ends when it ends, whatever the worker waits for.
+	// The lease expires on time, also while the worker waits for something.
 	go func() {
 		for {
 			k.mu.Lock()
@@ -137,7 +138,7 @@
 		data, err = io.ReadAll(res.Body)
 		res.Body.Close()
 	}
-	k.duplicateLater(ctx, controller, body)
+	k.maybeDuplicate(ctx, controller, body)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
@@ -165,8 +166,8 @@
 	}
 }
 
-// lost tells whether a heartbeat does not arrive: the worker waits for an answer, and tries
-// the next controller.
+// isHeartbeatLost reports whether a fault keeps a heartbeat from arriving. If so, it waits
+// for the time-out of the answer and moves on to the next controller.
 func (k *fakeWorker) isHeartbeatLost(ctx context.Context, body []byte) bool {
 	k.mu.Lock()
 	drops, holds := k.dropsHeartbeats, k.holdsNext
@@ -189,8 +190,8 @@
 	return true
 }
 
-// late delivers the heartbeat that was held back, to a controller, and tells whether there
-// was one. Nobody waits for the answer any more.
+// deliverHeld sends the held heartbeat to a controller, ignores the answer, and reports
+// whether there was one.
 func (k *fakeWorker) deliverHeld(ctx context.Context, controller int) bool {
 	k.mu.Lock()
 	body := k.heldHeartbeat
@@ -202,7 +203,7 @@
 	return body != nil
 }
 
-// post sends a heartbeat whose answer goes to nobody.
+// post sends a heartbeat and ignores the answer.
 func (k *fakeWorker) post(ctx context.Context, controller int, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
@@ -213,9 +214,8 @@
 	}
 }
 
-// echo has a copy of a heartbeat arrive again, for a share of them: much later, and at
-// whichever controller is there.
-func (k *fakeWorker) duplicateLater(ctx context.Context, controller int, body []byte) {
+// maybeDuplicate sends a copy of a heartbeat again much later, for a share of the heartbeats.
+func (k *fakeWorker) maybeDuplicate(ctx context.Context, controller int, body []byte) {
 	k.w.mu.Lock()
 	duplicate := k.w.rnd.Float64() < k.w.duplicateShare
 	delay := 2*time.Second + time.Duration(k.w.rnd.Int64N(int64(3*leaseDuration/2)))
@@ -241,7 +241,7 @@
 		case wire.ActionStart:
 			if task != nil {
 				if task.Attempt != command.Attempt && task.Phase != wire.TaskExited {
-					k.w.recordViolation("%s: launched as try %d while try %d is there", key, command.Attempt, task.Attempt)
+					k.w.recordViolation("two_attempts: %s was started as attempt %d while attempt %d is on the worker", key, command.Attempt, task.Attempt)
 				}
 				if task.Attempt == command.Attempt || task.Phase != wire.TaskExited {
 					continue
@@ -278,13 +278,13 @@
 	job := k.w.taskStarted(id, task.Attempt, k.instance)
 	if duration := time.Since(k.mutedSince); k.dropsHeartbeats && duration > leaseDuration {
 		k.w.mu.Lock()
-		k.w.recordViolation("mute: %s starts on %s, which has reached no controller for %v", id, k.instance.Name, duration)
+		k.w.recordViolation("mute: %s started on %s, whose heartbeats have reached no controller for %v", id, k.instance.Name, duration)
 		k.w.mu.Unlock()
 	}
 	task.Phase = wire.TaskRunning
 	k.requestHeartbeat()
 	if job.Kind == wire.KindArray {
-		if k.w.isTaskDone(id) { // the result was kept
+		if k.w.isTaskDone(id) { // an earlier attempt has stored the result
 			task.timer = time.AfterFunc(0, func() { k.completeTask(task, id) })
 			return
 		}
@@ -293,7 +293,7 @@
 	}
 }
 
-// complete ends a task that is done, once its worker goes on.
+// completeTask ends a task as done, or retries every second while the worker is paused.
 func (k *fakeWorker) completeTask(task *workerTask, id ledger.Task) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/sim/writeoverload_test.go
+++ b/internal/sim/writeoverload_test.go
@@ -7,13 +7,14 @@
 	"rillflow/internal/wire"
 )
 
-// overloadJobs are one-task jobs whose writes are more than the store takes: five a job.
+// The load of overloadWrites: jobs with one task each, which need five writes per job and
+// together more than the store accepts.
 const (
 	overloadJobs     = 400
 	overloadInterval = 250 * time.Millisecond
 )
 
-// overloadWrites has the store limit its rates and users submit more than it can write.
+// overloadWrites limits the store's rates and submits more jobs than it can write.
 func (m *scenario) overloadWrites(requests, writes float64) {
 	m.limitStore(requests, writes)
 	time.Sleep(20 * time.Second)
@@ -23,8 +24,8 @@
 	time.Sleep(overloadJobs * overloadInterval)
 }
 
-// Guards against users left without an answer about accepted jobs: more writes than the store
-// takes have jobs pile up that are polled, and polls that cost a read each exceed its rate.
+// Guards against users who get no answer about accepted jobs. When writes exceed the store's
+// rate, jobs pile up, and their polls would exceed its request rate if each cost a read.
 func TestPollsAnsweredWhileWritesPileUp(t *testing.T) {
 	runFaultPlan(t, faultPlan{
 		seed: 778, maxInstances: 12, teamCPULimit: 100,
@@ -33,11 +34,11 @@
 	})
 }
 
-// backlogGone is how long after the load every job that ended is told to its user.
+// endReportDeadline is how long after the load the end of every job must have been reported.
 const endReportDeadline = 60 * time.Second
 
-// checkToldDone checks, a while after the load, that users were told of the end of every job that
-// was accepted while it lasted.
+// checkEndsReported waits for endReportDeadline and checks that every job accepted under load
+// was reported as done.
 func (m *scenario) checkEndsReported() {
 	loadEnded := time.Now()
 	time.Sleep(endReportDeadline)
@@ -53,12 +54,12 @@
 		}
 	}
 	if waiting > 0 {
-		m.Errorf("%d of %d jobs are not told done %v after the load", waiting, accepted, endReportDeadline)
+		m.Errorf("%d of %d jobs are not reported as done %v after the load", waiting, accepted, endReportDeadline)
 	}
 }
 
-// Guards against ends of jobs that are told long after a load that was too much: they wait behind
-// deletions and finishes that nobody waits for.
+// Guards against ends of jobs that are reported long after an overload because they queue
+// behind deletions and task ends that no user waits for.
 func TestEndsReportedSoonAfterOverload(t *testing.T) {
 	runFaultPlan(t, faultPlan{
 		seed: 778, maxInstances: 12, teamCPULimit: 100,
@@ -69,8 +70,8 @@
 	})
 }
 
-// Guards against jobs that are accepted for minutes beyond what can be stored of them: new ones
-// are refused while ends wait for long.
+// Guards against accepting more jobs than the store can handle in a long overload: new jobs
+// must be refused while ends have waited for long.
 func TestAcceptedJobsEndInLongOverload(t *testing.T) {
 	runFaultPlan(t, faultPlan{
 		seed: 778, maxInstances: 12, teamCPULimit: 100,
@@ -82,8 +83,9 @@
 	})
 }
 
-// Guards against a successor that does not go on with the backlog, and against cancellations that
-// wait behind it: the leader crashes in an overload, the store is away, and chains are cancelled.
+// Guards against a new leader that does not continue with the backlog, and against
+// cancellations that wait behind it: in an overload, the leader crashes, the store has an
+// outage, and chains are cancelled.
 func TestOverloadThroughLeaderCrashAndOutage(t *testing.T) {
 	const chainCount, firstHead = 8, overloadJobs
 	runFaultPlan(t, faultPlan{
@@ -112,7 +114,7 @@
 		check: func(m *scenario) {
 			for chain := range chainCount {
 				if head := testJobID(firstHead + 3*chain); m.w.cancelledAt[head].IsZero() {
-					m.Errorf("%s was never told cancelled", head)
+					m.Errorf("job %s was never reported as cancelled", head)
 				}
 			}
 		},
