--- a/internal/sim/crashpoint_test.go
+++ b/internal/sim/crashpoint_test.go
@@ -14,7 +14,7 @@
 // waitForRebuildWrite waits for the rebuild's write of the given number and returns the
 // controller that made it. The write is applied, but its answer is lost. It reports false
 // if the rebuild completed with fewer writes.
-func (d *lossScenario) waitForRebuildWrite(number int) (controller int, found bool) {
+func (d *lossRun) waitForRebuildWrite(number int) (controller int, found bool) {
 	type write struct {
 		controller string
 		complete   bool
@@ -65,13 +65,13 @@
 		name     string
 		lossKind string
 		downtime time.Duration
-	}{{"all keys lost, immediate restart", allKeysLost, 50 * time.Millisecond}, {"restored from backup, restart after a takeover", restoredFromBackup, 8 * time.Second}} {
+	}{{"all keys lost, immediate restart", allKeysLost, 50 * time.Millisecond}, {"restored from backup, restart after a takeover", restored, 8 * time.Second}} {
 		t.Run(tc.name, func(t *testing.T) {
 			interrupted := 0
 			for number := 1; ; number++ {
 				found := false
 				synctest.Test(t, func(t *testing.T) {
-					d, before, end := startLossScenario(t, 700, 8, "")
+					d, before, end := startLossRun(t, 700, 8, "")
 					d.loseData(tc.lossKind, 15*time.Second, "")
 					var controller int
 					if controller, found = d.waitForRebuildWrite(number); found {
--- a/internal/sim/dataloss_test.go
+++ b/internal/sim/dataloss_test.go
@@ -23,87 +23,80 @@
 type lossCase struct {
 	name string
 	// inject causes the loss, 50 s into the run.
-	inject func(d *lossScenario)
+	inject func(d *lossRun)
 	// minSurviving is the least share of the running tasks that still run on their
 	// worker, or are done, a minute later.
 	minSurviving float64
 }
 
-// lossScenario is a run in which the store loses data, possibly among other faults.
-type lossScenario struct {
+// lossRun is a run in which the store loses data, possibly among other faults.
+type lossRun struct {
 	w         *world
 	store     *fakeStore
 	cloud     *fakeCloud
 	processes []*controllerProcess
 }
 
-func (d *lossScenario) leader() int { return max(0, d.store.leaderIndex()) }
+func (d *lossRun) leader() int { return max(0, d.store.leaderIndex()) }
 
-func (d *lossScenario) crash(controller int, downtime time.Duration) {
+func (d *lossRun) crash(controller int, downtime time.Duration) {
 	d.processes[controller].crash()
 	time.Sleep(downtime)
 	d.processes[controller] = d.w.boot(controller)
 }
 
-func (d *lossScenario) loseData(kind string, age time.Duration, keyPrefix string) {
+func (d *lossRun) loseData(kind string, age time.Duration, keyPrefix string) {
 	d.store.loseData(kind, age, keyPrefix)
 }
 
 func lossCases() []lossCase {
 	return []lossCase{
-		{"no loss", func(d *lossScenario) {}, 1},
-		{"all keys", func(d *lossScenario) { d.loseData(allKeysLost, 0, "") }, 0.99},
-		{"restored to 20 s ago", func(d *lossScenario) { d.loseData(restoredFromBackup, 20*time.Second, "") }, 0.99},
-		{"restored to 2 s ago", func(d *lossScenario) { d.loseData(restoredFromBackup, 2*time.Second, "") }, 0.99},
-		{"a third of the keys", func(d *lossScenario) { d.loseData(someKeysLost, 0, "") }, 0.99},
-		{"leader key corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "lead") }, 0.99},
-		{"shard map corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "epoch") }, 0.99},
-		{"job record corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "j/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
-		{"chunk corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "c/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
-		{"history key corrupted", func(d *lossScenario) { d.loseData(valueCorrupted, 0, "history/id/") }, 0.99},
-		{"all keys, leader crashes", func(d *lossScenario) { n := d.leader(); d.loseData(allKeysLost, 0, ""); d.crash(n, 8*time.Second) }, 0.9},
-		{"restored to 20 s ago, leader crashes", func(d *lossScenario) {
-			n := d.leader()
-			d.loseData(restoredFromBackup, 20*time.Second, "")
-			d.crash(n, 8*time.Second)
-		}, 0.9},
-		{"all keys, all controllers but one crash", func(d *lossScenario) {
+		{"no loss", func(d *lossRun) {}, 1},
+		{"all keys", func(d *lossRun) { d.loseData(allKeysLost, 0, "") }, 0.99},
+		{"restored to 20 s ago", func(d *lossRun) { d.loseData(restored, 20*time.Second, "") }, 0.99},
+		{"restored to 2 s ago", func(d *lossRun) { d.loseData(restored, 2*time.Second, "") }, 0.99},
+		{"a third of the keys", func(d *lossRun) { d.loseData(someKeysLost, 0, "") }, 0.99},
+		{"leader key corrupted", func(d *lossRun) { d.loseData(valueCorrupted, 0, "lead") }, 0.99},
+		{"shard map corrupted", func(d *lossRun) { d.loseData(valueCorrupted, 0, "epoch") }, 0.99},
+		{"job record corrupted", func(d *lossRun) { d.loseData(valueCorrupted, 0, "j/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
+		{"chunk corrupted", func(d *lossRun) { d.loseData(valueCorrupted, 0, "c/"); d.crash(d.leader(), 8*time.Second) }, 0.99},
+		{"history key corrupted", func(d *lossRun) { d.loseData(valueCorrupted, 0, "history/id/") }, 0.99},
+		{"all keys, leader crashes", func(d *lossRun) { n := d.leader(); d.loseData(allKeysLost, 0, ""); d.crash(n, 8*time.Second) }, 0.9},
+		{"restored to 20 s ago, leader crashes", func(d *lossRun) { n := d.leader(); d.loseData(restored, 20*time.Second, ""); d.crash(n, 8*time.Second) }, 0.9},
+		{"all keys, all controllers but one crash", func(d *lossRun) {
 			n := d.leader()
 			d.loseData(allKeysLost, 0, "")
 			d.crash(n, 0)
 			d.crash((n+1)%controllerCount, 0)
 			time.Sleep(8 * time.Second)
 		}, 0.9},
-		{"all keys, twice", func(d *lossScenario) {
+		{"all keys, twice", func(d *lossRun) {
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(2 * time.Second)
 			d.loseData(allKeysLost, 0, "")
 		}, 0.99},
-		{"all keys, during an outage", func(d *lossScenario) {
+		{"all keys, during an outage", func(d *lossRun) {
 			d.store.setOutage(true)
 			time.Sleep(5 * time.Second)
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(5 * time.Second)
 			d.store.setOutage(false)
 		}, 0.99},
-		{"all keys, followed by an outage", func(d *lossScenario) {
+		{"all keys, followed by an outage", func(d *lossRun) {
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(1500 * time.Millisecond)
 			d.store.setOutage(true)
 			time.Sleep(10 * time.Second)
 			d.store.setOutage(false)
 		}, 0.99},
-		{"all keys, zone partitioned", func(d *lossScenario) {
+		{"all keys, zone partitioned", func(d *lossRun) {
 			d.w.partitionZone(d.cloud, "b", true)
 			time.Sleep(8 * time.Second)
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(20 * time.Second)
 			d.w.partitionZone(d.cloud, "b", false)
 		}, 0.6},
-		{"restored to before a leader change", func(d *lossScenario) {
-			d.crash(d.leader(), 8*time.Second)
-			d.loseData(restoredFromBackup, 12*time.Second, "")
-		}, 0.9},
+		{"restored to before a leader change", func(d *lossRun) { d.crash(d.leader(), 8*time.Second); d.loseData(restored, 12*time.Second, "") }, 0.9},
 	}
 }
 
@@ -113,7 +106,7 @@
 	for i, tc := range lossCases() {
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range seedCount(1) {
-				synctest.Test(t, func(t *testing.T) { runLossScenario(t, tc, uint64(i)+100*seed, 24) })
+				synctest.Test(t, func(t *testing.T) { checkLossCase(t, tc, uint64(i)+100*seed, 24) })
 			}
 		})
 	}
@@ -127,7 +120,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			const age = leaseDuration / 2
 			operator := fmt.Sprintf("<rillflow><rebuild><folder>%s</folder><every>%v</every></rebuild></rillflow>", t.TempDir(), float64(age)/float64(leaseDuration))
-			d, before, end := startLossScenario(t, 40+seed, 24, operator)
+			d, before, end := startLossRun(t, 40+seed, 24, operator)
 			crashedAt := time.Now()
 			for _, c := range d.processes {
 				c.crash()
@@ -166,7 +159,7 @@
 func TestRebuildFromWorkersAlone(t *testing.T) {
 	for seed := range seedCount(2) {
 		synctest.Test(t, func(t *testing.T) {
-			d, before, end := startLossScenario(t, 60+seed, 24, "")
+			d, before, end := startLossRun(t, 60+seed, 24, "")
 			for _, c := range d.processes {
 				c.crash()
 			}
@@ -237,7 +230,7 @@
 
 // countSurviving waits, then counts the tasks that still run on the same worker, are done or
 // were cancelled.
-func (d *lossScenario) countSurviving(before taskHosts, after time.Duration) int {
+func (d *lossRun) countSurviving(before taskHosts, after time.Duration) int {
 	time.Sleep(after)
 	d.w.mu.Lock()
 	defer d.w.mu.Unlock()
@@ -250,9 +243,9 @@
 	return count
 }
 
-// startLossScenario runs the first 50 s of a scenario and returns the workers that tasks run
+// startLossRun starts a run, waits 50 s and returns the workers that tasks run
 // on then.
-func startLossScenario(t *testing.T, seed uint64, workerCount int, operatorSettings string) (*lossScenario, taskHosts, func()) {
+func startLossRun(t *testing.T, seed uint64, workerCount int, operatorSettings string) (*lossRun, taskHosts, func()) {
 	ctx, w, store, cloud, controllers, end := startWorld(t, seed, float64(4*workerCount), workerCount/2, operatorSettings)
 	for i := range 24 {
 		job := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
@@ -270,12 +263,12 @@
 	time.Sleep(50 * time.Second)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return &lossScenario{w, store, cloud, controllers}, taskHosts(maps.Clone(w.hostOf)), end
+	return &lossRun{w, store, cloud, controllers}, taskHosts(maps.Clone(w.hostOf)), end
 }
 
-// runLossScenario runs a scenario with a data loss. SIM_LOG shows the controllers' logs.
-func runLossScenario(t *testing.T, tc lossCase, seed uint64, workerCount int) {
-	d, before, end := startLossScenario(t, seed, workerCount, "")
+// checkLossCase runs a case and checks how well the cluster recovers. SIM_LOG shows the controllers' logs.
+func checkLossCase(t *testing.T, tc lossCase, seed uint64, workerCount int) {
+	d, before, end := startLossRun(t, seed, workerCount, "")
 	w := d.w
 	tc.inject(d)
 	surviving := d.countSurviving(before, 60*time.Second)
@@ -346,7 +339,7 @@
 // replicas, and then causes the loss.
 func runLossAtScale(t *testing.T, tc lossCase, workerCount int) {
 	ctx, w, store, cloud, controllers, end := startWorld(t, 5, float64(8*workerCount), workerCount/2, "")
-	d := &lossScenario{w, store, cloud, controllers}
+	d := &lossRun{w, store, cloud, controllers}
 	for i := range workerCount * 10 / 50 {
 		job := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
 			TaskCount: 50, CPUs: 0.5, MemoryGB: 1, Image: "img", AllowSpot: i%2 == 0, ExpectedSeconds: float64(100 + i%60)}
@@ -391,7 +384,7 @@
 }
 
 // recoveryStatus reads the leader's recovery status from the operators' status page.
-func (d *lossScenario) recoveryStatus() *leader.RecoveryStatus {
+func (d *lossRun) recoveryStatus() *leader.RecoveryStatus {
 	client := &http.Client{Transport: &http.Transport{DialContext: d.w.net.forHost("user").Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	for n := range controllerCount {
 		res, err := client.Get("http://" + frontAddress(n) + "/operator/status")
--- a/internal/sim/immediaterestart_test.go
+++ b/internal/sim/immediaterestart_test.go
@@ -19,7 +19,7 @@
 
 // waitFor waits for an event, for at most a lease, and reports whether it occurred. The
 // answer to a matching transaction is lost.
-func (d *lossScenario) waitFor(when trigger) bool {
+func (d *lossRun) waitFor(when trigger) bool {
 	signalled := make(chan struct{}, 1)
 	signal := func() {
 		select {
@@ -59,7 +59,7 @@
 }
 
 // submitExtraJob submits a job that preempts no other.
-func (d *lossScenario) submitExtraJob() {
+func (d *lossRun) submitExtraJob() {
 	d.w.submit(d.w.ctx, wire.Job{ID: "req-000900", Class: "c", Team: "a", Kind: wire.KindArray, Priority: "standard", TaskCount: 6, CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, 0, 0)
 }
 
@@ -87,11 +87,11 @@
 	const downtime = 50 * time.Millisecond
 	cases := []struct {
 		name   string
-		inject func(d *lossScenario) bool // false: the event did not occur
+		inject func(d *lossRun) bool // false: the event did not occur
 	}{
-		{"leader within its lease", func(d *lossScenario) bool { d.crash(d.leader(), downtime); return true }},
-		{"leader after 900 ms", func(d *lossScenario) bool { d.crash(d.leader(), 900*time.Millisecond); return true }},
-		{"leaders during an election", func(d *lossScenario) bool {
+		{"leader within its lease", func(d *lossRun) bool { d.crash(d.leader(), downtime); return true }},
+		{"leader after 900 ms", func(d *lossRun) bool { d.crash(d.leader(), 900*time.Millisecond); return true }},
+		{"leaders during an election", func(d *lossRun) bool {
 			// The new leader crashes as soon as it is elected, and the old one restarts.
 			n := d.leader()
 			d.processes[n].crash()
@@ -100,26 +100,26 @@
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"new leader while it loads", func(d *lossScenario) bool {
+		{"new leader while it loads", func(d *lossRun) bool {
 			d.crash(d.leader(), downtime)
 			reached := d.waitFor(trigger{matchesCommit: func(_ string, t wire.Txn) bool { return putsKey(t, "lead") }})
 			time.Sleep(10 * time.Millisecond) // the new leader is reading the claims
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"leader between offer and confirmation", func(d *lossScenario) bool {
+		{"leader between offer and confirmation", func(d *lossRun) bool {
 			d.submitExtraJob()
 			reached := d.waitFor(trigger{matchesSend: isCapacityOffer})
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"shard owner between offer and confirmation", func(d *lossScenario) bool {
+		{"shard owner between offer and confirmation", func(d *lossRun) bool {
 			d.submitExtraJob()
 			reached := d.waitFor(trigger{matchesSend: isCapacityOffer})
 			d.crash((d.leader()+1)%controllerCount, downtime)
 			return reached
 		}},
-		{"leader between a claim and its start command", func(d *lossScenario) bool {
+		{"leader between a claim and its start command", func(d *lossRun) bool {
 			d.submitExtraJob()
 			n := d.leader()
 			reached := d.waitFor(trigger{matchesCommit: func(controller string, t wire.Txn) bool {
@@ -128,14 +128,14 @@
 			d.crash(n, downtime)
 			return reached
 		}},
-		{"two of three controllers", func(d *lossScenario) bool {
+		{"two of three controllers", func(d *lossRun) bool {
 			n := d.leader()
 			d.processes[n].crash()
 			d.crash((n+1)%controllerCount, downtime)
 			d.processes[n] = d.w.boot(n)
 			return true
 		}},
-		{"all three controllers", func(d *lossScenario) bool {
+		{"all three controllers", func(d *lossRun) bool {
 			for _, c := range d.processes {
 				c.crash()
 			}
@@ -145,7 +145,7 @@
 			}
 			return true
 		}},
-		{"same controller repeatedly for 20 s", func(d *lossScenario) bool {
+		{"same controller repeatedly for 20 s", func(d *lossRun) bool {
 			n := d.leader()
 			for range 66 {
 				d.crash(n, downtime)
@@ -153,14 +153,14 @@
 			}
 			return true
 		}},
-		{"current leader repeatedly for 20 s", func(d *lossScenario) bool {
+		{"current leader repeatedly for 20 s", func(d *lossRun) bool {
 			for range 20 {
 				d.crash(d.leader(), downtime)
 				time.Sleep(950 * time.Millisecond)
 			}
 			return true
 		}},
-		{"during a store outage", func(d *lossScenario) bool {
+		{"during a store outage", func(d *lossRun) bool {
 			d.store.setOutage(true)
 			time.Sleep(2 * time.Second)
 			d.crash(d.leader(), downtime)
@@ -169,16 +169,16 @@
 			d.store.setOutage(false)
 			return true
 		}},
-		{"shard owner before its failure is detected", func(d *lossScenario) bool { d.crash((d.leader()+1)%controllerCount, downtime); return true }},
-		{"leader during a rebuild", func(d *lossScenario) bool {
-			d.loseData(restoredFromBackup, 10*time.Second, "")
+		{"shard owner before its failure is detected", func(d *lossRun) bool { d.crash((d.leader()+1)%controllerCount, downtime); return true }},
+		{"leader during a rebuild", func(d *lossRun) bool {
+			d.loseData(restored, 10*time.Second, "")
 			reached := d.waitFor(trigger{matchesCommit: func(_ string, t wire.Txn) bool { return putsKey(t, "history/") }})
 			time.Sleep(20 * time.Millisecond)
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"workers disconnected for 900 ms", func(d *lossScenario) bool { d.w.cutWorkersOff(d.cloud, 900*time.Millisecond); return true }},
-		{"workers disconnected while the leader restarts", func(d *lossScenario) bool {
+		{"workers disconnected for 900 ms", func(d *lossRun) bool { d.w.cutWorkersOff(d.cloud, 900*time.Millisecond); return true }},
+		{"workers disconnected while the leader restarts", func(d *lossRun) bool {
 			n := d.leader()
 			d.processes[n].crash()
 			d.w.cutWorkersOff(d.cloud, 300*time.Millisecond)
@@ -190,7 +190,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range seedCount(1) {
 				synctest.Test(t, func(t *testing.T) {
-					d, before, end := startLossScenario(t, 300+uint64(i)+100*seed, 24, "")
+					d, before, end := startLossRun(t, 300+uint64(i)+100*seed, 24, "")
 					startedAt := time.Now()
 					if !tc.inject(d) {
 						t.Error("the event to wait for did not occur")
--- a/internal/sim/randomscenario_test.go
+++ b/internal/sim/randomscenario_test.go
@@ -196,7 +196,7 @@
 }
 
 func (d *randomScenario) restoreStore(int) {
-	d.store.loseData(restoredFromBackup, time.Duration(d.rnd.IntN(30_000))*time.Millisecond, "")
+	d.store.loseData(restored, time.Duration(d.rnd.IntN(30_000))*time.Millisecond, "")
 }
 
 // partitionFromStore blocks the link between a controller and the store.
--- a/internal/sim/respond_test.go
+++ b/internal/sim/respond_test.go
@@ -16,8 +16,8 @@
 // Kinds of data loss in the store. Controllers can notice them only by what they read
 // afterwards.
 const (
-	allKeysLost        = "all keys, generation back to 1"
-	restoredFromBackup = "back to some time ago, generation too"
-	someKeysLost       = "a third of the keys"
-	valueCorrupted     = "a value"
+	allKeysLost    = "all keys, generation back to 1"
+	restored       = "back to some time ago, generation too"
+	someKeysLost   = "a third of the keys"
+	valueCorrupted = "a value"
 )
--- a/internal/sim/storefaults_test.go
+++ b/internal/sim/storefaults_test.go
@@ -82,12 +82,12 @@
 	case allKeysLost:
 		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, nil, nil
 		clear(s.leaseEnds)
-	case restoredFromBackup:
-		restored := 0
-		for restored < len(s.log) && restored < len(s.logTimes) && time.Since(s.logTimes[restored]) > age {
-			restored++
+	case restored:
+		count := 0
+		for count < len(s.log) && count < len(s.logTimes) && time.Since(s.logTimes[count]) > age {
+			count++
 		}
-		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, s.log[:restored:restored], s.logTimes[:restored:restored]
+		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, s.log[:count:count], s.logTimes[:count:count]
 		for _, op := range s.log {
 			s.revision = op.ModRevision
 			s.apply(op)
