--- a/internal/sim/cancellationfaults_test.go
+++ b/internal/sim/cancellationfaults_test.go
@@ -19,7 +19,7 @@
 		name             string
 		cancelAfter      time.Duration // from the refusal to the first cancellation
 		outageAfter      time.Duration // from the refusal to the store outage
-		controllerOffset int           // of the controller that is asked to cancel, from the leader
+		controllerOffset int           // index of the controller asked to cancel, relative to the leader
 		clusterSize      int
 		concurrentFault  func(m *scenario) // nil: none
 	}
--- a/internal/sim/dataloss_test.go
+++ b/internal/sim/dataloss_test.go
@@ -243,8 +243,7 @@
 	return count
 }
 
-// startLossRun starts a run, waits 50 s and returns the workers that tasks run
-// on then.
+// startLossRun starts a run, waits 50 s and returns the workers that tasks run on then.
 func startLossRun(t *testing.T, seed uint64, workerCount int, operatorSettings string) (*lossRun, taskHosts, func()) {
 	ctx, w, store, cloud, controllers, end := startWorld(t, seed, float64(4*workerCount), workerCount/2, operatorSettings)
 	for i := range 24 {
--- a/internal/sim/leaderfaults_test.go
+++ b/internal/sim/leaderfaults_test.go
@@ -17,7 +17,7 @@
 func TestTeamLimitInTakeover(t *testing.T) {
 	for _, tc := range []struct {
 		name         string
-		partitionFor time.Duration // partition of workers from all controllers
+		partitionFor time.Duration // how long workers are cut off from all controllers
 		fault        func(m *scenario)
 	}{
 		{"leader crashes, partition shorter than a lease", leaseDuration / 2, func(m *scenario) { m.crashController(m.initialLeader, 8*time.Second) }},
--- a/internal/sim/messagefaults_test.go
+++ b/internal/sim/messagefaults_test.go
@@ -78,7 +78,7 @@
 		name            string
 		selectWorkers   func(m *scenario) []string
 		concurrentFault func(m *scenario)
-		maxTerms        int  // of leadership
+		maxTerms        int  // of leaders
 		doneMeanwhile   bool // all jobs finish while the heartbeats are lost
 	}{
 		{"one worker", func(m *scenario) []string { return m.busyWorkers()[:1] }, nil, 1, true},
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -101,6 +101,8 @@
 	return defaultCount
 }
 
+// Guards against broken rules, and against jobs that never reach their end, under random
+// faults.
 func TestRandomScenarios(t *testing.T) {
 	for seed := range seedCount(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
