--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -17,40 +17,40 @@
 	"rillflow/internal/wire"
 )
 
-// Get, List and Commit are what tools ask of the store.
+// Get, List and Commit serve the operators' tools, which use the store directly.
 
-func (s *store) Get(_ context.Context, key string) (wire.KeyValue, error) {
+func (s *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	it, ok := s.keys[key]
+	item, ok := s.keys[key]
 	if !ok {
-		return it, kvstore.ErrNotFound
+		return item, kvstore.ErrNotFound
 	}
-	return it, nil
+	return item, nil
 }
 
-func (s *store) List(_ context.Context, under string) (out []wire.KeyValue, gen uint64, err error) {
+func (s *fakeStore) List(_ context.Context, prefix string) (items []wire.KeyValue, revision uint64, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for k, it := range s.keys {
-		if strings.HasPrefix(k, under) {
-			out = append(out, it)
+	for key, item := range s.keys {
+		if strings.HasPrefix(key, prefix) {
+			items = append(items, item)
 		}
 	}
-	slices.SortFunc(out, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
-	return out, s.revision, nil
+	slices.SortFunc(items, func(a, b wire.KeyValue) int { return strings.Compare(a.Key, b.Key) })
+	return items, s.revision, nil
 }
 
-func (s *store) Commit(_ context.Context, t wire.Txn) (uint64, []string, error) {
+func (s *fakeStore) Commit(_ context.Context, txn wire.Txn) (uint64, []string, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	_, res := s.commit(t)
-	r := res.(wire.TxnResponse)
-	return r.Revision, r.FailedKeys, nil
+	_, response := s.commit(txn)
+	txnResponse := response.(wire.TxnResponse)
+	return txnResponse.Revision, txnResponse.FailedKeys, nil
 }
 
-// newRing makes a key ring in a file.
-func newRing(t *testing.T) (*keyring.Ring, string) {
+// newKeyring creates a key ring and returns it with the path of its file.
+func newKeyring(t *testing.T) (*keyring.Ring, string) {
 	path := filepath.Join(t.TempDir(), "keys")
 	if err := keyring.Init(path); err != nil {
 		t.Fatal(err)
@@ -62,107 +62,107 @@
 	return ring, path
 }
 
-// history reads the record that a day left, and checks it.
-func history(t *testing.T, w *world, ring *keyring.Ring) (*audit.History, *audit.Archive) {
-	a, err := audit.Read(context.Background(), w.store, ring)
+// readAuditLog reads and verifies the audit log that a run left in the store.
+func readAuditLog(t *testing.T, w *world, ring *keyring.Ring) (*audit.History, *audit.Archive) {
+	archive, err := audit.Read(context.Background(), w.store, ring)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range a.Found {
+	for _, f := range archive.Found {
 		t.Error(f)
 	}
-	h := audit.NewHistory()
-	v := audit.NewVerifier(ring, a.Before)
-	for _, raw := range a.Blocks {
-		b, err := v.Add(raw)
+	history := audit.NewHistory()
+	verifier := audit.NewVerifier(ring, archive.Before)
+	for _, raw := range archive.Blocks {
+		b, err := verifier.Add(raw)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for _, e := range b.Entries {
-			h.Add(e)
+			history.Add(e)
 		}
 	}
-	return h, a
+	return history, archive
 }
 
-// A day of crashes, cuts and takeovers is told by its record alone: who was accepted
-// and cancelled, every start of a task with the claim that allowed it, every end, and
-// nothing that did not happen.
-func TestRecordTellsTheDay(t *testing.T) {
-	for seed := range seeds(6) {
+// Guards against an audit log that misses events or invents them. After a run of
+// crashes, partitions and leader changes, the log holds every acceptance, cancellation
+// and end, a claim for every task start, and nothing that did not happen.
+func TestAuditLogMatchesEvents(t *testing.T) {
+	for seed := range seedCount(6) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			ring, path := newRing(t)
+			ring, path := newKeyring(t)
 			synctest.Test(t, func(t *testing.T) {
 				if seed%3 == 0 {
-					// The key is replaced in the middle of the day.
-					rotate := time.AfterFunc(20*time.Second, func() { keyring.Rotate(path, time.Now().Add(2*lease)) })
+					// The key is rotated during the run.
+					rotate := time.AfterFunc(20*time.Second, func() { keyring.Rotate(path, time.Now().Add(2*leaseDuration)) })
 					defer rotate.Stop()
 				}
-				breaches, w := play(t, 100+seed, seed%2 == 1, fmt.Sprintf("<rillflow><access><audit>on</audit><keys>%s</keys></access></rillflow>", path), nil)
-				for _, b := range breaches {
-					t.Error(b)
+				violations, w := runRandomScenario(t, 100+seed, seed%2 == 1, fmt.Sprintf("<rillflow><access><audit>on</audit><keys>%s</keys></access></rillflow>", path), nil)
+				for _, violation := range violations {
+					t.Error(violation)
 				}
-				h, a := history(t, w, ring)
-				told(t, w, h)
-				if last, err := audit.Open(a.Blocks[len(a.Blocks)-1]); err != nil || (last.Key == 2) != (seed%3 == 0) {
-					t.Errorf("the last block is sealed under key %d, %v", last.Key, err)
+				history, archive := readAuditLog(t, w, ring)
+				checkAuditLog(t, w, history)
+				if last, err := audit.Open(archive.Blocks[len(archive.Blocks)-1]); err != nil || (last.Key == 2) != (seed%3 == 0) {
+					t.Errorf("the last block is sealed with key %d (error %v), want key 2 only after a rotation", last.Key, err)
 				}
 				leaders := 0
-				for _, e := range h.Others {
+				for _, e := range history.Others {
 					if e.Action == audit.TookOver {
 						leaders++
 					}
 				}
-				t.Logf("%d blocks, %d entries, %d leaders, %d starts", len(a.Blocks), h.Entries, leaders, w.starts)
+				t.Logf("%d blocks, %d entries, %d leader changes, %d task starts", len(archive.Blocks), history.Entries, leaders, w.starts)
 			})
 		})
 	}
 }
 
-// told compares a record with what the world knows to be true.
-func told(t *testing.T, w *world, h *audit.History) {
+// checkAuditLog compares an audit log with the true events of the run.
+func checkAuditLog(t *testing.T, w *world, history *audit.History) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if h.Missed > 0 {
-		t.Errorf("%d entries tell of others that are missing", h.Missed)
+	if history.Missed > 0 {
+		t.Errorf("%d entries refer to missing entries", history.Missed)
 	}
-	for ref := range w.jobs {
-		s := h.Jobs[ref]
-		if s == nil {
-			t.Errorf("%s is not in the record", ref)
+	for jobID := range w.jobs {
+		recorded := history.Jobs[jobID]
+		if recorded == nil {
+			t.Errorf("job %s is not in the audit log", jobID)
 			continue
 		}
-		for _, f := range s.Faults {
-			t.Errorf("%s: %s", ref, f)
+		for _, f := range recorded.Faults {
+			t.Errorf("job %s: %s", jobID, f)
 		}
-		j := w.jobs[ref]
-		if e := s.Accepted; e == nil || e.Action != audit.Accepted || e.Team != j.Team || e.Priority != j.Priority || e.Tasks[0].Index != j.TaskCount || e.Controller == "" {
-			t.Errorf("%s: its acceptance is told as %+v", ref, e)
+		job := w.jobs[jobID]
+		if e := recorded.Accepted; e == nil || e.Action != audit.Accepted || e.Team != job.Team || e.Priority != job.Priority || e.Tasks[0].Index != job.TaskCount || e.Controller == "" {
+			t.Errorf("job %s: acceptance is logged as %+v", jobID, e)
 		}
-		if (w.told[ref] == wire.PhaseCancelled) != (s.Cancelled != nil) || (w.told[ref] == wire.PhaseDone) != (s.Done != nil) {
-			t.Errorf("%s is %s, told withdrawn %v, done %v", ref, w.told[ref], s.Cancelled, s.Done)
+		if (w.lastPhase[jobID] == wire.PhaseCancelled) != (recorded.Cancelled != nil) || (w.lastPhase[jobID] == wire.PhaseDone) != (recorded.Done != nil) {
+			t.Errorf("job %s is %s, but the log has cancellation %v, completion %v", jobID, w.lastPhase[jobID], recorded.Cancelled, recorded.Done)
 		}
-		// One that was asked for may have been carried there from a needed job first.
-		if e := s.Cancelled; e != nil && (e.Controller != "" && !w.asked[ref] || e.Controller == "" && e.Reason == "") {
-			t.Errorf("%s: asked %v, told %s", ref, w.asked[ref], e.Describe())
+		// A job whose cancellation was requested may already have been cancelled with a dependency.
+		if e := recorded.Cancelled; e != nil && (e.Controller != "" && !w.cancelRequested[jobID] || e.Controller == "" && e.Reason == "") {
+			t.Errorf("job %s: cancellation requested %v, but logged as %s", jobID, w.cancelRequested[jobID], e.Describe())
 		}
 	}
-	claimed := make(map[run]bool)
-	for ref, s := range h.Jobs {
-		if _, ok := w.jobs[ref]; !ok {
-			t.Errorf("%s is in the record, and nobody submitted it", ref)
+	claimed := make(map[startedAttempt]bool)
+	for jobID, recorded := range history.Jobs {
+		if _, ok := w.jobs[jobID]; !ok {
+			t.Errorf("job %s is in the audit log but was never submitted", jobID)
 		}
-		for _, e := range s.Entries {
+		for _, e := range recorded.Entries {
 			for _, c := range e.Tasks {
 				if e.Action == audit.Claimed {
-					claimed[run{ledger.Task{JobID: ref, Index: c.Index}, c.Attempt, c.Worker}] = true
+					claimed[startedAttempt{ledger.Task{JobID: jobID, Index: c.Index}, c.Attempt, c.Worker}] = true
 				}
 			}
 		}
 	}
-	for r := range w.ran {
+	for r := range w.startedAttempts {
 		if !claimed[r] {
-			t.Errorf("%s ran as try %d on %s without a claim in the record", r.task, r.try, r.host)
+			t.Errorf("%s ran as attempt %d on %s without a claim in the audit log", r.task, r.attempt, r.host)
 		}
 	}
 }
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -15,282 +15,284 @@
 	"rillflow/internal/wire"
 )
 
-// What users may count on once the faults are over, and at all times.
+// Bounds that hold for users once the faults have ended.
 const (
-	unanswered = 75 * time.Second // without an answer about a job it is forgotten
-	idleRoom   = 90 * time.Second // a job waits no longer while a machine has room for it
-	largest    = 4 * time.Minute  // in which the largest jobs begin
+	maxAnswerGap      = 75 * time.Second // longest time without an answer about a job
+	maxWaitWithRoom   = 90 * time.Second // longest wait of a job while a worker has room for it
+	maxLargestJobWait = 4 * time.Minute  // by when the largest jobs have started
 )
 
-// heard notes an answer about a job; run it with the lock held.
-func (w *world) heard(ref string, status int) {
+// recordAnswer records the status of an answer about a job, and a violation if the user
+// has waited too long for a successful one. The caller holds w.mu.
+func (w *world) recordAnswer(jobID string, status int) {
 	now := time.Now()
-	if status == http.StatusOK || status == http.StatusCreated || w.answered[ref].IsZero() {
-		w.answered[ref] = now
+	if status == http.StatusOK || status == http.StatusCreated || w.lastAnswer[jobID].IsZero() {
+		w.lastAnswer[jobID] = now
 	}
-	since := w.answered[ref]
-	if w.calm.After(since) {
-		since = w.calm
+	since := w.lastAnswer[jobID]
+	if w.faultsEndedAt.After(since) {
+		since = w.faultsEndedAt
 	}
-	if !w.calm.IsZero() && now.Sub(since) > unanswered {
-		w.broke("forgotten: nothing is answered about %s for %v", ref, now.Sub(since))
-		w.answered[ref] = now
+	if !w.faultsEndedAt.IsZero() && now.Sub(since) > maxAnswerGap {
+		w.recordViolation("forgotten: no answer about %s for %v", jobID, now.Sub(since))
+		w.lastAnswer[jobID] = now
 	}
 }
 
-// calms says that the last fault is over, and watches from then on that nothing waits
-// where there is room.
-func (w *world) calms(cl *cloud) {
+// faultsEnded marks the end of the last fault and checks from then on that no job waits
+// while there is room for it.
+func (w *world) faultsEnded(cloud *fakeCloud) {
 	w.mu.Lock()
-	w.calm = time.Now()
+	w.faultsEndedAt = time.Now()
 	w.mu.Unlock()
 	w.wg.Go(func() {
 		for w.ctx.Err() == nil {
-			w.idle(cl)
+			w.checkWaitingJobs(cloud)
 			select {
 			case <-w.ctx.Done():
-			case <-time.After(report):
+			case <-time.After(heartbeatInterval):
 			}
 		}
 	})
 }
 
-// idle notes which jobs wait though a worker that fits has room, and their team too.
-func (w *world) idle(cl *cloud) {
-	rooms := cl.rooms()
+// checkWaitingJobs finds jobs that wait although a suitable worker has room and their
+// team is below its limit, and records a violation for those that wait too long.
+func (w *world) checkWaitingJobs(cloud *fakeCloud) {
+	capacities := cloud.workerCapacities()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := time.Now()
-	for _, ref := range slices.Sorted(maps.Keys(w.jobs)) {
-		j := w.jobs[ref]
-		if !w.fits(j, rooms) {
-			delete(w.waits, ref)
+	for _, jobID := range slices.Sorted(maps.Keys(w.jobs)) {
+		job := w.jobs[jobID]
+		if !w.canPlace(job, capacities) {
+			delete(w.waitingWithRoomSince, jobID)
 			continue
 		}
-		since, ok := w.waits[ref]
+		since, ok := w.waitingWithRoomSince[jobID]
 		if !ok {
-			w.waits[ref] = now
-		} else if now.Sub(since) > idleRoom {
-			w.broke("waits: %s for %v though there is room", ref, now.Sub(since))
-			w.waits[ref] = now
+			w.waitingWithRoomSince[jobID] = now
+		} else if now.Sub(since) > maxWaitWithRoom {
+			w.recordViolation("waits: %s has waited %v although there is room", jobID, now.Sub(since))
+			w.waitingWithRoomSince[jobID] = now
 		}
 	}
 }
 
-// free is what is free of a worker.
-type free struct {
-	h     wire.Instance
-	cores float64
-	ram   float64
-	tasks map[string]bool
+// workerCapacity is the free capacity of a worker, and the tasks that use the rest.
+type workerCapacity struct {
+	instance        wire.Instance
+	freeCPUs        float64
+	freeMemoryGB    float64
+	unfinishedTasks map[string]bool
 }
 
-// rooms are the free resources of the workers that are up and well.
-func (c *cloud) rooms() (out []free) {
+// workerCapacities returns the free capacities of all healthy workers.
+func (c *fakeCloud) workerCapacities() (capacities []workerCapacity) {
 	c.mu.Lock()
-	hosts := maps.Clone(c.hosts)
+	instances := maps.Clone(c.instances)
 	types := c.types
 	c.mu.Unlock()
-	for _, name := range slices.Sorted(maps.Keys(hosts)) {
+	for _, name := range slices.Sorted(maps.Keys(instances)) {
 		c.w.mu.Lock()
-		k := c.w.workers[name]
+		worker := c.w.workers[name]
 		c.w.mu.Unlock()
-		if k == nil {
+		if worker == nil {
 			continue
 		}
-		i := slices.IndexFunc(types, func(t wire.InstanceType) bool { return t.Name == k.h.InstanceType })
-		f := free{h: k.h, cores: types[i].CPUs, ram: types[i].MemoryGB, tasks: make(map[string]bool)}
-		k.mu.Lock()
-		well := !k.hung && !k.deaf && !k.mute
-		for n, t := range k.tasks {
+		i := slices.IndexFunc(types, func(t wire.InstanceType) bool { return t.Name == worker.instance.InstanceType })
+		capacity := workerCapacity{instance: worker.instance, freeCPUs: types[i].CPUs, freeMemoryGB: types[i].MemoryGB, unfinishedTasks: make(map[string]bool)}
+		worker.mu.Lock()
+		healthy := !worker.paused && !worker.dropsAnswers && !worker.dropsHeartbeats
+		for taskName, t := range worker.tasks {
 			if t.Phase != wire.TaskExited {
-				f.tasks[n] = true
+				capacity.unfinishedTasks[taskName] = true
 			}
 		}
-		k.mu.Unlock()
+		worker.mu.Unlock()
 		c.w.mu.Lock()
-		for n := range f.tasks {
-			id, _ := ledger.ParseTask(n)
-			j := c.w.jobs[id.JobID]
-			f.cores, f.ram = f.cores-j.CPUs, f.ram-j.MemoryGB
+		for taskName := range capacity.unfinishedTasks {
+			id, _ := ledger.ParseTask(taskName)
+			job := c.w.jobs[id.JobID]
+			capacity.freeCPUs, capacity.freeMemoryGB = capacity.freeCPUs-job.CPUs, capacity.freeMemoryGB-job.MemoryGB
 		}
 		c.w.mu.Unlock()
-		if well {
-			out = append(out, f)
+		if healthy {
+			capacities = append(capacities, capacity)
 		}
 	}
-	return out
+	return capacities
 }
 
-// fits tells whether a task of a job waits that one of the rooms fits; run it with
-// the lock held.
-func (w *world) fits(j wire.Job, rooms []free) bool {
-	if w.taken[j.ID].IsZero() || w.asked[j.ID] || j.Kind == wire.KindGang || w.used[j.Team]+j.CPUs > w.limit {
+// canPlace reports whether a job has a waiting task that fits on one of the workers. The
+// caller holds w.mu.
+func (w *world) canPlace(job wire.Job, capacities []workerCapacity) bool {
+	if w.acceptedAt[job.ID].IsZero() || w.cancelRequested[job.ID] || job.Kind == wire.KindGang || w.usedCPUs[job.Team]+job.CPUs > w.teamCPULimit {
 		return false
 	}
-	for _, n := range j.DependsOn {
-		if !w.finished(n) {
+	for _, dependency := range job.DependsOn {
+		if !w.allTasksDone(dependency) {
 			return false
 		}
 	}
-	waits, zones, all := false, make(map[string]int), 0
-	for i := range j.TaskCount {
-		id := ledger.Task{JobID: j.ID, Index: i}
-		if w.done[id] {
+	hasWaitingTask, tasksByZone, placed := false, make(map[string]int), 0
+	for i := range job.TaskCount {
+		id := ledger.Task{JobID: job.ID, Index: i}
+		if w.doneTasks[id] {
 			continue
 		}
-		at := ""
-		for _, f := range rooms {
-			if f.tasks[id.String()] {
-				at = f.h.Zone
+		placedIn := ""
+		for _, capacity := range capacities {
+			if capacity.unfinishedTasks[id.String()] {
+				placedIn = capacity.instance.Zone
 			}
 		}
-		if at == "" && w.where[id] != "" {
-			at = w.workers[w.where[id]].h.Zone
+		if placedIn == "" && w.hostOf[id] != "" {
+			placedIn = w.workers[w.hostOf[id]].instance.Zone
 		}
-		if at == "" {
-			waits = true
+		if placedIn == "" {
+			hasWaitingTask = true
 			continue
 		}
-		zones[at]++
-		all++
+		tasksByZone[placedIn]++
+		placed++
 	}
-	return waits && slices.ContainsFunc(rooms, func(f free) bool {
-		z := f.h.Zone
-		return f.cores >= j.CPUs && f.ram >= j.MemoryGB && (j.AllowSpot || !f.h.Spot) && (j.Zone == "" || j.Zone == z) &&
-			(len(j.InstanceTypes) == 0 || slices.Contains(j.InstanceTypes, f.h.InstanceType)) &&
-			(!j.SpreadZones || zones[z]+1 <= (j.TaskCount+1)/2) && (!j.SingleZone || zones[z] == all)
+	return hasWaitingTask && slices.ContainsFunc(capacities, func(capacity workerCapacity) bool {
+		zone := capacity.instance.Zone
+		return capacity.freeCPUs >= job.CPUs && capacity.freeMemoryGB >= job.MemoryGB && (job.AllowSpot || !capacity.instance.Spot) && (job.Zone == "" || job.Zone == zone) &&
+			(len(job.InstanceTypes) == 0 || slices.Contains(job.InstanceTypes, capacity.instance.InstanceType)) &&
+			(!job.SpreadZones || tasksByZone[zone]+1 <= (job.TaskCount+1)/2) && (!job.SingleZone || tasksByZone[zone] == placed)
 	})
 }
 
-// begins checks that the largest jobs, a quarter of them, began in time; run it with the
-// lock held.
-func (w *world) begins() {
-	size := func(ref string) float64 { return float64(w.jobs[ref].TaskCount) * w.jobs[ref].CPUs }
-	refs := slices.SortedFunc(maps.Keys(w.taken), func(a, b string) int { return int(100 * (size(b) - size(a))) })
-	for _, ref := range refs[:len(refs)/4] {
-		from, at := w.taken[ref], w.begun[ref]
-		if at.IsZero() {
-			at = time.Now()
+// checkLargestJobsStarted checks that the largest quarter of the jobs started in time. The
+// caller holds w.mu.
+func (w *world) checkLargestJobsStarted() {
+	size := func(jobID string) float64 { return float64(w.jobs[jobID].TaskCount) * w.jobs[jobID].CPUs }
+	jobIDs := slices.SortedFunc(maps.Keys(w.acceptedAt), func(a, b string) int { return int(100 * (size(b) - size(a))) })
+	for _, jobID := range jobIDs[:len(jobIDs)/4] {
+		acceptedAt, startedAt := w.acceptedAt[jobID], w.firstStart[jobID]
+		if startedAt.IsZero() {
+			startedAt = time.Now()
 		}
-		if !w.asked[ref] && len(w.jobs[ref].DependsOn) == 0 && at.Sub(from) > largest {
-			w.broke("largest: %s began after %v", ref, at.Sub(from))
+		if !w.cancelRequested[jobID] && len(w.jobs[jobID].DependsOn) == 0 && startedAt.Sub(acceptedAt) > maxLargestJobWait {
+			w.recordViolation("largest: %s started %v after it was accepted", jobID, startedAt.Sub(acceptedAt))
 		}
 	}
 }
 
-// client is a user's, who opens a connection for each request.
+// client returns a user's HTTP client, which opens a connection for each request.
 func (w *world) client() *http.Client {
-	return &http.Client{Transport: &http.Transport{DialContext: w.net.at("user").Dial, DisableKeepAlives: true}}
+	return &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
 }
 
-// ask sends a request to a controller, and gives the answer's status, 0 if there is none,
-// and the phase that it tells.
-func (w *world) ask(ctx context.Context, c *http.Client, n int, method, path string, body []byte) (status int, phase string) {
+// request sends a user's request to a controller and returns the status of the answer, 0 if
+// there is none, and the job's phase in it.
+func (w *world) request(ctx context.Context, client *http.Client, controller int, method, path string, body []byte) (status int, phase string) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, method, "http://"+front(n)+path, bytes.NewReader(body))
-	res, err := c.Do(req)
+	req, _ := http.NewRequestWithContext(ctx, method, "http://"+frontAddress(controller)+path, bytes.NewReader(body))
+	res, err := client.Do(req)
 	if err != nil {
 		return 0, ""
 	}
 	defer res.Body.Close()
-	var p wire.JobStatus
-	b, _ := io.ReadAll(res.Body)
-	json.Unmarshal(b, &p)
-	return res.StatusCode, p.Phase
+	var jobStatus wire.JobStatus
+	answerBody, _ := io.ReadAll(res.Body)
+	json.Unmarshal(answerBody, &jobStatus)
+	return res.StatusCode, jobStatus.Phase
 }
 
-// strangers has users ask about, and withdraw, jobs that nobody submitted.
-func (w *world) strangers(ctx context.Context) {
-	c := w.client()
+// requestUnknownJobs reads the status of, and cancels, jobs that were never submitted.
+func (w *world) requestUnknownJobs(ctx context.Context) {
+	client := w.client()
 	for i := 0; ctx.Err() == nil; i++ {
-		ref := fmt.Sprintf("req-8%05d", i%7)
+		jobID := fmt.Sprintf("req-8%05d", i%7)
 		status := 0
 		if i%3 == 2 {
-			status, _ = w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs/"+ref+"/withdraw", nil)
+			status, _ = w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil)
 		} else {
-			status, _ = w.ask(ctx, c, w.intN(w.size), "GET", "/v1/jobs/"+ref, nil)
+			status, _ = w.request(ctx, client, w.intN(w.clusterSize), "GET", "/v1/jobs/"+jobID, nil)
 		}
 		if status == http.StatusOK {
 			w.mu.Lock()
-			w.broke("invented: %s", ref)
+			w.recordViolation("invented: %s was never submitted, but a request for it succeeded", jobID)
 			w.mu.Unlock()
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(report):
+		case <-time.After(heartbeatInterval):
 		}
 	}
 }
 
-// odd are bodies that can never be taken: what of a sound submission is replaced by what,
-// and the answer.
-var odd = []struct {
+// invalidSubmissions are valid submissions in which old is replaced by new, and the status
+// that they are answered with.
+var invalidSubmissions = []struct {
 	name, old, new string
 	status         int
 }{
 	{"no team", `"owner":"a",`, ``, 400},
-	{"null", `"rank":"standard"`, `"rank":null`, 400},
-	{"negative", `"cores":1,`, `"cores":-1,`, 400},
-	{"a wrong type", `"members":2`, `"members":"2"`, 400},
-	{"another case", `"cores":1,`, `"Cores":1,`, 400},
-	{"twice", `"cores":1,`, `"cores":1,"cores":2,`, 400},
+	{"null field", `"rank":"standard"`, `"rank":null`, 400},
+	{"negative number", `"cores":1,`, `"cores":-1,`, 400},
+	{"wrong type", `"members":2`, `"members":"2"`, 400},
+	{"wrong case of a name", `"cores":1,`, `"Cores":1,`, 400},
+	{"duplicate field", `"cores":1,`, `"cores":1,"cores":2,`, 400},
 	{"not an object", `{`, `[{`, 400},
-	{"larger than any machine", `"cores":1,`, `"cores":9,`, 422},
-	{"no such type", `"flavors":null`, `"flavors":["x"]`, 422},
-	{"no such zone", `"locale":null`, `"locale":"x"`, 422},
+	{"larger than any worker", `"cores":1,`, `"cores":9,`, 422},
+	{"unknown instance type", `"flavors":null`, `"flavors":["x"]`, 422},
+	{"unknown zone", `"locale":null`, `"locale":"x"`, 422},
 	{"unknown team", `"owner":"a"`, `"owner":"x"`, 422},
 	{"more than the team's limit", `"shape":"batch","members":2`, `"shape":"standing","members":500`, 422},
 }
 
-// soundBody is a submission that is sound.
-func soundBody(ref string) []byte {
+// validSubmission returns the body of a valid submission.
+func validSubmission(jobID string) []byte {
 	return fmt.Appendf(nil, `{"ref":%q,"jobclass":"c","owner":"a","rank":"standard","shape":"batch","members":2,"cores":1,"accelerators":0,"ram_gb":1,"bundle":"img","size_gb":1,`+
-		`"flavors":null,"locale":null,"same_place":false,"scatter":false,"loaners":false,"expect_s":5,"snapshot_s":0,"flush_s":0,"due_s":null}`, ref)
+		`"flavors":null,"locale":null,"same_place":false,"scatter":false,"loaners":false,"expect_s":5,"snapshot_s":0,"flush_s":0,"due_s":null}`, jobID)
 }
 
-// oddities has users send what can't be taken, repeat what was taken with bodies that
-// can't be, and withdraw what is done, until the time is up.
-func (w *world) oddities(ctx context.Context, long time.Duration) {
-	c := w.client()
-	end := time.Now().Add(long)
-	for i := 0; ctx.Err() == nil && time.Now().Before(end); i++ {
-		o := odd[i%len(odd)]
-		bad := func(ref string) []byte {
-			return bytes.Replace(soundBody(ref), []byte(o.old), []byte(o.new), 1)
+// sendInvalidRequests sends invalid submissions, resubmits accepted jobs with invalid
+// bodies and cancels jobs that are done, for the given time.
+func (w *world) sendInvalidRequests(ctx context.Context, duration time.Duration) {
+	client := w.client()
+	deadline := time.Now().Add(duration)
+	for i := 0; ctx.Err() == nil && time.Now().Before(deadline); i++ {
+		invalid := invalidSubmissions[i%len(invalidSubmissions)]
+		invalidBody := func(jobID string) []byte {
+			return bytes.Replace(validSubmission(jobID), []byte(invalid.old), []byte(invalid.new), 1)
 		}
-		status, _ := w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs", bad(fmt.Sprintf("req-7%05d", i)))
+		status, _ := w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs", invalidBody(fmt.Sprintf("req-7%05d", i)))
 		w.mu.Lock()
-		if status != o.status && status != 503 && status != 0 {
-			w.broke("accepted: %s was answered %d", o.name, status)
+		if status != invalid.status && status != 503 && status != 0 {
+			w.recordViolation("accepted: invalid submission (%s) was answered with status %d", invalid.name, status)
 		}
-		var known []string
-		for ref := range w.taken {
-			known = append(known, ref)
+		var accepted []string
+		for jobID := range w.acceptedAt {
+			accepted = append(accepted, jobID)
 		}
-		slices.Sort(known)
+		slices.Sort(accepted)
 		w.mu.Unlock()
-		if len(known) > 0 && o.old != "{" { // what is no object names no job
-			ref := known[w.intN(len(known))]
-			status, _ = w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs", bad(ref))
+		if len(accepted) > 0 && invalid.old != "{" { // a body that is not an object names no job
+			jobID := accepted[w.intN(len(accepted))]
+			status, _ = w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs", invalidBody(jobID))
 			w.mu.Lock()
 			if status != 200 && status != 503 && status != 0 {
-				w.broke("forgotten: %s submitted again with %s was answered %d", ref, o.name, status)
+				w.recordViolation("forgotten: resubmission of %s (%s) was answered with status %d", jobID, invalid.name, status)
 			}
-			over := w.told[ref] == wire.PhaseDone
+			isDone := w.lastPhase[jobID] == wire.PhaseDone
 			w.mu.Unlock()
-			if over {
-				if status, _ := w.ask(ctx, c, w.intN(w.size), "POST", "/v1/jobs/"+ref+"/withdraw", nil); status != 200 && status != 503 && status != 0 {
+			if isDone {
+				if status, _ := w.request(ctx, client, w.intN(w.clusterSize), "POST", "/v1/jobs/"+jobID+"/withdraw", nil); status != 200 && status != 503 && status != 0 {
 					w.mu.Lock()
-					w.broke("forgotten: %s is done, and its withdrawal was answered %d", ref, status)
+					w.recordViolation("forgotten: %s is done, but its cancellation was answered with status %d", jobID, status)
 					w.mu.Unlock()
 				}
 			}
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(report / 6):
+		case <-time.After(heartbeatInterval / 6):
 		}
 	}
 }
--- a/internal/sim/cloud_test.go
+++ b/internal/sim/cloud_test.go
@@ -13,108 +13,108 @@
 	"rillflow/internal/wire"
 )
 
-// cloud stands in for the cloud. Machines come up after a while; the list is
-// two seconds old.
-type cloud struct {
-	w     *world
-	mu    sync.Mutex
-	types []wire.InstanceType
-	asks  map[string][]string
-	hosts map[string]wire.Instance
-	seen  map[string]time.Time // when listed first
-	count map[string]int
-	next  int
-	sizes map[string]wire.ScaleOutRequest // what was asked for, by its name
-	freed int                             // machines returned
-	most  int                             // machines of a type, zone and kind
-	few   map[string]int                  // in zones that have less
+// fakeCloud is a fake of the cloud API. Instances boot in 3 s, and the listing shows
+// them 2 s after their creation.
+type fakeCloud struct {
+	w             *world
+	mu            sync.Mutex
+	types         []wire.InstanceType
+	grantedNames  map[string][]string // instances granted, by request ID
+	instances     map[string]wire.Instance
+	createdAt     map[string]time.Time
+	instanceCount map[string]int
+	lastNumber    int
+	requests      map[string]wire.ScaleOutRequest // by request ID
+	released      int                             // instances released
+	maxInstances  int                             // per instance type and zone
+	zoneLimits    map[string]int                  // replaces maxInstances in a zone
 }
 
-func (c *cloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (c *fakeCloud) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch r.URL.Path {
 	case "/machine_types":
-		answer(w, 200, wire.InstanceTypeList{Types: c.types})
+		writeJSON(w, 200, wire.InstanceTypeList{Types: c.types})
 	case "/hosts/release":
-		var l wire.InstanceNames
-		json.Unmarshal(body, &l)
-		for _, n := range l.Names {
-			if h, ok := c.hosts[n]; ok {
-				c.count[h.InstanceType+h.Zone]--
-				delete(c.hosts, n)
-				c.freed++
-				c.w.stop(n)
+		var list wire.InstanceNames
+		json.Unmarshal(body, &list)
+		for _, name := range list.Names {
+			if instance, ok := c.instances[name]; ok {
+				c.instanceCount[instance.InstanceType+instance.Zone]--
+				delete(c.instances, name)
+				c.released++
+				c.w.stopWorker(name)
 			}
 		}
-		answer(w, 200, struct{}{})
+		writeJSON(w, 200, struct{}{})
 	case "/hosts":
 		if r.Method == http.MethodGet {
-			var l wire.InstancePage
-			for n, h := range c.hosts {
-				if time.Since(c.seen[n]) > 2*time.Second {
-					l.Instances = append(l.Instances, h)
+			var list wire.InstancePage
+			for name, instance := range c.instances {
+				if time.Since(c.createdAt[name]) > 2*time.Second {
+					list.Instances = append(list.Instances, instance)
 				}
 			}
-			slices.SortFunc(l.Instances, func(a, b wire.Instance) int { return strings.Compare(a.Name, b.Name) })
-			answer(w, 200, l)
+			slices.SortFunc(list.Instances, func(a, b wire.Instance) int { return strings.Compare(a.Name, b.Name) })
+			writeJSON(w, 200, list)
 			return
 		}
-		var q wire.ScaleOutRequest
-		json.Unmarshal(body, &q)
-		if was, ok := c.sizes[q.RequestID]; ok && was != q {
+		var request wire.ScaleOutRequest
+		json.Unmarshal(body, &request)
+		if previous, ok := c.requests[request.RequestID]; ok && previous != request {
 			c.w.mu.Lock()
-			c.w.broke("names: %s was used for %v and for %v", q.RequestID, was, q)
+			c.w.recordViolation("names: request ID %s was used for %v and for %v", request.RequestID, previous, request)
 			c.w.mu.Unlock()
 		}
-		c.sizes[q.RequestID] = q
-		if names, ok := c.asks[q.RequestID]; ok {
-			answer(w, 200, wire.InstanceNames{Names: names})
+		c.requests[request.RequestID] = request
+		if names, ok := c.grantedNames[request.RequestID]; ok {
+			writeJSON(w, 200, wire.InstanceNames{Names: names})
 			return
 		}
 		var names []string
-		most := c.most
-		if n, ok := c.few[q.Zone]; ok {
-			most = n
+		limit := c.maxInstances
+		if zoneLimit, ok := c.zoneLimits[request.Zone]; ok {
+			limit = zoneLimit
 		}
-		for len(names) < q.Count && c.count[q.InstanceType+q.Zone] < most {
-			c.count[q.InstanceType+q.Zone]++
-			c.next++
-			n := fmt.Sprintf("i-%06d", c.next)
-			h := wire.Instance{Name: n, Address: n + ":9000", InstanceType: q.InstanceType, Zone: q.Zone, Spot: q.Spot, Phase: wire.InstanceStarting}
-			c.hosts[n], c.seen[n] = h, time.Now()
-			names = append(names, n)
-			time.AfterFunc(3*time.Second, func() { c.startInstance(n) })
+		for len(names) < request.Count && c.instanceCount[request.InstanceType+request.Zone] < limit {
+			c.instanceCount[request.InstanceType+request.Zone]++
+			c.lastNumber++
+			name := fmt.Sprintf("i-%06d", c.lastNumber)
+			instance := wire.Instance{Name: name, Address: name + ":9000", InstanceType: request.InstanceType, Zone: request.Zone, Spot: request.Spot, Phase: wire.InstanceStarting}
+			c.instances[name], c.createdAt[name] = instance, time.Now()
+			names = append(names, name)
+			time.AfterFunc(3*time.Second, func() { c.startInstance(name) })
 		}
 		if len(names) == 0 {
-			answer(w, 503, wire.ErrorResponse{Error: "no capacity"})
+			writeJSON(w, 503, wire.ErrorResponse{Error: "no capacity"})
 			return
 		}
-		c.asks[q.RequestID] = names
-		answer(w, 200, wire.InstanceNames{Names: names})
+		c.grantedNames[request.RequestID] = names
+		writeJSON(w, 200, wire.InstanceNames{Names: names})
 	}
 }
 
-// killInstance has a worker stop on its own. It is listed as running for some more time.
-func (c *cloud) killInstance(n string) {
-	c.w.stop(n)
+// killInstance stops a worker at once. The listing shows its failure 30 s later.
+func (c *fakeCloud) killInstance(name string) {
+	c.w.stopWorker(name)
 	time.AfterFunc(30*time.Second, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if h, ok := c.hosts[n]; ok {
-			h.Phase = wire.InstanceFailed
-			c.hosts[n] = h
+		if instance, ok := c.instances[name]; ok {
+			instance.Phase = wire.InstanceFailed
+			c.instances[name] = instance
 		}
 	})
 }
 
-func (c *cloud) startInstance(n string) {
+func (c *fakeCloud) startInstance(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if h, ok := c.hosts[n]; ok && !c.w.ended() {
-		h.Phase = wire.InstanceRunning
-		c.hosts[n] = h
-		c.w.start(h)
+	if instance, ok := c.instances[name]; ok && !c.w.stopped() {
+		instance.Phase = wire.InstanceRunning
+		c.instances[name] = instance
+		c.w.startWorker(instance)
 	}
 }
--- a/internal/sim/controllers_test.go
+++ b/internal/sim/controllers_test.go
@@ -13,70 +13,69 @@
 	"rillflow/internal/serve"
 )
 
-// node runs a controller's process: it is killed without warning, and comes
-// back after a while.
-type node struct {
-	w    *world
-	n    int
-	kill context.CancelFunc
-	over chan struct{}
+// controllerProcess runs a whole controller, which can be killed at any time.
+type controllerProcess struct {
+	w      *world
+	index  int
+	kill   context.CancelFunc
+	exited chan struct{}
 }
 
-func (w *world) boot(n int) *node {
+func (w *world) boot(index int) *controllerProcess {
 	ctx, kill := context.WithCancel(context.Background())
-	c := &node{w: w, n: n, kill: kill, over: make(chan struct{})}
+	process := &controllerProcess{w: w, index: index, kill: kill, exited: make(chan struct{})}
 	level := slog.LevelError
 	if os.Getenv("SIM_LOG") != "" {
 		level = slog.LevelDebug
 	}
 	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level}))
-	set := w.settings(n)
+	settings := w.controllerSettings(index)
 	go func() {
-		defer close(c.over)
-		serve.Run(ctx, set, w.net.at(set.Name), log.With("node", set.Name))
+		defer close(process.exited)
+		serve.Run(ctx, settings, w.net.forHost(settings.Name), log.With("node", settings.Name))
 	}()
-	return c
+	return process
 }
 
-// crash ends the process without a goodbye. What it sent in its last moment may arrive
-// up to a heartbeat interval later, also when another has taken its place.
-func (c *node) crash() {
-	name := fmt.Sprintf("host-%d", c.n)
-	c.w.net.fall(name, time.Duration(c.w.intN(2))*report)
+// crash kills the process. What it sent last may arrive up to a heartbeat interval later,
+// even after its successor has started.
+func (c *controllerProcess) crash() {
+	name := fmt.Sprintf("host-%d", c.index)
+	c.w.net.crashHost(name, time.Duration(c.w.intN(2))*heartbeatInterval)
 	c.kill()
-	<-c.over
-	c.w.net.fallen(name)
+	<-c.exited
+	c.w.net.hostExited(name)
 }
 
-// randomDowntime is how long a process is gone: from a moment to much longer than a lease lasts,
-// in each order of size alike.
+// randomDowntime draws the time until a process restarts, from 20 ms to 10 s with a
+// log-uniform distribution.
 func (w *world) randomDowntime() time.Duration {
 	return time.Duration(20*math.Pow(500, float64(w.intN(1000))/1000)) * time.Millisecond
 }
 
-// ended tells whether the process has ended.
-func (c *node) ended() bool {
+// hasExited reports whether the process has exited.
+func (c *controllerProcess) hasExited() bool {
 	select {
-	case <-c.over:
+	case <-c.exited:
 		return true
 	default:
 		return false
 	}
 }
 
-// cutWorkersOff cuts every worker off from all controllers for a moment.
-func (w *world) cutWorkersOff(cl *cloud, long time.Duration) {
-	cl.mu.Lock()
-	hosts := slices.Sorted(maps.Keys(cl.hosts))
-	cl.mu.Unlock()
-	for _, on := range []bool{true, false} {
-		for _, h := range hosts {
-			for n := range w.size {
-				w.net.cut(fmt.Sprintf("host-%d", n), h, on)
+// cutWorkersOff cuts every worker off from all controllers for the given time.
+func (w *world) cutWorkersOff(cloud *fakeCloud, duration time.Duration) {
+	cloud.mu.Lock()
+	workers := slices.Sorted(maps.Keys(cloud.instances))
+	cloud.mu.Unlock()
+	for _, blocked := range []bool{true, false} {
+		for _, worker := range workers {
+			for n := range w.clusterSize {
+				w.net.setBlocked(fmt.Sprintf("host-%d", n), worker, blocked)
 			}
 		}
-		if on {
-			time.Sleep(long)
+		if blocked {
+			time.Sleep(duration)
 		}
 	}
 }
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -24,23 +24,23 @@
 <allow who="role:guest" do="submit withdraw need" owner="own" rank="idle"/>
 </access><tls><folder>%s</folder><back>require</back><front>accept</front></tls></rillflow>`
 
-// Who may do what, on whole controllers: a guest does not get above its rank by any
-// way, a token that was cancelled is of no use on any controller, also on one that was
-// cut off when it was, and the record tells who did what and who was refused. The
-// controllers speak TLS with one another.
+// Guards against gaps in access control on whole controllers that use TLS among one
+// another. A guest cannot exceed its priority by any request, a revoked token is refused by
+// every controller, also by one that the store refused during the revocation, and the audit
+// log holds who did what and who was refused.
 func TestIdentities(t *testing.T) {
-	ring, path := newRing(t)
+	ring, path := newKeyring(t)
 	folder := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		err := certs.MakeAuthority(folder, "sim", time.Hour)
-		for n := range nodes {
+		for n := range controllerCount {
 			err = errors.Join(err, certs.MakeCertificate(folder, fmt.Sprintf("host-%d", n), nil, time.Hour))
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		ctx, w, st, _, _, end := begin(t, 5, 24, 3, fmt.Sprintf(accessXML, path, folder))
-		admin := &identity.Admin{Store: st, Ring: ring, Actor: "root", Audited: true, Now: time.Now}
+		ctx, w, store, _, _, end := startWorld(t, 5, 24, 3, fmt.Sprintf(accessXML, path, folder))
+		admin := &identity.Admin{Store: store, Ring: ring, Actor: "root", Audited: true, Now: time.Now}
 		token := func(name, team, role string) string {
 			s, err := admin.Issue(ctx, name, identity.Record{Kind: "person", Teams: []string{team}, Roles: []string{role}}, time.Hour)
 			if err != nil {
@@ -50,13 +50,13 @@
 		}
 		ana, gus := token("ana", "a", "curator"), token("gus", "b", "guest")
 		time.Sleep(30 * time.Second)
-		client := &http.Client{Transport: &http.Transport{DialContext: w.net.at("user").Dial, DisableKeepAlives: true}}
-		// ask keeps at it until there is an answer that settles it.
-		ask := func(node int, token, method, path string, body any) int {
+		client := &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
+		// request retries until there is an answer other than 503.
+		request := func(controller int, token, method, path string, body any) int {
 			data, _ := json.Marshal(body)
 			for range 20 {
-				rctx, cancel := context.WithTimeout(ctx, 5*time.Second)
-				req, _ := http.NewRequestWithContext(rctx, method, "http://"+front(node)+path, strings.NewReader(string(data)))
+				requestCtx, cancel := context.WithTimeout(ctx, 5*time.Second)
+				req, _ := http.NewRequestWithContext(requestCtx, method, "http://"+frontAddress(controller)+path, strings.NewReader(string(data)))
 				if token != "" {
 					req.Header.Set("Authorization", "Bearer "+token)
 				}
@@ -73,91 +73,91 @@
 			}
 			return 0
 		}
-		job := func(ref, owner, rank string, needs ...string) map[string]any {
+		jobBody := func(jobID, owner, rank string, needs ...string) map[string]any {
 			w.mu.Lock()
-			w.jobs[ref] = wire.Job{ID: ref, Team: owner, Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 30, DependsOn: needs}
+			w.jobs[jobID] = wire.Job{ID: jobID, Team: owner, Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 30, DependsOn: needs}
 			w.mu.Unlock()
-			return map[string]any{"ref": ref, "jobclass": "c", "owner": owner, "shape": "batch", "rank": rank, "members": 1, "cores": 1, "accelerators": 0, "ram_gb": 1,
+			return map[string]any{"ref": jobID, "jobclass": "c", "owner": owner, "shape": "batch", "rank": rank, "members": 1, "cores": 1, "accelerators": 0, "ram_gb": 1,
 				"bundle": "img", "size_gb": 1, "same_place": false, "scatter": false, "loaners": true, "expect_s": 30, "snapshot_s": 0, "flush_s": 0, "waits_on": needs}
 		}
 		for i, tc := range []struct {
-			what         string
+			name         string
 			token        string
 			method, path string
 			body         any
 			want         int
 		}{
-			{"anonymous may not submit", "", "POST", "/v1/jobs", job("req-1", "a", "idle"), 403},
-			{"a curator may, for her team", ana, "POST", "/v1/jobs", job("req-2", "a", "urgent"), 201},
-			{"and not for another", ana, "POST", "/v1/jobs", job("req-3", "b", "idle"), 403},
-			{"a guest may not go above its rank", gus, "POST", "/v1/jobs", job("req-4", "b", "standard"), 403},
-			{"and may go at it", gus, "POST", "/v1/jobs", job("req-5", "b", "idle"), 201},
-			{"but not wait for another's job, which it would lift", gus, "POST", "/v1/jobs", job("req-6", "b", "idle", "req-2"), 403},
-			{"nor withdraw one", gus, "POST", "/v1/jobs/req-2/withdraw", nil, 403},
-			{"it may look", gus, "GET", "/v1/jobs/req-2", nil, 200},
-			{"who has no token may not", "", "GET", "/v1/jobs/req-2", nil, 403},
-			{"no such token", "rft_aaaaaaaa_bbbbbbbb", "GET", "/v1/jobs/req-2", nil, 401},
-			{"another's secret", ana[:13] + gus[13:], "GET", "/v1/jobs/req-2", nil, 401},
-			{"a retry is told the state", ana, "POST", "/v1/jobs", job("req-2", "a", "urgent"), 200},
-			{"she may withdraw her own", ana, "POST", "/v1/jobs/req-2/withdraw", nil, 200},
+			{"anonymous user may not submit", "", "POST", "/v1/jobs", jobBody("req-1", "a", "idle"), 403},
+			{"curator may submit for her team", ana, "POST", "/v1/jobs", jobBody("req-2", "a", "urgent"), 201},
+			{"curator may not submit for another team", ana, "POST", "/v1/jobs", jobBody("req-3", "b", "idle"), 403},
+			{"guest may not submit above its priority", gus, "POST", "/v1/jobs", jobBody("req-4", "b", "standard"), 403},
+			{"guest may submit at its priority", gus, "POST", "/v1/jobs", jobBody("req-5", "b", "idle"), 201},
+			{"guest may not depend on another's job, which would raise its priority", gus, "POST", "/v1/jobs", jobBody("req-6", "b", "idle", "req-2"), 403},
+			{"guest may not cancel another's job", gus, "POST", "/v1/jobs/req-2/withdraw", nil, 403},
+			{"guest may read another's job", gus, "GET", "/v1/jobs/req-2", nil, 200},
+			{"anonymous user may not read", "", "GET", "/v1/jobs/req-2", nil, 403},
+			{"unknown token", "rft_aaaaaaaa_bbbbbbbb", "GET", "/v1/jobs/req-2", nil, 401},
+			{"token with another's secret", ana[:13] + gus[13:], "GET", "/v1/jobs/req-2", nil, 401},
+			{"resubmission is answered with the job's phase", ana, "POST", "/v1/jobs", jobBody("req-2", "a", "urgent"), 200},
+			{"curator may cancel her own job", ana, "POST", "/v1/jobs/req-2/withdraw", nil, 200},
 		} {
-			if got := ask(i%nodes, tc.token, tc.method, tc.path, tc.body); got != tc.want {
-				t.Errorf("%s: %d, want %d", tc.what, got, tc.want)
+			if got := request(i%controllerCount, tc.token, tc.method, tc.path, tc.body); got != tc.want {
+				t.Errorf("%s: got status %d, want %d", tc.name, got, tc.want)
 			}
 		}
 
-		// The store refuses one controller; meanwhile the guest is cancelled.
-		refuse := func(on bool) {
-			st.mu.Lock()
-			defer st.mu.Unlock()
-			st.refusedAlone["host-1"] = on
-			st.cond.Broadcast()
-		}
-		refuse(true)
+		// The guest's token is revoked while the store refuses one controller.
+		setRefused := func(refused bool) {
+			store.mu.Lock()
+			defer store.mu.Unlock()
+			store.refusedControllers["host-1"] = refused
+			store.cond.Broadcast()
+		}
+		setRefused(true)
 		time.Sleep(time.Second)
 		if err := admin.Revoke(ctx, "gus"); err != nil {
 			t.Fatal(err)
 		}
-		for n, when := range []string{"cut off", "cut off for a lease", "back"} {
-			if got := ask(1, gus, "POST", "/v1/jobs", job(fmt.Sprintf("req-1%d", n), "b", "idle")); got == 200 || got == 201 {
-				t.Errorf("%s: a withdrawn token was taken: %d", when, got)
+		for n, when := range []string{"refused by the store", "refused by the store for a lease", "served by the store again"} {
+			if got := request(1, gus, "POST", "/v1/jobs", jobBody(fmt.Sprintf("req-1%d", n), "b", "idle")); got == 200 || got == 201 {
+				t.Errorf("%s: a revoked token was answered with status %d, want an error", when, got)
 			}
-			time.Sleep([]time.Duration{lease, 0, 0}[n])
+			time.Sleep([]time.Duration{leaseDuration, 0, 0}[n])
 			if n == 1 {
-				refuse(false)
+				setRefused(false)
 			}
 		}
-		if got := ask(0, gus, "GET", "/v1/jobs/req-5", nil); got != 401 {
-			t.Errorf("a withdrawn token is answered %d", got)
+		if got := request(0, gus, "GET", "/v1/jobs/req-5", nil); got != 401 {
+			t.Errorf("a revoked token was answered with status %d, want 401", got)
 		}
-		fresh, err := admin.Rotate(ctx, "ana", time.Hour, 0)
+		newToken, err := admin.Rotate(ctx, "ana", time.Hour, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(2 * report)
-		if old, now := ask(2, ana, "GET", "/v1/jobs/req-2", nil), ask(2, fresh, "GET", "/v1/jobs/req-2", nil); old != 401 || now != 200 {
-			t.Errorf("after a rotation the old token is answered %d, the new one %d", old, now)
+		time.Sleep(2 * heartbeatInterval)
+		if oldStatus, newStatus := request(2, ana, "GET", "/v1/jobs/req-2", nil), request(2, newToken, "GET", "/v1/jobs/req-2", nil); oldStatus != 401 || newStatus != 200 {
+			t.Errorf("after a rotation, the old token was answered with status %d, want 401, and the new one with %d, want 200", oldStatus, newStatus)
 		}
 		time.Sleep(60 * time.Second)
 		end()
-		for _, b := range w.breaches {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
-		h, _ := history(t, w, ring)
-		if s := h.Jobs["req-2"]; s == nil || s.Accepted == nil || s.Accepted.Actor != "ana" || s.Cancelled == nil || s.Cancelled.Actor != "ana" {
-			t.Errorf("req-2 is told as %+v", s)
+		history, _ := readAuditLog(t, w, ring)
+		if s := history.Jobs["req-2"]; s == nil || s.Accepted == nil || s.Accepted.Actor != "ana" || s.Cancelled == nil || s.Cancelled.Actor != "ana" {
+			t.Errorf("req-2 is logged as %+v, want ana to accept and cancel it", s)
 		}
-		for ref, who := range map[string]string{"req-1": "", "req-3": "ana", "req-4": "gus", "req-6": "gus"} {
-			if s := h.Jobs[ref]; s == nil || len(s.Refused) == 0 || s.Refused[0].Actor != who || s.Accepted != nil {
-				t.Errorf("%s, refused to %q, is told as %+v", ref, who, s)
+		for jobID, who := range map[string]string{"req-1": "", "req-3": "ana", "req-4": "gus", "req-6": "gus"} {
+			if s := history.Jobs[jobID]; s == nil || len(s.Refused) == 0 || s.Refused[0].Actor != who || s.Accepted != nil {
+				t.Errorf("%s, refused to %q, is logged as %+v", jobID, who, s)
 			}
 		}
-		acts := make(map[string]int)
-		for _, e := range h.Others {
-			acts[e.Action.String()+" "+e.Subject]++
+		actionCounts := make(map[string]int)
+		for _, e := range history.Others {
+			actionCounts[e.Action.String()+" "+e.Subject]++
 		}
-		if acts[audit.Issued.String()+" gus"] != 1 || acts[audit.Revoked.String()+" gus"] < 1 || acts[audit.Revoked.String()+" ana"] != 1 {
-			t.Errorf("identities are told as %v", acts)
+		if actionCounts[audit.Issued.String()+" gus"] != 1 || actionCounts[audit.Revoked.String()+" gus"] < 1 || actionCounts[audit.Revoked.String()+" ana"] != 1 {
+			t.Errorf("changes of identities are logged as %v", actionCounts)
 		}
 	})
 }
--- a/internal/sim/network_test.go
+++ b/internal/sim/network_test.go
@@ -12,145 +12,146 @@
 	"rillflow/internal/serve"
 )
 
-// network carries bytes between named hosts. What is sent into a cut is held
-// and comes late, also when its sender has given up meanwhile.
+// network is an in-memory network between named hosts. Data sent over a blocked
+// link is held and delivered once the link is restored, even if the sender has
+// given up by then.
 type network struct {
-	mu    sync.Mutex
-	cond  *sync.Cond
-	lis   map[string]*listener // by address
-	owner map[string]string    // address to host
-	cuts  map[[2]string]bool
-	conns map[*conn]bool
-	rnd   *rand.Rand
-	dead  map[string]bool                 // hosts whose process is ending: it reaches nobody any more
-	tap   func(from, to string, b []byte) // sees what is sent, if set
-	lag   map[string]time.Duration        // by which what a host sends or is sent is slower
-	ended bool
+	mu            sync.Mutex
+	cond          *sync.Cond
+	listeners     map[string]*hostListener // by address
+	hostOfAddress map[string]string        // host by address
+	blocked       map[[2]string]bool
+	conns         map[*conn]bool
+	rnd           *rand.Rand
+	crashing      map[string]bool                    // hosts whose process is being killed: they cannot dial
+	onSend        func(from, to string, data []byte) // observes all data sent, if set
+	delays        map[string]time.Duration           // additional latency to and from a host
+	stopped       bool
 }
 
 func newNetwork(rnd *rand.Rand) *network {
-	n := &network{lis: map[string]*listener{}, owner: map[string]string{}, cuts: map[[2]string]bool{}, conns: map[*conn]bool{}, dead: map[string]bool{}, lag: map[string]time.Duration{}, rnd: rnd}
+	n := &network{listeners: map[string]*hostListener{}, hostOfAddress: map[string]string{}, blocked: map[[2]string]bool{}, conns: map[*conn]bool{}, crashing: map[string]bool{}, delays: map[string]time.Duration{}, rnd: rnd}
 	n.cond = sync.NewCond(&n.mu)
 	return n
 }
 
-func (n *network) cut(a, b string, on bool) {
+func (n *network) setBlocked(a, b string, isBlocked bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{a, b}], n.cuts[[2]string{b, a}] = on, on
+	n.blocked[[2]string{a, b}], n.blocked[[2]string{b, a}] = isBlocked, isBlocked
 	n.cond.Broadcast()
 	for c := range n.conns {
 		c.cond.Broadcast()
 	}
 }
 
-// slow has links to hosts be slow, or as quick as ever again.
-func (n *network) slow(lag time.Duration, hosts ...string) {
+// setDelay adds latency to all links of the given hosts; 0 removes it.
+func (n *network) setDelay(delay time.Duration, hosts ...string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, h := range hosts {
-		n.lag[h] = lag
+	for _, host := range hosts {
+		n.delays[host] = delay
 	}
 }
 
-// reset ends all connections of a host, as when its process ends.
-func (n *network) reset(host string) {
+// resetHost breaks all connections of a host and closes its listeners.
+func (n *network) resetHost(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for c := range n.conns {
 		if c.from == host || c.to == host {
-			c.kill()
+			c.abort()
 		}
 	}
-	n.unlisten(host)
+	n.closeListeners(host)
 	n.cond.Broadcast()
 }
 
-// unlisten ends a host's listeners; run it with the lock held.
-func (n *network) unlisten(host string) {
-	for a, l := range n.lis {
-		if n.owner[a] == host {
-			l.closed = true
-			l.cond.Broadcast()
-			delete(n.lis, a)
+// closeListeners closes a host's listeners. The caller holds n.mu.
+func (n *network) closeListeners(host string) {
+	for address, listener := range n.listeners {
+		if n.hostOfAddress[address] == host {
+			listener.closed = true
+			listener.cond.Broadcast()
+			delete(n.listeners, address)
 		}
 	}
 }
 
-// fall is how a process ends in the middle of things: what it had sent still arrives, up
-// to so much later, and only behind that do those it spoke with see that it is gone.
-func (n *network) fall(host string, late time.Duration) {
+// crashHost simulates the sudden end of a host's process. Data already sent still
+// arrives, delayed by up to maxDelay, and only then do its peers see the end of the stream.
+func (n *network) crashHost(host string, maxDelay time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.dead[host] = true
-	n.unlisten(host)
+	n.crashing[host] = true
+	n.closeListeners(host)
 	for c := range n.conns {
 		if c.from != host {
 			continue
 		}
 		c.closed = true
-		by := time.Duration(0)
-		if late > 0 {
-			by = time.Duration(n.rnd.Int64N(int64(late)))
+		delay := time.Duration(0)
+		if maxDelay > 0 {
+			delay = time.Duration(n.rnd.Int64N(int64(maxDelay)))
 		}
 		for i := range c.out {
-			c.out[i].at = c.out[i].at.Add(by)
+			c.out[i].arrival = c.out[i].arrival.Add(delay)
 		}
-		c.out = append(c.out, packet{at: time.Now().Add(by)})
+		c.out = append(c.out, packet{arrival: time.Now().Add(delay)})
 		c.cond.Broadcast()
 	}
 	n.cond.Broadcast()
 }
 
-// fallen says that a process has ended; another may take its place.
-func (n *network) fallen(host string) {
+// hostExited marks the end of a crashed process: a new one on the host may dial.
+func (n *network) hostExited(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.dead, host)
+	delete(n.crashing, host)
 }
 
-func (n *network) end() {
+func (n *network) shutdown() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.ended = true
+	n.stopped = true
 	for c := range n.conns {
-		c.kill()
+		c.abort()
 	}
-	for _, l := range n.lis {
-		l.closed = true
-		l.cond.Broadcast()
+	for _, listener := range n.listeners {
+		listener.closed = true
+		listener.cond.Broadcast()
 	}
 	n.cond.Broadcast()
 }
 
-func (n *network) at(host string) serve.Network {
+func (n *network) forHost(host string) serve.Network {
 	return serve.Network{
 		Dial: func(ctx context.Context, _, addr string) (net.Conn, error) { return n.dial(ctx, host, addr) },
 		Listen: func(addr string) (net.Listener, error) {
 			return n.listen(host, addr), nil
 		},
-		WallClock: func() time.Time { return time.Now().Add(clockOff[host]) },
+		WallClock: func() time.Time { return time.Now().Add(clockOffsets[host]) },
 	}
 }
 
-type listener struct {
+type hostListener struct {
 	n      *network
-	cond   *sync.Cond // of its own: thousands wait at once
+	cond   *sync.Cond // one per listener: thousands wait at once
 	addr   string
 	queue  []*conn
 	closed bool
 }
 
-func (n *network) listen(host, addr string) *listener {
+func (n *network) listen(host, addr string) *hostListener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	l := &listener{n: n, addr: addr, cond: sync.NewCond(&n.mu)}
-	n.lis[addr], n.owner[addr] = l, host
-	n.cond.Broadcast() // some may wait for it
-	return l
+	listener := &hostListener{n: n, addr: addr, cond: sync.NewCond(&n.mu)}
+	n.listeners[addr], n.hostOfAddress[addr] = listener, host
+	n.cond.Broadcast() // wakes pending dials
+	return listener
 }
 
-func (l *listener) Accept() (net.Conn, error) {
+func (l *hostListener) Accept() (net.Conn, error) {
 	l.n.mu.Lock()
 	defer l.n.mu.Unlock()
 	for len(l.queue) == 0 && !l.closed {
@@ -164,25 +165,26 @@
 	return c, nil
 }
 
-func (l *listener) Close() error {
+func (l *hostListener) Close() error {
 	l.n.mu.Lock()
 	defer l.n.mu.Unlock()
 	l.closed = true
-	if l.n.lis[l.addr] == l {
-		delete(l.n.lis, l.addr)
+	if l.n.listeners[l.addr] == l {
+		delete(l.n.listeners, l.addr)
 	}
 	l.cond.Broadcast()
 	return nil
 }
 
-func (l *listener) Addr() net.Addr { return addr(l.addr) }
+func (l *hostListener) Addr() net.Addr { return addr(l.addr) }
 
 type addr string
 
 func (a addr) Network() string { return "tcp" }
 func (a addr) String() string  { return string(a) }
 
-// dial hangs while the way is cut or the host is off, like real connections.
+// dial blocks while the link is blocked or nothing ever listened on the address, as a
+// real connection attempt without an answer does.
 func (n *network) dial(ctx context.Context, from, to string) (net.Conn, error) {
 	stop := context.AfterFunc(ctx, func() {
 		n.mu.Lock()
@@ -193,35 +195,35 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for {
-		if ctx.Err() != nil || n.ended {
+		if ctx.Err() != nil || n.stopped {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
 		}
-		host, known := n.owner[to]
-		if known && !n.cuts[[2]string{from, host}] && !n.dead[from] {
-			l := n.lis[to]
-			if l == nil {
+		host, known := n.hostOfAddress[to]
+		if known && !n.blocked[[2]string{from, host}] && !n.crashing[from] {
+			listener := n.listeners[to]
+			if listener == nil {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: io.EOF}
 			}
-			a := &conn{n: n, from: from, to: host, cond: sync.NewCond(&n.mu)}
-			b := &conn{n: n, from: host, to: from, cond: sync.NewCond(&n.mu)}
-			a.peer, b.peer = b, a
-			n.conns[a], n.conns[b] = true, true
-			go a.pump()
-			go b.pump()
-			l.queue = append(l.queue, b)
-			l.cond.Signal()
-			return a, nil
+			local := &conn{n: n, from: from, to: host, cond: sync.NewCond(&n.mu)}
+			remote := &conn{n: n, from: host, to: from, cond: sync.NewCond(&n.mu)}
+			local.peer, remote.peer = remote, local
+			n.conns[local], n.conns[remote] = true, true
+			go local.deliver()
+			go remote.deliver()
+			listener.queue = append(listener.queue, remote)
+			listener.cond.Signal()
+			return local, nil
 		}
 		n.cond.Wait()
 	}
 }
 
 type packet struct {
-	at   time.Time
-	data []byte
+	arrival time.Time
+	data    []byte
 }
 
-// conn is one end. Its out queue is pumped into the peer's in buffer.
+// conn is one end of a connection. deliver moves its out queue to the peer's in buffer.
 type conn struct {
 	n        *network
 	cond     *sync.Cond
@@ -229,14 +231,14 @@
 	peer     *conn
 	out      []packet
 	in       []byte
-	eof      bool // the peer closed and all it sent has come
+	eof      bool // the peer closed and all its data was delivered
 	closed   bool
 	broken   bool
 	deadline time.Time
 	timer    *time.Timer
 }
 
-func (c *conn) kill() {
+func (c *conn) abort() {
 	c.broken, c.peer.broken = true, true
 	delete(c.n.conns, c)
 	delete(c.n.conns, c.peer)
@@ -244,11 +246,11 @@
 	c.peer.cond.Broadcast()
 }
 
-func (c *conn) pump() {
+func (c *conn) deliver() {
 	n := c.n
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for !c.broken && !n.ended {
+	for !c.broken && !n.stopped {
 		if len(c.out) == 0 {
 			if c.closed {
 				c.peer.eof = true
@@ -262,13 +264,13 @@
 			c.cond.Wait()
 			continue
 		}
-		if wait := time.Until(c.out[0].at); wait > 0 {
+		if wait := time.Until(c.out[0].arrival); wait > 0 {
 			n.mu.Unlock()
 			time.Sleep(wait)
 			n.mu.Lock()
 			continue
 		}
-		if n.cuts[[2]string{c.from, c.to}] {
+		if n.blocked[[2]string{c.from, c.to}] {
 			c.cond.Wait()
 			continue
 		}
@@ -284,10 +286,10 @@
 	if c.closed || c.broken {
 		return 0, net.ErrClosed
 	}
-	if c.n.tap != nil {
-		c.n.tap(c.from, c.to, b)
+	if c.n.onSend != nil {
+		c.n.onSend(c.from, c.to, b)
 	}
-	delay := time.Millisecond + time.Duration(c.n.rnd.IntN(2000))*time.Microsecond + c.n.lag[c.from] + c.n.lag[c.to]
+	delay := time.Millisecond + time.Duration(c.n.rnd.IntN(2000))*time.Microsecond + c.n.delays[c.from] + c.n.delays[c.to]
 	c.out = append(c.out, packet{time.Now().Add(delay), append([]byte(nil), b...)})
 	c.cond.Broadcast()
 	return len(b), nil
--- a/internal/sim/pollstorm_test.go
+++ b/internal/sim/pollstorm_test.go
@@ -8,88 +8,90 @@
 )
 
 const (
-	recoveryTime   = 60 * time.Second // after the last fault, by when one leader leads and stays
+	recoveryTime   = 60 * time.Second // after the last fault, until the leader no longer changes
 	stormPollEvery = 600 * time.Millisecond
 )
 
-// limitStore has the store limit its rates, and every controller start anew knowing of it.
+// limitStore limits the store's rates and restarts all controllers with these limits in
+// their settings.
 func (m *scenario) limitStore(requests, writes float64) {
 	m.w.mu.Lock()
 	m.w.storeRPS, m.w.storeWriteRPS = requests, writes
 	m.w.mu.Unlock()
-	m.st.limitRates(requests, writes)
+	m.store.limitRates(requests, writes)
 	m.restartControllers(time.Second, 0, 1, 2)
 }
 
-// pollEvery has users ask again so often; 0: as usual.
-func (m *scenario) pollEvery(pause time.Duration) {
+// setMaxPollPause sets the longest pause between two polls of a user; 0: the default.
+func (m *scenario) setMaxPollPause(maxPause time.Duration) {
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	m.w.pollEvery = pause
+	m.w.maxPollPause = maxPause
 }
 
-// chains are jobs in lines of three, each waiting for the one before it. The first runs on.
-func chains(first, lines int) (js []wire.Job) {
-	for line := range lines {
-		head := first + 3*line
-		for i := range 3 {
-			j := array(head+i, 1, 10*time.Second)
-			if i == 0 {
-				j.ExpectedSeconds = 3600
+// chains returns chains of three jobs, each depending on the one before it. The first job of
+// a chain runs for an hour.
+func chains(firstJob, chainCount int) (jobs []wire.Job) {
+	for chain := range chainCount {
+		head := firstJob + 3*chain
+		for position := range 3 {
+			job := array(head+position, 1, 10*time.Second)
+			if position == 0 {
+				job.ExpectedSeconds = 3600
 			} else {
-				j.DependsOn = []string{ref(head + i - 1)}
+				job.DependsOn = []string{testJobID(head + position - 1)}
 			}
-			js = append(js, j)
+			jobs = append(jobs, job)
 		}
 	}
-	return js
+	return jobs
 }
 
-// Guards against status reads that starve lease renewals and cancellations of dependents.
+// Guards against status polls that starve lease renewals and cancellations of dependent jobs.
 func TestDependentsCancelledThroughPollStorm(t *testing.T) {
-	const services, lines, firstHead = 60, 24, 100
-	jobs := arrays(services, 1, 0, func(_ int, j *wire.Job) { j.Kind, j.Priority, j.CPUs = wire.KindService, "production", 0.25 })
-	playFaults(t, faultPlan{
-		seed: 778, most: 12, jobs: append(jobs, chains(firstHead, lines)...),
-		troubles: func(m *scenario) {
+	const services, chainCount, firstHead = 60, 24, 100
+	jobs := arrays(services, 1, 0, func(_ int, job *wire.Job) { job.Kind, job.Priority, job.CPUs = wire.KindService, "production", 0.25 })
+	runFaultPlan(t, faultPlan{
+		seed: 778, maxInstances: 12, jobs: append(jobs, chains(firstHead, chainCount)...),
+		faults: func(m *scenario) {
 			m.limitStore(60, 30)
 			time.Sleep(20 * time.Second)
-			m.pollEvery(stormPollEvery)
+			m.setMaxPollPause(stormPollEvery)
 			time.Sleep(5 * time.Second)
 			leader := m.leaderIndex()
 			concurrently(
 				func() { m.crashController(leader, 5*time.Second) },
-				func() { m.crashController((leader+1)%nodes, 5*time.Second) },
+				func() { m.crashController((leader+1)%controllerCount, 5*time.Second) },
 				func() {
 					time.Sleep(10 * time.Second)
-					for line := range lines {
-						m.w.wg.Go(func() { m.cancelRepeatedly(line%nodes, 100*time.Second, ref(firstHead+3*line)) })
+					for chain := range chainCount {
+						m.w.wg.Go(func() { m.cancelRepeatedly(chain%controllerCount, 100*time.Second, testJobID(firstHead+3*chain)) })
 						time.Sleep(time.Second)
 					}
 				},
 				func() {
 					time.Sleep(20 * time.Second)
-					m.st.outage(true)
+					m.store.setOutage(true)
 					time.Sleep(10 * time.Second)
-					m.st.outage(false)
+					m.store.setOutage(false)
 				},
 			)
 			time.Sleep(90 * time.Second)
-			m.pollEvery(0)
+			m.setMaxPollPause(0)
 		},
-		ends: func(m *scenario) {
-			if n := m.st.leaderChanges(m.w.calm.Add(recoveryTime)); n > 0 {
-				m.Errorf("%d leader changes later than %v after the last fault", n, recoveryTime)
+		check: func(m *scenario) {
+			if n := m.store.leaderChanges(m.w.faultsEndedAt.Add(recoveryTime)); n > 0 {
+				m.Errorf("%d leader changes later than %v after the last fault, want none", n, recoveryTime)
 			}
-			for line := range lines {
-				if head := ref(firstHead + 3*line); m.w.gone[head].IsZero() {
-					m.Errorf("%s was never told cancelled", head)
+			for chain := range chainCount {
+				if head := testJobID(firstHead + 3*chain); m.w.cancelledAt[head].IsZero() {
+					m.Errorf("job %s was never reported as cancelled", head)
 				}
 			}
-			if n := m.st.requestsRefused; n > 0 {
-				m.Errorf("%d requests were refused for their rate: the controllers' shares are too large", n)
+			if n := m.store.rateRefusals; n > 0 {
+				m.Errorf("the store refused %d requests for their rate: the controllers' rate shares are too large", n)
 			}
-			m.Logf("%d leader changes in all", m.st.leaderChanges(m.began))
+			m.Logf("%d leader changes in total", m.store.leaderChanges(m.startedAt))
 		},
 	})
 }
--- a/internal/sim/respond_test.go
+++ b/internal/sim/respond_test.go
@@ -6,17 +6,18 @@
 	"strconv"
 )
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	b, _ := json.Marshal(v)
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	w.WriteHeader(status)
 	w.Write(b)
 }
 
-// Ways to lose data. All are told by nothing but what is read after.
+// Kinds of data loss in the store. Controllers can notice them only by what they read
+// afterwards.
 const (
-	wiped    = "all keys, generation back to 1"
-	restored = "back to some time ago, generation too"
-	holes    = "a third of the keys"
-	rotten   = "a value"
+	allKeysLost    = "all keys, generation back to 1"
+	restored       = "back to some time ago, generation too"
+	someKeysLost   = "a third of the keys"
+	valueCorrupted = "a value"
 )
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -15,47 +15,48 @@
 	"rillflow/internal/wire"
 )
 
-// scenario is a day on which faults meet while long tasks run.
+// scenario is a run in which the test injects faults while long tasks run.
 type scenario struct {
 	*testing.T
-	w      *world
-	st     *store
-	cl     *cloud
-	cs     []*node
-	leader int // at the start
-	client *http.Client
-	ctx    context.Context
-	began  time.Time
-	fate   fate
-	told   []string // what troubles came
+	w             *world
+	store         *fakeStore
+	cloud         *fakeCloud
+	processes     []*controllerProcess
+	initialLeader int // when the faults begin
+	client        *http.Client
+	ctx           context.Context
+	startedAt     time.Time
+	processLocks  processLocks
+	faultLog      []string // the faults injected, in order
 }
 
-func newScenario(t *testing.T, ctx context.Context, w *world, st *store, cl *cloud, cs []*node) *scenario {
-	return &scenario{T: t, w: w, st: st, cl: cl, cs: cs, ctx: ctx, began: time.Now(), client: w.client()}
+func newScenario(t *testing.T, ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess) *scenario {
+	return &scenario{T: t, w: w, store: store, cloud: cloud, processes: controllers, ctx: ctx, startedAt: time.Now(), client: w.client()}
 }
 
-// leaderIndex is the controller that leads now; the first if none does.
-func (m *scenario) leaderIndex() int { return max(0, m.st.leads()) }
+// leaderIndex returns the current leader, or the first controller if there is none.
+func (m *scenario) leaderIndex() int { return max(0, m.store.leaderIndex()) }
 
-func name(n int) string { return fmt.Sprintf("host-%d", n) }
+func controllerName(index int) string { return fmt.Sprintf("host-%d", index) }
 
-// cutFromPeers cuts a controller off from the others.
-func (m *scenario) cutFromPeers(n int, on bool) {
-	for o := range m.w.size {
-		if o != n {
-			m.w.net.cut(name(n), name(o), on)
+// cutFromPeers blocks or restores the links between a controller and its peers.
+func (m *scenario) cutFromPeers(controller int, blocked bool) {
+	for other := range m.w.clusterSize {
+		if other != controller {
+			m.w.net.setBlocked(controllerName(controller), controllerName(other), blocked)
 		}
 	}
 }
 
-// withdraw asks a controller to cancel a job, once, and notes when it said so.
-func (m *scenario) withdraw(n int, ref string) bool {
+// cancelJob sends one cancellation to a controller, records when it was confirmed, and
+// reports whether it was.
+func (m *scenario) cancelJob(controller int, jobID string) bool {
 	m.w.mu.Lock()
-	m.w.asked[ref] = true
+	m.w.cancelRequested[jobID] = true
 	m.w.mu.Unlock()
 	ctx, cancel := context.WithTimeout(m.ctx, 5*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+front(n)+"/v1/jobs/"+ref+"/withdraw", nil)
+	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+frontAddress(controller)+"/v1/jobs/"+jobID+"/withdraw", nil)
 	res, err := m.client.Do(req)
 	if err != nil {
 		return false
@@ -67,164 +68,167 @@
 	}
 	m.w.mu.Lock()
 	defer m.w.mu.Unlock()
-	if m.w.gone[ref].IsZero() {
-		m.w.gone[ref] = time.Now()
+	if m.w.cancelledAt[jobID].IsZero() {
+		m.w.cancelledAt[jobID] = time.Now()
 	}
 	return true
 }
 
-// checkScenario plays a day of faults while eight jobs of long tasks run, of which the faults
-// withdraw the first four, and checks that their tasks are gone in time, that the others
-// run on where the faults leave them a controller, and that all end well.
-func checkScenario(t *testing.T, seed uint64, keep bool, troubles func(m *scenario)) {
+// checkScenario runs faults while eight jobs with long tasks run. The faults cancel the first
+// four jobs. It checks that cancelled tasks end in time, that no task is started twice if
+// tasksContinue is set, and that the other array jobs finish.
+func checkScenario(t *testing.T, seed uint64, tasksContinue bool, faults func(m *scenario)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		ctx, w, st, cl, cs, end := begin(t, seed, 40, 6, "")
-		m := newScenario(t, ctx, w, st, cl, cs)
+		ctx, w, store, cloud, controllers, end := startWorld(t, seed, 40, 6, "")
+		m := newScenario(t, ctx, w, store, cloud, controllers)
 		for i := range 8 {
-			j := wire.Job{ID: ref(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 200 + 5*float64(i)}
+			job := wire.Job{ID: testJobID(i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard", TaskCount: 2 + i%2, CPUs: 1, MemoryGB: 1, Image: "img", ExpectedSeconds: 200 + 5*float64(i)}
 			if i%4 == 3 {
-				j.Kind, j.Priority, j.SpreadZones, j.ExpectedSeconds = wire.KindService, "production", true, 0
+				job.Kind, job.Priority, job.SpreadZones, job.ExpectedSeconds = wire.KindService, "production", true, 0
 			}
-			w.submit(ctx, j, 0, time.Hour)
+			w.submit(ctx, job, 0, time.Hour)
 		}
 		time.Sleep(25 * time.Second)
-		m.leader = st.leads()
-		began := time.Now()
-		troubles(m)
-		w.calms(cl)
+		m.initialLeader = store.leaderIndex()
+		startedAt := time.Now()
+		faults(m)
+		w.faultsEnded(cloud)
 		w.checkCancelledTasksGone()
-		time.Sleep(max(0, 400*time.Second-time.Since(began)))
+		time.Sleep(max(0, 400*time.Second-time.Since(startedAt)))
 		end()
-		for _, b := range w.breaches {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		for i := range 8 {
-			r := ref(i)
-			_, gone := w.gone[r]
+			jobID := testJobID(i)
+			_, cancelled := w.cancelledAt[jobID]
 			switch {
-			case gone:
-				for k := range w.jobs[r].TaskCount {
-					if at := w.where[ledger.Task{JobID: r, Index: k}]; at != "" {
-						t.Errorf("%s/%d is withdrawn and on %s at the end", r, k, at)
+			case cancelled:
+				for task := range w.jobs[jobID].TaskCount {
+					if worker := w.hostOf[ledger.Task{JobID: jobID, Index: task}]; worker != "" {
+						t.Errorf("task %s/%d is cancelled but still on %s at the end", jobID, task, worker)
 					}
 				}
-			case w.jobs[r].Kind == wire.KindArray && w.told[r] != wire.PhaseDone:
-				t.Errorf("%s is %q at the end", r, w.told[r])
+			case w.jobs[jobID].Kind == wire.KindArray && w.lastPhase[jobID] != wire.PhaseDone:
+				t.Errorf("job %s is %q at the end, want done", jobID, w.lastPhase[jobID])
 			}
 		}
-		if want := 2*2 + 2*3 + 2*2 + 2*3; keep && w.starts != want {
-			t.Errorf("%d starts of %d tasks: some did not run on", w.starts, want)
+		if want := 2*2 + 2*3 + 2*2 + 2*3; tasksContinue && w.starts != want {
+			t.Errorf("%d task starts, want one for each of %d tasks: some were restarted", w.starts, want)
 		}
 	})
 }
 
-// duplicateHeartbeats has copies of a share of the workers' heartbeats arrive again, late.
+// duplicateHeartbeats delivers late copies of a share of the workers' heartbeats.
 func (w *world) duplicateHeartbeats(share float64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.echoes = share
+	w.duplicateShare = share
 }
 
-// checkCancelledTasksGone checks what is on workers: what stays there breaks the rule too, not only what
-// leaves late.
+// checkCancelledTasksGone records a violation for each cancelled task that is still running.
+// taskStopped only notices those that end too late.
 func (w *world) checkCancelledTasksGone() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for task, host := range w.where {
-		if at, ok := w.gone[task.JobID]; ok && time.Since(at) > cancel {
-			w.broke("ran_cancelled: %s is on %s %v after", task, host, time.Since(at))
+	for task, host := range w.hostOf {
+		if cancelledAt, ok := w.cancelledAt[task.JobID]; ok && time.Since(cancelledAt) > cancelTimeout {
+			w.recordViolation("ran_cancelled: %s is still on %s %v after its cancellation", task, host, time.Since(cancelledAt))
 		}
 	}
 }
 
-func ref(i int) string { return fmt.Sprintf("req-%06d", i) }
+func testJobID(i int) string { return fmt.Sprintf("req-%06d", i) }
 
-func (m *scenario) crashController(n int, long time.Duration) {
-	if !m.fate[n].TryLock() {
-		return // it is being ended as it is; to wait for a lock would stop the clock
+func (m *scenario) crashController(controller int, downtime time.Duration) {
+	if !m.processLocks[controller].TryLock() {
+		return // already down; waiting for a mutex would stop the simulated clock
 	}
-	defer m.fate[n].Unlock()
-	m.cs[n].crash()
-	time.Sleep(long)
-	m.cs[n] = m.w.boot(n)
+	defer m.processLocks[controller].Unlock()
+	m.processes[controller].crash()
+	time.Sleep(downtime)
+	m.processes[controller] = m.w.boot(controller)
 }
 
-// randomWorkers are a few workers, by lot.
-func (m *scenario) randomWorkers(share float64) (out []string) {
-	m.cl.mu.Lock()
-	defer m.cl.mu.Unlock()
-	for _, h := range slices.Sorted(maps.Keys(m.cl.hosts)) {
+// randomWorkers draws about the given share of the workers.
+func (m *scenario) randomWorkers(share float64) (workers []string) {
+	m.cloud.mu.Lock()
+	defer m.cloud.mu.Unlock()
+	for _, worker := range slices.Sorted(maps.Keys(m.cloud.instances)) {
 		if m.w.intN(100) < int(100*share) {
-			out = append(out, h)
+			workers = append(workers, worker)
 		}
 	}
-	return out
+	return workers
 }
 
-// partition cuts ways, or ends that.
-func (m *scenario) partition(from []string, to []string, long time.Duration) {
-	for _, on := range []bool{true, false} {
+// partition blocks all links between two sets of hosts for the given duration.
+func (m *scenario) partition(from []string, to []string, duration time.Duration) {
+	for _, blocked := range []bool{true, false} {
 		for _, a := range from {
 			for _, b := range to {
-				m.w.net.cut(a, b, on)
+				m.w.net.setBlocked(a, b, blocked)
 			}
 		}
-		if on {
-			time.Sleep(long)
+		if blocked {
+			time.Sleep(duration)
 		}
 	}
 }
 
-// strikeWorkers does something to workers, and undoes it.
-func (m *scenario) strikeWorkers(hosts []string, long time.Duration, do func(k *worker, on bool)) {
-	for _, on := range []bool{true, false} {
-		for _, h := range hosts {
+// injectWorkerFault applies a fault to workers and removes it after the given duration.
+func (m *scenario) injectWorkerFault(names []string, duration time.Duration, inject func(worker *fakeWorker, active bool)) {
+	for _, active := range []bool{true, false} {
+		for _, name := range names {
 			m.w.mu.Lock()
-			k := m.w.workers[h]
+			worker := m.w.workers[name]
 			m.w.mu.Unlock()
-			if k != nil {
-				k.mu.Lock()
-				do(k, on)
-				k.mu.Unlock()
+			if worker != nil {
+				worker.mu.Lock()
+				inject(worker, active)
+				worker.mu.Unlock()
 			}
 		}
-		if on {
-			time.Sleep(long)
+		if active {
+			time.Sleep(duration)
 		}
 	}
 }
 
-// What strikeWorkers does to workers.
-func dropHeartbeats(k *worker, on bool) { k.mute, k.muted = on, time.Now() }
+// Faults for injectWorkerFault.
 
-func pause(k *worker, on bool) { k.hung = on }
+func dropHeartbeats(worker *fakeWorker, active bool) {
+	worker.dropsHeartbeats, worker.mutedSince = active, time.Now()
+}
+
+func pauseWorker(worker *fakeWorker, active bool) { worker.paused = active }
 
-func dropAnswers(k *worker, on bool) { k.deaf = on }
+func dropAnswers(worker *fakeWorker, active bool) { worker.dropsAnswers = active }
 
-func holdNextHeartbeat(k *worker, on bool) { k.keep = on }
+func holdNextHeartbeat(worker *fakeWorker, active bool) { worker.holdsNext = active }
 
-// deliverHeldHeartbeats has the heartbeats of workers that were held back arrive at whoever leads now, and
-// tells how many there were.
-func (m *scenario) deliverHeldHeartbeats(hosts []string) (came int) {
-	n := m.leaderIndex()
-	for _, h := range hosts {
+// deliverHeldHeartbeats delivers the held heartbeats of workers to the current leader and
+// returns their number.
+func (m *scenario) deliverHeldHeartbeats(names []string) (delivered int) {
+	leader := m.leaderIndex()
+	for _, name := range names {
 		m.w.mu.Lock()
-		k := m.w.workers[h]
+		worker := m.w.workers[name]
 		m.w.mu.Unlock()
-		if k != nil && k.late(m.ctx, n) {
-			came++
+		if worker != nil && worker.deliverHeld(m.ctx, leader) {
+			delivered++
 		}
 	}
-	return came
+	return delivered
 }
 
-// others are the other controllers.
-func (m *scenario) others(n int) (out []string) {
-	for o := range m.w.size {
-		if o != n {
-			out = append(out, name(o))
+// otherControllers returns the names of all other controllers.
+func (m *scenario) otherControllers(controller int) (names []string) {
+	for other := range m.w.clusterSize {
+		if other != controller {
+			names = append(names, controllerName(other))
 		}
 	}
-	return out
+	return names
 }
--- a/internal/sim/store_test.go
+++ b/internal/sim/store_test.go
@@ -13,11 +13,12 @@
 	"rillflow/internal/wire"
 )
 
-// store stands in for the key-value store of the protocol's page on the state service: keys with
-// revisions, transactions, leases, watches, limits. It is as consistent as the real one.
-type store struct {
-	mu   sync.Mutex // guards what follows
-	cond *sync.Cond // tells watches of changes
+// fakeStore is a linearizable in-memory fake of the key-value store: keys with revisions,
+// transactions, leases, watches and limits, as in the protocol's description of the state
+// service.
+type fakeStore struct {
+	mu   sync.Mutex // guards all fields below
+	cond *sync.Cond // signals changes to watches
 	rnd  *rand.Rand
 
 	revision  uint64
@@ -28,161 +29,164 @@
 	leaseTTLs map[uint64]time.Duration
 	lastLease uint64
 
-	// Limits. Nil rates are none; else bursts of a second's worth are allowed.
+	// Limits. A nil rate is unlimited; others allow bursts of one second's worth.
 	maxValueBytes          int
-	maxOperations          int // of a transaction
+	maxOperations          int // per transaction
 	limitsLowered          bool
 	requestRate, writeRate *rate.Limiter
 
 	// Faults.
-	down         bool            // nobody is served
-	refusedAlone map[string]bool // controllers that alone are refused
-	latency      time.Duration   // requests and their answers take up to so long
-	lateShare    float64         // of transactions that get no answer and are carried out much later
-	// onCommit sees each transaction that is carried out, and may have its answer lost; nil: none.
+	unavailable        bool            // all requests are refused
+	refusedControllers map[string]bool // controllers whose requests are refused
+	latency            time.Duration   // 0: none; else a request and its answer take 1/4 to 5/4 of it
+	lateShare          float64         // share of transactions that get no answer and are applied much later
+	// onCommit, if set, is called for each applied transaction and may drop its answer.
 	onCommit func(controller string, txn wire.Txn) (lost bool)
 
-	// What is checked and counted.
-	broke           func(string, ...any)
-	tooLargeSeen    map[string]int // transactions refused for their size
-	requestsRefused int            // for their rate
-	asked, wrote    map[int64]int  // requests and changes, by the second
+	// Checks and counters.
+	recordViolation                  func(string, ...any)
+	tooLargeCounts                   map[string]int // refusals for size, by encoded transaction
+	rateRefusals                     int            // requests refused for their rate
+	requestsBySecond, writesBySecond map[int64]int  // by Unix time
 }
 
-func newStore(rnd *rand.Rand, broke func(string, ...any)) *store {
-	s := &store{
-		rnd: rnd, broke: broke, revision: 1, keys: map[string]wire.KeyValue{},
+func newFakeStore(rnd *rand.Rand, recordViolation func(string, ...any)) *fakeStore {
+	s := &fakeStore{
+		rnd: rnd, recordViolation: recordViolation, revision: 1, keys: map[string]wire.KeyValue{},
 		leaseEnds: map[uint64]time.Time{}, leaseTTLs: map[uint64]time.Duration{},
-		maxValueBytes: 16 << 10, maxOperations: 16, refusedAlone: map[string]bool{},
-		tooLargeSeen: map[string]int{}, asked: map[int64]int{}, wrote: map[int64]int{},
+		maxValueBytes: 16 << 10, maxOperations: 16, refusedControllers: map[string]bool{},
+		tooLargeCounts: map[string]int{}, requestsBySecond: map[int64]int{}, writesBySecond: map[int64]int{},
 	}
 	s.cond = sync.NewCond(&s.mu)
 	return s
 }
 
-// withinRate takes so many from a limit, if it allows them; run it with the lock held.
-func (s *store) withinRate(limit *rate.Limiter, n int) bool {
-	return limit == nil || limit.AllowN(time.Now(), n)
+// takeRate takes n tokens from a rate limit and reports whether it allows them. The caller
+// holds s.mu.
+func (s *fakeStore) takeRate(limiter *rate.Limiter, n int) bool {
+	return limiter == nil || limiter.AllowN(time.Now(), n)
 }
 
-// leaderChanges is how often a controller took the leader's key since a time.
-func (s *store) leaderChanges(since time.Time) (changes int) {
+// leaderChanges returns how often the leader key was written since a time.
+func (s *fakeStore) leaderChanges(since time.Time) (changes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, c := range s.log {
-		if c.Put == "lead" && s.logTimes[i].After(since) {
+	for i, op := range s.log {
+		if op.Put == "lead" && s.logTimes[i].After(since) {
 			changes++
 		}
 	}
 	return changes
 }
 
-// peakRates is the most requests and changes in a second since a time.
-func (s *store) peakRates(since time.Time) (asked, wrote int) {
+// peakRates returns the most requests and the most writes in one second since a time.
+func (s *fakeStore) peakRates(since time.Time) (requests, writes int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for sec, n := range s.asked {
-		if sec >= since.Unix() {
-			asked, wrote = max(asked, n), max(wrote, s.wrote[sec])
+	for second, n := range s.requestsBySecond {
+		if second >= since.Unix() {
+			requests, writes = max(requests, n), max(writes, s.writesBySecond[second])
 		}
 	}
-	return asked, wrote
+	return requests, writes
 }
 
-// recordEvent adds to the log; run it with the lock held.
-func (s *store) recordEvent(c wire.Operation) {
-	s.log, s.logTimes = append(s.log, c), append(s.logTimes, time.Now())
+// recordEvent appends a change to the log. The caller holds s.mu.
+func (s *fakeStore) recordEvent(op wire.Operation) {
+	s.log, s.logTimes = append(s.log, op), append(s.logTimes, time.Now())
 }
 
-// apply carries a change out; run it with the lock held.
-func (s *store) apply(c wire.Operation) {
-	if c.Put != "" {
-		s.keys[c.Put] = wire.KeyValue{Key: c.Put, Value: c.Value, ModRevision: c.ModRevision, LeaseID: c.LeaseID}
+// apply applies a change to the keys. The caller holds s.mu.
+func (s *fakeStore) apply(op wire.Operation) {
+	if op.Put != "" {
+		s.keys[op.Put] = wire.KeyValue{Key: op.Put, Value: op.Value, ModRevision: op.ModRevision, LeaseID: op.LeaseID}
 	} else {
-		delete(s.keys, c.Delete)
+		delete(s.keys, op.Delete)
 	}
 }
 
-// expireLeases ends leases that ran out; run it with the lock held.
-func (s *store) expireLeases() {
-	if s.down {
+// expireLeases drops expired leases, but none during an outage. The caller holds s.mu.
+func (s *fakeStore) expireLeases() {
+	if s.unavailable {
 		return
 	}
-	for t, at := range s.leaseEnds {
-		if time.Now().After(at) {
-			s.dropLease(t)
+	for leaseID, expiry := range s.leaseEnds {
+		if time.Now().After(expiry) {
+			s.dropLease(leaseID)
 		}
 	}
 }
 
-// dropLease ends a lease, and removes the keys on it; run it with the lock held.
-func (s *store) dropLease(leaseID uint64) {
+// dropLease removes a lease and the keys attached to it. The caller holds s.mu.
+func (s *fakeStore) dropLease(leaseID uint64) {
 	delete(s.leaseEnds, leaseID)
-	for k, it := range s.keys {
-		if it.LeaseID == leaseID {
+	for key, item := range s.keys {
+		if item.LeaseID == leaseID {
 			s.revision++
-			delete(s.keys, k)
-			s.recordEvent(wire.Operation{Delete: k, ModRevision: s.revision})
+			delete(s.keys, key)
+			s.recordEvent(wire.Operation{Delete: key, ModRevision: s.revision})
 		}
 	}
 	s.cond.Broadcast()
 }
 
-// leads is the controller that the leader's key names; -1: none.
-func (s *store) leads() int {
+// leaderIndex returns the controller named by the leader key, or -1.
+func (s *fakeStore) leaderIndex() int {
 	n := -1
 	fmt.Sscanf(s.get("lead"), `{"node":"host-%d"`, &n)
 	return n
 }
 
-func (s *store) get(key string) string {
+func (s *fakeStore) get(key string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return string(s.keys[key].Value)
 }
 
-// tooLarge tells whether a transaction is over the limits. Once they have fallen
-// as announced, one may be sent that a controller could not know to be too large, but
-// not again. Two may come: one whose packets were held is sent anew without an answer.
-func (s *store) tooLarge(t wire.Txn) bool {
-	large := len(t.Operations) > s.maxOperations || len(t.Compares) > 4*s.maxOperations
-	for _, c := range t.Operations {
-		large = large || len(c.Value) > s.maxValueBytes
+// tooLarge reports whether a transaction exceeds the limits, and records a violation if the
+// controller had to know that. Just after the announced limits come into force, a controller
+// may send a transaction that is too large, but not again once it was refused. Two copies are
+// allowed, because a controller that got no answer sends it again.
+func (s *fakeStore) tooLarge(txn wire.Txn) bool {
+	large := len(txn.Operations) > s.maxOperations || len(txn.Compares) > 4*s.maxOperations
+	for _, op := range txn.Operations {
+		large = large || len(op.Value) > s.maxValueBytes
 	}
 	if large {
-		b, _ := json.Marshal(t)
-		if !s.limitsLowered || s.tooLargeSeen[string(b)] > 1 {
-			s.broke("a transaction of %d changes, %d guards and %d bytes", len(t.Operations), len(t.Compares), len(b))
+		encoded, _ := json.Marshal(txn)
+		if !s.limitsLowered || s.tooLargeCounts[string(encoded)] > 1 {
+			s.recordViolation("too_large: a transaction of %d operations, %d comparisons and %d bytes exceeds the limits", len(txn.Operations), len(txn.Compares), len(encoded))
 		}
-		s.tooLargeSeen[string(b)]++
+		s.tooLargeCounts[string(encoded)]++
 	}
 	return large
 }
 
-// commit carries a transaction out, or refuses it; run it with the lock held.
-func (s *store) commit(t wire.Txn) (int, any) {
-	if s.tooLarge(t) {
+// commit applies a transaction or refuses it, and returns the status and body of the answer.
+// The caller holds s.mu.
+func (s *fakeStore) commit(txn wire.Txn) (int, any) {
+	if s.tooLarge(txn) {
 		return http.StatusBadRequest, wire.ErrorResponse{Error: "too large"}
 	}
 	var failed []string
-	for _, g := range t.Compares {
-		if s.keys[g.Key].ModRevision != g.ModRevision {
-			failed = append(failed, g.Key)
+	for _, compare := range txn.Compares {
+		if s.keys[compare.Key].ModRevision != compare.ModRevision {
+			failed = append(failed, compare.Key)
 		}
 	}
 	if len(failed) > 0 {
 		return http.StatusConflict, wire.TxnResponse{FailedKeys: failed, Revision: s.revision}
 	}
-	for _, c := range t.Operations {
-		if c.LeaseID != 0 && s.leaseEnds[c.LeaseID].IsZero() {
+	for _, op := range txn.Operations {
+		if op.LeaseID != 0 && s.leaseEnds[op.LeaseID].IsZero() {
 			return http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}
 		}
 	}
 	s.revision++
-	for _, c := range t.Operations {
-		c.ModRevision = s.revision
-		s.apply(c)
-		s.recordEvent(c)
+	for _, op := range txn.Operations {
+		op.ModRevision = s.revision
+		s.apply(op)
+		s.recordEvent(op)
 	}
 	s.cond.Broadcast()
 	return http.StatusOK, wire.TxnResponse{Revision: s.revision}
--- a/internal/sim/storefaults_test.go
+++ b/internal/sim/storefaults_test.go
@@ -11,104 +11,106 @@
 	"rillflow/internal/wire"
 )
 
-// limitRates has the store refuse what is above so many requests and writes a second.
-func (s *store) limitRates(requests, writes float64) {
+// limitRates makes the store refuse requests and writes above the given rates per second.
+func (s *fakeStore) limitRates(requests, writes float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.requestRate = rate.NewLimiter(rate.Limit(requests), int(requests))
 	s.writeRate = rate.NewLimiter(rate.Limit(writes), int(writes))
 }
 
-// lowerLimits lets the limits fall, as was announced to the controllers.
-func (s *store) lowerLimits(value, ops int) {
+// lowerLimits puts the lower limits into force that were announced to the controllers.
+func (s *fakeStore) lowerLimits(valueBytes, operations int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.maxValueBytes, s.maxOperations, s.limitsLowered = value, ops, true
+	s.maxValueBytes, s.maxOperations, s.limitsLowered = valueBytes, operations, true
 }
 
-// outage has the store refuse everybody; once it is over, every lease has its full time again.
-func (s *store) outage(on bool) {
+// setOutage begins or ends an outage, in which all requests are refused. At its end, every
+// lease has its full TTL again.
+func (s *fakeStore) setOutage(unavailable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.down = on
-	for t, life := range s.leaseTTLs {
-		if !on && !s.leaseEnds[t].IsZero() {
-			s.leaseEnds[t] = time.Now().Add(life)
+	s.unavailable = unavailable
+	for leaseID, ttl := range s.leaseTTLs {
+		if !unavailable && !s.leaseEnds[leaseID].IsZero() {
+			s.leaseEnds[leaseID] = time.Now().Add(ttl)
 		}
 	}
 	s.cond.Broadcast()
 }
 
-// delayTransactions has a share of the transactions get no answer and be carried out late.
-func (s *store) delayTransactions(share float64) {
+// delayTransactions leaves a share of the transactions unanswered and applies them late.
+func (s *fakeStore) delayTransactions(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lateShare = share
 }
 
-// respondSlowly has answers take up to so long.
-func (s *store) respondSlowly(slow time.Duration) {
+// respondSlowly adds latency to requests and their answers; 0 removes it.
+func (s *fakeStore) respondSlowly(maxLatency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.latency = slow
+	s.latency = maxLatency
 }
 
-// applyLate carries a transaction out after a while, whatever came of it before.
-func (s *store) applyLate(t wire.Txn, after time.Duration) {
-	time.AfterFunc(after, func() {
+// applyLate commits a transaction after a delay, whether or not it was applied before.
+func (s *fakeStore) applyLate(txn wire.Txn, delay time.Duration) {
+	time.AfterFunc(delay, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		if s.expireLeases(); !s.down {
-			s.commit(t)
+		if s.expireLeases(); !s.unavailable {
+			s.commit(txn)
 		}
 	})
 }
 
-// refuseAlone has the store refuse a controller alone, or ends that.
-func (s *store) refuseAlone(node string, on bool) {
+// refuseController makes the store refuse the requests of a controller, or serve them again.
+func (s *fakeStore) refuseController(controller string, refused bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.refusedAlone[node] = on
+	s.refusedControllers[controller] = refused
 	s.cond.Broadcast()
 }
 
-// loseData has the store lose data.
-func (s *store) loseData(how string, ago time.Duration, key string) {
+// loseData causes a loss of the given kind. age is the age of the restored backup, and
+// keyPrefix selects the key whose value is corrupted.
+func (s *fakeStore) loseData(kind string, age time.Duration, keyPrefix string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch how {
-	case wiped:
+	switch kind {
+	case allKeysLost:
 		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, nil, nil
 		clear(s.leaseEnds)
 	case restored:
-		n := 0
-		for n < len(s.log) && n < len(s.logTimes) && time.Since(s.logTimes[n]) > ago {
-			n++
+		count := 0
+		for count < len(s.log) && count < len(s.logTimes) && time.Since(s.logTimes[count]) > age {
+			count++
 		}
-		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, s.log[:n:n], s.logTimes[:n:n]
-		for _, c := range s.log {
-			s.revision = c.ModRevision
-			s.apply(c)
+		s.revision, s.keys, s.log, s.logTimes = 1, map[string]wire.KeyValue{}, s.log[:count:count], s.logTimes[:count:count]
+		for _, op := range s.log {
+			s.revision = op.ModRevision
+			s.apply(op)
 		}
 		clear(s.leaseEnds)
-		for _, it := range s.keys { // grants come back with what is on them
-			if it.LeaseID != 0 {
-				s.leaseEnds[it.LeaseID] = time.Now().Add(s.leaseTTLs[it.LeaseID])
+		for _, item := range s.keys { // leases are restored with the keys attached to them
+			if item.LeaseID != 0 {
+				s.leaseEnds[item.LeaseID] = time.Now().Add(s.leaseTTLs[item.LeaseID])
 			}
 		}
-	case holes:
-		ks := slices.Sorted(maps.Keys(s.keys))
-		for i, k := range ks {
+	case someKeysLost:
+		keys := slices.Sorted(maps.Keys(s.keys))
+		for i, key := range keys {
 			if i%3 == 1 {
-				delete(s.keys, k)
+				delete(s.keys, key)
 			}
 		}
-	case rotten:
-		for _, k := range slices.Sorted(maps.Keys(s.keys)) {
-			if strings.HasPrefix(k, key) {
-				it := s.keys[k]
-				it.Value = []byte(`"rot"`)
-				s.keys[k] = it
+	case valueCorrupted:
+		for _, key := range slices.Sorted(maps.Keys(s.keys)) {
+			if strings.HasPrefix(key, keyPrefix) {
+				item := s.keys[key]
+				item.Value = []byte(`"rot"`)
+				s.keys[key] = item
 				break
 			}
 		}
--- a/internal/sim/storeserver_test.go
+++ b/internal/sim/storeserver_test.go
@@ -13,27 +13,27 @@
 )
 
 // ServeHTTP serves the store's protocol. It models no connection limits and no body limits.
-func (s *store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	controller, _, _ := strings.Cut(r.RemoteAddr, ":")
-	// Ahead of the lock: a body may come in several packets, and whoever waits for a lock
-	// that is held meanwhile stops the simulation's clock.
+	// The body is read before locking: it may arrive in several packets, and a goroutine that
+	// waits for a mutex held meanwhile would stop the simulated clock.
 	body, _ := io.ReadAll(r.Body)
 	latency := s.drawLatency()
-	time.Sleep(latency / 4) // there
+	time.Sleep(latency / 4) // request latency
 	if r.URL.Path != "/changes" {
-		defer time.Sleep(3 * latency / 4) // and back: carried out, and not known yet
+		defer time.Sleep(3 * latency / 4) // answer latency, after the request was applied
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.expireLeases()
-	if s.down || s.refusedAlone[controller] {
-		answer(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
+	if s.unavailable || s.refusedControllers[controller] {
+		writeJSON(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "trouble"})
 		return
 	}
-	s.asked[time.Now().Unix()]++
-	if !s.withinRate(s.requestRate, 1) {
-		s.requestsRefused++
-		answer(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "rate"})
+	s.requestsBySecond[time.Now().Unix()]++
+	if !s.takeRate(s.requestRate, 1) {
+		s.rateRefusals++
+		writeJSON(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "rate"})
 		return
 	}
 	switch path := r.URL.Path; {
@@ -52,8 +52,8 @@
 	}
 }
 
-// drawLatency is how long a request and its answer take together.
-func (s *store) drawLatency() time.Duration {
+// drawLatency draws the total latency of a request and its answer.
+func (s *fakeStore) drawLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.latency == 0 {
@@ -62,13 +62,13 @@
 	return s.latency/4 + time.Duration(s.rnd.Int64N(int64(s.latency)))
 }
 
-// serveCommit carries a transaction out, or a fault of one. It and all below are called with the
-// lock held.
-func (s *store) serveCommit(w http.ResponseWriter, r *http.Request, controller string, body []byte) {
+// serveCommit commits a transaction, unless an injected fault delays it. The caller holds
+// s.mu, as for all handlers below.
+func (s *fakeStore) serveCommit(w http.ResponseWriter, r *http.Request, controller string, body []byte) {
 	var txn wire.Txn
 	json.Unmarshal(body, &txn)
-	if !s.withinRate(s.writeRate, len(txn.Operations)) {
-		answer(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "rate"})
+	if !s.takeRate(s.writeRate, len(txn.Operations)) {
+		writeJSON(w, http.StatusTooManyRequests, wire.ErrorResponse{Error: "rate"})
 		return
 	}
 	if s.lateShare > 0 && s.rnd.Float64() < s.lateShare {
@@ -77,25 +77,25 @@
 			panic(http.ErrAbortHandler)
 		}
 		s.mu.Unlock()
-		<-r.Context().Done() // its sender gives up
+		<-r.Context().Done() // until the sender gives up
 		s.mu.Lock()
 		return
 	}
 	status, result := s.commit(txn)
-	s.wrote[time.Now().Unix()] += len(txn.Operations)
-	if s.rnd.IntN(50) == 0 { // a copy of it comes once more, much later or at once
-		s.applyLate(txn, time.Duration(s.rnd.Int64N(int64(2*lease))))
+	s.writesBySecond[time.Now().Unix()] += len(txn.Operations)
+	if s.rnd.IntN(50) == 0 { // a duplicate arrives later
+		s.applyLate(txn, time.Duration(s.rnd.Int64N(int64(2*leaseDuration))))
 	}
 	if status == http.StatusOK && s.onCommit != nil && s.onCommit(controller, txn) || s.rnd.IntN(100) == 0 {
-		panic(http.ErrAbortHandler) // executed, but the answer is lost
+		panic(http.ErrAbortHandler) // applied, but the answer is lost
 	}
-	answer(w, status, result)
+	writeJSON(w, status, result)
 }
 
-// rangeLimit is how many keys a page of a listing has: few, so that listings take several.
+// rangeLimit is the page size of listings, small enough for most to need several pages.
 const rangeLimit = 10
 
-func (s *store) serveRange(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStore) serveRange(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	var page wire.RangeResponse
 	for key, item := range s.keys {
@@ -108,19 +108,20 @@
 		page.Items, page.More = page.Items[:rangeLimit], true
 	}
 	page.Revision = s.revision
-	answer(w, http.StatusOK, page)
+	writeJSON(w, http.StatusOK, page)
 }
 
-func (s *store) serveGet(w http.ResponseWriter, key string) {
+func (s *fakeStore) serveGet(w http.ResponseWriter, key string) {
 	if item, ok := s.keys[key]; ok {
-		answer(w, http.StatusOK, item)
+		writeJSON(w, http.StatusOK, item)
 	} else {
-		answer(w, http.StatusNotFound, wire.RangeResponse{Revision: s.revision})
+		writeJSON(w, http.StatusNotFound, wire.RangeResponse{Revision: s.revision})
 	}
 }
 
-// serveWatch answers once there are changes, or the time asked for is over. An outage lets it wait.
-func (s *store) serveWatch(w http.ResponseWriter, r *http.Request, controller string) {
+// serveWatch answers once there are changes or the requested time is over. During an outage
+// it keeps waiting.
+func (s *fakeStore) serveWatch(w http.ResponseWriter, r *http.Request, controller string) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
 	waitMillis, _ := strconv.Atoi(query.Get("wait_ms"))
@@ -134,10 +135,10 @@
 				changes.Events = append(changes.Events, change)
 			}
 		}
-		isServed := !s.down && !s.refusedAlone[controller]
+		isServed := !s.unavailable && !s.refusedControllers[controller]
 		if isServed && (len(changes.Events) > 0 || !time.Now().Before(end)) {
 			changes.Revision = s.revision
-			answer(w, http.StatusOK, changes)
+			writeJSON(w, http.StatusOK, changes)
 			return
 		}
 		if r.Context().Err() != nil {
@@ -148,20 +149,20 @@
 	}
 }
 
-func (s *store) serveGrant(w http.ResponseWriter, body []byte) {
-	var asked wire.Lease
-	json.Unmarshal(body, &asked)
+func (s *fakeStore) serveGrant(w http.ResponseWriter, body []byte) {
+	var request wire.Lease
+	json.Unmarshal(body, &request)
 	s.lastLease++
-	ttl := time.Duration(asked.TTLMillis) * time.Millisecond
+	ttl := time.Duration(request.TTLMillis) * time.Millisecond
 	s.leaseEnds[s.lastLease], s.leaseTTLs[s.lastLease] = time.Now().Add(ttl), ttl
-	answer(w, http.StatusOK, wire.Lease{ID: s.lastLease})
+	writeJSON(w, http.StatusOK, wire.Lease{ID: s.lastLease})
 }
 
 // serveLease renews or revokes a lease.
-func (s *store) serveLease(w http.ResponseWriter, r *http.Request) {
+func (s *fakeStore) serveLease(w http.ResponseWriter, r *http.Request) {
 	leaseID, _ := strconv.ParseUint(strings.Split(r.URL.Path, "/")[2], 10, 64)
 	if s.leaseEnds[leaseID].IsZero() {
-		answer(w, http.StatusNotFound, struct{}{})
+		writeJSON(w, http.StatusNotFound, struct{}{})
 		return
 	}
 	if r.Method == http.MethodDelete {
@@ -169,5 +170,5 @@
 	} else {
 		s.leaseEnds[leaseID] = time.Now().Add(s.leaseTTLs[leaseID])
 	}
-	answer(w, http.StatusOK, struct{}{})
+	writeJSON(w, http.StatusOK, struct{}{})
 }
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -9,86 +9,87 @@
 	"rillflow/internal/wire"
 )
 
-// reboot has all controllers begin anew, with what the test changed of the world.
-func (w *world) reboot(cs []*node, change func()) {
+// restartAll restarts all controllers after a change to the world's settings.
+func (w *world) restartAll(controllers []*controllerProcess, change func()) {
 	w.mu.Lock()
 	change()
 	w.mu.Unlock()
-	for n := range w.size {
-		cs[n].crash()
-		cs[n] = w.boot(n)
+	for n := range w.clusterSize {
+		controllers[n].crash()
+		controllers[n] = w.boot(n)
 	}
 }
 
-// Sixteen equal teams share workers for half as much again as their guarantees; one of
-// them asks for ten times its share all the while, ahead of the others. Each of the others
-// is served as if it were alone, and the greedy one gets what they leave.
+// Guards against a team that crowds out others. Sixteen teams with equal quotas share
+// capacity for 1.5 times their guarantees, and one of them constantly submits ten times its
+// share, ahead of the others. Each of the others must be served as if it were alone; the
+// greedy team gets the rest.
 func TestSixteenTeams(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const teams = 16
-		ctx, w, _, _, cs, end := begin(t, 31, 48, 12, "")
-		w.reboot(cs, func() { w.teams = teams })
+		ctx, w, _, _, controllers, end := startWorld(t, 31, 48, 12, "")
+		w.restartAll(controllers, func() { w.teamCount = teams })
 		n := 0
-		submit := func(team int, rank string, members int, at time.Duration) {
-			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: teamName(team), Kind: wire.KindArray, Priority: rank,
-				TaskCount: members, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, at, 0)
+		submit := func(team int, priority string, taskCount int, delay time.Duration) {
+			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", n), Class: "c", Team: teamName(team), Kind: wire.KindArray, Priority: priority,
+				TaskCount: taskCount, CPUs: 2, MemoryGB: 2, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, delay, 0)
 			n++
 		}
 		for i := range 20 {
 			submit(0, "urgent", 40, time.Duration(1+8*i)*time.Second)
 		}
 		for team := 1; team < teams; team++ {
-			for i := range 6 { // two cores on the average, four tasks at a time
+			for i := range 6 { // two cores on average, in bursts of four tasks
 				submit(team, "urgent", 4, time.Duration(20+25*i+team)*time.Second)
 			}
 		}
 		time.Sleep(215 * time.Second)
 		w.mu.Lock()
-		least, most := 1.0, 0.0
+		worst, best := 1.0, 0.0
 		for team := range teams {
-			asked, done := 0, 0
-			for ref, j := range w.jobs {
-				if j.Team != teamName(team) {
+			submitted, done := 0, 0
+			for jobID, job := range w.jobs {
+				if job.Team != teamName(team) {
 					continue
 				}
-				asked++
-				if w.finished(ref) {
+				submitted++
+				if w.allTasksDone(jobID) {
 					done++
 				}
 			}
-			share := float64(done) / float64(asked)
+			share := float64(done) / float64(submitted)
 			if team > 0 {
-				least, most = min(least, share), max(most, share)
+				worst, best = min(worst, share), max(best, share)
 			} else if share == 0 {
-				t.Error("the greedy team got nothing")
+				t.Error("no job of the greedy team is done")
 			} else {
-				t.Logf("the greedy team: %.2f of %d jobs", share, asked)
+				t.Logf("the greedy team finished %.2f of its %d jobs", share, submitted)
 			}
 		}
 		w.mu.Unlock()
 		end()
-		for _, b := range w.breaches {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
-		if least < 0.95 {
-			t.Errorf("of the others, the worst served has %.2f of its jobs done, the best %.2f", least, most)
+		if worst < 0.95 {
+			t.Errorf("the worst served of the other teams finished %.2f of its jobs, want 0.95; the best finished %.2f", worst, best)
 		}
-		t.Logf("the others: %.2f to %.2f", least, most)
+		t.Logf("the other teams finished %.2f to %.2f of their jobs", worst, best)
 	})
 }
 
-// Of two zones one has room for a third of what spread services want there. Arrays do not
-// hold it, each service runs with all that its other half may have, workers of the large
-// zone do not pile up for what cannot be there, and new services start in full while old
-// ones wait.
+// One of two zones has room for only a third of what services spread over both zones need
+// there. Arrays must not take that room, each service runs all replicas allowed in the large
+// zone, no spare workers pile up there for replicas that belong in the small zone, and new
+// services start in full while old ones wait.
 func TestScarceZone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ctx, w, _, cl, cs, end := begin(t, 33, 400, 40, "<rillflow><fleet><thrift>always</thrift></fleet></rillflow>")
-		cl.mu.Lock()
-		cl.few = map[string]int{"b": 2} // 16 cores
-		cl.mu.Unlock()
-		w.reboot(cs, func() {})
-		for i := range 12 { // 8 cores of each zone... 48 wanted of the small one
+		ctx, w, _, cloud, controllers, end := startWorld(t, 33, 400, 40, "<rillflow><fleet><thrift>always</thrift></fleet></rillflow>")
+		cloud.mu.Lock()
+		cloud.zoneLimits = map[string]int{"b": 2} // 16 cores
+		cloud.mu.Unlock()
+		w.restartAll(controllers, func() {})
+		for i := range 12 { // each needs 8 cores, half of them in each zone: 48 in the small one
 			w.submit(ctx, wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "s", Team: "ab"[i%2 : i%2+1], Kind: wire.KindService, Priority: "production",
 				TaskCount: 4, CPUs: 2, MemoryGB: 2, Image: "img", SpreadZones: true}, time.Duration(1+i)*time.Second, 0)
 		}
@@ -99,32 +100,32 @@
 		time.Sleep(260 * time.Second)
 		w.mu.Lock()
 		inZone := map[string]int{}
-		for id, host := range w.where {
+		for id, host := range w.hostOf {
 			if w.jobs[id.JobID].Kind == wire.KindService {
-				inZone[w.workers[host].h.Zone]++
+				inZone[w.workers[host].instance.Zone]++
 			}
 		}
 		w.mu.Unlock()
-		cl.mu.Lock()
+		cloud.mu.Lock()
 		cores := map[string]int{}
-		for _, h := range cl.hosts {
-			cores[h.Zone] += 8
+		for _, instance := range cloud.instances {
+			cores[instance.Zone] += 8
 		}
-		cl.mu.Unlock()
+		cloud.mu.Unlock()
 		end()
-		for _, b := range w.breaches {
-			t.Error(b)
+		for _, violation := range w.violations {
+			t.Error(violation)
 		}
 		if inZone["a"] != 24 || inZone["b"] != 8 {
-			t.Errorf("%d replicas in the large zone, want all 24 that may be there; %d in the small one, want the 8 it holds", inZone["a"], inZone["b"])
+			t.Errorf("%d replicas in the large zone, want all 24 allowed there; %d in the small zone, want the 8 that fit", inZone["a"], inZone["b"])
 		}
-		// 48 cores of replicas, and what is spare for a while.
+		// 48 cores for replicas, and spare workers that are kept for a while.
 		if cores["a"] > 96 {
-			t.Errorf("%d cores are kept in the large zone long after the arrays", cores["a"])
+			t.Errorf("%d cores in the large zone long after the arrays ended, want at most 96", cores["a"])
 		}
-		for ref, j := range w.jobs {
-			if j.Kind == wire.KindArray && w.told[ref] != wire.PhaseDone {
-				t.Errorf("%s is %q", ref, w.told[ref])
+		for jobID, job := range w.jobs {
+			if job.Kind == wire.KindArray && w.lastPhase[jobID] != wire.PhaseDone {
+				t.Errorf("job %s is %q, want done", jobID, w.lastPhase[jobID])
 			}
 		}
 		t.Logf("replicas by zone %v, cores by zone %v", inZone, cores)
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -17,164 +17,165 @@
 	"rillflow/internal/wire"
 )
 
-// task is one attempt on a worker.
-type task struct {
+// workerTask is an attempt of a task on a worker.
+type workerTask struct {
 	wire.TaskStatus
 	timer *time.Timer
 }
 
-// worker stands in for a worker's worker.
-type worker struct {
-	w      *world
-	h      wire.Instance
-	cancel context.CancelFunc
-	client *http.Client
+// fakeWorker is a fake of a worker's agent.
+type fakeWorker struct {
+	w        *world
+	instance wire.Instance
+	cancel   context.CancelFunc
+	client   *http.Client
 
-	mu     sync.Mutex
-	tenure uint64
-	tick   uint64
-	epoch  uint64
-	sent   time.Time // of the last report that was answered
-	tasks  map[string]*task
-	node   int
-	wake   chan struct{}
-	deaf   bool      // answers and commands to it are lost
-	mute   bool      // it reaches no controller, while commands reach it
-	muted  time.Time // since when
-	keep   bool      // its next report is held back
-	kept   []byte
-	hung   bool // it stands still, and may go on within its lease; past that nothing is left to go on
+	mu              sync.Mutex
+	incarnation     uint64
+	sequence        uint64
+	epoch           uint64
+	lastAnswered    time.Time // when the last answered heartbeat was sent
+	tasks           map[string]*workerTask
+	controller      int
+	heartbeatNow    chan struct{}
+	dropsAnswers    bool      // answers and commands to the worker are lost
+	dropsHeartbeats bool      // heartbeats reach no controller, but commands reach the worker
+	mutedSince      time.Time // when dropsHeartbeats was last set
+	holdsNext       bool      // the next heartbeat is held until deliverHeld
+	heldHeartbeat   []byte
+	paused          bool // tasks make no progress, and end once the lease expires
 }
 
-func (k *worker) report() wire.Heartbeat {
-	k.tick++
-	r := wire.Heartbeat{Worker: k.h.Name, Address: k.h.Address, InstanceType: k.h.InstanceType, Zone: k.h.Zone, Spot: k.h.Spot, Incarnation: k.tenure, Sequence: k.tick, Epoch: k.epoch, Tasks: []wire.TaskStatus{}}
-	for _, t := range k.tasks {
-		r.Tasks = append(r.Tasks, t.TaskStatus)
+func (k *fakeWorker) heartbeat() wire.Heartbeat {
+	k.sequence++
+	heartbeat := wire.Heartbeat{Worker: k.instance.Name, Address: k.instance.Address, InstanceType: k.instance.InstanceType, Zone: k.instance.Zone, Spot: k.instance.Spot, Incarnation: k.incarnation, Sequence: k.sequence, Epoch: k.epoch, Tasks: []wire.TaskStatus{}}
+	for _, task := range k.tasks {
+		heartbeat.Tasks = append(heartbeat.Tasks, task.TaskStatus)
 	}
-	sort.Slice(r.Tasks, func(a, b int) bool { return r.Tasks[a].Task < r.Tasks[b].Task })
-	return r
+	sort.Slice(heartbeat.Tasks, func(a, b int) bool { return heartbeat.Tasks[a].Task < heartbeat.Tasks[b].Task })
+	return heartbeat
 }
 
-// expire ends the session once the lease is over; run it with the lock held.
-func (k *worker) expire() {
-	if time.Since(k.sent) <= lease {
+// expire ends all tasks and begins a new incarnation if the lease has expired. The caller
+// holds k.mu.
+func (k *fakeWorker) expire() {
+	if time.Since(k.lastAnswered) <= leaseDuration {
 		return
 	}
 	k.clear()
-	k.tenure++
-	k.sent = time.Now()
+	k.incarnation++
+	k.lastAnswered = time.Now()
 }
 
-func (k *worker) clear() {
-	for _, t := range k.tasks {
-		k.finish(t, "killed")
+func (k *fakeWorker) clear() {
+	for _, task := range k.tasks {
+		k.endTask(task, "killed")
 	}
-	k.tasks = map[string]*task{}
+	k.tasks = map[string]*workerTask{}
 }
 
-func (k *worker) finish(t *task, cause string) {
-	if t.timer != nil {
-		t.timer.Stop()
+func (k *fakeWorker) endTask(task *workerTask, cause string) {
+	if task.timer != nil {
+		task.timer.Stop()
 	}
-	if t.Phase == wire.TaskRunning {
-		k.w.taskLeft(t.TaskStatus.Task, k.h.Name)
+	if task.Phase == wire.TaskRunning {
+		k.w.taskStopped(task.TaskStatus.Task, k.instance.Name)
 	}
-	t.Phase, t.ExitReason = wire.TaskExited, cause
+	task.Phase, task.ExitReason = wire.TaskExited, cause
 }
 
-func (k *worker) run(ctx context.Context) {
-	srv := &http.Server{Handler: k, ErrorLog: log.New(io.Discard, "", 0)}
-	go srv.Serve(k.w.net.listen(k.h.Name, k.h.Address))
-	defer srv.Close()
-	// The lease ends when it ends, whatever the worker waits for.
+func (k *fakeWorker) run(ctx context.Context) {
+	server := &http.Server{Handler: k, ErrorLog: log.New(io.Discard, "", 0)}
+	go server.Serve(k.w.net.listen(k.instance.Name, k.instance.Address))
+	defer server.Close()
+	// The lease expires on time, also while the worker waits for something.
 	go func() {
 		for {
 			k.mu.Lock()
 			k.expire()
-			left := lease - time.Since(k.sent) + time.Millisecond
+			remaining := leaseDuration - time.Since(k.lastAnswered) + time.Millisecond
 			k.mu.Unlock()
 			select {
 			case <-ctx.Done():
 				return
-			case <-time.After(left):
+			case <-time.After(remaining):
 			}
 		}
 	}()
 	for {
-		d := report*3/4 + time.Duration(k.w.intN(int(report/2)))
+		delay := heartbeatInterval*3/4 + time.Duration(k.w.intN(int(heartbeatInterval/2)))
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(d):
-		case <-k.wake:
+		case <-time.After(delay):
+		case <-k.heartbeatNow:
 			time.Sleep(500 * time.Millisecond)
 		}
-		k.beat(ctx)
+		k.sendHeartbeat(ctx)
 	}
 }
 
-func (k *worker) beat(ctx context.Context) {
+func (k *fakeWorker) sendHeartbeat(ctx context.Context) {
 	k.mu.Lock()
-	if k.hung {
+	if k.paused {
 		k.mu.Unlock()
 		return
 	}
 	k.expire()
-	r := k.report()
-	sent, node := time.Now(), k.node
+	heartbeat := k.heartbeat()
+	sentAt, controller := time.Now(), k.controller
 	k.mu.Unlock()
-	body, _ := json.Marshal(r)
-	if k.lost(ctx, body) {
+	body, _ := json.Marshal(heartbeat)
+	if k.isHeartbeatLost(ctx, body) {
 		return
 	}
-	rctx, cancel := context.WithTimeout(ctx, 4*time.Second)
+	requestCtx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(rctx, "POST", "http://"+front(node)+"/agent/beat", bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(requestCtx, "POST", "http://"+frontAddress(controller)+"/agent/beat", bytes.NewReader(body))
 	res, err := k.client.Do(req)
 	var data []byte
 	if err == nil {
 		data, err = io.ReadAll(res.Body)
 		res.Body.Close()
 	}
-	k.echo(ctx, node, body)
+	k.maybeDuplicate(ctx, controller, body)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
 	switch {
 	case ctx.Err() != nil:
-	case k.deaf || k.hung:
-		k.node = (node + 1) % k.w.size
-		k.nudge()
+	case k.dropsAnswers || k.paused:
+		k.controller = (controller + 1) % k.w.clusterSize
+		k.requestHeartbeat()
 	case err == nil && res.StatusCode == 200:
-		var o wire.CommandBatch
-		json.Unmarshal(data, &o)
-		if k.tenure != r.Incarnation || o.Epoch < k.epoch {
+		var commands wire.CommandBatch
+		json.Unmarshal(data, &commands)
+		if k.incarnation != heartbeat.Incarnation || commands.Epoch < k.epoch {
 			return
 		}
-		k.epoch, k.sent = o.Epoch, sent
-		k.execute(o.Commands)
+		k.epoch, k.lastAnswered = commands.Epoch, sentAt
+		k.execute(commands.Commands)
 	case err == nil && res.StatusCode == 421 && strings.Contains(string(data), "host-"):
-		var s wire.Redirect
-		json.Unmarshal(data, &s)
-		k.node = int(s.Controller[len("host-")] - '0')
-		k.nudge()
+		var redirect wire.Redirect
+		json.Unmarshal(data, &redirect)
+		k.controller = int(redirect.Controller[len("host-")] - '0')
+		k.requestHeartbeat()
 	default:
-		k.node = (node + 1) % k.w.size
-		k.nudge()
+		k.controller = (controller + 1) % k.w.clusterSize
+		k.requestHeartbeat()
 	}
 }
 
-// lost tells whether a heartbeat does not arrive: the worker waits for an answer, and tries
-// the next controller.
-func (k *worker) lost(ctx context.Context, body []byte) bool {
+// isHeartbeatLost reports whether a fault keeps a heartbeat from arriving. If so, it waits
+// for the time-out of the answer and moves on to the next controller.
+func (k *fakeWorker) isHeartbeatLost(ctx context.Context, body []byte) bool {
 	k.mu.Lock()
-	mute, keep := k.mute, k.keep
-	if keep {
-		k.kept, k.keep = body, false
+	drops, holds := k.dropsHeartbeats, k.holdsNext
+	if holds {
+		k.heldHeartbeat, k.holdsNext = body, false
 	}
 	k.mu.Unlock()
-	if !mute && !keep {
+	if !drops && !holds {
 		return false
 	}
 	select {
@@ -184,152 +185,151 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
-	k.node = (k.node + 1) % k.w.size
-	k.nudge()
+	k.controller = (k.controller + 1) % k.w.clusterSize
+	k.requestHeartbeat()
 	return true
 }
 
-// late delivers the heartbeat that was held back, to a controller, and tells whether there
-// was one. Nobody waits for the answer any more.
-func (k *worker) late(ctx context.Context, node int) bool {
+// deliverHeld sends the held heartbeat to a controller, ignores the answer, and reports
+// whether there was one.
+func (k *fakeWorker) deliverHeld(ctx context.Context, controller int) bool {
 	k.mu.Lock()
-	body := k.kept
-	k.kept = nil
+	body := k.heldHeartbeat
+	k.heldHeartbeat = nil
 	k.mu.Unlock()
 	if body != nil {
-		k.post(ctx, node, body)
+		k.post(ctx, controller, body)
 	}
 	return body != nil
 }
 
-// post sends a heartbeat whose answer goes to nobody.
-func (k *worker) post(ctx context.Context, node int, body []byte) {
+// post sends a heartbeat and ignores the answer.
+func (k *fakeWorker) post(ctx context.Context, controller int, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
-	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+front(node)+"/agent/beat", bytes.NewReader(body))
+	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+frontAddress(controller)+"/agent/beat", bytes.NewReader(body))
 	if res, err := k.client.Do(req); err == nil {
 		io.Copy(io.Discard, res.Body)
 		res.Body.Close()
 	}
 }
 
-// echo has a copy of a heartbeat arrive again, for a share of them: much later, and at
-// whichever controller is there.
-func (k *worker) echo(ctx context.Context, node int, body []byte) {
+// maybeDuplicate sends a copy of a heartbeat again much later, for a share of the heartbeats.
+func (k *fakeWorker) maybeDuplicate(ctx context.Context, controller int, body []byte) {
 	k.w.mu.Lock()
-	again := k.w.rnd.Float64() < k.w.echoes
-	by := 2*time.Second + time.Duration(k.w.rnd.Int64N(int64(3*lease/2)))
+	duplicate := k.w.rnd.Float64() < k.w.duplicateShare
+	delay := 2*time.Second + time.Duration(k.w.rnd.Int64N(int64(3*leaseDuration/2)))
 	k.w.mu.Unlock()
-	if !again {
+	if !duplicate {
 		return
 	}
-	time.AfterFunc(by, func() { k.post(ctx, node, body) })
+	time.AfterFunc(delay, func() { k.post(ctx, controller, body) })
 }
 
-func (k *worker) nudge() {
+func (k *fakeWorker) requestHeartbeat() {
 	select {
-	case k.wake <- struct{}{}:
+	case k.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
-func (k *worker) execute(os []wire.Command) {
-	for _, o := range os {
-		key := o.Task
-		t := k.tasks[key]
-		switch o.Action {
+func (k *fakeWorker) execute(commands []wire.Command) {
+	for _, command := range commands {
+		key := command.Task
+		task := k.tasks[key]
+		switch command.Action {
 		case wire.ActionStart:
-			if t != nil {
-				if t.Attempt != o.Attempt && t.Phase != wire.TaskExited {
-					k.w.broke("%s: launched as try %d while try %d is there", key, o.Attempt, t.Attempt)
+			if task != nil {
+				if task.Attempt != command.Attempt && task.Phase != wire.TaskExited {
+					k.w.recordViolation("two_attempts: %s was started as attempt %d while attempt %d is on the worker", key, command.Attempt, task.Attempt)
 				}
-				if t.Attempt == o.Attempt || t.Phase != wire.TaskExited {
+				if task.Attempt == command.Attempt || task.Phase != wire.TaskExited {
 					continue
 				}
 			}
-			t = &task{TaskStatus: wire.TaskStatus{Task: key, Attempt: o.Attempt, Phase: wire.TaskFetching}}
-			k.tasks[key] = t
-			t.timer = time.AfterFunc(time.Second, func() { k.begin(t) })
+			task = &workerTask{TaskStatus: wire.TaskStatus{Task: key, Attempt: command.Attempt, Phase: wire.TaskFetching}}
+			k.tasks[key] = task
+			task.timer = time.AfterFunc(time.Second, func() { k.startTask(task) })
 		case wire.ActionStop:
-			if t != nil && t.Attempt == o.Attempt && t.Phase != wire.TaskExited {
-				k.finish(t, wire.ExitStopped)
+			if task != nil && task.Attempt == command.Attempt && task.Phase != wire.TaskExited {
+				k.endTask(task, wire.ExitStopped)
 			}
 		case wire.ActionForget:
-			if t != nil && t.Attempt == o.Attempt && t.Phase == wire.TaskExited {
+			if task != nil && task.Attempt == command.Attempt && task.Phase == wire.TaskExited {
 				delete(k.tasks, key)
 			}
 		}
-		k.nudge()
+		k.requestHeartbeat()
 	}
 }
 
-func (k *worker) begin(t *task) {
+func (k *fakeWorker) startTask(task *workerTask) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
-	if k.hung {
-		t.timer = time.AfterFunc(time.Second, func() { k.begin(t) })
+	if k.paused {
+		task.timer = time.AfterFunc(time.Second, func() { k.startTask(task) })
 		return
 	}
-	if t.Phase != wire.TaskFetching || k.tasks[t.TaskStatus.Task] != t {
+	if task.Phase != wire.TaskFetching || k.tasks[task.TaskStatus.Task] != task {
 		return
 	}
-	id, _ := ledger.ParseTask(t.TaskStatus.Task)
-	j := k.w.taskStarted(id, t.Attempt, k.h)
-	if long := time.Since(k.muted); k.mute && long > lease {
+	id, _ := ledger.ParseTask(task.TaskStatus.Task)
+	job := k.w.taskStarted(id, task.Attempt, k.instance)
+	if duration := time.Since(k.mutedSince); k.dropsHeartbeats && duration > leaseDuration {
 		k.w.mu.Lock()
-		k.w.broke("mute: %s starts on %s, which has reached no controller for %v", id, k.h.Name, long)
+		k.w.recordViolation("mute: %s started on %s, whose heartbeats have reached no controller for %v", id, k.instance.Name, duration)
 		k.w.mu.Unlock()
 	}
-	t.Phase = wire.TaskRunning
-	k.nudge()
-	if j.Kind == wire.KindArray {
-		if k.w.isDone(id) { // the result was kept
-			t.timer = time.AfterFunc(0, func() { k.complete(t, id) })
+	task.Phase = wire.TaskRunning
+	k.requestHeartbeat()
+	if job.Kind == wire.KindArray {
+		if k.w.isTaskDone(id) { // an earlier attempt has stored the result
+			task.timer = time.AfterFunc(0, func() { k.completeTask(task, id) })
 			return
 		}
-		long := j.ExpectedSeconds * (1 + k.w.spread*float64(id.Index))
-		t.timer = time.AfterFunc(time.Duration(long*float64(time.Second)), func() { k.complete(t, id) })
+		duration := job.ExpectedSeconds * (1 + k.w.durationSpread*float64(id.Index))
+		task.timer = time.AfterFunc(time.Duration(duration*float64(time.Second)), func() { k.completeTask(task, id) })
 	}
 }
 
-// complete ends a task that is done, once its worker goes on.
-func (k *worker) complete(t *task, id ledger.Task) {
+// completeTask ends a task as done, or retries every second while the worker is paused.
+func (k *fakeWorker) completeTask(task *workerTask, id ledger.Task) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.hung {
-		t.timer = time.AfterFunc(time.Second, func() { k.complete(t, id) })
+	if k.paused {
+		task.timer = time.AfterFunc(time.Second, func() { k.completeTask(task, id) })
 		return
 	}
 	k.expire()
-	if t.Phase == wire.TaskRunning && k.tasks[t.TaskStatus.Task] == t {
-		k.finish(t, wire.ExitDone)
-		k.w.complete(id)
-		k.nudge()
+	if task.Phase == wire.TaskRunning && k.tasks[task.TaskStatus.Task] == task {
+		k.endTask(task, wire.ExitDone)
+		k.w.taskDone(id)
+		k.requestHeartbeat()
 	}
 }
 
-func (k *worker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var o wire.CommandBatch
+func (k *fakeWorker) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	var batch wire.CommandBatch
 	if r.Method == http.MethodPost {
-		json.NewDecoder(r.Body).Decode(&o)
+		json.NewDecoder(r.Body).Decode(&batch)
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.deaf || k.hung {
+	if k.dropsAnswers || k.paused {
 		panic(http.ErrAbortHandler)
 	}
 	k.expire()
 	status := 200
 	if r.URL.Path == "/do" {
-		if o.Epoch < k.epoch || o.Incarnation != k.tenure {
+		if batch.Epoch < k.epoch || batch.Incarnation != k.incarnation {
 			status = 409
 		} else {
-			k.epoch = o.Epoch
-			k.execute(o.Commands)
+			k.epoch = batch.Epoch
+			k.execute(batch.Commands)
 		}
 	}
-	answer(w, status, k.report())
+	writeJSON(w, status, k.heartbeat())
 }
 
-var _ net.Listener = (*listener)(nil)
+var _ net.Listener = (*hostListener)(nil)
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -15,48 +15,49 @@
 	"rillflow/internal/wire"
 )
 
-// world knows what is true, and checks the rules against it.
+// world is the simulated cluster. It records the true state of jobs, tasks and
+// workers and checks the protocol's rules against it.
 type world struct {
 	t   testing.TB
 	net *network
 	ctx context.Context
 	wg  sync.WaitGroup
 
-	mu       sync.Mutex
-	rnd      *rand.Rand
-	workers  map[string]*worker
-	jobs     map[string]wire.Job
-	where    map[ledger.Task]string // host that a task is on
-	used     map[string]float64     // CPUs, by team
-	done     map[ledger.Task]bool
-	told     map[string]string    // last phase told, by job
-	gone     map[string]time.Time // withdrawn as told
-	asked    map[string]bool      // a withdrawal was sent
-	accepted map[string]chan struct{}
-	taken    map[string]time.Time  // when first told accepted
-	again    func(ref string) bool // whether a user submits again now, though accepted
-	limit    float64               // of each team, in CPUs
-	size     int                   // controllers
-	upgraded map[int]bool          // controllers told of the lower limits to come
-	starts   int
-	spread   float64              // how much longer each task of a job runs than the one before it, as a ratio to the first
-	mute     bool                 // new machines reach no controller
-	echoes   float64              // share of the reports of which a copy arrives again, late
-	most     int                  // machines of a kind and zone
-	sockets  int                  // of a controller; 0: plenty
-	teams    int                  // equal ones; 0: two
-	ran      map[run]bool         // tries that started
-	begun    map[string]time.Time // first start of a task, by job
-	answered map[string]time.Time // last answer about a job
-	calm     time.Time            // when the last trouble was over; zero: not yet
-	waits    map[string]time.Time // jobs that wait though there is room, since when
-	late     []time.Duration      // starts after a confirmed withdrawal, how long after
-	operator string               // the operators' settings; "": none of their own
-	store    *store
-	// What the settings say of the store's rates; 0: plenty.
+	mu                   sync.Mutex
+	rnd                  *rand.Rand
+	workers              map[string]*fakeWorker
+	jobs                 map[string]wire.Job
+	hostOf               map[ledger.Task]string // worker that a task is running on
+	usedCPUs             map[string]float64     // by team
+	doneTasks            map[ledger.Task]bool
+	lastPhase            map[string]string    // last phase reported to the user, by job
+	cancelledAt          map[string]time.Time // when the user was told of the cancellation, by job
+	cancelRequested      map[string]bool      // a cancellation was sent, by job
+	acceptedSignal       map[string]chan struct{}
+	acceptedAt           map[string]time.Time    // when first reported accepted, by job
+	shouldResubmit       func(jobID string) bool // reports whether a user resubmits an accepted job now
+	teamCPULimit         float64                 // of each team
+	clusterSize          int                     // controllers
+	upgraded             map[int]bool            // controllers that know the announced lower limits
+	starts               int
+	durationSpread       float64                 // by how much each task of a job outlasts the one before it, as a fraction of the first's duration
+	newWorkersMute       bool                    // heartbeats of new workers reach no controller
+	duplicateShare       float64                 // share of the heartbeats of which a late copy arrives
+	maxInstances         int                     // workers per instance type and zone
+	sockets              int                     // per controller; 0: enough
+	teamCount            int                     // teams with equal quotas; 0: the two default teams
+	startedAttempts      map[startedAttempt]bool // every attempt that started
+	firstStart           map[string]time.Time    // when the first task started, by job
+	lastAnswer           map[string]time.Time    // when the user last got an answer, by job
+	faultsEndedAt        time.Time               // when the last fault ended; zero: not yet
+	waitingWithRoomSince map[string]time.Time    // jobs that wait although there is room
+	lateStarts           []time.Duration         // delays of task starts after a confirmed cancellation
+	operatorSettings     string                  // operator settings (XML); "": defaults
+	store                *fakeStore
+	// Store rate limits in the controllers' settings; 0: the defaults.
 	storeRPS, storeWriteRPS float64
-	pollEvery               time.Duration // in which a user asks again, at least half of it; 0: 4 s
-	breaches                []string
+	maxPollPause            time.Duration // users poll after half to all of this time; 0: 4 s
+	violations              []string
 }
 
 func (w *world) intN(n int) int {
@@ -65,169 +66,169 @@
 	return w.rnd.IntN(n)
 }
 
-func (w *world) ended() bool { return w.ctx.Err() != nil }
+func (w *world) stopped() bool { return w.ctx.Err() != nil }
 
-func (w *world) broke(format string, a ...any) {
-	w.breaches = append(w.breaches, fmt.Sprintf(format, a...))
+func (w *world) recordViolation(format string, args ...any) {
+	w.violations = append(w.violations, fmt.Sprintf(format, args...))
 }
 
-// run is an attempt of a task on a worker.
-type run struct {
-	task ledger.Task
-	try  uint64
-	host string
+// startedAttempt identifies an attempt of a task that started on a worker.
+type startedAttempt struct {
+	task    ledger.Task
+	attempt uint64
+	host    string
 }
 
-// taskStarted notes a task's start and checks the rules that a start can break.
-func (w *world) taskStarted(id ledger.Task, try uint64, h wire.Instance) wire.Job {
+// taskStarted records a task's start and checks the rules that a start can break.
+func (w *world) taskStarted(id ledger.Task, attempt uint64, instance wire.Instance) wire.Job {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts++
-	w.ran[run{id, try, h.Name}] = true
-	if w.begun[id.JobID].IsZero() {
-		w.begun[id.JobID] = time.Now()
+	w.startedAttempts[startedAttempt{id, attempt, instance.Name}] = true
+	if w.firstStart[id.JobID].IsZero() {
+		w.firstStart[id.JobID] = time.Now()
 	}
-	j, ok := w.jobs[id.JobID]
+	job, ok := w.jobs[id.JobID]
 	if !ok {
-		w.broke("%s started, which nobody submitted", id)
-		return j
+		w.recordViolation("unknown_job: %s started, but its job was never submitted", id)
+		return job
 	}
-	for _, n := range j.DependsOn {
-		for i := range w.jobs[n].TaskCount {
-			if !w.done[ledger.Task{JobID: n, Index: i}] {
-				w.broke("too_early: %s starts before %s/%d is done", id, n, i)
+	for _, dependency := range job.DependsOn {
+		for i := range w.jobs[dependency].TaskCount {
+			if !w.doneTasks[ledger.Task{JobID: dependency, Index: i}] {
+				w.recordViolation("too_early: %s started before its dependency %s/%d was done", id, dependency, i)
 			}
 		}
 	}
-	if other := w.where[id]; other != "" {
-		w.broke("ran_twice: %s starts on %s while on %s", id, h.Name, other)
+	if other := w.hostOf[id]; other != "" {
+		w.recordViolation("ran_twice: %s started on %s while running on %s", id, instance.Name, other)
 	}
-	w.place(id, h.Name)
-	if at, ok := w.gone[id.JobID]; ok {
-		w.late = append(w.late, time.Since(at))
-		if time.Since(at) > cancel {
-			w.broke("ran_cancelled: %s starts %v after", id, time.Since(at))
+	w.setTaskHost(id, instance.Name)
+	if cancelledAt, ok := w.cancelledAt[id.JobID]; ok {
+		w.lateStarts = append(w.lateStarts, time.Since(cancelledAt))
+		if time.Since(cancelledAt) > cancelTimeout {
+			w.recordViolation("ran_cancelled: %s started %v after its cancellation", id, time.Since(cancelledAt))
 		}
 	}
-	if h.Spot && !j.AllowSpot {
-		w.broke("wrong_place: %s on a spot machine", id)
+	if instance.Spot && !job.AllowSpot {
+		w.recordViolation("wrong_place: %s started on a spot worker", id)
 	}
-	if len(j.InstanceTypes) > 0 && !slices.Contains(j.InstanceTypes, h.InstanceType) {
-		w.broke("wrong_place: %s on a machine of type %s", id, h.InstanceType)
+	if len(job.InstanceTypes) > 0 && !slices.Contains(job.InstanceTypes, instance.InstanceType) {
+		w.recordViolation("wrong_place: %s started on a worker of type %s", id, instance.InstanceType)
 	}
-	if j.Zone != "" && j.Zone != h.Zone {
-		w.broke("wrong_place: %s in zone %s, not %s", id, h.Zone, j.Zone)
+	if job.Zone != "" && job.Zone != instance.Zone {
+		w.recordViolation("wrong_place: %s started in zone %s, want %s", id, instance.Zone, job.Zone)
 	}
-	used, zone, all := w.used[j.Team], 0, 0
-	for i := range j.TaskCount {
-		if k := w.workers[w.where[ledger.Task{JobID: id.JobID, Index: i}]]; k != nil {
-			if all++; k.h.Zone == h.Zone {
-				zone++
+	teamCPUs, inZone, placed := w.usedCPUs[job.Team], 0, 0
+	for i := range job.TaskCount {
+		if worker := w.workers[w.hostOf[ledger.Task{JobID: id.JobID, Index: i}]]; worker != nil {
+			if placed++; worker.instance.Zone == instance.Zone {
+				inZone++
 			}
 		}
 	}
-	if used > w.limit+1e-6 {
-		w.broke("quota: %v CPUs of %s", used, j.Team)
+	if teamCPUs > w.teamCPULimit+1e-6 {
+		w.recordViolation("quota: %v CPUs in use by team %s", teamCPUs, job.Team)
 	}
-	if j.SpreadZones && zone > (j.TaskCount+1)/2 {
-		w.broke("wrong_place: %d of %d tasks of %s in a zone", zone, j.TaskCount, id.JobID)
+	if job.SpreadZones && inZone > (job.TaskCount+1)/2 {
+		w.recordViolation("wrong_place: %d of %d tasks of %s in one zone", inZone, job.TaskCount, id.JobID)
 	}
-	if j.SingleZone && zone < all {
-		w.broke("wrong_place: %s in another zone than %d tasks of its job", id, all-zone)
+	if job.SingleZone && inZone < placed {
+		w.recordViolation("wrong_place: %s started in another zone than %d tasks of its job", id, placed-inZone)
 	}
-	return j
+	return job
 }
 
-// orphan tells since when a user knows that something before a job is cancelled;
-// run it with the lock held.
-func (w *world) orphan(ref string) (at time.Time) {
-	for _, n := range w.jobs[ref].DependsOn {
-		for _, t := range []time.Time{w.gone[n], w.orphan(n)} {
-			if !t.IsZero() && (at.IsZero() || t.Before(at)) {
-				at = t
+// dependencyCancelledAt returns when a user was first told that a direct or
+// indirect dependency of a job is cancelled, or the zero time. The caller holds w.mu.
+func (w *world) dependencyCancelledAt(jobID string) (earliest time.Time) {
+	for _, dependency := range w.jobs[jobID].DependsOn {
+		for _, candidate := range []time.Time{w.cancelledAt[dependency], w.dependencyCancelledAt(dependency)} {
+			if !candidate.IsZero() && (earliest.IsZero() || candidate.Before(earliest)) {
+				earliest = candidate
 			}
 		}
 	}
-	return at
+	return earliest
 }
 
-func (w *world) taskLeft(member, host string) {
-	id, _ := ledger.ParseTask(member)
+func (w *world) taskStopped(taskName, host string) {
+	id, _ := ledger.ParseTask(taskName)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if at, ok := w.gone[id.JobID]; ok && time.Since(at) > cancel {
-		w.broke("ran_cancelled: %s was on %s %v after", id, host, time.Since(at))
+	if cancelledAt, ok := w.cancelledAt[id.JobID]; ok && time.Since(cancelledAt) > cancelTimeout {
+		w.recordViolation("ran_cancelled: %s was still on %s %v after its cancellation", id, host, time.Since(cancelledAt))
 	}
-	if w.where[id] == host {
-		w.place(id, "")
+	if w.hostOf[id] == host {
+		w.setTaskHost(id, "")
 	}
 }
 
-// place notes where a task is, "" for nowhere, and what its team uses; run it with the
-// lock held.
-func (w *world) place(id ledger.Task, host string) {
-	j := w.jobs[id.JobID]
-	if _, there := w.where[id]; there {
-		w.used[j.Team] -= j.CPUs
-		delete(w.where, id)
+// setTaskHost records the worker that a task runs on, "" for none, and updates the
+// CPUs that its team uses. The caller holds w.mu.
+func (w *world) setTaskHost(id ledger.Task, host string) {
+	job := w.jobs[id.JobID]
+	if _, placed := w.hostOf[id]; placed {
+		w.usedCPUs[job.Team] -= job.CPUs
+		delete(w.hostOf, id)
 	}
 	if host != "" {
-		w.where[id] = host
-		w.used[j.Team] += j.CPUs
+		w.hostOf[id] = host
+		w.usedCPUs[job.Team] += job.CPUs
 	}
 }
 
-func (w *world) complete(id ledger.Task) {
+func (w *world) taskDone(id ledger.Task) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.done[id] = true
+	w.doneTasks[id] = true
 }
 
-func (w *world) isDone(id ledger.Task) bool {
+func (w *world) isTaskDone(id ledger.Task) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.done[id]
+	return w.doneTasks[id]
 }
 
-func (w *world) start(h wire.Instance) {
+func (w *world) startWorker(instance wire.Instance) {
 	ctx, cancel := context.WithCancel(w.ctx)
-	k := &worker{w: w, h: h, cancel: cancel, tenure: 1, sent: time.Now(), tasks: map[string]*task{}, node: w.intN(w.size), wake: make(chan struct{}, 1),
-		client: &http.Client{Transport: &http.Transport{DialContext: w.net.at(h.Name).Dial}}}
+	worker := &fakeWorker{w: w, instance: instance, cancel: cancel, incarnation: 1, lastAnswered: time.Now(), tasks: map[string]*workerTask{}, controller: w.intN(w.clusterSize), heartbeatNow: make(chan struct{}, 1),
+		client: &http.Client{Transport: &http.Transport{DialContext: w.net.forHost(instance.Name).Dial}}}
 	w.mu.Lock()
-	k.mute, k.muted = w.mute, time.Now()
-	w.workers[h.Name] = k
+	worker.dropsHeartbeats, worker.mutedSince = w.newWorkersMute, time.Now()
+	w.workers[instance.Name] = worker
 	w.mu.Unlock()
-	w.wg.Go(func() { k.run(ctx); k.client.CloseIdleConnections() })
+	w.wg.Go(func() { worker.run(ctx); worker.client.CloseIdleConnections() })
 }
 
-// stop takes a worker away with all that is on it.
-func (w *world) stop(name string) {
+// stopWorker ends a worker and all tasks on it.
+func (w *world) stopWorker(name string) {
 	w.mu.Lock()
-	k := w.workers[name]
+	worker := w.workers[name]
 	w.mu.Unlock()
-	if k == nil {
+	if worker == nil {
 		return
 	}
-	k.cancel()
-	w.net.reset(name)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.clear()
-	k.sent = time.Now().Add(time.Hour) // it is off: nothing happens there any more
+	worker.cancel()
+	w.net.resetHost(name)
+	worker.mu.Lock()
+	defer worker.mu.Unlock()
+	worker.clear()
+	worker.lastAnswered = time.Now().Add(time.Hour) // prevents the lease from expiring on a worker that is off
 }
 
-func (w *world) settings(n int) *settings.Settings {
-	op, err := settings.ParseOperator([]byte(w.operator))
+func (w *world) controllerSettings(index int) *settings.Settings {
+	operator, err := settings.ParseOperator([]byte(w.operatorSettings))
 	if err != nil {
 		w.t.Fatal(err)
 	}
 	s := &settings.Settings{
-		Name: fmt.Sprintf("host-%d", n), Zone: zoneOf(n), FrontAddress: front(n), PeerAddress: back(n), Operator: op,
+		Name: fmt.Sprintf("host-%d", index), Zone: zoneOf(index), FrontAddress: frontAddress(index), PeerAddress: peerAddress(index), Operator: operator,
 		Services: settings.Services{Cloud: "cloud:1", Store: "state:1"},
 		Facts: settings.Facts{
 			ClockErrorMillis: 1000,
-			Teams:            []settings.Team{{Name: "a", CPUs: 8, CPUsMax: w.limit}, {Name: "b", CPUs: 8, CPUsMax: w.limit}},
-			Workers:          settings.WorkerTimings{HeartbeatSeconds: report.Seconds(), LeaseSeconds: lease.Seconds(), CancelSeconds: cancel.Seconds()},
+			Teams:            []settings.Team{{Name: "a", CPUs: 8, CPUsMax: w.teamCPULimit}, {Name: "b", CPUs: 8, CPUsMax: w.teamCPULimit}},
+			Workers:          settings.WorkerTimings{HeartbeatSeconds: heartbeatInterval.Seconds(), LeaseSeconds: leaseDuration.Seconds(), CancelSeconds: cancelTimeout.Seconds()},
 			Store:            settings.StoreLimits{RPS: 200, WriteRPS: 50, ValueKB: 16, TxnOps: 16},
 			Cloud:            settings.CloudLimits{RPS: 5, ListLagSeconds: 2},
 			Resources:        settings.ProcessLimits{CPUShare: 0.1, MemoryMB: 1 << 15, Sockets: 500},
@@ -235,38 +236,38 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s.Facts.Resources.Sockets = max(s.Facts.Resources.Sockets, 8*w.most)
-	for i := range w.teams {
+	s.Facts.Resources.Sockets = max(s.Facts.Resources.Sockets, 8*w.maxInstances)
+	for i := range w.teamCount {
 		if i == 0 {
 			s.Facts.Teams = nil
 		}
-		s.Facts.Teams = append(s.Facts.Teams, settings.Team{Name: teamName(i), CPUs: 8, CPUsMax: w.limit})
+		s.Facts.Teams = append(s.Facts.Teams, settings.Team{Name: teamName(i), CPUs: 8, CPUsMax: w.teamCPULimit})
 	}
 	if w.sockets > 0 {
 		s.Facts.Resources.Sockets = w.sockets
 	}
-	if w.most >= 100 { // the limits of a larger deployment
+	if w.maxInstances >= 100 { // a larger deployment has higher limits
 		s.Facts.Store.RPS, s.Facts.Store.WriteRPS, s.Facts.Cloud.RPS = 500, 80, 12
 	}
 	if w.storeRPS > 0 {
 		s.Facts.Store.RPS, s.Facts.Store.WriteRPS = w.storeRPS, w.storeWriteRPS
 	}
-	if w.upgraded[n] {
-		s.Facts.Store.Announced = &settings.AnnouncedStoreLimits{WriteRPS: 35, ValueKB: lowValue / 1024., TxnOps: lowOps}
+	if w.upgraded[index] {
+		s.Facts.Store.Announced = &settings.AnnouncedStoreLimits{WriteRPS: 35, ValueKB: loweredValueBytes / 1024., TxnOps: loweredOperations}
 	}
-	for m := range w.size {
-		if m != n {
-			s.Peers = append(s.Peers, settings.Peer{Name: fmt.Sprintf("host-%d", m), Zone: zoneOf(m), Endpoint: back(m)})
+	for peer := range w.clusterSize {
+		if peer != index {
+			s.Peers = append(s.Peers, settings.Peer{Name: fmt.Sprintf("host-%d", peer), Zone: zoneOf(peer), Endpoint: peerAddress(peer)})
 		}
 	}
 	return s
 }
 
-func teamName(i int) string { return fmt.Sprintf("team-%02d", i) }
+func teamName(index int) string { return fmt.Sprintf("team-%02d", index) }
 
-// zoneOf is the zone of a controller.
-func zoneOf(n int) string { return []string{"a", "b", "a"}[n%3] }
+// zoneOf returns the zone of a controller.
+func zoneOf(controller int) string { return []string{"a", "b", "a"}[controller%3] }
 
-func front(n int) string { return fmt.Sprintf("front-%d:80", n) }
+func frontAddress(controller int) string { return fmt.Sprintf("front-%d:80", controller) }
 
-func back(n int) string { return fmt.Sprintf("back-%d:81", n) }
+func peerAddress(controller int) string { return fmt.Sprintf("back-%d:81", controller) }
