--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -15,214 +15,221 @@
 	"rillflow/internal/replica"
 )
 
-const suffix = ".rillsnap"
+const fileSuffix = ".rillsnap"
 
-// Folder holds snapshots, the newest last by name.
+// Folder is a directory of snapshot files. Their names begin with a sequence number, so
+// that they sort from the oldest to the newest.
 type Folder struct {
 	Dir                  string
 	Deployment           string
-	IncrementalSnapshots int // snapshots of changes that follow a whole one at most
-	FullSnapshots        int // whole ones that are kept, with what follows each
+	IncrementalSnapshots int // at most this many follow a full snapshot
+	FullSnapshots        int // kept, each with the incremental ones that follow it
 
-	last   *replica.Tree
-	head   replica.Head
-	sum    Sum
-	number int
-	steps  int
+	// Of the snapshot saved last; lastNumber is 0 before the first one.
+	lastTree     *replica.Tree
+	lastHead     replica.Head
+	lastSum      Sum
+	lastNumber   int // sequence number in its file name
+	incrementals int // saved since the last full one
 }
 
-// Refused is a file that is of no use, and why.
-type Refused struct {
+// RefusedFile is a file that cannot be used, with the reason.
+type RefusedFile struct {
 	File string
 	Err  error
 }
 
-// Chain is the newest state that a folder holds.
+// Chain is the newest state in a folder that can be restored.
 type Chain struct {
 	Tree    *replica.Tree
-	Last    *Snapshot // without it nothing was found
-	Files   []string  // that it is made of
-	Refused []Refused
+	Last    *Snapshot // nil if no snapshot can be used
+	Files   []string  // the full snapshot and the incremental ones applied to it
+	Refused []RefusedFile
 }
 
-func (f *Folder) files() ([]string, error) {
-	es, err := os.ReadDir(f.Dir)
+func (folder *Folder) files() ([]string, error) {
+	entries, err := os.ReadDir(folder.Dir)
 	if err != nil {
 		return nil, err
 	}
 	var names []string
-	for _, e := range es {
-		if strings.HasSuffix(e.Name(), suffix) && !e.IsDir() {
-			names = append(names, e.Name())
+	for _, entry := range entries {
+		if strings.HasSuffix(entry.Name(), fileSuffix) && !entry.IsDir() {
+			names = append(names, entry.Name())
 		}
 	}
 	slices.Sort(names)
 	return names, nil
 }
 
-// Read reads one file, and refuses that of another deployment. Without a deployment of
-// its own the folder takes any.
-func (f *Folder) Read(name string) (*Snapshot, error) {
-	b, err := os.ReadFile(filepath.Join(f.Dir, name))
+// Read decodes one file. It refuses a snapshot of another deployment, unless the folder's
+// Deployment is empty.
+func (folder *Folder) Read(name string) (*Snapshot, error) {
+	data, err := os.ReadFile(filepath.Join(folder.Dir, name))
 	if err != nil {
 		return nil, err
 	}
-	s, err := Decode(b)
-	if err == nil && f.Deployment != "" && s.Deployment != f.Deployment {
-		return nil, fmt.Errorf("%w: %s", ErrForeign, s.Deployment)
+	snapshot, err := Decode(data)
+	if err == nil && folder.Deployment != "" && snapshot.Deployment != folder.Deployment {
+		return nil, fmt.Errorf("%w: %s", ErrOtherDeployment, snapshot.Deployment)
 	}
-	return s, err
+	return snapshot, err
 }
 
-// Load finds the newest state that can be put together: the last whole snapshot with as
-// much of what follows as is in order, or the one before it. It names every file that
-// it had to refuse on the way.
-func (f *Folder) Load() (Chain, error) {
-	var c Chain
-	names, err := f.files()
+// Load returns the newest state that can be restored: the last readable full snapshot with
+// the unbroken sequence of incremental ones that follows it. It also returns every file
+// that it refused.
+func (folder *Folder) Load() (Chain, error) {
+	var chain Chain
+	names, err := folder.files()
 	if err != nil {
-		return c, fmt.Errorf("snapshots: %w", err)
+		return chain, fmt.Errorf("snapshots: %w", err)
 	}
-	snaps := make([]*Snapshot, len(names))
-	for i, n := range names {
-		s, err := f.Read(n)
+	snapshots := make([]*Snapshot, len(names))
+	for i, name := range names {
+		snapshot, err := folder.Read(name)
 		if err != nil {
-			c.Refused = append(c.Refused, Refused{n, err})
+			chain.Refused = append(chain.Refused, RefusedFile{name, err})
 			continue
 		}
-		snaps[i] = s
+		snapshots[i] = snapshot
 	}
 	for i := len(names) - 1; i >= 0; i-- {
-		if snaps[i] == nil || !snaps[i].Whole() {
+		if snapshots[i] == nil || !snapshots[i].IsFull() {
 			continue
 		}
-		c.Tree, c.Last, c.Files = snaps[i].Onto(nil), snaps[i], []string{names[i]}
-		for k := i + 1; k < len(names); k++ {
-			s := snaps[k]
-			if s == nil || s.Whole() {
+		chain.Tree, chain.Last, chain.Files = snapshots[i].ApplyTo(nil), snapshots[i], []string{names[i]}
+		for next := i + 1; next < len(names); next++ {
+			snapshot := snapshots[next]
+			if snapshot == nil || snapshot.IsFull() {
 				break
 			}
-			if s.Base != c.Last.Sum || s.Incarnation != c.Last.Incarnation || s.Epoch < c.Last.Epoch {
-				c.Refused = append(c.Refused, Refused{names[k], ErrBase})
+			if snapshot.Base != chain.Last.Sum || snapshot.Incarnation != chain.Last.Incarnation ||
+				snapshot.Epoch < chain.Last.Epoch {
+				chain.Refused = append(chain.Refused, RefusedFile{names[next], ErrBase})
 				break
 			}
-			c.Tree, c.Last = s.Onto(c.Tree), s
-			c.Files = append(c.Files, names[k])
+			chain.Tree, chain.Last = snapshot.ApplyTo(chain.Tree), snapshot
+			chain.Files = append(chain.Files, names[next])
 		}
-		return c, nil
+		return chain, nil
 	}
-	return c, nil
+	return chain, nil
 }
 
-// Save writes the next snapshot: whole at first, where the copy is of another leader,
-// and after as many steps as there may be. Where nothing changed it writes nothing.
-func (f *Folder) Save(tree *replica.Tree, head replica.Head, at time.Time) (string, error) {
-	if f.number == 0 {
-		if err := os.MkdirAll(f.Dir, 0o700); err != nil {
+// Save writes the next snapshot and returns its file name. The snapshot is full if it is
+// the first one, if the tree belongs to another incarnation or epoch than the last one, and
+// after IncrementalSnapshots incremental ones. If nothing changed, Save writes nothing and
+// returns "".
+func (folder *Folder) Save(tree *replica.Tree, head replica.Head, takenAt time.Time) (string, error) {
+	if folder.lastNumber == 0 {
+		if err := os.MkdirAll(folder.Dir, 0o700); err != nil {
 			return "", fmt.Errorf("snapshots: %w", err)
 		}
-		names, err := f.files()
+		names, err := folder.files()
 		if err != nil {
 			return "", fmt.Errorf("snapshots: %w", err)
 		}
-		for _, n := range names {
-			var have int
-			if _, err := fmt.Sscanf(n, "%d", &have); err == nil {
-				f.number = max(f.number, have)
+		for _, existing := range names {
+			var number int
+			if _, err := fmt.Sscanf(existing, "%d", &number); err == nil {
+				folder.lastNumber = max(folder.lastNumber, number)
 			}
 		}
 	}
-	if f.last == tree {
+	if folder.lastTree == tree {
 		return "", nil
 	}
-	since := f.last
-	if f.head.Incarnation != head.Incarnation || f.head.Epoch != head.Epoch || f.steps >= f.IncrementalSnapshots {
-		since = nil
+	previous := folder.lastTree
+	if folder.lastHead.Incarnation != head.Incarnation || folder.lastHead.Epoch != head.Epoch ||
+		folder.incrementals >= folder.IncrementalSnapshots {
+		previous = nil
 	}
-	s := Take(f.Deployment, head, at, tree, since, f.sum)
-	b, err := s.Encode()
+	snapshot := Take(folder.Deployment, head, takenAt, tree, previous, folder.lastSum)
+	data, err := snapshot.Encode()
 	if err != nil {
 		return "", err
 	}
 	kind := "step"
-	if s.Whole() {
+	if snapshot.IsFull() {
 		kind = "whole"
 	}
-	name := fmt.Sprintf("%012d-%s%s", f.number+1, kind, suffix)
-	if err := write(filepath.Join(f.Dir, name), b); err != nil {
+	name := fmt.Sprintf("%012d-%s%s", folder.lastNumber+1, kind, fileSuffix)
+	if err := writeAtomically(filepath.Join(folder.Dir, name), data); err != nil {
 		return "", fmt.Errorf("snapshots: %w", err)
 	}
-	f.number++
-	f.last, f.head, f.sum = tree, head, s.Sum
-	if f.steps++; s.Whole() {
-		f.steps = 0
-		return name, f.prune()
+	folder.lastNumber++
+	folder.lastTree, folder.lastHead, folder.lastSum = tree, head, snapshot.Sum
+	if folder.incrementals++; snapshot.IsFull() {
+		folder.incrementals = 0
+		return name, folder.prune()
 	}
 	return name, nil
 }
 
-// write puts a file in place whole or not at all.
-func write(path string, b []byte) (err error) {
-	t, err := os.CreateTemp(filepath.Dir(path), ".new-*")
+// writeAtomically creates a file with all of its content or not at all.
+func writeAtomically(path string, data []byte) (err error) {
+	temp, err := os.CreateTemp(filepath.Dir(path), ".new-*")
 	if err != nil {
 		return err
 	}
 	defer func() {
 		if err != nil {
-			err = errors.Join(err, os.Remove(t.Name()))
+			err = errors.Join(err, os.Remove(temp.Name()))
 		}
 	}()
-	if _, err = t.Write(b); err == nil {
-		err = t.Sync()
+	if _, err = temp.Write(data); err == nil {
+		err = temp.Sync()
 	}
-	if err = errors.Join(err, t.Close()); err != nil {
+	if err = errors.Join(err, temp.Close()); err != nil {
 		return err
 	}
-	if err = os.Rename(t.Name(), path); err != nil {
+	if err = os.Rename(temp.Name(), path); err != nil {
 		return err
 	}
-	d, err := os.Open(filepath.Dir(path))
+	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
-		return nil // the file is in place
+		return nil // the file has been renamed already; only the sync of the directory is skipped
 	}
-	return errors.Join(d.Sync(), d.Close())
+	return errors.Join(dir.Sync(), dir.Close())
 }
 
-// prune removes what lies before the whole snapshots that are kept.
-func (f *Folder) prune() error {
-	names, err := f.files()
+// prune removes the files older than the oldest full snapshot that is to be kept.
+func (folder *Folder) prune() error {
+	names, err := folder.files()
 	if err != nil {
 		return err
 	}
-	wholes := 0
+	fullSnapshots := 0
 	for i := len(names) - 1; i >= 0; i-- {
-		if wholes >= f.FullSnapshots {
-			if err := os.Remove(filepath.Join(f.Dir, names[i])); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		if fullSnapshots >= folder.FullSnapshots {
+			if err := os.Remove(filepath.Join(folder.Dir, names[i])); err != nil && !errors.Is(err, fs.ErrNotExist) {
 				return err
 			}
 		} else if strings.Contains(names[i], "-whole") {
-			wholes++
+			fullSnapshots++
 		}
 	}
 	return nil
 }
 
-// Keep saves a copy every so often until ctx ends. A folder that cannot be written is
-// told of and tried again: serving goes on.
-func (f *Folder) Keep(ctx context.Context, c *replica.Replica, every time.Duration, log *slog.Logger) error {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+// Keep saves a snapshot of the replica at each interval until ctx ends. A failed write is
+// logged and retried at the next interval, so that a full or broken disk does not stop the
+// controller.
+func (folder *Folder) Keep(ctx context.Context, source *replica.Replica, interval time.Duration, log *slog.Logger) error {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		tree, head := c.Tree()
-		if head.Epoch == 0 || tree.Len() == 0 && f.last == nil {
-			continue // nothing was copied yet
+		tree, head := source.Tree()
+		if head.Epoch == 0 || tree.Len() == 0 && folder.lastTree == nil {
+			continue // the replica is still empty
 		}
-		name, err := f.Save(tree, head, time.Now())
+		name, err := folder.Save(tree, head, time.Now())
 		if err != nil {
 			log.Error("no snapshot is saved", "err", err)
 		} else if name != "" {
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -9,15 +9,16 @@
 	"rillflow/internal/replica"
 )
 
-// A snapshot as written today stays readable. Its bytes are the compressor's affair.
+// A stored snapshot must stay readable. The encoded bytes aren't compared, as they may change
+// with the compressor.
 func TestGoldenFile(t *testing.T) {
 	want := goldentest.Filled[Snapshot]()
 	want.At = time.UnixMilli(1_764_600_000_123)
 	want.Entries = []replica.Entry{{Key: "c/req-1/0", Data: []byte("{}")}, {Key: "j/req-1"}}
 	sum := Sum{}
 	data := goldentest.Read(t, "file", func() []byte {
-		s := want
-		data, err := s.Encode()
+		encoded := want
+		data, err := encoded.Encode()
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -30,6 +31,6 @@
 	copy(sum[:], data[len(data)-len(sum):])
 	want.Sum = sum
 	if !reflect.DeepEqual(*got, want) {
-		t.Errorf("reads as\n%+v\nand must as\n%+v", *got, want)
+		t.Errorf("decoded as\n%+v\nwant\n%+v", *got, want)
 	}
 }
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -1,6 +1,7 @@
-// Package snapshot keeps copies of what the state service holds in files: whole ones
-// and, between them, what changed. Each is compressed, names the deployment and history
-// that it is of, and ends with a hash of all before it.
+// Package snapshot saves the store's content in files: full snapshots and, between them,
+// incremental ones with the changes. Each file is compressed, names the deployment and the
+// incarnation of the store that it was taken of, and ends with a hash of all bytes before
+// the hash.
 package snapshot
 
 import (
@@ -17,177 +18,180 @@
 	"rillflow/internal/replica"
 )
 
-// Reasons to refuse a snapshot.
+// Reasons to refuse a snapshot. `rillflow snapshot verify` prints their texts.
 var (
-	ErrCut     = errors.New("cut short")
-	ErrDamaged = errors.New("damaged")
-	ErrVersion = errors.New("of another version")
-	ErrForeign = errors.New("of another deployment")
-	ErrBase    = errors.New("its predecessor is missing or another")
-	ErrKind    = errors.New("no snapshot")
+	ErrTruncated       = errors.New("cut short")
+	ErrDamaged         = errors.New("damaged")
+	ErrVersion         = errors.New("of another version")
+	ErrOtherDeployment = errors.New("of another deployment")
+	ErrBase            = errors.New("its predecessor is missing or another")
+	ErrNotSnapshot     = errors.New("no snapshot")
 )
 
 const (
 	magic   = "rillsnap"
 	version = 1
-	// maxBody bounds what a snapshot may unpack to, in bytes.
-	maxBody = 1 << 30
+	// maxBodyBytes bounds the decompressed body, so that a damaged file cannot exhaust memory.
+	maxBodyBytes = 1 << 30
 )
 
-// Sum is a snapshot's hash.
+// Sum is the BLAKE3 hash of a snapshot file.
 type Sum [32]byte
 
-// Snapshot is what the state service held at a generation, or what changed since the
-// snapshot before.
+// Snapshot is the store's content at a revision, or the changes since the previous
+// snapshot.
 type Snapshot struct {
 	Deployment string
 	replica.Head
 	At   time.Time
-	Base Sum // of the snapshot that this one continues; zero: it is whole
-	// Entries are sorted by key; one without data was removed.
+	Base Sum // of the previous snapshot, that the changes apply to; zero in a full snapshot
+	// Entries are sorted by key; nil data marks a removed key.
 	Entries []replica.Entry
 
 	Sum Sum // of the file; set by Encode and Decode
 }
 
-// Whole tells whether the snapshot stands by itself.
-func (s *Snapshot) Whole() bool { return s.Base == Sum{} }
+// IsFull reports whether the snapshot can be restored without a previous one.
+func (s *Snapshot) IsFull() bool { return s.Base == Sum{} }
 
-// Encode gives the file.
+// Encode returns the content of the snapshot's file and sets Sum.
 func (s *Snapshot) Encode() ([]byte, error) {
 	var body codec.Encoder
 	body.Uint(uint64(len(s.Entries)))
-	for _, x := range s.Entries {
-		body.Str(x.Key)
-		body.Bool(x.Data != nil)
-		if x.Data != nil {
-			body.Bytes(x.Data)
+	for _, entry := range s.Entries {
+		body.Str(entry.Key)
+		body.Bool(entry.Data != nil)
+		if entry.Data != nil {
+			body.Bytes(entry.Data)
 		}
 	}
-	z, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(256<<10))
+	compressor, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(256<<10))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer z.Close()
-	var e codec.Encoder
-	e.B = append(e.B, magic...)
-	e.B = append(e.B, version)
-	e.Str(s.Deployment)
-	e.Str(s.Incarnation)
-	for _, v := range []uint64{s.Epoch, s.Seq, s.Revision, uint64(s.Keys)} {
-		e.Uint(v)
-	}
-	e.Int(s.At.UnixMilli())
-	e.Bytes(s.Base[:])
-	e.Bytes(z.EncodeAll(body.B, nil))
-	s.Sum = blake3.Sum256(e.B)
-	return append(e.B, s.Sum[:]...), nil
+	defer compressor.Close()
+	var encoder codec.Encoder
+	encoder.B = append(encoder.B, magic...)
+	encoder.B = append(encoder.B, version)
+	encoder.Str(s.Deployment)
+	encoder.Str(s.Incarnation)
+	for _, value := range []uint64{s.Epoch, s.Seq, s.Revision, uint64(s.Keys)} {
+		encoder.Uint(value)
+	}
+	encoder.Int(s.At.UnixMilli())
+	encoder.Bytes(s.Base[:])
+	encoder.Bytes(compressor.EncodeAll(body.B, nil))
+	s.Sum = blake3.Sum256(encoder.B)
+	return append(encoder.B, s.Sum[:]...), nil
 }
 
-// Decode reads a file. The error says in which of the ways it is of no use.
-func Decode(b []byte) (*Snapshot, error) {
-	if len(b) < len(magic)+1 {
-		return nil, ErrCut
-	}
-	if string(b[:len(magic)]) != magic {
-		return nil, ErrKind
-	}
-	if v := b[len(magic)]; v != version {
-		return nil, fmt.Errorf("%w: %d", ErrVersion, v)
-	}
-	if len(b) < len(magic)+1+len(Sum{}) {
-		return nil, ErrCut
-	}
-	data := b[:len(b)-len(Sum{})]
-	s := &Snapshot{Sum: Sum(b[len(data):])}
-	intact := blake3.Sum256(data) == s.Sum
-	d := codec.Decoder{B: data[len(magic)+1:]}
-	s.Deployment, s.Incarnation = d.Str(), d.Str()
-	s.Epoch, s.Seq, s.Revision = d.Uint(), d.Uint(), d.Uint()
-	s.Keys = int(d.Uint())
-	s.At = time.UnixMilli(d.Int())
-	base, body := d.Bytes(), d.Bytes()
-	switch err := d.Done(); {
+// Decode reads the content of a file. If the file cannot be used, the error wraps
+// ErrTruncated, ErrNotSnapshot, ErrVersion or ErrDamaged.
+func Decode(contents []byte) (*Snapshot, error) {
+	if len(contents) < len(magic)+1 {
+		return nil, ErrTruncated
+	}
+	if string(contents[:len(magic)]) != magic {
+		return nil, ErrNotSnapshot
+	}
+	if fileVersion := contents[len(magic)]; fileVersion != version {
+		return nil, fmt.Errorf("%w: %d", ErrVersion, fileVersion)
+	}
+	if len(contents) < len(magic)+1+len(Sum{}) {
+		return nil, ErrTruncated
+	}
+	hashed := contents[:len(contents)-len(Sum{})]
+	s := &Snapshot{Sum: Sum(contents[len(hashed):])}
+	intact := blake3.Sum256(hashed) == s.Sum
+	decoder := codec.Decoder{B: hashed[len(magic)+1:]}
+	s.Deployment, s.Incarnation = decoder.Str(), decoder.Str()
+	s.Epoch, s.Seq, s.Revision = decoder.Uint(), decoder.Uint(), decoder.Uint()
+	s.Keys = int(decoder.Uint())
+	s.At = time.UnixMilli(decoder.Int())
+	base, body := decoder.Bytes(), decoder.Bytes()
+	switch err := decoder.Done(); {
 	case !intact && err != nil:
-		return nil, ErrCut
+		return nil, ErrTruncated
 	case !intact, err != nil, len(base) != len(s.Base):
 		return nil, ErrDamaged
 	}
 	s.Base = Sum(base)
-	z, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBody))
+	decompressor, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxBodyBytes))
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	defer z.Close()
-	raw, err := z.DecodeAll(body, nil)
+	defer decompressor.Close()
+	decompressed, err := decompressor.DecodeAll(body, nil)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
-	d = codec.Decoder{B: raw}
-	last := ""
-	for range d.Items() {
-		x := replica.Entry{Key: d.Str()}
-		if d.Bool() {
-			x.Data = d.Bytes()
+	decoder = codec.Decoder{B: decompressed}
+	lastKey := ""
+	for range decoder.Items() {
+		entry := replica.Entry{Key: decoder.Str()}
+		if decoder.Bool() {
+			entry.Data = decoder.Bytes()
 		}
-		if x.Key <= last || !replica.IsReplicated(x.Key) {
-			return nil, fmt.Errorf("%w: key %q", ErrDamaged, x.Key)
+		if entry.Key <= lastKey || !replica.IsReplicated(entry.Key) {
+			return nil, fmt.Errorf("%w: key %q", ErrDamaged, entry.Key)
 		}
-		last = x.Key
-		s.Entries = append(s.Entries, x)
+		lastKey = entry.Key
+		s.Entries = append(s.Entries, entry)
 	}
-	if err := d.Done(); err != nil {
+	if err := decoder.Done(); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrDamaged, err)
 	}
 	return s, nil
 }
 
-// Take makes a snapshot of a tree: of what changed since another, or whole if there is
-// none. It reads trees only, so whoever writes goes on.
-func Take(deployment string, head replica.Head, at time.Time, now, since *replica.Tree, base Sum) *Snapshot {
-	s := &Snapshot{Deployment: deployment, Head: head, At: at}
-	s.Keys = now.Len()
-	if since == nil {
-		now.Root().Walk(func(k, v []byte) bool {
-			s.Entries = append(s.Entries, replica.Entry{Key: string(k), Data: v})
+// Take makes a snapshot of the current tree: a full one if previous is nil, else one of the
+// changes since previous, whose file has the hash base. Trees are immutable, so writers are
+// not blocked.
+func Take(deployment string, head replica.Head, takenAt time.Time, current, previous *replica.Tree, base Sum) *Snapshot {
+	s := &Snapshot{Deployment: deployment, Head: head, At: takenAt}
+	s.Keys = current.Len()
+	if previous == nil {
+		current.Root().Walk(func(key, value []byte) bool {
+			s.Entries = append(s.Entries, replica.Entry{Key: string(key), Data: value})
 			return false
 		})
 		return s
 	}
 	s.Base = base
-	a, b := since.Root().Iterator(), now.Root().Iterator()
-	ka, va, oka := a.Next()
-	kb, vb, okb := b.Next()
-	for oka || okb {
-		switch c := bytes.Compare(ka, kb); {
-		case !okb || oka && c < 0:
-			s.Entries = append(s.Entries, replica.Entry{Key: string(ka)})
-			ka, va, oka = a.Next()
-		case !oka || c > 0:
-			s.Entries = append(s.Entries, replica.Entry{Key: string(kb), Data: vb})
-			kb, vb, okb = b.Next()
+	previousItems, currentItems := previous.Root().Iterator(), current.Root().Iterator()
+	previousKey, previousValue, previousOK := previousItems.Next()
+	currentKey, currentValue, currentOK := currentItems.Next()
+	for previousOK || currentOK {
+		switch order := bytes.Compare(previousKey, currentKey); {
+		case !currentOK || previousOK && order < 0:
+			s.Entries = append(s.Entries, replica.Entry{Key: string(previousKey)})
+			previousKey, previousValue, previousOK = previousItems.Next()
+		case !previousOK || order > 0:
+			s.Entries = append(s.Entries, replica.Entry{Key: string(currentKey), Data: currentValue})
+			currentKey, currentValue, currentOK = currentItems.Next()
 		default:
-			if !bytes.Equal(va, vb) {
-				s.Entries = append(s.Entries, replica.Entry{Key: string(kb), Data: vb})
+			if !bytes.Equal(previousValue, currentValue) {
+				s.Entries = append(s.Entries, replica.Entry{Key: string(currentKey), Data: currentValue})
 			}
-			ka, va, oka = a.Next()
-			kb, vb, okb = b.Next()
+			previousKey, previousValue, previousOK = previousItems.Next()
+			currentKey, currentValue, currentOK = currentItems.Next()
 		}
 	}
 	return s
 }
 
-// Onto gives what was held: the snapshot's entries over those of the one before.
-func (s *Snapshot) Onto(before *replica.Tree) *replica.Tree {
-	if before == nil {
-		before = iradix.New[[]byte]()
-	}
-	txn := before.Txn()
-	for _, x := range s.Entries {
-		if x.Data == nil {
-			txn.Delete([]byte(x.Key))
+// ApplyTo returns the tree that results from applying the snapshot's entries to that of the
+// previous snapshot, which is nil for a full one.
+func (s *Snapshot) ApplyTo(previous *replica.Tree) *replica.Tree {
+	if previous == nil {
+		previous = iradix.New[[]byte]()
+	}
+	txn := previous.Txn()
+	for _, entry := range s.Entries {
+		if entry.Data == nil {
+			txn.Delete([]byte(entry.Key))
 		} else {
-			txn.Insert([]byte(x.Key), x.Data)
+			txn.Insert([]byte(entry.Key), entry.Data)
 		}
 	}
 	return txn.Commit()
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -14,45 +14,46 @@
 	"rillflow/internal/replica"
 )
 
-func tree(kv ...string) *replica.Tree {
+func tree(keysAndValues ...string) *replica.Tree {
 	txn := iradix.New[[]byte]().Txn()
-	for i := 0; i < len(kv); i += 2 {
-		txn.Insert([]byte(kv[i]), []byte(kv[i+1]))
+	for i := 0; i < len(keysAndValues); i += 2 {
+		txn.Insert([]byte(keysAndValues[i]), []byte(keysAndValues[i+1]))
 	}
 	return txn.Commit()
 }
 
-func show(t *replica.Tree) string {
-	s := ""
-	t.Root().Walk(func(k, v []byte) bool { s += string(k) + "=" + string(v) + " "; return false })
-	return s
+// format returns the keys and values of a tree as one line.
+func format(tree *replica.Tree) string {
+	text := ""
+	tree.Root().Walk(func(key, value []byte) bool { text += string(key) + "=" + string(value) + " "; return false })
+	return text
 }
 
 var head = replica.Head{Incarnation: "h1", Epoch: 4, Seq: 9, Revision: 77}
 
-func file(t testing.TB, s *Snapshot) []byte {
-	b, err := s.Encode()
+func encode(t testing.TB, snapshot *Snapshot) []byte {
+	data, err := snapshot.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return data
 }
 
-// Every bit of a file counts, and so does its length.
-func TestTampered(t *testing.T) {
-	good := file(t, Take("a,b", head, time.UnixMilli(5), tree("c/r/0", `{"q":1}`, "j/r", `{"job":{}}`), nil, Sum{}))
-	s, err := Decode(good)
-	if err != nil || s.Head.Revision != 77 || s.Incarnation != "h1" || s.At.UnixMilli() != 5 || len(s.Entries) != 2 {
-		t.Fatalf("%+v, %v", s, err)
+// A file with any single bit flipped, or cut to any length, must be refused.
+func TestDecodeRefusesAlteredFile(t *testing.T) {
+	good := encode(t, Take("a,b", head, time.UnixMilli(5), tree("c/r/0", `{"q":1}`, "j/r", `{"job":{}}`), nil, Sum{}))
+	decoded, err := Decode(good)
+	if err != nil || decoded.Head.Revision != 77 || decoded.Incarnation != "h1" || decoded.At.UnixMilli() != 5 || len(decoded.Entries) != 2 {
+		t.Fatalf("decoded %+v, error %v", decoded, err)
 	}
 	for i := range good {
-		bad := slices.Clone(good)
-		bad[i] ^= 1 << (i % 8)
-		if _, err := Decode(bad); err == nil {
-			t.Fatalf("byte %d of %d may be changed", i, len(good))
+		altered := slices.Clone(good)
+		altered[i] ^= 1 << (i % 8)
+		if _, err := Decode(altered); err == nil {
+			t.Fatalf("accepted with byte %d of %d altered", i, len(good))
 		}
 		if _, err := Decode(good[:i]); err == nil {
-			t.Fatalf("cut to %d bytes it is taken", i)
+			t.Fatalf("accepted when cut to %d bytes", i)
 		}
 	}
 	for _, tc := range []struct {
@@ -60,20 +61,20 @@
 		data []byte
 		want error
 	}{
-		{"empty", nil, ErrCut},
-		{"half", good[:len(good)/2], ErrCut},
-		{"another kind", []byte("PK\x03\x04 and so on, for as long as it takes to have a hash"), ErrKind},
-		{"a later version", append([]byte(magic+"\x02"), good[len(magic)+1:]...), ErrVersion},
-		{"a changed byte", append(append(slices.Clone(good[:len(good)-40]), good[len(good)-40]^1), good[len(good)-39:]...), ErrDamaged},
+		{"empty", nil, ErrTruncated},
+		{"first half", good[:len(good)/2], ErrTruncated},
+		{"file of another kind", []byte("PK\x03\x04 and so on, for as long as it takes to have a hash"), ErrNotSnapshot},
+		{"later version", append([]byte(magic+"\x02"), good[len(magic)+1:]...), ErrVersion},
+		{"altered byte", append(append(slices.Clone(good[:len(good)-40]), good[len(good)-40]^1), good[len(good)-39:]...), ErrDamaged},
 	} {
 		if _, err := Decode(tc.data); !errors.Is(err, tc.want) {
-			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
+			t.Errorf("%s: got error %v, want %v", tc.name, err, tc.want)
 		}
 	}
 }
 
-// The newest state that can be put together, with each file that is of no use named.
-func TestFolder(t *testing.T) {
+// Load must restore the newest state that the usable files allow, and name every refused file.
+func TestLoadReturnsNewestRestorableState(t *testing.T) {
 	states := []*replica.Tree{
 		tree("j/a", "1"),
 		tree("j/a", "1", "j/b", "2"),
@@ -81,104 +82,104 @@
 		tree("d/a", "x", "j/b", "3", "j/c", "4"),
 		tree("d/a", "x", "d/b", "y", "j/c", "4"),
 	}
-	// Two steps follow a whole one: files 1 and 4 are whole.
+	// Two incremental snapshots follow a full one: files 1 and 4 are full.
 	for _, tc := range []struct {
 		name    string
-		harm    func(dir string, names []string)
-		want    int // state
+		corrupt func(dir string, names []string)
+		want    int // index in states; -1: none
 		refused []error
 	}{
-		{"in order", func(string, []string) {}, 4, nil},
-		{"the last is damaged", func(dir string, n []string) { damage(t, dir, n[4]) }, 3, []error{ErrDamaged}},
-		{"the last whole one is damaged", func(dir string, n []string) { damage(t, dir, n[3]) }, 2, []error{ErrDamaged}},
-		{"a step is cut short", func(dir string, n []string) { damage(t, dir, n[3]); cut(t, dir, n[2]) }, 1, []error{ErrCut, ErrDamaged}},
-		{"a step is missing", func(dir string, n []string) { damage(t, dir, n[3]); remove(t, dir, n[1]) }, 0, []error{ErrDamaged, ErrBase}},
-		{"one of another deployment among them", func(dir string, n []string) {
-			write(filepath.Join(dir, "000000000009-whole"+suffix), file(t, Take("others", head, time.Now(), tree("j/z", "9"), nil, Sum{})))
-		}, 4, []error{ErrForeign}},
-		{"a step of another chain", func(dir string, n []string) {
-			write(filepath.Join(dir, "000000000009-step"+suffix), file(t, Take("a,b", head, time.Now(), tree("j/z", "9"), tree(), Sum{1})))
+		{"intact", func(string, []string) {}, 4, nil},
+		{"last file damaged", func(dir string, names []string) { damage(t, dir, names[4]) }, 3, []error{ErrDamaged}},
+		{"last full snapshot damaged", func(dir string, names []string) { damage(t, dir, names[3]) }, 2, []error{ErrDamaged}},
+		{"incremental snapshot cut short", func(dir string, names []string) { damage(t, dir, names[3]); truncate(t, dir, names[2]) }, 1, []error{ErrTruncated, ErrDamaged}},
+		{"incremental snapshot missing", func(dir string, names []string) { damage(t, dir, names[3]); remove(t, dir, names[1]) }, 0, []error{ErrDamaged, ErrBase}},
+		{"snapshot of another deployment", func(dir string, names []string) {
+			writeAtomically(filepath.Join(dir, "000000000009-whole"+fileSuffix), encode(t, Take("others", head, time.Now(), tree("j/z", "9"), nil, Sum{})))
+		}, 4, []error{ErrOtherDeployment}},
+		{"incremental snapshot of another chain", func(dir string, names []string) {
+			writeAtomically(filepath.Join(dir, "000000000009-step"+fileSuffix), encode(t, Take("a,b", head, time.Now(), tree("j/z", "9"), tree(), Sum{1})))
 		}, 4, []error{ErrBase}},
-		{"nothing is of use", func(dir string, n []string) {
-			for _, f := range n {
-				cut(t, dir, f)
+		{"no usable file", func(dir string, names []string) {
+			for _, name := range names {
+				truncate(t, dir, name)
 			}
-		}, -1, []error{ErrCut, ErrCut, ErrCut, ErrCut, ErrCut}},
+		}, -1, []error{ErrTruncated, ErrTruncated, ErrTruncated, ErrTruncated, ErrTruncated}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			dir := t.TempDir()
-			f := &Folder{Dir: dir, Deployment: "a,b", IncrementalSnapshots: 2, FullSnapshots: 4}
+			folder := &Folder{Dir: dir, Deployment: "a,b", IncrementalSnapshots: 2, FullSnapshots: 4}
 			var names []string
-			for i, s := range states {
-				h := head
-				h.Revision += uint64(i)
-				n, err := f.Save(s, h, time.UnixMilli(int64(i)))
+			for i, state := range states {
+				stateHead := head
+				stateHead.Revision += uint64(i)
+				name, err := folder.Save(state, stateHead, time.UnixMilli(int64(i)))
 				if err != nil {
 					t.Fatal(err)
 				}
-				names = append(names, n)
+				names = append(names, name)
 			}
-			if n, err := f.Save(states[4], head, time.Now()); n != "" || err != nil {
-				t.Errorf("saved %q though nothing changed: %v", n, err)
+			if name, err := folder.Save(states[4], head, time.Now()); name != "" || err != nil {
+				t.Errorf("saved %q, error %v; want no file as nothing changed", name, err)
 			}
-			tc.harm(dir, names)
-			c, err := (&Folder{Dir: dir, Deployment: "a,b"}).Load()
+			tc.corrupt(dir, names)
+			chain, err := (&Folder{Dir: dir, Deployment: "a,b"}).Load()
 			if err != nil {
 				t.Fatal(err)
 			}
 			if tc.want < 0 {
-				if c.Last != nil {
-					t.Errorf("got %s", show(c.Tree))
+				if chain.Last != nil {
+					t.Errorf("got %s, want no state", format(chain.Tree))
 				}
-			} else if c.Last == nil || show(c.Tree) != show(states[tc.want]) || c.Last.Revision != head.Revision+uint64(tc.want) {
-				t.Errorf("got %v, want state %d", c.Files, tc.want)
+			} else if chain.Last == nil || format(chain.Tree) != format(states[tc.want]) || chain.Last.Revision != head.Revision+uint64(tc.want) {
+				t.Errorf("got a state from files %v, want state %d", chain.Files, tc.want)
 			}
-			if len(c.Refused) != len(tc.refused) {
-				t.Fatalf("refused %v, want %v", c.Refused, tc.refused)
+			if len(chain.Refused) != len(tc.refused) {
+				t.Fatalf("refused %v, want %v", chain.Refused, tc.refused)
 			}
-			for i, r := range c.Refused {
-				if !errors.Is(r.Err, tc.refused[i]) {
-					t.Errorf("%s is refused as %v, want %v", r.File, r.Err, tc.refused[i])
+			for i, refused := range chain.Refused {
+				if !errors.Is(refused.Err, tc.refused[i]) {
+					t.Errorf("%s refused with %v, want %v", refused.File, refused.Err, tc.refused[i])
 				}
 			}
 		})
 	}
 }
 
-// Only so many whole ones are kept, with what follows; a folder that was used before is
-// gone on with.
-func TestPrune(t *testing.T) {
+// Saving keeps the configured number of full snapshots with the incremental ones that follow
+// them. A new process continues the numbering of the files that it finds.
+func TestSavePrunesOldSnapshots(t *testing.T) {
 	dir := t.TempDir()
 	for run := range 3 {
-		f := &Folder{Dir: dir, Deployment: "a", IncrementalSnapshots: 1, FullSnapshots: 2}
-		for i := range 6 {
-			if _, err := f.Save(tree("j/a", fmt.Sprint(run, i)), head, time.Now()); err != nil {
+		folder := &Folder{Dir: dir, Deployment: "a", IncrementalSnapshots: 1, FullSnapshots: 2}
+		for round := range 6 {
+			if _, err := folder.Save(tree("j/a", fmt.Sprint(run, round)), head, time.Now()); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	es, err := os.ReadDir(dir)
-	if err != nil || len(es) != 4 {
-		t.Errorf("%d files, %v", len(es), err)
+	entries, err := os.ReadDir(dir)
+	if err != nil || len(entries) != 4 {
+		t.Errorf("%d files, error %v, want 4 files", len(entries), err)
 	}
-	c, err := (&Folder{Dir: dir, Deployment: "a"}).Load()
-	if err != nil || c.Tree == nil || show(c.Tree) != "j/a=2 5 " || len(c.Refused) > 0 {
-		t.Errorf("%+v, %v", c, err)
+	chain, err := (&Folder{Dir: dir, Deployment: "a"}).Load()
+	if err != nil || chain.Tree == nil || format(chain.Tree) != "j/a=2 5 " || len(chain.Refused) > 0 {
+		t.Errorf("loaded %+v, error %v, want the last saved state", chain, err)
 	}
 }
 
 func damage(t *testing.T, dir, name string) {
-	b, err := os.ReadFile(filepath.Join(dir, name))
+	data, err := os.ReadFile(filepath.Join(dir, name))
 	if err != nil {
 		t.Fatal(err)
 	}
-	b[len(b)-36] ^= 4
-	if err := os.WriteFile(filepath.Join(dir, name), b, 0o600); err != nil {
+	data[len(data)-36] ^= 4
+	if err := os.WriteFile(filepath.Join(dir, name), data, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func cut(t *testing.T, dir, name string) {
+func truncate(t *testing.T, dir, name string) {
 	if err := os.Truncate(filepath.Join(dir, name), 30); err != nil {
 		t.Fatal(err)
 	}
@@ -190,19 +191,20 @@
 	}
 }
 
-// Whatever a file holds, reading it neither fails nor takes what is not sound.
+// Decoding arbitrary bytes must not panic, and what it accepts must survive another encoding
+// and decoding.
 func FuzzDecode(f *testing.F) {
-	f.Add(file(f, Take("a", head, time.UnixMilli(1), tree("j/a", "1", "d/b", "2"), nil, Sum{})))
-	f.Add(file(f, Take("a", head, time.UnixMilli(1), tree("j/a", "2"), tree("j/a", "1", "j/b", "1"), Sum{1})))
+	f.Add(encode(f, Take("a", head, time.UnixMilli(1), tree("j/a", "1", "d/b", "2"), nil, Sum{})))
+	f.Add(encode(f, Take("a", head, time.UnixMilli(1), tree("j/a", "2"), tree("j/a", "1", "j/b", "1"), Sum{1})))
 	f.Add([]byte(magic))
-	f.Fuzz(func(t *testing.T, b []byte) {
-		s, err := Decode(b)
+	f.Fuzz(func(t *testing.T, data []byte) {
+		decoded, err := Decode(data)
 		if err != nil {
 			return
 		}
-		again, err := Decode(file(t, s))
-		if err != nil || len(again.Entries) != len(s.Entries) {
-			t.Fatalf("%v", err)
+		again, err := Decode(encode(t, decoded))
+		if err != nil || len(again.Entries) != len(decoded.Entries) {
+			t.Fatalf("decoded again: error %v", err)
 		}
 	})
 }
