--- a/internal/settings/controllers.go
+++ b/internal/settings/controllers.go
@@ -14,20 +14,20 @@
 	return names
 }
 
-// AnyInZone reports whether any other controller of those named is in a zone.
+// AnyInZone reports whether any of the named peers is in a zone.
 func (settings *Settings) AnyInZone(zone string, names []string) bool {
 	return slices.ContainsFunc(settings.Peers, func(peer Peer) bool {
 		return peer.Zone == zone && slices.Contains(names, peer.Name)
 	})
 }
 
-// HasControllerInZone reports whether any controller is in a zone.
+// HasControllerInZone reports whether any controller, this one included, is in a zone.
 func (settings *Settings) HasControllerInZone(zone string) bool {
 	return settings.Zone == zone || slices.ContainsFunc(settings.Peers, func(peer Peer) bool { return peer.Zone == zone })
 }
 
-// DeploymentName names the deployment by its controllers: a snapshot of one is of no use to
-// another.
+// DeploymentName identifies the deployment by the sorted names of its controllers. Snapshots
+// carry it, so that those of another deployment are refused.
 func (settings *Settings) DeploymentName() string {
 	names := []string{settings.Name}
 	for _, peer := range settings.Peers {
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -9,8 +9,9 @@
 	"rillflow/internal/goldentest"
 )
 
-// names lists the names of a type's fields as a format has them, with their kinds.
-func names(out *strings.Builder, format, under string, typ reflect.Type) {
+// fieldNames writes a line for each field of a type: its name in the format, which is a kind of
+// struct tag, and its kind.
+func fieldNames(out *strings.Builder, format, prefix string, typ reflect.Type) {
 	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice {
 		typ = typ.Elem()
 	}
@@ -18,31 +19,32 @@
 		return
 	}
 	for i := range typ.NumField() {
-		f := typ.Field(i)
-		if tag, tagged := f.Tag.Lookup(format); tag == "-" {
+		field := typ.Field(i)
+		if tag, tagged := field.Tag.Lookup(format); tag == "-" {
 			continue
 		} else if tagged {
-			fmt.Fprintf(out, "%s%s %s\n", under, tag, f.Type.Kind())
-			names(out, format, under+tag+" > ", f.Type)
-		} else if f.Anonymous {
-			names(out, format, under, f.Type)
+			fmt.Fprintf(out, "%s%s %s\n", prefix, tag, field.Type.Kind())
+			fieldNames(out, format, prefix+tag+" > ", field.Type)
+		} else if field.Anonymous {
+			fieldNames(out, format, prefix, field.Type)
 		} else {
-			fmt.Fprintf(out, "%suntagged %s\n", under, f.Name)
+			fmt.Fprintf(out, "%suntagged %s\n", prefix, field.Name)
 		}
 	}
 }
 
-// The settings of the platform and of the operators keep their names.
+// Renaming a setting would break the files of platforms and operators: all names must stay as
+// they are.
 func TestGoldenNames(t *testing.T) {
 	var out strings.Builder
-	names(&out, "toml", "", reflect.TypeFor[Settings]())
+	fieldNames(&out, "toml", "", reflect.TypeFor[Settings]())
 	goldentest.Check(t, "toml.txt", out.String())
 	out.Reset()
-	names(&out, "xml", "", reflect.TypeFor[Operator]())
+	fieldNames(&out, "xml", "", reflect.TypeFor[Operator]())
 	goldentest.Check(t, "xml.txt", out.String())
-	have, err := elementPaths(defaults)
+	paths, err := elementPaths(defaults)
 	if err != nil {
 		t.Fatal(err)
 	}
-	goldentest.Check(t, "defaults.txt", strings.Join(have, "\n")+"\n")
+	goldentest.Check(t, "defaults.txt", strings.Join(paths, "\n")+"\n")
 }
--- a/internal/settings/limits.go
+++ b/internal/settings/limits.go
@@ -6,12 +6,12 @@
 	WriteRPS float64 `toml:"write_rps" validate:"gt=0"`
 	ValueKB  float64 `toml:"value_kb" validate:"gte=1"`
 	TxnOps   int     `toml:"txn_ops" validate:"gte=4"`
-	// Announced are limits that the store will have from some moment on, without
-	// notice; nil if none are announced. A figure left out stays as it is.
+	// Announced are limits that come into force at an unknown time, without further
+	// notice; nil if none are announced. A limit that is left out (0) doesn't change.
 	Announced *AnnouncedStoreLimits `toml:"next"`
 }
 
-// AnnouncedStoreLimits are announced limits.
+// AnnouncedStoreLimits are future limits of the store; 0 leaves a limit as it is.
 type AnnouncedStoreLimits struct {
 	RPS      float64 `toml:"rps" validate:"omitempty,gt=0"`
 	WriteRPS float64 `toml:"write_rps" validate:"omitempty,gt=0"`
@@ -19,7 +19,8 @@
 	TxnOps   int     `toml:"txn_ops" validate:"omitempty,gte=4"`
 }
 
-// Lowest returns the limits that hold whether or not the announced ones are in force yet.
+// Lowest returns the lower of each current and announced limit, which is safe both before
+// and after the announced ones come into force.
 func (limits StoreLimits) Lowest() StoreLimits {
 	lowest := limits
 	lowest.Announced = nil
@@ -32,10 +33,10 @@
 	return lowest
 }
 
-// lowerLimit takes the smaller of two limits; 0 is none.
-func lowerLimit[T int | float64](limit *T, to T) {
-	if to > 0 {
-		*limit = min(*limit, to)
+// lowerLimit lowers a limit to an announced one, if that is set and smaller.
+func lowerLimit[T int | float64](limit *T, announced T) {
+	if announced > 0 {
+		*limit = min(*limit, announced)
 	}
 }
 
@@ -45,7 +46,7 @@
 	ListLagSeconds float64 `toml:"list_lag_s" validate:"gte=0"`
 }
 
-// ProcessLimits are what one controller's process may use.
+// ProcessLimits are the resource limits of one controller's process.
 type ProcessLimits struct {
 	CPUShare float64 `toml:"cpu_share" validate:"gt=0,lte=1e6"`
 	MemoryMB float64 `toml:"memory_mb" validate:"gt=0,lte=1e9"`
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -12,15 +12,17 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// OperatorFile is looked for beside the platform's settings file.
+// OperatorFile is the default name of the operators' file, in the directory of the platform's
+// settings file.
 const OperatorFile = "rillflow.xml"
 
-// ErrSettings says that the settings cannot be used. The rest of the error names the file
-// and, where one is at fault, the field.
+// ErrSettings is wrapped by every error of Load. The rest of the error names the file and,
+// if a single field is invalid, the field.
 var ErrSettings = errors.New("settings")
 
-// Load reads the settings at path and the operators' file beside it. An
-// operator file named by xml must exist; the one beside path need not.
+// Load reads the platform's settings at path and the operators' file at operatorPath. If
+// operatorPath is empty, OperatorFile in the directory of path is read if it exists. Relative
+// paths in the operators' file are resolved against its directory.
 func Load(path, operatorPath string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -30,12 +32,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("%w %s: %w", ErrSettings, path, err)
 	}
-	named := operatorPath != ""
-	if !named {
+	required := operatorPath != ""
+	if !required {
 		operatorPath = filepath.Join(filepath.Dir(path), OperatorFile)
 	}
 	operatorData, err := os.ReadFile(operatorPath)
-	if err != nil && (named || !errors.Is(err, fs.ErrNotExist)) {
+	if err != nil && (required || !errors.Is(err, fs.ErrNotExist)) {
 		return nil, fmt.Errorf("operator %w: %w", ErrSettings, err)
 	}
 	if settings.Operator, err = ParseOperator(operatorData); err != nil {
@@ -50,7 +52,7 @@
 	return settings, nil
 }
 
-// Parse reads and checks the platform's settings. Unknown fields are ignored.
+// Parse decodes and validates the platform's settings. Unknown fields are ignored.
 func Parse(data []byte) (*Settings, error) {
 	var settings Settings
 	if err := toml.Unmarshal(data, &settings); err != nil {
@@ -69,10 +71,10 @@
 	return &settings, settings.checkZones()
 }
 
-// checkZones returns an error for controllers that contradict the facts.
+// checkZones returns an error if the controllers contradict facts.size or facts.zones.
 func (settings *Settings) checkZones() error {
 	if settings.Facts.Size > 1 && len(settings.Peers) == 0 {
-		return fmt.Errorf("members: none are named, facts.size is %d", settings.Facts.Size)
+		return fmt.Errorf("members: none given, but facts.size is %d", settings.Facts.Size)
 	}
 	if len(settings.Facts.Zones) == 0 {
 		return nil
@@ -85,11 +87,12 @@
 	return nil
 }
 
+// firstError describes the first violation of a validation error by field, rule and value.
 func firstError(err error) error {
-	var ves validator.ValidationErrors
-	if errors.As(err, &ves) && len(ves) > 0 {
-		e := ves[0]
-		return fmt.Errorf("%s: must satisfy %s %s, is %v", e.Namespace(), e.Tag(), e.Param(), e.Value())
+	var violations validator.ValidationErrors
+	if errors.As(err, &violations) && len(violations) > 0 {
+		violation := violations[0]
+		return fmt.Errorf("%s: must satisfy %s %s, is %v", violation.Namespace(), violation.Tag(), violation.Param(), violation.Value())
 	}
 	return err
 }
--- a/internal/settings/objectives.go
+++ b/internal/settings/objectives.go
@@ -8,29 +8,30 @@
 	Class          string  `toml:"class"`
 	WithinSeconds  float64 `toml:"within_s"`
 	Share          float64 `toml:"share"`
-	DeadlineFactor float64 `toml:"times"` // of a deadline
+	DeadlineFactor float64 `toml:"times"` // multiple of the deadline within which jobs must finish
 }
 
-// Kinds of objectives that decide here.
+// Kinds of objectives that affect scaling ahead of demand.
 const (
 	objectiveDeadline = "deadline"
-	objectiveFinished = "finished" // within a time since submission
+	objectiveFinished = "finished" // within a time from submission
 	objectivePrice    = "price"
-	objectiveUseful   = "useful" // share of the money that is spent on useful work
+	objectiveUseful   = "useful" // share of the cost that is spent on useful work
 )
 
-// Values of the operators' setting on scaling out.
+// Values of Fleet.CostSaving that override the objectives.
 const (
 	thriftAlways = "always"
 	thriftNever  = "never"
 )
 
-// ScalesAhead reports whether to scale out ahead of a class's work rather than for what is on
-// hand: as the operator says, or else unless the objectives price what is rented, or give
-// the class deadlines, so that to be done sooner is worth nothing. An objective to be
-// finished within a time since submission counts as one more deadline where there is a
-// deadline too. A class that has neither goes with the rest: it is scaled for thriftily
-// where all classes with objectives have deadlines.
+// ScalesAhead reports whether to scale out ahead of a class's demand rather than only for
+// the jobs at hand. The operators' setting decides if it is always or never. Otherwise the
+// answer is no if an objective is about cost or if the class has a deadline objective, as
+// finishing earlier than the deadline then gains nothing. A class with both a deadline
+// objective and one for the time from submission to the end counts as one with a deadline; a
+// class with only the latter is scaled ahead for. A class with neither is scaled ahead for
+// too, unless deadline objectives exist and every class with a time objective has one.
 func (settings *Settings) ScalesAhead(class string) bool {
 	switch settings.Operator.Fleet.CostSaving {
 	case thriftAlways:
@@ -38,7 +39,7 @@
 	case thriftNever:
 		return true
 	}
-	var hasDeadline, wantedSoon, anyDeadline, anyWantedSoon bool
+	var hasDeadline, hasFinishTime, anyDeadline, anyFinishTimeOnly bool
 	for _, objective := range settings.Facts.Objectives {
 		switch objective.Kind {
 		case objectivePrice, objectiveUseful:
@@ -46,20 +47,20 @@
 		case objectiveDeadline:
 			anyDeadline, hasDeadline = true, hasDeadline || objective.Class == class
 		case objectiveFinished:
-			wantedSoon = wantedSoon || objective.Class == class
-			anyWantedSoon = anyWantedSoon || !settings.hasDeadlineObjective(objective.Class)
+			hasFinishTime = hasFinishTime || objective.Class == class
+			anyFinishTimeOnly = anyFinishTimeOnly || !settings.hasDeadlineObjective(objective.Class)
 		}
 	}
 	switch {
 	case hasDeadline:
 		return false
-	case wantedSoon:
+	case hasFinishTime:
 		return true
 	}
-	return !anyDeadline || anyWantedSoon
+	return !anyDeadline || anyFinishTimeOnly
 }
 
-// NeverScalesAhead reports whether no class at all is scaled out for ahead of its work.
+// NeverScalesAhead reports whether the fleet isn't scaled ahead of demand for any class.
 func (settings *Settings) NeverScalesAhead() bool {
 	scalesAhead := func(objective Objective) bool {
 		return objective.Class != "" && settings.ScalesAhead(objective.Class)
@@ -67,7 +68,7 @@
 	return !settings.ScalesAhead("") && !slices.ContainsFunc(settings.Facts.Objectives, scalesAhead)
 }
 
-// hasDeadlineObjective reports whether a class has an objective for its deadlines.
+// hasDeadlineObjective reports whether a class has a deadline objective.
 func (settings *Settings) hasDeadlineObjective(class string) bool {
 	return slices.ContainsFunc(settings.Facts.Objectives, func(objective Objective) bool {
 		return objective.Kind == objectiveDeadline && objective.Class == class
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -18,8 +18,8 @@
 //go:embed defaults.xml
 var defaults []byte
 
-// Operator are the operators' own settings. Each has a default in
-// defaults.xml, which also explains it.
+// Operator are the operators' settings. defaults.xml holds the default of each and describes
+// it with its unit.
 type Operator struct {
 	XMLName   xml.Name       `xml:"rillflow"`
 	Placement Placement      `xml:"placement"`
@@ -31,10 +31,11 @@
 	Recovery  Recovery       `xml:"rebuild"`
 }
 
-// Recovery are the settings of what is kept against a loss of data.
+// Recovery are the settings of the copies of the store that are kept for recovery from data
+// loss.
 type Recovery struct {
 	FinishedJobsMemory   float64 `xml:"ends" validate:"gte=0,lte=0.3"`
-	SnapshotFolder       string  `xml:"folder"` // from the operators' file on; "": no snapshots are kept
+	SnapshotFolder       string  `xml:"folder"` // relative to the operators' file; "": no snapshots are kept
 	SnapshotInterval     float64 `xml:"every" validate:"gt=0"`
 	IncrementalSnapshots int     `xml:"steps" validate:"gte=0,lte=1000"`
 	FullSnapshots        int     `xml:"wholes" validate:"gte=2"`
@@ -42,32 +43,32 @@
 
 // TLS are the settings of encrypted connections.
 type TLS struct {
-	Folder string `xml:"folder"` // of the certificates, from the operators' file on
+	Folder string `xml:"folder"` // of the certificates, relative to the operators' file
 	Front  string `xml:"front" validate:"oneof=off accept require"`
 	Peers  string `xml:"back" validate:"oneof=off accept prefer require"`
 }
 
-// Enabled tells whether any address has it.
-func (t *TLS) Enabled() bool { return t.Front != "off" || t.Peers != "off" }
+// Enabled reports whether TLS is on for any address.
+func (tls *TLS) Enabled() bool { return tls.Front != "off" || tls.Peers != "off" }
 
-// Access are the settings of identities, rights and the audit record.
+// Access are the settings of identities, rights and the audit log.
 type Access struct {
 	Identities    string  `xml:"identities" validate:"oneof=off on"`
 	Audit         string  `xml:"audit" validate:"oneof=off on"`
-	Keys          string  `xml:"keys"` // file, from the operators' file on
+	Keys          string  `xml:"keys"` // key ring's file, relative to the operators' file
 	CacheLifetime float64 `xml:"trust" validate:"gt=0"`
 	rights.Rules
 }
 
-// IdentitiesEnabled tells whether who asks is looked at.
-func (a *Access) IdentitiesEnabled() bool { return a.Identities == "on" }
+// IdentitiesEnabled reports whether callers are authenticated and the rules enforced.
+func (access *Access) IdentitiesEnabled() bool { return access.Identities == "on" }
 
-// AuditEnabled tells whether the record is kept.
-func (a *Access) AuditEnabled() bool { return a.Audit == "on" }
+// AuditEnabled reports whether the audit log is kept.
+func (access *Access) AuditEnabled() bool { return access.Audit == "on" }
 
-// Placement are the open parameters of the placement rule.
+// Placement are the parameters of the placement algorithm.
 type Placement struct {
-	Horizon    float64 `xml:"horizon" validate:"gte=149"` // the paper asks g >= e^5
+	Horizon    float64 `xml:"horizon" validate:"gte=149"` // the algorithm's paper requires g >= e^5
 	Bonus      float64 `xml:"bonus" validate:"gt=0"`
 	RunBound   float64 `xml:"run-bound" validate:"gte=1"`
 	Tick       float64 `xml:"tick" validate:"gt=0"`
@@ -76,12 +77,12 @@
 	TypeFields string  `xml:"type-fields" validate:"required"`
 }
 
-// Election are the settings of leadership.
+// Election are the settings of leader election.
 type Election struct {
 	LeaseRatio float64 `xml:"grant" validate:"gt=0,lt=0.5"`
 }
 
-// Fleet are the settings of renting.
+// Fleet are the settings of scaling: when cloud machines are rented and returned.
 type Fleet struct {
 	CostSaving       string  `xml:"thrift" validate:"oneof=auto always never"`
 	FailureTimeout   float64 `xml:"silence" validate:"gte=1.5"`
@@ -91,18 +92,18 @@
 	IdleTimeout      float64 `xml:"idle" validate:"gt=0"`
 }
 
-// ResourceRatios are ratios to the process's resources.
+// ResourceRatios are limits as ratios to the process's resources (ProcessLimits).
 type ResourceRatios struct {
 	Memory      float64 `xml:"memory" validate:"gt=0,lte=0.9"`
 	RefuseAbove float64 `xml:"refuse" validate:"gtfield=Memory,lte=0.95"`
 	Sockets     float64 `xml:"sockets" validate:"gt=0,lte=0.9"`
 }
 
-// typeFields are the job fields that an operator may make types of.
+// typeFields are the job fields that operators may build job types from.
 var typeFields = []string{"class", "owner", "bundle", "rank", "shape"}
 
-// ParseOperator lays an operator file over the defaults. Empty data gives the
-// defaults alone.
+// ParseOperator decodes and validates an operators' file; settings that it leaves out keep
+// their defaults. Empty data returns the defaults alone.
 func ParseOperator(data []byte) (Operator, error) {
 	var operator Operator
 	if err := xml.Unmarshal(defaults, &operator); err != nil {
@@ -112,7 +113,7 @@
 		if err := checkNames(data); err != nil {
 			return operator, err
 		}
-		operator.Access.Rules = rights.Rules{} // the defaults' are an example
+		operator.Access.Rules = rights.Rules{} // the rules in the defaults are only an example
 		if err := xml.Unmarshal(data, &operator); err != nil {
 			return operator, err
 		}
@@ -124,36 +125,36 @@
 	}
 	for _, field := range strings.Fields(operator.Placement.TypeFields) {
 		if !slices.Contains(typeFields, field) {
-			return operator, fmt.Errorf("type-fields: %q is none of %s", field, strings.Join(typeFields, ", "))
+			return operator, fmt.Errorf("type-fields: unknown field %q, must be one of %s", field, strings.Join(typeFields, ", "))
 		}
 	}
 	if operator.TLS.Enabled() && operator.TLS.Folder == "" {
-		return operator, errors.New("tls: <folder> is needed where it is on")
+		return operator, errors.New("tls: <folder> is required unless <front> and <back> are off")
 	}
 	if err := operator.Access.Check(); err != nil {
 		return operator, fmt.Errorf("access: %w", err)
 	}
 	if access := &operator.Access; (access.IdentitiesEnabled() || access.AuditEnabled()) && access.Keys == "" {
-		return operator, errors.New("access: <keys> is needed where identities or the audit record are on")
+		return operator, errors.New("access: <keys> is required if <identities> or <audit> is on")
 	}
 	if horizon := operator.Placement.Horizon; horizon < 8*operator.Placement.RunBound {
-		return operator, fmt.Errorf("horizon: %v is below 8 times run-bound", horizon)
+		return operator, fmt.Errorf("horizon: %v is less than 8 times run-bound", horizon)
 	}
 	return operator, nil
 }
 
-// checkNames refuses elements that the defaults do not have: a misspelt
-// setting would otherwise be passed over in silence.
+// checkNames returns an error for an element that the defaults don't have: a misspelt
+// setting would otherwise be ignored silently.
 func checkNames(data []byte) error {
 	known, err := elementPaths(defaults)
 	if err != nil {
 		return err
 	}
-	have, err := elementPaths(data)
+	paths, err := elementPaths(data)
 	if err != nil {
 		return err
 	}
-	for _, path := range have {
+	for _, path := range paths {
 		if !slices.Contains(known, path) {
 			return fmt.Errorf("unknown element <%s>", strings.ReplaceAll(path, "/", "> in <"))
 		}
@@ -161,14 +162,14 @@
 	return nil
 }
 
-// elementPaths lists the elements of a document, innermost name first.
+// elementPaths returns the path of each element of a document, innermost name first.
 func elementPaths(data []byte) ([]string, error) {
-	var stack, all []string
+	var stack, paths []string
 	decoder := xml.NewDecoder(bytes.NewReader(data))
 	for {
 		token, err := decoder.Token()
 		if errors.Is(err, io.EOF) {
-			return all, nil
+			return paths, nil
 		}
 		if err != nil {
 			return nil, err
@@ -176,12 +177,12 @@
 		switch element := token.(type) {
 		case xml.StartElement:
 			stack = append([]string{element.Name.Local}, stack...)
-			all = append(all, strings.Join(stack, "/"))
+			paths = append(paths, strings.Join(stack, "/"))
 		case xml.EndElement:
 			stack = stack[1:]
 		}
 	}
 }
 
-// Fields are the job fields that make a type.
-func (p Placement) Fields() []string { return strings.Fields(p.TypeFields) }
+// Fields returns the job fields whose values together make a job's type.
+func (placement Placement) Fields() []string { return strings.Fields(placement.TypeFields) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,14 +1,14 @@
-// Package settings reads what a controller is told at its start: the platform's TOML and
-// the operators' XML. Both are checked before anything starts.
+// Package settings loads a controller's configuration: the platform's TOML file and the
+// operators' XML file. Both are validated before anything starts.
 //
-// Settings never change after they are read, so every package reads them without a lock.
-// The names of the files stand in the struct tags. What follows from several of them, such
-// as whether to scale ahead of demand, is decided here and nowhere else.
+// Settings never change after they are loaded, so every package reads them without a lock.
+// The struct tags hold the names used in the files. Decisions that depend on several
+// settings, such as whether to scale ahead of demand, are made only here.
 package settings
 
 import "time"
 
-// Settings are everything a controller is told at its start.
+// Settings are the complete configuration of a controller.
 type Settings struct {
 	Name         string   `toml:"node_name" validate:"required"`
 	Zone         string   `toml:"location"`
@@ -33,7 +33,7 @@
 	Store string `toml:"state" validate:"required,hostname_port"`
 }
 
-// Facts are what is known of the deployment.
+// Facts are the platform's description of the deployment.
 type Facts struct {
 	Size             int           `toml:"size" validate:"gte=0"`
 	Zones            []string      `toml:"zones"`
@@ -46,7 +46,7 @@
 	Resources        ProcessLimits `toml:"resources"`
 }
 
-// Team is a team with its quota: what is guaranteed to it, and its limit.
+// Team is a team with its quota: guaranteed CPUs and GPUs, and the maximum of each.
 type Team struct {
 	Name    string  `toml:"name" validate:"required"`
 	CPUs    float64 `toml:"cpus" validate:"gte=0"`
@@ -55,29 +55,30 @@
 	GPUsMax float64 `toml:"gpus_max" validate:"gtefield=GPUs"`
 }
 
-// WorkerTimings are the times of the worker protocol, in seconds.
+// WorkerTimings are the intervals of the worker protocol.
 type WorkerTimings struct {
-	HeartbeatSeconds float64 `toml:"report_s" validate:"gt=0,lte=86400"` // up to a day; beyond, sums overflow
+	HeartbeatSeconds float64 `toml:"report_s" validate:"gt=0,lte=86400"` // a day at most: far larger values overflow sums of durations
 	LeaseSeconds     float64 `toml:"lease_s" validate:"gtfield=HeartbeatSeconds,lte=86400"`
 	CancelSeconds    float64 `toml:"cancel_s" validate:"gt=0,lte=86400"`
 }
 
-// WorkerLease is how long a worker keeps its tasks without an answer to a heartbeat.
+// WorkerLease returns how long a worker keeps running its tasks without an answer to a
+// heartbeat.
 func (settings *Settings) WorkerLease() time.Duration {
 	return Seconds(settings.Facts.Workers.LeaseSeconds)
 }
 
-// HeartbeatInterval is the interval of a worker's heartbeats.
+// HeartbeatInterval returns the interval between a worker's heartbeats.
 func (settings *Settings) HeartbeatInterval() time.Duration {
 	return Seconds(settings.Facts.Workers.HeartbeatSeconds)
 }
 
-// ClockError is how far the time of day may be off, either way.
+// ClockError returns the maximum error of the wall clock, in either direction.
 func (settings *Settings) ClockError() time.Duration {
 	return Seconds(settings.Facts.ClockErrorMillis / 1000)
 }
 
-// Team finds a team by name.
+// Team returns the team of that name, and whether there is one.
 func (settings *Settings) Team(name string) (Team, bool) {
 	for _, team := range settings.Facts.Teams {
 		if team.Name == name {
@@ -87,5 +88,5 @@
 	return Team{}, false
 }
 
-// Seconds converts an amount of seconds to a duration.
-func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
+// Seconds converts seconds to a duration.
+func Seconds(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
