--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -1,5 +1,5 @@
-// Package docs checks that the documents name the code as it is: every package path,
-// file, identifier and test that they mention must exist. It has tests only.
+// Package docs checks that the documents match the code: every package path, file,
+// identifier and test that they mention must exist. It contains only tests.
 package docs
 
 import (
@@ -16,28 +16,28 @@
 	"testing"
 )
 
-// root is the module's folder, from this one.
+// root is the module's directory, relative to this package.
 const root = "../.."
 
-// code is what is declared in the module.
-type code struct {
+// moduleIndex holds the names declared in the module.
+type moduleIndex struct {
 	packages map[string]bool // by name
 	declared map[string]bool // "package.Identifier" and "package.Type.Member"
 	tests    map[string]bool // tests and benchmarks, by name
 }
 
-// readCode parses all of the module's Go files.
-func readCode(t *testing.T) *code {
+// parseModule indexes the declarations of all Go files of the module.
+func parseModule(t *testing.T) *moduleIndex {
 	t.Helper()
-	c := &code{packages: map[string]bool{}, declared: map[string]bool{}, tests: map[string]bool{}}
+	index := &moduleIndex{packages: map[string]bool{}, declared: map[string]bool{}, tests: map[string]bool{}}
 	for _, dir := range []string{"cmd", "internal", "tools"} {
-		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, d fs.DirEntry, err error) error {
-			if err != nil || d.IsDir() || filepath.Ext(path) != ".go" {
+		err := filepath.WalkDir(filepath.Join(root, dir), func(path string, entry fs.DirEntry, err error) error {
+			if err != nil || entry.IsDir() || filepath.Ext(path) != ".go" {
 				return err
 			}
-			f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
+			file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 			if err == nil {
-				c.add(f, strings.HasSuffix(path, "_test.go"))
+				index.add(file, strings.HasSuffix(path, "_test.go"))
 			}
 			return err
 		})
@@ -45,65 +45,65 @@
 			t.Fatal(err)
 		}
 	}
-	return c
+	return index
 }
 
-func (c *code) add(f *ast.File, test bool) {
-	pkg := f.Name.Name
-	c.packages[pkg] = true
-	for _, decl := range f.Decls {
-		switch d := decl.(type) {
+func (index *moduleIndex) add(file *ast.File, isTestFile bool) {
+	pkg := file.Name.Name
+	index.packages[pkg] = true
+	for _, decl := range file.Decls {
+		switch decl := decl.(type) {
 		case *ast.FuncDecl:
-			name := d.Name.Name
-			if test && d.Recv == nil {
-				c.tests[name] = true
+			name := decl.Name.Name
+			if isTestFile && decl.Recv == nil {
+				index.tests[name] = true
 			}
-			if d.Recv != nil {
-				name = receiver(d.Recv.List[0].Type) + "." + name
+			if decl.Recv != nil {
+				name = receiverType(decl.Recv.List[0].Type) + "." + name
 			}
-			c.declared[pkg+"."+name] = true
+			index.declared[pkg+"."+name] = true
 		case *ast.GenDecl:
-			for _, spec := range d.Specs {
-				c.addSpec(pkg, spec)
+			for _, spec := range decl.Specs {
+				index.addSpec(pkg, spec)
 			}
 		}
 	}
 }
 
-func (c *code) addSpec(pkg string, spec ast.Spec) {
-	switch s := spec.(type) {
+func (index *moduleIndex) addSpec(pkg string, spec ast.Spec) {
+	switch spec := spec.(type) {
 	case *ast.ValueSpec:
-		for _, n := range s.Names {
-			c.declared[pkg+"."+n.Name] = true
+		for _, name := range spec.Names {
+			index.declared[pkg+"."+name.Name] = true
 		}
 	case *ast.TypeSpec:
-		c.declared[pkg+"."+s.Name.Name] = true
+		index.declared[pkg+"."+spec.Name.Name] = true
 		var members *ast.FieldList
-		switch typ := s.Type.(type) {
+		switch underlying := spec.Type.(type) {
 		case *ast.StructType:
-			members = typ.Fields
+			members = underlying.Fields
 		case *ast.InterfaceType:
-			members = typ.Methods
+			members = underlying.Methods
 		default:
 			return
 		}
-		for _, m := range members.List {
-			for _, n := range m.Names {
-				c.declared[pkg+"."+s.Name.Name+"."+n.Name] = true
+		for _, member := range members.List {
+			for _, name := range member.Names {
+				index.declared[pkg+"."+spec.Name.Name+"."+name.Name] = true
 			}
 		}
 	}
 }
 
-// receiver is the name of a method's type.
-func receiver(e ast.Expr) string {
-	switch e := e.(type) {
+// receiverType returns the name of a method's receiver type.
+func receiverType(expr ast.Expr) string {
+	switch expr := expr.(type) {
 	case *ast.StarExpr:
-		return receiver(e.X)
+		return receiverType(expr.X)
 	case *ast.IndexExpr:
-		return receiver(e.X)
+		return receiverType(expr.X)
 	case *ast.Ident:
-		return e.Name
+		return expr.Name
 	}
 	return ""
 }
@@ -117,37 +117,38 @@
 	statusPath = regexp.MustCompile(`^(?:leading|history)\.`) // fields of the status page
 )
 
-// faults lists what a document names that is not there.
-func (c *code) faults(text string) []string {
-	var out []string
-	for _, m := range quoted.FindAllStringSubmatch(fenced.ReplaceAllString(text, ""), -1) {
-		name := m[1]
+// faults lists the names in a document's text that don't exist in the module.
+func (index *moduleIndex) faults(text string) []string {
+	var faults []string
+	for _, match := range quoted.FindAllStringSubmatch(fenced.ReplaceAllString(text, ""), -1) {
+		name := match[1]
 		if pathForm.MatchString(name) {
 			if _, err := os.Stat(filepath.Join(root, name)); err != nil {
-				out = append(out, fmt.Sprintf("`%s`: no such path", name))
+				faults = append(faults, fmt.Sprintf("`%s`: no such path", name))
 			}
 			continue
 		}
-		id := identForm.FindStringSubmatch(name)
-		if id == nil || !c.packages[id[1]] || statusPath.MatchString(name) || c.declared[id[1]+id[2]] {
+		identifier := identForm.FindStringSubmatch(name)
+		if identifier == nil || !index.packages[identifier[1]] || statusPath.MatchString(name) || index.declared[identifier[1]+identifier[2]] {
 			continue
 		}
 		if _, err := os.Stat(filepath.Join(root, "docs", name)); err != nil {
-			out = append(out, fmt.Sprintf("`%s`: not declared", name))
+			faults = append(faults, fmt.Sprintf("`%s`: not declared", name))
 		}
 	}
 	for _, name := range testForm.FindAllString(text, -1) {
-		if !c.tests[name] {
-			out = append(out, name+": no such test")
+		if !index.tests[name] {
+			faults = append(faults, name+": no such test")
 		}
 	}
-	return out
+	return faults
 }
 
-// The documents that speak of the code as it is. What is under docs/incidents, and
-// docs/results.md, tell of days that were, with the names of then.
-func TestDocumentsNameTheCode(t *testing.T) {
-	c := readCode(t)
+// The documents on the current code must not name code that was renamed or removed. Those
+// in docs/incidents and docs/results.md are left out: they report past runs, with the names
+// used then.
+func TestDocumentsMatchTheCode(t *testing.T) {
+	index := parseModule(t)
 	files, err := filepath.Glob(filepath.Join(root, "docs", "*.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -160,14 +161,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, f := range c.faults(string(text)) {
-			t.Errorf("%s: %s", filepath.Base(path), f)
+		for _, fault := range index.faults(string(text)) {
+			t.Errorf("%s: %s", filepath.Base(path), fault)
 		}
 	}
 }
 
-// Every package is in the README's layout.
-func TestLayoutIsWhole(t *testing.T) {
+// A new package must be added to the layout table of the README.
+func TestReadmeListsEveryPackage(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "README.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -183,7 +184,7 @@
 				t.Fatal(err)
 			}
 			if name := filepath.ToSlash(rel); !strings.Contains(string(text), "| `"+name+"` |") {
-				t.Errorf("%s has no line in the layout", name)
+				t.Errorf("%s is missing from the README's layout table", name)
 			}
 		}
 	}
@@ -191,8 +192,8 @@
 
 var layerRow = regexp.MustCompile(`(?m)^\| (\d+) \| (.*) \|$`)
 
-// The layers of docs/architecture.md are those of the code: each package is in one, and
-// imports only from those below.
+// Every package must be in a layer of docs/architecture.md and import only packages of lower
+// layers.
 func TestLayers(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
 	if err != nil {
@@ -215,17 +216,17 @@
 			continue
 		}
 		name := "internal/" + filepath.Base(filepath.Dir(path))
-		f, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
+		file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ImportsOnly)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if layers[name] == 0 && name != "internal/sim" {
 			t.Errorf("%s is in no layer", name)
 		}
-		for _, imp := range f.Imports {
-			used, ours := strings.CutPrefix(strings.Trim(imp.Path.Value, `"`), "rillflow/")
-			if ours && layers[used] >= layers[name] {
-				t.Errorf("%s of layer %d imports %s of layer %d", name, layers[name], used, layers[used])
+		for _, spec := range file.Imports {
+			imported, inModule := strings.CutPrefix(strings.Trim(spec.Path.Value, `"`), "rillflow/")
+			if inModule && layers[imported] >= layers[name] {
+				t.Errorf("%s of layer %d imports %s of layer %d", name, layers[name], imported, layers[imported])
 			}
 		}
 	}
@@ -233,8 +234,8 @@
 
 var sectionForm = regexp.MustCompile(`docs/(\w+\.md), "([^"]+)"`)
 
-// A section that one document names in another is there.
-func TestSections(t *testing.T) {
+// A reference from one document to a section of another must not be broken.
+func TestSectionReferences(t *testing.T) {
 	var files []string
 	for _, pattern := range []string{"*.md", "docs/*.md", "docs/incidents/*.md"} {
 		found, err := filepath.Glob(filepath.Join(root, pattern))
@@ -248,51 +249,52 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		flat := strings.Join(strings.Fields(string(text)), " ")
-		for _, ref := range sectionForm.FindAllStringSubmatch(flat, -1) {
-			other, err := os.ReadFile(filepath.Join(root, "docs", ref[1]))
+		joined := strings.Join(strings.Fields(string(text)), " ")
+		for _, reference := range sectionForm.FindAllStringSubmatch(joined, -1) {
+			target, err := os.ReadFile(filepath.Join(root, "docs", reference[1]))
 			if err != nil {
 				t.Errorf("%s: %v", path, err)
 			}
-			heading, lead := "# "+ref[2]+"\n", "**"+ref[2]+".**"
-			if !strings.Contains(string(other), heading) && !strings.Contains(string(other), lead) {
-				t.Errorf("%s: docs/%s has no section %q", path, ref[1], ref[2])
+			heading, boldTitle := "# "+reference[2]+"\n", "**"+reference[2]+".**"
+			if !strings.Contains(string(target), heading) && !strings.Contains(string(target), boldTitle) {
+				t.Errorf("%s: docs/%s has no section %q", path, reference[1], reference[2])
 			}
 		}
 	}
 }
 
-// logged calls f with each message that a Go file logs at the level info or above.
-func logged(t *testing.T, path string, f func(message string)) {
+// visitLogMessages calls visit with each message that a Go file logs at the level info or above.
+func visitLogMessages(t *testing.T, path string, visit func(message string)) {
 	t.Helper()
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.SkipObjectResolution)
 	if err != nil {
 		t.Fatal(err)
 	}
-	ast.Inspect(file, func(n ast.Node) bool {
-		call, ok := n.(*ast.CallExpr)
+	ast.Inspect(file, func(node ast.Node) bool {
+		call, ok := node.(*ast.CallExpr)
 		if !ok || len(call.Args) == 0 {
 			return true
 		}
-		method, ok := call.Fun.(*ast.SelectorExpr)
-		literal, text := call.Args[0].(*ast.BasicLit)
-		if !ok || !text || literal.Kind != token.STRING {
+		selector, ok := call.Fun.(*ast.SelectorExpr)
+		literal, isLiteral := call.Args[0].(*ast.BasicLit)
+		if !ok || !isLiteral || literal.Kind != token.STRING {
 			return true
 		}
-		switch method.Sel.Name {
+		switch selector.Sel.Name {
 		case "Info", "Warn", "Error":
 			message, err := strconv.Unquote(literal.Value)
 			if err != nil {
 				t.Fatal(err)
 			}
-			f(message)
+			visit(message)
 		}
 		return true
 	})
 }
 
-// Every log message from the level info on is in docs/operations.md.
-func TestLogMessages(t *testing.T) {
+// Operators look up log messages in docs/operations.md, so it must list every one at the level
+// info or above.
+func TestLogMessagesAreDocumented(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join(root, "docs", "operations.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -307,7 +309,7 @@
 		if strings.HasSuffix(path, "_test.go") {
 			continue
 		}
-		logged(t, path, func(message string) {
+		visitLogMessages(t, path, func(message string) {
 			messages++
 			if !strings.Contains(section, "| `"+message+"` |") {
 				t.Errorf("%s logs %q, which docs/operations.md does not list", path, message)
@@ -315,24 +317,24 @@
 		})
 	}
 	if messages < 20 {
-		t.Errorf("%d messages found: the check shows nothing", messages)
+		t.Errorf("%d log messages found, want at least 20: the check misses some", messages)
 	}
 }
 
-// The check itself finds what is wrong.
-func TestFaultsAreFound(t *testing.T) {
-	c := readCode(t)
+// The check of the documents must find each kind of wrong name, or it would pass silently.
+func TestCheckFindsFaults(t *testing.T) {
+	index := parseModule(t)
 	for text, want := range map[string]int{
-		"`internal/docs` and `docs.code.faults` and `docs.root`, `docs.code.tests`": 0,
-		"`internal/nowhere`":               1,
-		"`docs.nothing`":                   1,
-		"`docs.code.nothing()`":            1,
-		"TestNothingOfTheKind":             1,
-		"TestFaultsAreFound, `other.Word`": 0,
-		"```\n`internal/nowhere`\n```":     0,
+		"`internal/docs` and `docs.moduleIndex.faults` and `docs.root`, `docs.moduleIndex.tests`": 0,
+		"`internal/nowhere`":                 1,
+		"`docs.nothing`":                     1,
+		"`docs.moduleIndex.nothing()`":       1,
+		"TestNothingOfTheKind":               1,
+		"TestCheckFindsFaults, `other.Word`": 0,
+		"```\n`internal/nowhere`\n```":       0,
 	} {
-		if got := c.faults(text); len(got) != want {
-			t.Errorf("%q: %q", text, got)
+		if got := index.faults(text); len(got) != want {
+			t.Errorf("%q: got faults %q, want %d", text, got, want)
 		}
 	}
 }
--- a/internal/goldentest/goldentest.go
+++ b/internal/goldentest/goldentest.go
@@ -1,9 +1,9 @@
-// Package goldentest compares what tests make with files under the package's
-// testdata/golden, so that nothing that other processes, versions or people read
-// changes unnoticed. It owns no state, and only test files may import it.
+// Package goldentest compares test output with golden files in the tested package's
+// testdata/golden, so that no format that other processes, other versions or people read
+// changes unnoticed. It holds no state, and only test files may import it.
 //
-// A file is written anew by `go test ./internal/<package> -run Golden -update`. To do
-// so is a change of a format: say in the commit who can read it from then on.
+// `go test ./internal/<package> -run Golden -update` rewrites a package's files. Doing so
+// changes a format: the commit must say which versions can still read it.
 package goldentest
 
 import (
@@ -22,26 +22,27 @@
 	"time"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// Folder is where a package's golden files are.
+// Folder is the directory of golden files, relative to the package.
 const Folder = "testdata/golden"
 
-// Check compares the text with the golden file of that name, line by line.
+// Check compares a text with the named golden file and reports each line that differs.
 func Check(t *testing.T, name, got string) {
 	t.Helper()
 	want := string(Read(t, name, func() []byte { return []byte(got) }))
 	if got == want {
 		return
 	}
-	have, expected := strings.Split(got, "\n"), strings.Split(want, "\n")
-	for i := range max(len(have), len(expected)) {
-		if h, w := lineAt(have, i), lineAt(expected, i); h != w {
-			t.Errorf("%s line %d is\n%s\nand must be\n%s", name, i+1, h, w)
+	gotLines, wantLines := strings.Split(got, "\n"), strings.Split(want, "\n")
+	for i := range max(len(gotLines), len(wantLines)) {
+		if gotLine, wantLine := lineAt(gotLines, i), lineAt(wantLines, i); gotLine != wantLine {
+			t.Errorf("%s line %d: got\n%s\nwant\n%s", name, i+1, gotLine, wantLine)
 		}
 	}
 }
 
+// lineAt returns a line, or a placeholder beyond the last one.
 func lineAt(lines []string, i int) string {
 	if i < len(lines) {
 		return lines[i]
@@ -49,16 +50,16 @@
 	return "(no line)"
 }
 
-// Read gives the golden file of that name. With -update it is first written with what
-// make returns.
-func Read(t *testing.T, name string, make func() []byte) []byte {
+// Read returns the content of the named golden file. With -update it first writes the
+// generated content to the file.
+func Read(t *testing.T, name string, generate func() []byte) []byte {
 	t.Helper()
 	path := filepath.Join(Folder, name)
 	if *update {
 		if err := os.MkdirAll(Folder, 0o755); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.WriteFile(path, make(), 0o644); err != nil {
+		if err := os.WriteFile(path, generate(), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -69,109 +70,111 @@
 	return data
 }
 
-// JSON gives the JSON text of a value, and checks that it reads back as the same value.
-func JSON[T any](t *testing.T, v T) string {
+// JSON returns a value as JSON and checks that decoding it yields an equal value.
+func JSON[T any](t *testing.T, value T) string {
 	t.Helper()
-	data, err := json.Marshal(v)
+	data, err := json.Marshal(value)
 	if err != nil {
 		t.Fatal(err)
 	}
-	var back T
-	if err := json.Unmarshal(data, &back); err != nil || !reflect.DeepEqual(back, v) {
-		t.Errorf("%s reads back as %+v, %v", data, back, err)
+	var decoded T
+	if err := json.Unmarshal(data, &decoded); err != nil || !reflect.DeepEqual(decoded, value) {
+		t.Errorf("%s decodes as %+v, error %v", data, decoded, err)
 	}
 	return string(data)
 }
 
-// Filled gives a value of which no field is zero: numbers, strings and times differ
-// from each other, lists and maps have one element.
+// Filled returns a value without zero fields, so that a test notices every field that isn't
+// encoded. Numbers, strings and times differ from each other; slices and maps have one
+// element.
 func Filled[T any]() T {
-	var v T
-	n := 0
-	fill(reflect.ValueOf(&v).Elem(), &n)
-	return v
+	var value T
+	count := 0
+	fill(reflect.ValueOf(&value).Elem(), &count)
+	return value
 }
 
-func fill(v reflect.Value, n *int) {
-	*n++
-	switch v.Interface().(type) {
+// fill sets a value and all exported fields below it; count makes the values differ.
+func fill(value reflect.Value, count *int) {
+	*count++
+	switch value.Interface().(type) {
 	case time.Time:
-		v.Set(reflect.ValueOf(time.Unix(1_764_600_000+int64(*n), 0).UTC()))
+		value.Set(reflect.ValueOf(time.Unix(1_764_600_000+int64(*count), 0).UTC()))
 		return
 	case json.RawMessage:
-		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, *n))
+		value.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, *count))
 		return
 	}
-	switch v.Kind() {
+	switch value.Kind() {
 	case reflect.Bool:
-		v.SetBool(true)
+		value.SetBool(true)
 	case reflect.String:
-		v.SetString(fmt.Sprintf("s%d", *n))
+		value.SetString(fmt.Sprintf("s%d", *count))
 	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
-		v.SetInt(int64(*n))
+		value.SetInt(int64(*count))
 	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
-		v.SetUint(uint64(*n))
+		value.SetUint(uint64(*count))
 	case reflect.Float32, reflect.Float64:
-		v.SetFloat(float64(*n) + 0.5)
+		value.SetFloat(float64(*count) + 0.5)
 	case reflect.Pointer:
-		v.Set(reflect.New(v.Type().Elem()))
-		fill(v.Elem(), n)
+		value.Set(reflect.New(value.Type().Elem()))
+		fill(value.Elem(), count)
 	case reflect.Slice:
-		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
-		fill(v.Index(0), n)
+		value.Set(reflect.MakeSlice(value.Type(), 1, 1))
+		fill(value.Index(0), count)
 	case reflect.Array:
-		for i := range v.Len() {
-			fill(v.Index(i), n)
+		for i := range value.Len() {
+			fill(value.Index(i), count)
 		}
 	case reflect.Map:
-		key, elem := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
-		fill(key, n)
-		fill(elem, n)
-		v.Set(reflect.MakeMap(v.Type()))
-		v.SetMapIndex(key, elem)
+		key, elem := reflect.New(value.Type().Key()).Elem(), reflect.New(value.Type().Elem()).Elem()
+		fill(key, count)
+		fill(elem, count)
+		value.Set(reflect.MakeMap(value.Type()))
+		value.SetMapIndex(key, elem)
 	case reflect.Struct:
-		for i := range v.NumField() {
-			if v.Type().Field(i).IsExported() {
-				fill(v.Field(i), n)
+		for i := range value.NumField() {
+			if value.Type().Field(i).IsExported() {
+				fill(value.Field(i), count)
 			}
 		}
 	}
 }
 
-// Recorder is an HTTP server that notes each request as a line, and answers {}.
+// Recorder is an HTTP server that records each request as a line and answers {}.
 type Recorder struct {
 	*httptest.Server
-	mu  sync.Mutex
-	out strings.Builder
+	mu    sync.Mutex
+	lines strings.Builder
 }
 
-// NewRecorder starts a recorder that runs as long as the test.
+// NewRecorder starts a recorder and stops it at the end of the test.
 func NewRecorder(t *testing.T) *Recorder {
 	t.Helper()
-	r := &Recorder{}
-	r.Server = httptest.NewServer(http.HandlerFunc(r.note))
-	t.Cleanup(r.Close)
-	return r
+	recorder := &Recorder{}
+	recorder.Server = httptest.NewServer(http.HandlerFunc(recorder.record))
+	t.Cleanup(recorder.Close)
+	return recorder
 }
 
-func (r *Recorder) note(w http.ResponseWriter, req *http.Request) {
+func (recorder *Recorder) record(w http.ResponseWriter, req *http.Request) {
 	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	fmt.Fprintf(&r.out, "%s %s %s\n", req.Method, req.URL, body)
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	fmt.Fprintf(&recorder.lines, "%s %s %s\n", req.Method, req.URL, body)
 	io.WriteString(w, "{}")
 }
 
-// Addr is the host and port that the recorder listens on.
-func (r *Recorder) Addr() string { return r.Listener.Addr().String() }
+// Addr returns the host and port that the recorder listens on.
+func (recorder *Recorder) Addr() string { return recorder.Listener.Addr().String() }
 
-// Requests gives a line for each request so far.
-func (r *Recorder) Requests() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.out.String()
+// Requests returns a line for each request so far: method, URL and body.
+func (recorder *Recorder) Requests() string {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	return recorder.lines.String()
 }
