--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -21,75 +21,81 @@
 	Export auditExportCmd `cmd:"" help:"Write the record to segments in a folder, to be kept elsewhere."`
 }
 
-// source is where a record is read from: segments in a folder, then the state service.
-type source struct {
-	files
+// auditSource is where the audit log is read from: exported segments first, then the store.
+type auditSource struct {
+	settingsFiles
 	Segments string `help:"A folder of exported segments, that come before what the state service has." placeholder:"DIR"`
 	Offline  bool   `help:"Read the segments alone."`
 }
 
-// faults are what was found wrong with a record.
+// faults are the errors found in an audit log.
 type faults []error
 
 func (f *faults) add(err error) { *f = append(*f, err) }
 
-// read goes through the record in order.
-func (s *source) read(ctx context.Context, d *desk, each func(*audit.Block)) (*audit.Verifier, faults, error) {
+// read verifies the audit log and calls visit for each valid block, oldest first.
+func (source *auditSource) read(
+	ctx context.Context, session *session, visit func(*audit.Block),
+) (*audit.Verifier, faults, error) {
 	var found faults
-	v := audit.NewVerifier(d.ring, audit.Head{})
-	if s.Segments != "" {
-		if err := segments(s.Segments, d.ring, v, each, &found); err != nil {
+	verifier := audit.NewVerifier(session.ring, audit.Head{})
+	if source.Segments != "" {
+		if err := readSegments(source.Segments, session.ring, verifier, visit, &found); err != nil {
 			return nil, nil, err
 		}
 	}
-	if s.Offline {
-		return v, found, nil
+	if source.Offline {
+		return verifier, found, nil
 	}
-	a, err := audit.Read(ctx, d.st, d.ring)
+	archive, err := audit.Read(ctx, session.store, session.ring)
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, f := range a.Found {
-		found.add(f)
+	for _, fault := range archive.Found {
+		found.add(fault)
 	}
-	if s.Segments == "" {
-		v = audit.NewVerifier(d.ring, a.Before)
-	} else if v.Head().Seq < a.Before.Seq {
+	if source.Segments == "" {
+		verifier = audit.NewVerifier(session.ring, archive.Before)
+	} else if verifier.Head().Seq < archive.Before.Seq {
 		found.add(fmt.Errorf("blocks %d to %d, trimmed after their export, are in no segment here: %w",
-			v.Head().Seq+1, a.Before.Seq, audit.ErrGap))
-		v = audit.NewVerifier(d.ring, a.Before)
+			verifier.Head().Seq+1, archive.Before.Seq, audit.ErrGap))
+		verifier = audit.NewVerifier(session.ring, archive.Before)
 	}
-	for _, raw := range a.Blocks {
-		if b, err := audit.Open(raw); err == nil && b.Seq <= v.Head().Seq && s.Segments != "" {
-			continue // exported, and not trimmed yet
+	for _, raw := range archive.Blocks {
+		if block, err := audit.Open(raw); err == nil && block.Seq <= verifier.Head().Seq && source.Segments != "" {
+			continue // already read from a segment: exported, but not trimmed yet
 		}
-		b, err := v.Add(raw)
+		block, err := verifier.Add(raw)
 		if err != nil {
 			found.add(err)
 			continue
 		}
-		each(b)
+		visit(block)
 	}
-	return v, found, nil
+	return verifier, found, nil
 }
 
-func segments(dir string, ring *keyring.Ring, v *audit.Verifier, each func(*audit.Block), found *faults) error {
+// readSegments verifies the segments in a directory and calls visit for each valid block. An
+// invalid segment is added to found, and reading continues with the next one.
+func readSegments(
+	dir string, ring *keyring.Ring, verifier *audit.Verifier, visit func(*audit.Block), found *faults,
+) error {
 	names, err := filepath.Glob(filepath.Join(dir, "*"+segmentSuffix))
 	if err != nil {
 		return err
 	}
 	slices.Sort(names)
-	for _, n := range names {
-		raw, err := os.ReadFile(n)
+	for _, name := range names {
+		raw, err := os.ReadFile(name)
 		if err != nil {
 			return err
 		}
-		s, err := audit.OpenSegment(ring, raw)
+		segment, err := audit.OpenSegment(ring, raw)
 		if err != nil {
-			found.add(fmt.Errorf("%s: %w", filepath.Base(n), err))
+			found.add(fmt.Errorf("%s: %w", filepath.Base(name), err))
 			continue
 		}
-		s.Follow(v, each, func(err error) { found.add(fmt.Errorf("%s: %w", filepath.Base(n), err)) })
+		segment.Follow(verifier, visit, func(err error) { found.add(fmt.Errorf("%s: %w", filepath.Base(name), err)) })
 	}
 	return nil
 }
@@ -97,93 +103,97 @@
 const segmentSuffix = ".rfseg"
 
 type auditVerifyCmd struct {
-	source
+	auditSource
 	Expect string `help:"A head that was written down, NUMBER:DIGEST: the record must contain it." placeholder:"HEAD"`
 }
 
 func (c *auditVerifyCmd) Run() error {
 	ctx := context.Background()
-	d, err := c.desk()
+	session, err := c.openSession()
 	if err != nil {
 		return err
 	}
-	var want audit.Head
+	var expected audit.Head
 	if c.Expect != "" {
-		if want, err = audit.ParseHead(c.Expect); err != nil {
+		if expected, err = audit.ParseHead(c.Expect); err != nil {
 			return err
 		}
 	}
-	// First what refers to the record: it goes on growing meanwhile.
-	key, last, err := c.referred(ctx, d)
+	// Read the reference before the log: the log grows meanwhile, and a block written after it
+	// was read would look like a missing one.
+	referringKey, newestBlock, err := c.newestReference(ctx, session)
 	if err != nil {
 		return err
 	}
-	h := audit.NewHistory()
-	began, met := time.Now(), c.Expect == ""
-	v, found, err := c.read(ctx, d, func(b *audit.Block) {
-		met = met || b.Head() == want
-		for _, e := range b.Entries {
-			h.Add(e)
+	history := audit.NewHistory()
+	start, headFound := time.Now(), c.Expect == ""
+	verifier, found, err := c.read(ctx, session, func(block *audit.Block) {
+		headFound = headFound || block.Head() == expected
+		for _, entry := range block.Entries {
+			history.Add(entry)
 		}
 	})
 	if err != nil {
 		return err
 	}
-	if !met {
+	if !headFound {
 		found.add(fmt.Errorf("the head %s is not in the record: it was cut off, or written anew", c.Expect))
 	}
-	// What jobs did is judged where all of it is there.
-	if whole := v.First() == 1 && len(found) == 0; whole {
-		for _, s := range h.Jobs {
-			for _, f := range s.Faults {
-				found.add(fmt.Errorf("job %s: %s", s.Job, f))
+	// Job histories can only be checked if the log is complete and valid.
+	if isComplete := verifier.First() == 1 && len(found) == 0; isComplete {
+		for _, job := range history.Jobs {
+			for _, fault := range job.Faults {
+				found.add(fmt.Errorf("job %s: %s", job.Job, fault))
 			}
 		}
 	} else {
 		fmt.Println("only the blocks were checked: what jobs did cannot be judged by a part of the record")
 	}
-	if last > v.Head().Seq {
-		found.add(fmt.Errorf("%s refers to block %d, and the record ends at %d: %w", key, last, v.Head().Seq, audit.ErrGap))
+	if newestBlock > verifier.Head().Seq {
+		found.add(fmt.Errorf("%s refers to block %d, and the record ends at %d: %w",
+			referringKey, newestBlock, verifier.Head().Seq, audit.ErrGap))
 	}
 	fmt.Printf(
-		"%d blocks, %d entries, %d jobs, in %v\nhead %s\n", v.Blocks(), h.Entries, len(h.Jobs),
-		time.Since(began).Round(time.Millisecond), v.Head(),
+		"%d blocks, %d entries, %d jobs, in %v\nhead %s\n", verifier.Blocks(), history.Entries, len(history.Jobs),
+		time.Since(start).Round(time.Millisecond), verifier.Head(),
 	)
-	if h.Missed > 0 {
-		fmt.Printf("%d entries tell that others were left out for lack of room: audit show --act missed\n", h.Missed)
+	if history.Missed > 0 {
+		fmt.Printf("%d entries tell that others were left out for lack of room: audit show --act missed\n", history.Missed)
 	}
 	if len(found) == 0 {
 		fmt.Println("sound")
 		return nil
 	}
-	for _, f := range found {
-		fmt.Println("FAULT", f)
+	for _, fault := range found {
+		fmt.Println("FAULT", fault)
 	}
-	return fmt.Errorf("%d faults", len(found))
+	return fmt.Errorf("audit log has %d faults", len(found))
 }
 
-// referred finds the newest block that a claim or an end refers to. Should the record
-// end before it, its newest blocks are gone.
-func (c *auditVerifyCmd) referred(ctx context.Context, d *desk) (key string, last uint64, err error) {
+// newestReference returns the newest block that a claim or an end record refers to, and the
+// key of that record. If the audit log ends before this block, its newest blocks are missing.
+func (c *auditVerifyCmd) newestReference(
+	ctx context.Context, session *session,
+) (key string, newestBlock uint64, err error) {
 	if c.Offline {
 		return "", 0, nil
 	}
-	for _, under := range []string{ledger.ChunkPrefix, ledger.EndedPrefix} {
-		items, _, err := d.st.List(ctx, under)
+	for _, prefix := range []string{ledger.ChunkPrefix, ledger.EndedPrefix} {
+		items, _, err := session.store.List(ctx, prefix)
 		if err != nil {
 			return "", 0, err
 		}
-		for _, it := range items {
-			if n := ledger.AuditBlockOf(it.Value); n > last {
-				key, last = it.Key, n
+		for _, item := range items {
+			if block := ledger.AuditBlockOf(item.Value); block > newestBlock {
+				key, newestBlock = item.Key, block
 			}
 		}
 	}
-	return key, last, nil
+	return key, newestBlock, nil
 }
 
 type auditShowCmd struct {
-	source
+	auditSource
 	Job   string    `help:"Of this job."`
 	Who   string    `help:"By this identity; anonymous for those without one."`
 	Host  string    `help:"Of this machine."`
@@ -192,42 +202,43 @@
 }
 
 func (c *auditShowCmd) Run() error {
-	d, err := c.desk()
+	session, err := c.openSession()
 	if err != nil {
 		return err
 	}
-	_, found, err := c.read(context.Background(), d, func(b *audit.Block) {
-		for _, e := range b.Entries {
-			if c.wants(&e) {
-				fmt.Printf("%8d  %s\n", b.Seq, e.Describe())
+	_, found, err := c.read(context.Background(), session, func(block *audit.Block) {
+		for _, entry := range block.Entries {
+			if c.matches(&entry) {
+				fmt.Printf("%8d  %s\n", block.Seq, entry.Describe())
 			}
 		}
 	})
 	if err != nil {
 		return err
 	}
-	for _, f := range found {
-		fmt.Println("FAULT", f)
+	for _, fault := range found {
+		fmt.Println("FAULT", fault)
 	}
 	if len(found) > 0 {
-		return errors.New("the record is not sound")
+		return errors.New("audit log has faults")
 	}
 	return nil
 }
 
-func (c *auditShowCmd) wants(e *audit.Entry) bool {
-	who := e.Actor
-	if who == "" && e.Controller != "" {
-		who = "anonymous"
-	}
-	onHost := e.Subject == c.Host || slices.ContainsFunc(e.Tasks, func(t audit.Task) bool { return t.Worker == c.Host })
-	return (c.Job == "" || e.Subject == c.Job || e.Purpose == c.Job) &&
-		(c.Who == "" || who == c.Who) && (c.Host == "" || onHost) &&
-		(c.Act == "" || strings.EqualFold(e.Action.String(), c.Act)) && !e.At.Before(c.Since)
+func (c *auditShowCmd) matches(entry *audit.Entry) bool {
+	actor := entry.Actor
+	if actor == "" && entry.Controller != "" {
+		actor = "anonymous"
+	}
+	onHost := entry.Subject == c.Host ||
+		slices.ContainsFunc(entry.Tasks, func(task audit.Task) bool { return task.Worker == c.Host })
+	return (c.Job == "" || entry.Subject == c.Job || entry.Purpose == c.Job) &&
+		(c.Who == "" || actor == c.Who) && (c.Host == "" || onHost) &&
+		(c.Act == "" || strings.EqualFold(entry.Action.String(), c.Act)) && !entry.At.Before(c.Since)
 }
 
 type auditExportCmd struct {
-	files
+	settingsFiles
 	Dir    string `arg:"" help:"The folder; segments that are there are gone on from."`
 	Blocks int    `default:"4096" help:"Blocks in a segment at most."`
 	Trim   bool   `help:"Then remove what was exported from the state service, the newest block aside."`
@@ -235,80 +246,82 @@
 
 func (c *auditExportCmd) Run() error {
 	ctx := context.Background()
-	d, err := c.desk()
+	session, err := c.openSession()
 	if err != nil {
 		return err
 	}
 	if c.Blocks < 1 {
-		return errors.New("a segment has at least one block")
+		return errors.New("--blocks must be at least 1")
 	}
 	if err := os.MkdirAll(c.Dir, 0o700); err != nil {
 		return err
 	}
 	var found faults
-	v := audit.NewVerifier(d.ring, audit.Head{})
-	if err := segments(c.Dir, d.ring, v, func(*audit.Block) {}, &found); err != nil {
+	verifier := audit.NewVerifier(session.ring, audit.Head{})
+	if err := readSegments(c.Dir, session.ring, verifier, func(*audit.Block) {}, &found); err != nil {
 		return err
 	}
 	if len(found) > 0 {
-		return fmt.Errorf("the segments that are there are not sound: %w", found[0])
+		return fmt.Errorf("existing segments have faults: %w", found[0])
 	}
-	a, err := audit.Read(ctx, d.st, d.ring)
+	archive, err := audit.Read(ctx, session.store, session.ring)
 	if err != nil {
 		return err
 	}
-	if len(a.Found) > 0 {
-		return fmt.Errorf("not exported: %w", a.Found[0])
+	if len(archive.Found) > 0 {
+		return fmt.Errorf("audit log not exported: %w", archive.Found[0])
 	}
-	if v.Blocks() == 0 {
-		v = audit.NewVerifier(d.ring, a.Before)
+	if verifier.Blocks() == 0 {
+		verifier = audit.NewVerifier(session.ring, archive.Before)
 	}
-	n := 0
-	seg := audit.Segment{Before: v.Head()}
-	for i, raw := range a.Blocks {
-		if b, err := audit.Open(raw); err == nil && b.Seq <= v.Head().Seq {
+	exported := 0
+	segment := audit.Segment{Before: verifier.Head()}
+	for i, raw := range archive.Blocks {
+		if block, err := audit.Open(raw); err == nil && block.Seq <= verifier.Head().Seq {
 			continue
 		}
-		if _, err := v.Add(raw); err != nil {
-			return fmt.Errorf("not exported: %w", err)
+		if _, err := verifier.Add(raw); err != nil {
+			return fmt.Errorf("audit log not exported: %w", err)
 		}
-		seg.Blocks, seg.Last = append(seg.Blocks, raw), v.Head()
-		if len(seg.Blocks) == c.Blocks || i == len(a.Blocks)-1 {
-			if err := c.write(d.ring, &seg); err != nil {
+		segment.Blocks, segment.Last = append(segment.Blocks, raw), verifier.Head()
+		if len(segment.Blocks) == c.Blocks || i == len(archive.Blocks)-1 {
+			if err := c.writeSegment(session.ring, &segment); err != nil {
 				return err
 			}
-			n += len(seg.Blocks)
-			seg = audit.Segment{Before: v.Head()}
+			exported += len(segment.Blocks)
+			segment = audit.Segment{Before: verifier.Head()}
 		}
 	}
-	fmt.Printf("%d blocks exported, up to %s\n", n, v.Head())
+	fmt.Printf("%d blocks exported, up to %s\n", exported, verifier.Head())
 	if !c.Trim {
 		return nil
 	}
-	removed, err := a.Trim(ctx, d.st, d.ring, v.Head().Seq, d.set.Facts.Store.Lowest().TxnOps)
+	removed, err := archive.Trim(ctx, session.store, session.ring, verifier.Head().Seq,
+		session.settings.Facts.Store.Lowest().TxnOps)
 	fmt.Printf("%d blocks removed from the state service\n", removed)
 	return err
 }
 
-// write writes a segment and reads it back: what it has may then be removed elsewhere.
-func (c *auditExportCmd) write(ring *keyring.Ring, s *audit.Segment) error {
-	raw, err := s.Encode(ring)
+// writeSegment writes a segment to its file and verifies the file, as the exported blocks may
+// then be removed from the store.
+func (c *auditExportCmd) writeSegment(ring *keyring.Ring, segment *audit.Segment) error {
+	raw, err := segment.Encode(ring)
 	if err != nil {
 		return err
 	}
-	name := filepath.Join(c.Dir, fmt.Sprintf("%016d-%016d%s", s.Before.Seq+1, s.Last.Seq, segmentSuffix))
-	f, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	name := filepath.Join(c.Dir, fmt.Sprintf("%016d-%016d%s", segment.Before.Seq+1, segment.Last.Seq, segmentSuffix))
+	file, err := os.OpenFile(name, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(raw)
-	if err = errors.Join(err, f.Sync(), f.Close()); err != nil {
+	_, err = file.Write(raw)
+	if err = errors.Join(err, file.Sync(), file.Close()); err != nil {
 		return err
 	}
-	back, err := os.ReadFile(name)
+	stored, err := os.ReadFile(name)
 	if err != nil {
 		return err
 	}
-	_, err = audit.OpenSegment(ring, back)
+	_, err = audit.OpenSegment(ring, stored)
 	return err
 }
--- a/cmd/rillflow/golden_test.go
+++ b/cmd/rillflow/golden_test.go
@@ -10,29 +10,29 @@
 	"rillflow/internal/goldentest"
 )
 
-// Verbs, arguments and flags keep their names, defaults and environment variables. Most
-// of the names are those of Go fields.
+// Scripts depend on the names, defaults and environment variables of commands, arguments and
+// flags. Most of the names come from Go fields, so that renaming a field could change them.
 func TestGoldenCommandLine(t *testing.T) {
-	var c cli
-	k, err := kong.New(&c, kong.Name("rillflow"))
+	var commands cli
+	parser, err := kong.New(&commands, kong.Name("rillflow"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out strings.Builder
-	var walk func(n *kong.Node)
-	walk = func(n *kong.Node) {
-		fmt.Fprintf(&out, "%s\n", n.FullPath())
-		for _, v := range n.Positional {
-			fmt.Fprintf(&out, "  <%s> required %v, default %q\n", v.Name, v.Required, v.Default)
+	var walk func(node *kong.Node)
+	walk = func(node *kong.Node) {
+		fmt.Fprintf(&out, "%s\n", node.FullPath())
+		for _, argument := range node.Positional {
+			fmt.Fprintf(&out, "  <%s> required %v, default %q\n", argument.Name, argument.Required, argument.Default)
 		}
-		for _, f := range n.Flags {
+		for _, flag := range node.Flags {
 			fmt.Fprintf(&out, "  --%s %s required %v, default %q, environment %q, placeholder %q\n",
-				f.Name, f.Target.Kind(), f.Required, f.Default, f.Envs, f.PlaceHolder)
+				flag.Name, flag.Target.Kind(), flag.Required, flag.Default, flag.Envs, flag.PlaceHolder)
 		}
-		for _, child := range n.Children {
+		for _, child := range node.Children {
 			walk(child)
 		}
 	}
-	walk(k.Model.Node)
+	walk(parser.Model.Node)
 	goldentest.Check(t, "commandline.txt", out.String())
 }
--- a/cmd/rillflow/main.go
+++ b/cmd/rillflow/main.go
@@ -1,5 +1,6 @@
-// Command rillflow is a cluster scheduler. `rillflow serve` runs one
-// controller; the other verbs look at settings and at a running controller.
+// Command rillflow is a cluster scheduler. `rillflow serve` runs one controller; the other
+// commands check settings, show a running controller's state, and manage the audit log,
+// identities, keys and snapshots.
 package main
 
 import (
@@ -36,41 +37,42 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
-type files struct {
+// settingsFiles are the flags of the commands that load settings.
+type settingsFiles struct {
 	Config   string `required:"" help:"The platform's settings file (TOML)." placeholder:"FILE"`
 	Operator string `help:"The operators' settings file (XML). Default: rillflow.xml beside the platform's file, if there." placeholder:"FILE"`
 }
 
-type serveCmd struct{ files }
+type serveCmd struct{ settingsFiles }
 
 func (c *serveCmd) Run() error {
-	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level(os.Getenv("LOG_LEVEL"))}))
-	set, err := settings.Load(c.Config, c.Operator)
+	log := slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: logLevel(os.Getenv("LOG_LEVEL"))}))
+	config, err := settings.Load(c.Config, c.Operator)
 	if err != nil {
 		return err
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// The garbage collector works harder near this goal, well before the
-	// platform ends the process.
-	debug.SetMemoryLimit(int64(set.Operator.Limits.Memory * set.Facts.Resources.MemoryMB * (1 << 20)))
-	err = serve.Run(ctx, set, serve.TCP(set.HeartbeatInterval()), log.With("node", set.Name))
+	// Near this limit the garbage collector runs more often, well before the platform kills the
+	// process for its memory use.
+	debug.SetMemoryLimit(int64(config.Operator.Limits.Memory * config.Facts.Resources.MemoryMB * (1 << 20)))
+	err = serve.Run(ctx, config, serve.TCP(config.HeartbeatInterval()), log.With("node", config.Name))
 	if err != nil && ctx.Err() == nil {
 		return err
 	}
 	return nil
 }
 
-type checkCmd struct{ files }
+type checkCmd struct{ settingsFiles }
 
 func (c *checkCmd) Run() error {
-	set, err := settings.Load(c.Config, c.Operator)
+	config, err := settings.Load(c.Config, c.Operator)
 	if err != nil {
 		return err
 	}
 	fmt.Printf(
-		"ok: %s of %d controllers, %d teams, frugal: %v\n", set.Name, 1+len(set.Peers),
-		len(set.Facts.Teams), set.NeverScalesAhead(),
+		"ok: %s of %d controllers, %d teams, frugal: %v\n", config.Name, 1+len(config.Peers),
+		len(config.Facts.Teams), config.NeverScalesAhead(),
 	)
 	return nil
 }
@@ -90,38 +92,38 @@
 		}
 		pool := x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return fmt.Errorf("%s holds no certificate", c.CA)
+			return fmt.Errorf("%s contains no PEM certificate", c.CA)
 		}
 		scheme, client.Transport = "https", &http.Transport{
 			TLSClientConfig: &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS13},
 		}
 	}
-	req, err := http.NewRequest(http.MethodGet, scheme+"://"+c.Addr+"/operator/status", nil)
+	request, err := http.NewRequest(http.MethodGet, scheme+"://"+c.Addr+"/operator/status", nil)
 	if err != nil {
 		return err
 	}
 	if c.Token != "" {
-		req.Header.Set("Authorization", "Bearer "+c.Token)
+		request.Header.Set("Authorization", "Bearer "+c.Token)
 	}
-	res, err := client.Do(req)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, 16<<20))
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, 16<<20))
 	if err != nil {
 		return err
 	}
-	if res.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %s", res.Status)
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("controller answered with status %s", response.Status)
 	}
-	var v any
-	if err := json.Unmarshal(body, &v); err != nil {
+	var status any
+	if err := json.Unmarshal(body, &status); err != nil {
 		return err
 	}
-	enc := json.NewEncoder(os.Stdout)
-	enc.SetIndent("", "  ")
-	return enc.Encode(v)
+	encoder := json.NewEncoder(os.Stdout)
+	encoder.SetIndent("", "  ")
+	return encoder.Encode(status)
 }
 
 type versionCmd struct{}
@@ -131,8 +133,8 @@
 	return nil
 }
 
-func level(s string) slog.Level {
-	switch s {
+func logLevel(name string) slog.Level {
+	switch name {
 	case "debug":
 		return slog.LevelDebug
 	case "error":
@@ -142,14 +144,14 @@
 }
 
 func main() {
-	var c cli
-	k := kong.Parse(&c, kong.Name("rillflow"),
+	var commands cli
+	parsed := kong.Parse(&commands, kong.Name("rillflow"),
 		kong.Description("A cluster scheduler: MaxWeight placement with learned rates."), kong.UsageOnError(),
-		kong.Exit(func(code int) { os.Exit(min(code, 2)) })) // 2: the command line is wrong
-	if err := k.Run(); err != nil {
+		kong.Exit(func(code int) { os.Exit(min(code, 2)) })) // 2: invalid command line
+	if err := parsed.Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "rillflow:", err)
 		if errors.Is(err, settings.ErrSettings) {
-			os.Exit(2) // as for a wrong command line: to start it again is of no use
+			os.Exit(2) // as for an invalid command line: a restart would fail again
 		}
 		os.Exit(1)
 	}
--- a/cmd/rillflow/snapshot.go
+++ b/cmd/rillflow/snapshot.go
@@ -25,54 +25,54 @@
 }
 
 type snapshotSaveCmd struct {
-	files
+	settingsFiles
 	Dir string `arg:"" help:"The folder; a new whole snapshot is added to it."`
 }
 
 func (c *snapshotSaveCmd) Run() error {
-	set, err := settings.Load(c.Config, c.Operator)
+	config, err := settings.Load(c.Config, c.Operator)
 	if err != nil {
 		return err
 	}
-	d := net.Dialer{Timeout: set.HeartbeatInterval()}
-	least := set.Facts.Store
-	st := kvstore.New(kvstore.Options{
-		Addr: set.Services.Store, RequestsPerSecond: least.RPS / 8,
-		Limits:  kvstore.Limits{WritesPerSecond: 1, MaxValueBytes: int(least.ValueKB * 1024)},
-		Timeout: 2 * set.HeartbeatInterval(), Dial: d.DialContext,
+	dialer := net.Dialer{Timeout: config.HeartbeatInterval()}
+	limits := config.Facts.Store
+	store := kvstore.New(kvstore.Options{
+		Addr: config.Services.Store, RequestsPerSecond: limits.RPS / 8,
+		Limits:  kvstore.Limits{WritesPerSecond: 1, MaxValueBytes: int(limits.ValueKB * 1024)},
+		Timeout: 2 * config.HeartbeatInterval(), Dial: dialer.DialContext,
 	})
-	ctx, cancel := context.WithTimeout(context.Background(), 10*set.WorkerLease())
+	ctx, cancel := context.WithTimeout(context.Background(), 10*config.WorkerLease())
 	defer cancel()
-	tree, head, err := replica.ReadStore(ctx, st)
+	tree, head, err := replica.ReadStore(ctx, store)
 	if err != nil {
 		return err
 	}
-	f := snapshot.Folder{
-		Dir: c.Dir, Deployment: set.DeploymentName(),
-		FullSnapshots: max(2, set.Operator.Recovery.FullSnapshots),
+	folder := snapshot.Folder{
+		Dir: c.Dir, Deployment: config.DeploymentName(),
+		FullSnapshots: max(2, config.Operator.Recovery.FullSnapshots),
 	}
-	name, err := f.Save(tree, head, time.Now())
+	name, err := folder.Save(tree, head, time.Now())
 	if err != nil {
 		return err
 	}
 	fmt.Printf(
 		"saved %s: generation %d, epoch %d, %s\n", filepath.Join(c.Dir, name), head.Revision, head.Epoch,
-		counts(tree),
+		countsByKind(tree),
 	)
 	return nil
 }
 
-// counts tells how much a tree holds.
-func counts(t *replica.Tree) string {
-	n := map[string]int{}
-	t.Root().Walk(func(k, _ []byte) bool {
-		p, _, _ := bytes.Cut(k, []byte("/"))
-		n[string(p)+"/"]++
+// countsByKind describes how many live jobs, claim chunks and end records a tree holds.
+func countsByKind(tree *replica.Tree) string {
+	counts := map[string]int{}
+	tree.Root().Walk(func(key, _ []byte) bool {
+		prefix, _, _ := bytes.Cut(key, []byte("/"))
+		counts[string(prefix)+"/"]++
 		return false
 	})
 	return fmt.Sprintf(
-		"%d jobs alive, %d chunks of claims, %d ends", n[ledger.LivePrefix], n[ledger.ChunkPrefix],
-		n[ledger.EndedPrefix],
+		"%d jobs alive, %d chunks of claims, %d ends", counts[ledger.LivePrefix], counts[ledger.ChunkPrefix],
+		counts[ledger.EndedPrefix],
 	)
 }
 
@@ -82,35 +82,37 @@
 }
 
 func (c *snapshotVerifyCmd) Run() error {
-	ch, err := load(c.Dir, c.Config)
+	chain, err := loadChain(c.Dir, c.Config)
 	if err != nil {
 		return err
 	}
-	for _, r := range ch.Refused {
-		fmt.Printf("%s: refused: %v\n", r.File, r.Err)
+	for _, refused := range chain.Refused {
+		fmt.Printf("%s: refused: %v\n", refused.File, refused.Err)
 	}
-	if ch.Last == nil {
-		return errors.New("no snapshot is of use")
+	if chain.Last == nil {
+		return errors.New("no usable snapshot")
 	}
 	fmt.Printf("state of %s (generation %d, epoch %d, history %s) from %s: %s\n",
-		ch.Last.At.UTC().Format(time.RFC3339), ch.Last.Revision, ch.Last.Epoch, ch.Last.Incarnation,
-		strings.Join(ch.Files, ", "), counts(ch.Tree))
-	if len(ch.Refused) > 0 {
-		return fmt.Errorf("%d snapshots refused", len(ch.Refused))
+		chain.Last.At.UTC().Format(time.RFC3339), chain.Last.Revision, chain.Last.Epoch, chain.Last.Incarnation,
+		strings.Join(chain.Files, ", "), countsByKind(chain.Tree))
+	if len(chain.Refused) > 0 {
+		return fmt.Errorf("%d snapshots refused", len(chain.Refused))
 	}
 	return nil
 }
 
-func load(dir, config string) (snapshot.Chain, error) {
-	f := snapshot.Folder{Dir: dir}
-	if config != "" {
-		set, err := settings.Load(config, "")
+// loadChain restores the newest state of a directory. If a settings file is given, snapshots
+// of other deployments are refused.
+func loadChain(dir, settingsFile string) (snapshot.Chain, error) {
+	folder := snapshot.Folder{Dir: dir}
+	if settingsFile != "" {
+		config, err := settings.Load(settingsFile, "")
 		if err != nil {
 			return snapshot.Chain{}, err
 		}
-		f.Deployment = set.DeploymentName()
+		folder.Deployment = config.DeploymentName()
 	}
-	return f.Load()
+	return folder.Load()
 }
 
 type snapshotShowCmd struct {
@@ -119,25 +121,25 @@
 }
 
 func (c *snapshotShowCmd) Run() error {
-	ch, err := load(c.Dir, "")
+	chain, err := loadChain(c.Dir, "")
 	if err != nil {
 		return err
 	}
-	if ch.Last == nil {
-		return errors.New("no snapshot is of use; verify tells why")
+	if chain.Last == nil {
+		return errors.New("no usable snapshot; `rillflow snapshot verify` shows why")
 	}
 	shown := 0
-	ch.Tree.Root().Walk(func(k, v []byte) bool {
-		_, ref, _ := strings.Cut(string(k), "/")
-		ref, _, _ = strings.Cut(ref, "/")
-		if c.Job == "" || ref == c.Job {
+	chain.Tree.Root().Walk(func(key, value []byte) bool {
+		_, job, _ := strings.Cut(string(key), "/")
+		job, _, _ = strings.Cut(job, "/")
+		if c.Job == "" || job == c.Job {
 			shown++
-			fmt.Fprintf(os.Stdout, "%s %s\n", k, v)
+			fmt.Fprintf(os.Stdout, "%s %s\n", key, value)
 		}
 		return false
 	})
 	if shown == 0 && c.Job != "" {
-		return fmt.Errorf("nothing is known of %s", c.Job)
+		return fmt.Errorf("no keys of job %s in the snapshot", c.Job)
 	}
 	return nil
 }
--- a/cmd/rillflow/tools.go
+++ b/cmd/rillflow/tools.go
@@ -19,49 +19,54 @@
 	"rillflow/internal/settings"
 )
 
-// toolShare is the part of the state service's budget that a tool takes beside the
-// controllers, whose shares together leave a fifth.
+// toolShare is the fraction of the store's request limits that a command uses beside the
+// controllers, whose shares together leave a fifth free.
 const toolShare = 0.1
 
-// desk is what the tools work with that go to the state service themselves.
-type desk struct {
-	set  *settings.Settings
-	st   *kvstore.Client
-	ring *keyring.Ring
+// session holds what commands need that access the store themselves.
+type session struct {
+	settings *settings.Settings
+	store    *kvstore.Client
+	ring     *keyring.Ring
 }
 
-func (f *files) desk() (*desk, error) {
-	set, err := settings.Load(f.Config, f.Operator)
+// openSession loads the settings and the key ring and creates a client of the store, limited to
+// toolShare.
+func (files *settingsFiles) openSession() (*session, error) {
+	config, err := settings.Load(files.Config, files.Operator)
 	if err != nil {
 		return nil, err
 	}
-	if set.Operator.Access.Keys == "" {
+	if config.Operator.Access.Keys == "" {
 		return nil, errors.New("the operators' settings name no key ring: <access><keys>")
 	}
-	ring, err := keyring.Load(set.Operator.Access.Keys)
+	ring, err := keyring.Load(config.Operator.Access.Keys)
 	if err != nil {
 		return nil, err
 	}
-	least := set.Facts.Store.Lowest()
-	d := net.Dialer{Timeout: set.HeartbeatInterval()}
-	st := kvstore.New(kvstore.Options{
-		Addr: set.Services.Store, RequestsPerSecond: least.RPS * toolShare,
-		Timeout: 2 * set.HeartbeatInterval(), Dial: d.DialContext,
-		Limits: kvstore.Limits{WritesPerSecond: least.WriteRPS * toolShare, MaxValueBytes: int(least.ValueKB * 1024)},
+	limits := config.Facts.Store.Lowest()
+	dialer := net.Dialer{Timeout: config.HeartbeatInterval()}
+	store := kvstore.New(kvstore.Options{
+		Addr: config.Services.Store, RequestsPerSecond: limits.RPS * toolShare,
+		Timeout: 2 * config.HeartbeatInterval(), Dial: dialer.DialContext,
+		Limits: kvstore.Limits{WritesPerSecond: limits.WriteRPS * toolShare, MaxValueBytes: int(limits.ValueKB * 1024)},
 	})
-	return &desk{set, st, ring}, nil
+	return &session{config, store, ring}, nil
 }
 
-func (d *desk) admin() *identity.Admin {
-	by := "ring"
-	if u, err := user.Current(); err == nil {
-		by += ":" + u.Username
+// admin returns an administrator of identities. The audit log names the operating system's user
+// and host as the actor.
+func (session *session) admin() *identity.Admin {
+	actor := "ring"
+	if current, err := user.Current(); err == nil {
+		actor += ":" + current.Username
 	}
-	if h, err := os.Hostname(); err == nil {
-		by += "@" + h
+	if hostname, err := os.Hostname(); err == nil {
+		actor += "@" + hostname
 	}
 	return &identity.Admin{
-		Store: d.st, Ring: d.ring, Actor: by, Audited: d.set.Operator.Access.AuditEnabled(), Now: time.Now,
+		Store: session.store, Ring: session.ring, Actor: actor,
+		Audited: session.settings.Operator.Access.AuditEnabled(), Now: time.Now,
 	}
 }
 
@@ -112,12 +117,12 @@
 }
 
 func (c *keysRotateCmd) Run() error {
-	from := time.Now().Add(c.After)
-	id, err := keyring.Rotate(c.File, from)
+	activeFrom := time.Now().Add(c.After)
+	id, err := keyring.Rotate(c.File, activeFrom)
 	if err == nil {
 		fmt.Printf(
 			"key %d is in use from %s on: copy the file to every controller before\n", id,
-			from.UTC().Format(time.RFC3339),
+			activeFrom.UTC().Format(time.RFC3339),
 		)
 	}
 	return err
@@ -131,7 +136,7 @@
 }
 
 type tokenIssueCmd struct {
-	files
+	settingsFiles
 	Name string        `arg:"" help:"Whom it is for."`
 	Kind string        `enum:"person,service," default:"" help:"person or service; left out, an identity that exists stays as it is."`
 	Team []string      `help:"Teams whose jobs are its own."`
@@ -140,15 +145,15 @@
 }
 
 func (c *tokenIssueCmd) Run() error {
-	d, err := c.desk()
+	session, err := c.openSession()
 	if err != nil {
 		return err
 	}
-	rec := identity.Record{Kind: c.Kind, Teams: c.Team, Roles: c.Role}
-	if rec.Kind == "" && len(rec.Teams)+len(rec.Roles) > 0 {
-		rec.Kind = rights.Person
+	record := identity.Record{Kind: c.Kind, Teams: c.Team, Roles: c.Role}
+	if record.Kind == "" && len(record.Teams)+len(record.Roles) > 0 {
+		record.Kind = rights.Person
 	}
-	token, err := d.admin().Issue(context.Background(), c.Name, rec, c.For)
+	token, err := session.admin().Issue(context.Background(), c.Name, record, c.For)
 	if err == nil {
 		fmt.Println(token)
 	}
@@ -156,18 +161,18 @@
 }
 
 type tokenRotateCmd struct {
-	files
+	settingsFiles
 	Name  string        `arg:"" help:"Whose."`
 	For   time.Duration `default:"720h" help:"How long the new token holds."`
 	Grace time.Duration `default:"0s" help:"How long the others go on holding."`
 }
 
 func (c *tokenRotateCmd) Run() error {
-	d, err := c.desk()
+	session, err := c.openSession()
 	if err != nil {
 		return err
 	}
-	token, err := d.admin().Rotate(context.Background(), c.Name, c.For, c.Grace)
+	token, err := session.admin().Rotate(context.Background(), c.Name, c.For, c.Grace)
 	if token != "" {
 		fmt.Println(token)
 	}
@@ -175,53 +180,54 @@
 }
 
 type tokenWithdrawCmd struct {
-	files
+	settingsFiles
 	Name string `arg:"" help:"An identity's name, or a token or its beginning: rft_ and eight letters."`
 }
 
 func (c *tokenWithdrawCmd) Run() error {
-	d, err := c.desk()
+	session, err := c.openSession()
 	if err != nil {
 		return err
 	}
-	return d.admin().Revoke(context.Background(), c.Name)
+	return session.admin().Revoke(context.Background(), c.Name)
 }
 
-type tokenListCmd struct{ files }
+type tokenListCmd struct{ settingsFiles }
 
 func (c *tokenListCmd) Run() error {
-	d, err := c.desk()
+	session, err := c.openSession()
 	if err != nil {
 		return err
 	}
-	known, err := d.admin().List(context.Background())
+	identities, err := session.admin().List(context.Background())
 	if err != nil {
 		return err
 	}
-	w := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(w, "NAME\tKIND\tTEAMS\tROLES\tTOKEN\tUNTIL")
-	for _, k := range known {
-		kind := k.Kind
-		if k.Revoked {
+	table := tabwriter.NewWriter(os.Stdout, 0, 4, 2, ' ', 0)
+	fmt.Fprintln(table, "NAME\tKIND\tTEAMS\tROLES\tTOKEN\tUNTIL")
+	for _, listed := range identities {
+		kind := listed.Kind
+		if listed.Revoked {
 			kind = "withdrawn"
 		}
-		if len(k.Tokens) == 0 {
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t-\t-\n", k.Name, kind, strings.Join(k.Teams, ","), strings.Join(k.Roles, ","))
+		if len(listed.Tokens) == 0 {
+			fmt.Fprintf(table, "%s\t%s\t%s\t%s\t-\t-\n",
+				listed.Name, kind, strings.Join(listed.Teams, ","), strings.Join(listed.Roles, ","))
 		}
-		for id, t := range k.Tokens {
-			till := time.Unix(t.ExpiresUnix, 0).UTC().Format(time.DateTime)
-			if t.Revoked {
-				till = "withdrawn"
-			} else if time.Now().Unix() >= t.ExpiresUnix {
-				till = "expired"
+		for id, token := range listed.Tokens {
+			expiry := time.Unix(token.ExpiresUnix, 0).UTC().Format(time.DateTime)
+			if token.Revoked {
+				expiry = "withdrawn"
+			} else if time.Now().Unix() >= token.ExpiresUnix {
+				expiry = "expired"
 			}
 			fmt.Fprintf(
-				w, "%s\t%s\t%s\t%s\trft_%s\t%s\n", k.Name, kind, strings.Join(k.Teams, ","),
-				strings.Join(k.Roles, ","), id, till,
+				table, "%s\t%s\t%s\t%s\trft_%s\t%s\n", listed.Name, kind, strings.Join(listed.Teams, ","),
+				strings.Join(listed.Roles, ","), id, expiry,
 			)
 		}
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
 type rightsCmd struct {
@@ -229,7 +235,7 @@
 }
 
 type rightsExplainCmd struct {
-	files
+	settingsFiles
 	Who   string   `arg:"" help:"A name, or anonymous."`
 	Do    string   `arg:"" enum:"submit,withdraw,read,need,status" help:"submit, withdraw, read, need or status."`
 	Owner string   `arg:"" optional:"" help:"The team whose job it is."`
@@ -240,49 +246,50 @@
 }
 
 func (c *rightsExplainCmd) Run() error {
-	set, err := settings.Load(c.Config, c.Operator)
+	config, err := settings.Load(c.Config, c.Operator)
 	if err != nil {
 		return err
 	}
-	a := &set.Operator.Access
-	if !a.IdentitiesEnabled() {
+	access := &config.Operator.Access
+	if !access.IdentitiesEnabled() {
 		fmt.Println("allowed: identities are off, everything is")
 		return nil
 	}
-	who := rights.Identity{Name: c.Who, Kind: c.Kind, Teams: c.Team, Roles: c.Role}
+	caller := rights.Identity{Name: c.Who, Kind: c.Kind, Teams: c.Team, Roles: c.Role}
 	switch {
 	case c.Who == rights.Anonymous:
-		who = rights.Identity{}
+		caller = rights.Identity{}
 	case c.Kind == "":
-		if who, err = c.ask(); err != nil {
+		if caller, err = c.fetchIdentity(); err != nil {
 			return err
 		}
 	}
-	dec := a.Rules.Decide(&who, rights.Request{Action: c.Do, Team: c.Owner, Priority: c.Rank})
-	if !dec.Allowed {
-		fmt.Printf("denied: %s\n", dec.Rule)
+	decision := access.Rules.Decide(&caller, rights.Request{Action: c.Do, Team: c.Owner, Priority: c.Rank})
+	if !decision.Allowed {
+		fmt.Printf("denied: %s\n", decision.Rule)
 		return nil
 	}
-	fmt.Printf("allowed: %s\n", dec.Rule)
-	if dec.MaxPriority != "" {
-		fmt.Printf("by what needs it, the job goes no higher than %s\n", dec.MaxPriority)
+	fmt.Printf("allowed: %s\n", decision.Rule)
+	if decision.MaxPriority != "" {
+		fmt.Printf("by what needs it, the job goes no higher than %s\n", decision.MaxPriority)
 	}
 	return nil
 }
 
-func (c *rightsExplainCmd) ask() (who rights.Identity, err error) {
-	d, err := c.desk()
+// fetchIdentity reads the identity from the store.
+func (c *rightsExplainCmd) fetchIdentity() (found rights.Identity, err error) {
+	session, err := c.openSession()
 	if err != nil {
-		return who, err
+		return found, err
 	}
-	known, err := d.admin().List(context.Background())
+	identities, err := session.admin().List(context.Background())
 	if err != nil {
-		return who, err
+		return found, err
 	}
-	for _, k := range known {
-		if k.Name == c.Who && !k.Revoked {
-			return rights.Identity{Name: k.Name, Kind: k.Kind, Teams: k.Teams, Roles: k.Roles}, nil
+	for _, listed := range identities {
+		if listed.Name == c.Who && !listed.Revoked {
+			return rights.Identity{Name: listed.Name, Kind: listed.Kind, Teams: listed.Teams, Roles: listed.Roles}, nil
 		}
 	}
-	return who, fmt.Errorf("nobody is called %s", c.Who)
+	return found, fmt.Errorf("no identity is named %s", c.Who)
 }
--- a/tools/served/main.go
+++ b/tools/served/main.go
@@ -1,9 +1,9 @@
-// Command served reads entries of the bench's journal and tells how much of each class of
-// jobs, of each team and of a class's largest jobs was served on every day played: of what was asked, the share that
-// the bench counts as served. It exits with 1 if any is under a half, which fails a day,
-// and with 2 if an entry cannot be read.
+// Command served reads entries of the benchmark's journal and checks, for each simulated day,
+// the served share of each class of jobs, of each team and of the largest jobs of a class: the
+// part of the requested work that the benchmark counts as served. It exits with 1 if any
+// share is under a half, which fails the day, and with 2 if an entry cannot be read.
 //
-//	go run ./tools/served [ENTRY.json ...]     without a name: the newest of journal/
+//	go run ./tools/served [ENTRY.json ...]     without arguments: the newest entry in journal/
 package main
 
 import (
@@ -16,10 +16,10 @@
 	"slices"
 )
 
-// least is the share under which a day counts as failed.
-const least = 0.5
+// minServedShare is the share below which a day fails.
+const minServedShare = 0.5
 
-// entry is what is read of the journal.
+// entry holds the fields of a journal entry that the check needs.
 type entry struct {
 	Site string `json:"site"`
 	Days []day  `json:"days"`
@@ -30,85 +30,88 @@
 	Served []served `json:"served"`
 }
 
-// served is a class or team: its name, its share of all that was asked on the day, and
-// how much of its own was served.
+// served is the result of a class or team: its name, its part of all work requested on the
+// day, and the share of its own work that was served.
 type served struct {
 	Name         string
 	Asked, Share float64
 }
 
-// UnmarshalJSON reads the triple that the bench writes.
-func (s *served) UnmarshalJSON(b []byte) error {
-	var v []json.RawMessage
-	if err := json.Unmarshal(b, &v); err != nil {
+// UnmarshalJSON decodes the benchmark's form, an array [name, asked, share].
+func (s *served) UnmarshalJSON(data []byte) error {
+	var values []json.RawMessage
+	if err := json.Unmarshal(data, &values); err != nil {
 		return err
 	}
-	if len(v) != 3 {
-		return fmt.Errorf("served: %d figures, not 3", len(v))
+	if len(values) != 3 {
+		return fmt.Errorf("served: got %d values, want 3", len(values))
 	}
-	return errors.Join(json.Unmarshal(v[0], &s.Name), json.Unmarshal(v[1], &s.Asked), json.Unmarshal(v[2], &s.Share))
+	return errors.Join(
+		json.Unmarshal(values[0], &s.Name), json.Unmarshal(values[1], &s.Asked),
+		json.Unmarshal(values[2], &s.Share),
+	)
 }
 
-// check prints what was served least on each day of an entry, and all that is under the
-// least; it tells whether nothing is. A day that names neither class nor team proves
-// nothing, and is no good either.
-func check(w io.Writer, data []byte) (ok bool, err error) {
-	var e entry
-	if err := json.Unmarshal(data, &e); err != nil {
+// check prints the lowest served share of each day of an entry and every share below
+// minServedShare, and reports whether there is none of these. A day without any class or
+// team fails as well, as nothing was measured.
+func check(w io.Writer, data []byte) (passed bool, err error) {
+	var journalEntry entry
+	if err := json.Unmarshal(data, &journalEntry); err != nil {
 		return false, err
 	}
-	if len(e.Days) == 0 {
-		return false, errors.New("no day was played")
+	if len(journalEntry.Days) == 0 {
+		return false, errors.New("the entry has no days")
 	}
-	ok = true
-	for _, d := range e.Days {
-		if len(d.Served) == 0 {
-			fmt.Fprintf(w, "%s %s: nothing is told of what was served\n", e.Site, d.Name)
-			ok = false
+	passed = true
+	for _, day := range journalEntry.Days {
+		if len(day.Served) == 0 {
+			fmt.Fprintf(w, "%s %s: nothing is told of what was served\n", journalEntry.Site, day.Name)
+			passed = false
 			continue
 		}
-		worst := slices.MinFunc(d.Served, func(a, b served) int { return int(1e6 * (a.Share - b.Share)) })
+		worst := slices.MinFunc(day.Served, func(a, b served) int { return int(1e6 * (a.Share - b.Share)) })
 		fmt.Fprintf(
-			w, "%s %s: least served %s, %.3f of what it asked (%.3f of all)\n", e.Site, d.Name, worst.Name,
-			worst.Share, worst.Asked,
+			w, "%s %s: least served %s, %.3f of what it asked (%.3f of all)\n",
+			journalEntry.Site, day.Name, worst.Name, worst.Share, worst.Asked,
 		)
-		for _, s := range d.Served {
-			if s.Share < least {
+		for _, group := range day.Served {
+			if group.Share < minServedShare {
 				fmt.Fprintf(
-					w, "FAILED %s %s: %s served %.3f of what it asked (%.3f of all)\n", e.Site, d.Name,
-					s.Name, s.Share, s.Asked,
+					w, "FAILED %s %s: %s served %.3f of what it asked (%.3f of all)\n",
+					journalEntry.Site, day.Name, group.Name, group.Share, group.Asked,
 				)
-				ok = false
+				passed = false
 			}
 		}
 	}
-	return ok, nil
+	return passed, nil
 }
 
 func main() {
 	files := os.Args[1:]
 	if len(files) == 0 {
-		all, err := filepath.Glob("journal/*.json")
-		if err != nil || len(all) == 0 {
+		entries, err := filepath.Glob("journal/*.json")
+		if err != nil || len(entries) == 0 {
 			fmt.Fprintln(os.Stderr, "served: no entry in journal/")
 			os.Exit(2)
 		}
-		files = []string{slices.Max(all)} // their names begin with the time
+		files = []string{slices.Max(entries)} // the names begin with the time of the run
 	}
-	code := 0
-	for _, f := range files {
-		data, err := os.ReadFile(f)
-		ok := false
+	exitCode := 0
+	for _, file := range files {
+		data, err := os.ReadFile(file)
+		passed := false
 		if err == nil {
-			ok, err = check(os.Stdout, data)
+			passed, err = check(os.Stdout, data)
 		}
 		switch {
 		case err != nil:
-			fmt.Fprintf(os.Stderr, "served: %s: %v\n", f, err)
-			code = 2
-		case !ok:
-			code = max(code, 1)
+			fmt.Fprintf(os.Stderr, "served: %s: %v\n", file, err)
+			exitCode = 2
+		case !passed:
+			exitCode = max(exitCode, 1)
 		}
 	}
-	os.Exit(code)
+	os.Exit(exitCode)
 }
