--- a/internal/docs/docs_test.go
+++ b/internal/docs/docs_test.go
@@ -129,7 +129,8 @@
 			continue
 		}
 		identifier := identForm.FindStringSubmatch(name)
-		if identifier == nil || !index.packages[identifier[1]] || statusPath.MatchString(name) || index.declared[identifier[1]+identifier[2]] {
+		if identifier == nil || !index.packages[identifier[1]] || statusPath.MatchString(name) ||
+			index.declared[identifier[1]+identifier[2]] {
 			continue
 		}
 		if _, err := os.Stat(filepath.Join(root, "docs", name)); err != nil {
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -92,7 +92,8 @@
 	var violations validator.ValidationErrors
 	if errors.As(err, &violations) && len(violations) > 0 {
 		violation := violations[0]
-		return fmt.Errorf("%s: must satisfy %s %s, is %v", violation.Namespace(), violation.Tag(), violation.Param(), violation.Value())
+		return fmt.Errorf("%s: must satisfy %s %s, is %v",
+			violation.Namespace(), violation.Tag(), violation.Param(), violation.Value())
 	}
 	return err
 }
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -125,7 +125,8 @@
 	}
 	for _, field := range strings.Fields(operator.Placement.TypeFields) {
 		if !slices.Contains(typeFields, field) {
-			return operator, fmt.Errorf("type-fields: unknown field %q, must be one of %s", field, strings.Join(typeFields, ", "))
+			return operator, fmt.Errorf("type-fields: unknown field %q, must be one of %s",
+				field, strings.Join(typeFields, ", "))
 		}
 	}
 	if operator.TLS.Enabled() && operator.TLS.Folder == "" {
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -55,9 +55,10 @@
 	GPUsMax float64 `toml:"gpus_max" validate:"gtefield=GPUs"`
 }
 
-// WorkerTimings are the intervals of the worker protocol.
+// WorkerTimings are the intervals of the worker protocol. Each is limited to a day, so that sums
+// of them cannot overflow a duration.
 type WorkerTimings struct {
-	HeartbeatSeconds float64 `toml:"report_s" validate:"gt=0,lte=86400"` // a day at most: far larger values overflow sums of durations
+	HeartbeatSeconds float64 `toml:"report_s" validate:"gt=0,lte=86400"`
 	LeaseSeconds     float64 `toml:"lease_s" validate:"gtfield=HeartbeatSeconds,lte=86400"`
 	CancelSeconds    float64 `toml:"cancel_s" validate:"gt=0,lte=86400"`
 }
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -216,7 +216,9 @@
 // Keep saves a snapshot of the replica at each interval until ctx ends. A failed write is
 // logged and retried at the next interval, so that a full or broken disk does not stop the
 // controller.
-func (folder *Folder) Keep(ctx context.Context, source *replica.Replica, interval time.Duration, log *slog.Logger) error {
+func (folder *Folder) Keep(
+	ctx context.Context, source *replica.Replica, interval time.Duration, log *slog.Logger,
+) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -147,7 +147,9 @@
 // Take makes a snapshot of the current tree: a full one if previous is nil, else one of the
 // changes since previous, whose file has the hash base. Trees are immutable, so writers are
 // not blocked.
-func Take(deployment string, head replica.Head, takenAt time.Time, current, previous *replica.Tree, base Sum) *Snapshot {
+func Take(
+	deployment string, head replica.Head, takenAt time.Time, current, previous *replica.Tree, base Sum,
+) *Snapshot {
 	s := &Snapshot{Deployment: deployment, Head: head, At: takenAt}
 	s.Keys = current.Len()
 	if previous == nil {
