--- a/internal/snapshot/snapshot.go
+++ b/internal/snapshot/snapshot.go
@@ -31,7 +31,7 @@
 const (
 	magic   = "rillsnap"
 	version = 1
-	// maxBodyBytes bounds the decompressed body, so that a damaged file cannot exhaust memory.
+	// maxBodyBytes bounds the decompressed body of a snapshot.
 	maxBodyBytes = 1 << 30
 )
 
