--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -38,7 +38,7 @@
 	// renew the worker's lease.
 	LastAnswered time.Time
 	ReclaimAt    time.Time // when the cloud reclaims the spot instance; zero: no notice
-	Polling      bool      // a status request to the worker is in flight
+	PollInFlight bool      // a status request to the worker is in flight
 
 	Tasks            map[ledger.Task]TaskStatus
 	HasUnclaimedTask bool    // a task without a claim takes resources on it
--- a/internal/leader/commander.go
+++ b/internal/leader/commander.go
@@ -121,8 +121,8 @@
 		worker := c.registry.worker(instance.Name)
 		overdue := worker.LastHeartbeat.IsZero() && now.Sub(c.startedAt) > c.settings.HeartbeatInterval()/2 ||
 			!worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) > c.heartbeatLateAfter()
-		if overdue && !worker.Polling && len(pollable) < maxPolls {
-			worker.Polling = true
+		if overdue && !worker.PollInFlight && len(pollable) < maxPolls {
+			worker.PollInFlight = true
 			worker.Address, worker.InstanceType, worker.Spot = instance.Address, instance.InstanceType, instance.Spot
 			c.registry.setZone(worker, instance.Zone)
 			pollable = append(pollable, worker)
@@ -139,7 +139,7 @@
 	c.mu.Unlock()
 	heartbeat, err := c.workerClient.Status(ctx, address)
 	c.mu.Lock()
-	worker.Polling = false
+	worker.PollInFlight = false
 	c.mu.Unlock()
 	if err != nil {
 		return // it is polled again in a later round
