--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -169,9 +169,9 @@
 	return term.heartbeats.answer(heartbeat)
 }
 
-// NoWorkersOfOwn reports whether this controller leads and no worker of its own shard is up. In
+// OwnShardHasNoWorkers reports whether this controller leads and no worker of its own shard is up. In
 // that case, the lack of heartbeats does not show that the controller is isolated.
-func (r *Runner) NoWorkersOfOwn() bool {
+func (r *Runner) OwnShardHasNoWorkers() bool {
 	term := r.current.Load()
 	if term == nil {
 		return false
--- a/internal/serve/probe.go
+++ b/internal/serve/probe.go
@@ -22,7 +22,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if controller.shard.IsIsolated() && !controller.leader.NoWorkersOfOwn() {
+		if controller.shard.IsIsolated() && !controller.leader.OwnShardHasNoWorkers() {
 			// Another controller can then lead and answer the workers.
 			controller.elector.StepDown(controller.settings.WorkerLease(), "workers reach others but not this node")
 		}
