--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -103,7 +103,7 @@
 	}
 	return reportingWorkers >= minWorkersForIsolation &&
 		now.Sub(m.heartbeats.lastHeartbeat) > 2*m.settings.HeartbeatInterval() &&
-		!m.shards.PeersHearNoWorkers()
+		!m.shards.WorkersReachNoPeer()
 }
 
 // runReleases releases faulty instances. It is a loop of its own because the tasks of a dead worker
--- a/internal/leader/fakes_test.go
+++ b/internal/leader/fakes_test.go
@@ -56,4 +56,4 @@
 
 func (idleOwners) StoreRefuses() bool { return false }
 
-func (idleOwners) PeersHearNoWorkers() bool { return false }
+func (idleOwners) WorkersReachNoPeer() bool { return false }
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -25,9 +25,9 @@
 	StoreServesPeerOnly() (string, bool)
 	// StoreRefuses reports whether the store has not answered this controller for a long time.
 	StoreRefuses() bool
-	// PeersHearNoWorkers reports whether peers are connected and none of them receives requests
+	// WorkersReachNoPeer reports whether peers are connected and none of them receives requests
 	// of workers either.
-	PeersHearNoWorkers() bool
+	WorkersReachNoPeer() bool
 }
 
 // errNoSuccessor ends a term that has stepped down when no other controller took over in time.
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -57,9 +57,9 @@
 // IsIsolated reports whether workers that reach other controllers do not reach this one.
 func (o *Owner) IsIsolated() bool { return o.WorkerReachability().Isolated }
 
-// PeersHearNoWorkers reports whether peers are connected and none of them receives
+// WorkersReachNoPeer reports whether peers are connected and none of them receives
 // heartbeats of workers. All workers are then cut off, and this controller is not at fault.
-func (o *Owner) PeersHearNoWorkers() bool {
+func (o *Owner) WorkersReachNoPeer() bool {
 	connected := false
 	for _, status := range o.links.Peers() {
 		if status.Live && !status.ReachabilityKnown {
--- a/internal/shard/isolation_test.go
+++ b/internal/shard/isolation_test.go
@@ -52,7 +52,7 @@
 			}
 			want := tc.peerLive &&
 				(tc.peer.SinceHeartbeat > heartbeat || tc.silentFor > 4*heartbeat || tc.silentFor < 7*heartbeat/4)
-			if got := owner.PeersHearNoWorkers(); got != want {
+			if got := owner.WorkersReachNoPeer(); got != want {
 				t.Errorf("PeersHearNoWorkers: got %v, want %v", got, want)
 			}
 			if !tc.wantIsolated {
