--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -110,7 +110,7 @@
 	for _, name := range plan.Release {
 		if len(a.jobs.ClaimsOnWorker(name)) == 0 {
 			idle = append(idle, name)
-			a.noteRelease(name, releaseIdle, now)
+			a.logRelease(name, releaseIdle, now)
 		}
 	}
 	idle = idle[:min(len(idle), maxReleaseNames)]
@@ -145,8 +145,8 @@
 	}
 }
 
-// noteRelease logs and audits why an instance is about to be released. Callers hold mu.
-func (a *autoscaler) noteRelease(name, reason string, now time.Time) {
+// logRelease logs and audits why an instance is about to be released. Callers hold mu.
+func (a *autoscaler) logRelease(name, reason string, now time.Time) {
 	a.log.Info("releasing", "worker", name, "reason", reason, "claims", len(a.jobs.ClaimsOnWorker(name)))
 	a.auditLog.enqueue(now, audit.Entry{Action: audit.Released, Subject: name, Reason: reason})
 }
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -150,7 +150,7 @@
 			continue
 		}
 		if _, releasing := c.released[worker.Name]; !releasing {
-			c.autoscaler.noteRelease(worker.Name, releaseOverdueTask, now)
+			c.autoscaler.logRelease(worker.Name, releaseOverdueTask, now)
 		}
 		names = append(names, worker.Name)
 	}
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -147,7 +147,7 @@
 			continue
 		}
 		if reason != releaseUnanswered {
-			m.autoscaler.noteRelease(worker.Name, reason, now)
+			m.autoscaler.logRelease(worker.Name, reason, now)
 		}
 		names = append(names, worker.Name)
 	}
