--- a/internal/leader/candidate.go
+++ b/internal/leader/candidate.go
@@ -105,10 +105,10 @@
 // candidateIndex indexes the candidates of a pass by zone and image, so that describing each
 // waiting job does not scan all of them.
 type candidateIndex struct {
-	candidates  []*candidate
-	zones       []string
-	withImage   map[string][]*candidate // by image
-	moreWaiting bool                    // some waiting tasks were left out of the offers
+	candidates        []*candidate
+	zones             []string
+	withImage         map[string][]*candidate // by image
+	hasUnofferedTasks bool                    // some waiting tasks were left out of the offers
 }
 
 func newCandidateIndex(candidates []*candidate) *candidateIndex {
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -175,9 +175,9 @@
 			index := newCandidateIndex(leader.scheduler.candidates(now))
 			offered := leader.scheduler.offers.describeJob(job, index, now)
 			more := tc.offered < tc.tasks
-			if offered.AllowSpot == tc.onDemandOnly || offered.Tasks != tc.offered || index.moreWaiting != more {
+			if offered.AllowSpot == tc.onDemandOnly || offered.Tasks != tc.offered || index.hasUnofferedTasks != more {
 				t.Errorf("got %d tasks, spot allowed %v, more waiting %v; want %d, %v, %v",
-					offered.Tasks, offered.AllowSpot, index.moreWaiting, tc.offered, !tc.onDemandOnly, more)
+					offered.Tasks, offered.AllowSpot, index.hasUnofferedTasks, tc.offered, !tc.onDemandOnly, more)
 			}
 		})
 	}
--- a/internal/leader/offer.go
+++ b/internal/leader/offer.go
@@ -134,7 +134,7 @@
 		// offered in the next pass, until too few tasks fit to be worth a pass.
 		if slots := index.onDemandSlots(job) / 2; slots > waiting.Tasks/8 {
 			waiting.AllowSpot = false
-			index.moreWaiting = index.moreWaiting || slots < waiting.Tasks
+			index.hasUnofferedTasks = index.hasUnofferedTasks || slots < waiting.Tasks
 			waiting.Tasks = min(waiting.Tasks, slots)
 		}
 	}
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -98,7 +98,7 @@
 	s.reserveCapacity(queues, candidates, now)
 	index := newCandidateIndex(candidates)
 	offers := s.offers.makeOffers(queues, index, now)
-	return &preparedPass{queues: queues, offers: offers, claimed: claimed, hasUnofferedTasks: index.moreWaiting}
+	return &preparedPass{queues: queues, offers: offers, claimed: claimed, hasUnofferedTasks: index.hasUnofferedTasks}
 }
 
 // confirm claims the picks that still fit; heartbeats may have changed the candidates since the
