--- a/internal/leader/bench_test.go
+++ b/internal/leader/bench_test.go
@@ -15,7 +15,7 @@
 
 // placementRuleOwner picks by the placement rule, as a shard owner does.
 type placementRuleOwner struct {
-	idleOwners
+	noopShards
 	table *placement.Table
 }
 
--- a/internal/leader/fakes_test.go
+++ b/internal/leader/fakes_test.go
@@ -41,19 +41,19 @@
 
 func (f *fakeLeadership) RaiseEpoch(context.Context, []string) error { return nil }
 
-// idleOwners implements Shards and does nothing.
-type idleOwners struct{}
+// noopShards implements Shards and does nothing.
+type noopShards struct{}
 
-func (idleOwners) Learn(agent.RuntimeSample) {}
+func (noopShards) Learn(agent.RuntimeSample) {}
 
-func (idleOwners) Pick(context.Context, string, placement.Offer) ([]placement.Pick, error) {
+func (noopShards) Pick(context.Context, string, placement.Offer) ([]placement.Pick, error) {
 	return nil, nil
 }
 
-func (idleOwners) EligibleOwners(have []string) []string { return have }
+func (noopShards) EligibleOwners(have []string) []string { return have }
 
-func (idleOwners) StoreServesPeerOnly() (string, bool) { return "", false }
+func (noopShards) StoreServesPeerOnly() (string, bool) { return "", false }
 
-func (idleOwners) StoreRefuses() bool { return false }
+func (noopShards) StoreRefuses() bool { return false }
 
-func (idleOwners) WorkersReachNoPeer() bool { return false }
+func (noopShards) WorkersReachNoPeer() bool { return false }
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -98,7 +98,7 @@
 
 // sampleCounter counts the run times passed to Learn.
 type sampleCounter struct {
-	idleOwners
+	noopShards
 	samples *int
 }
 
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -100,7 +100,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m.t.Cleanup(cancel)
 	env := &environment{
-		settings: m.config, instanceTypes: catalogue, shards: idleOwners{}, replica: replica.New(1 << 20),
+		settings: m.config, instanceTypes: catalogue, shards: noopShards{}, replica: replica.New(1 << 20),
 		log: slog.New(slog.NewTextHandler(io.Discard, nil)), now: func() time.Time { return m.now },
 	}
 	m.leader = newLeaderTerm(ctx, env, m.leadership, m.leadership.shards.Epoch, nil)
--- a/internal/leader/offer_test.go
+++ b/internal/leader/offer_test.go
@@ -10,7 +10,7 @@
 
 // partitionedOwners is a Shards in which one shard owner is unreachable.
 type partitionedOwners struct {
-	idleOwners
+	noopShards
 	unreachable string
 	asked       []string
 }
