--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -85,13 +85,13 @@
 			refusedAt = now
 		}
 		if since, ok := k.leadership.SteppedDown(); ok {
-			if now.Sub(since) > k.successorPatience() && now.Sub(refusedAt) > k.successorPatience() {
+			if now.Sub(since) > k.successorTimeout() && now.Sub(refusedAt) > k.successorTimeout() {
 				return errNoSuccessor
 			}
 			continue
 		}
 		if peer, alone := k.shards.StoreServesPeerOnly(); alone {
-			k.elector.StepDown(k.successorPatience(), "the store serves "+peer+" but not this controller")
+			k.elector.StepDown(k.successorTimeout(), "the store serves "+peer+" but not this controller")
 			continue
 		}
 		// A raise of the epoch without a response may have been applied late: shard owners and
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -34,9 +34,9 @@
 	return !worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) < 5*s.settings.HeartbeatInterval()/2
 }
 
-// successorPatience returns how long a term that has stepped down waits for its successor, and how
+// successorTimeout returns how long a term that has stepped down waits for its successor, and how
 // long this controller does not campaign after the store has refused it.
-func (s *termScope) successorPatience() time.Duration { return s.settings.WorkerLease() / 4 }
+func (s *termScope) successorTimeout() time.Duration { return s.settings.WorkerLease() / 4 }
 
 // backOffRead waits before a read from the store is retried. It returns false if ctx ended first.
 func (s *termScope) backOffRead(ctx context.Context, attempt int) bool {
