--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -33,8 +33,8 @@
 	return samples[0].Value.Uint64() - samples[1].Value.Uint64()
 }
 
-// Held returns the bytes of memory that the process held at the last measurement.
-func (g *Gauge) Held() uint64 {
+// HeldBytes returns the bytes of memory that the process held at the last measurement.
+func (g *Gauge) HeldBytes() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if now := g.now(); g.measuredAt.IsZero() || now.Sub(g.measuredAt) >= g.minInterval {
@@ -45,4 +45,4 @@
 
 // High reports whether the process holds more memory than the limit. The garbage collector's memory
 // limit is lower, so memory above this limit is in use and not garbage.
-func (g *Gauge) High() bool { return g.Held() > g.limitBytes }
+func (g *Gauge) High() bool { return g.HeldBytes() > g.limitBytes }
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -28,7 +28,7 @@
 				tc.name, got, measurements, tc.wantHigh, tc.wantMeasurements)
 		}
 	}
-	if process := New(1, time.Second); !process.High() || process.Held() < 1<<16 {
-		t.Errorf("this process holds %d bytes, want at least %d", process.Held(), 1<<16)
+	if process := New(1, time.Second); !process.High() || process.HeldBytes() < 1<<16 {
+		t.Errorf("this process holds %d bytes, want at least %d", process.HeldBytes(), 1<<16)
 	}
 }
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -87,7 +87,7 @@
 		StoreRequests:      controller.store.RequestCount(),
 		LimitsLowered:      controller.store.LimitsLowered(),
 		Peers:              controller.peers.Peers(),
-		MemoryMB:           float64(controller.memory.Held()) / bytesPerMB,
+		MemoryMB:           float64(controller.memory.HeldBytes()) / bytesPerMB,
 		MemoryFull:         controller.memory.High(),
 		Rates:              controller.shard.Rates(),
 		Leading:            controller.leader.Status(),
