--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -23,12 +23,12 @@
 		{"at the limit", 100, time.Second, false, 3},
 	} {
 		heldBytes, now = tc.heldBytes, now.Add(tc.elapsed)
-		if got := g.High(); got != tc.wantHigh || measurements != tc.wantMeasurements {
+		if got := g.AboveLimit(); got != tc.wantHigh || measurements != tc.wantMeasurements {
 			t.Errorf("%s: High %v after %d measurements, want %v after %d",
 				tc.name, got, measurements, tc.wantHigh, tc.wantMeasurements)
 		}
 	}
-	if process := New(1, time.Second); !process.High() || process.HeldBytes() < 1<<16 {
+	if process := New(1, time.Second); !process.AboveLimit() || process.HeldBytes() < 1<<16 {
 		t.Errorf("this process holds %d bytes, want at least %d", process.HeldBytes(), 1<<16)
 	}
 }
--- a/internal/serve/controller.go
+++ b/internal/serve/controller.go
@@ -232,7 +232,7 @@
 		Elector:       controller.elector,
 		InstanceTypes: controller.types,
 		Shards:        controller.shard,
-		MemoryFull:    controller.memory.High,
+		MemoryFull:    controller.memory.AboveLimit,
 		AuditKeys:     auditKeys,
 		DataLoss:      controller.dataLoss,
 		Replica:       controller.replica,
@@ -255,7 +255,7 @@
 	}
 	api := intake.New(
 		controller.settings, controller.store, controller.types, controller.lookupTaskCounts,
-		controller.shard.StoreRefuses, controller.memory.High, controller.authorizer, dataLossState{controller},
+		controller.shard.StoreRefuses, controller.memory.AboveLimit, controller.authorizer, dataLossState{controller},
 		controller.replica, controller.broadcaster, now, controller.log)
 	mux := http.NewServeMux()
 	api.Routes(mux)
--- a/internal/serve/status.go
+++ b/internal/serve/status.go
@@ -88,7 +88,7 @@
 		LimitsLowered:      controller.store.LimitsLowered(),
 		Peers:              controller.peers.Peers(),
 		MemoryMB:           float64(controller.memory.HeldBytes()) / bytesPerMB,
-		MemoryFull:         controller.memory.High(),
+		MemoryFull:         controller.memory.AboveLimit(),
 		Rates:              controller.shard.Rates(),
 		Leading:            controller.leader.Status(),
 		Incarnation:        controller.incarnationStatus(),
