--- a/internal/leader/queue.go
+++ b/internal/leader/queue.go
@@ -51,7 +51,7 @@
 // specification that the settings name.
 func (s *scheduler) jobType(job *ledger.Job) string {
 	var key []byte
-	for _, field := range s.settings.Operator.Placement.Fields() {
+	for _, field := range s.settings.Operator.Placement.TypeFieldNames() {
 		switch field {
 		case "class":
 			key = append(key, job.Spec.Class...)
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -185,5 +185,5 @@
 	}
 }
 
-// Fields returns the job fields whose values together make a job's type.
-func (placement Placement) Fields() []string { return strings.Fields(placement.TypeFields) }
+// TypeFieldNames returns the job fields whose values together make a job's type.
+func (placement Placement) TypeFieldNames() []string { return strings.Fields(placement.TypeFields) }
