--- a/internal/serve/snapshots.go
+++ b/internal/serve/snapshots.go
@@ -46,5 +46,5 @@
 
 func (controller *controller) writeSnapshots(ctx context.Context, folder *snapshot.Folder) error {
 	interval := controller.settings.Operator.Recovery.SnapshotInterval * float64(controller.settings.WorkerLease())
-	return folder.Keep(ctx, controller.replica, time.Duration(interval), controller.log)
+	return folder.SavePeriodically(ctx, controller.replica, time.Duration(interval), controller.log)
 }
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -213,10 +213,10 @@
 	return nil
 }
 
-// Keep saves a snapshot of the replica at each interval until ctx ends. A failed write is
+// SavePeriodically saves a snapshot of the replica at each interval until ctx ends. A failed write is
 // logged and retried at the next interval, so that a full or broken disk does not stop the
 // controller.
-func (folder *Folder) Keep(
+func (folder *Folder) SavePeriodically(
 	ctx context.Context, source *replica.Replica, interval time.Duration, log *slog.Logger,
 ) error {
 	ticker := time.NewTicker(interval)
