--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,6 +1,6 @@
-// Package codec is the binary form of what passes between processes and of what
-// is kept for good: counts are varints, amounts are 8 bytes, strings and lists
-// carry their length first. Every length is checked before anything is made of it.
+// Package codec implements the binary encoding of messages between processes and of
+// stored data: integers are varints, floats take 8 bytes, strings and lists are prefixed
+// by their length. Every length is checked before memory is allocated for it.
 package codec
 
 import (
@@ -11,7 +11,7 @@
 	"math"
 )
 
-// ErrFormat says that a payload breaks the format.
+// ErrFormat reports a payload that violates the format.
 var ErrFormat = errors.New("malformed")
 
 // Encoder appends values to a payload, B.
@@ -37,8 +37,8 @@
 	}
 }
 
-// Decoder takes values off a payload, B. After the first error all values are
-// zero and err is set, so that callers check once at the end.
+// Decoder reads values from the start of a payload, B. After the first error all values
+// are zero, so that callers need to check only Done, at the end.
 type Decoder struct {
 	B   []byte
 	err error
@@ -51,7 +51,7 @@
 	d.B = nil
 }
 
-// Uint takes an unsigned varint.
+// Uint reads an unsigned varint.
 func (d *Decoder) Uint() uint64 {
 	v, n := binary.Uvarint(d.B)
 	if n <= 0 {
@@ -62,7 +62,7 @@
 	return v
 }
 
-// Int takes a signed varint.
+// Int reads a signed varint.
 func (d *Decoder) Int() int64 {
 	v, n := binary.Varint(d.B)
 	if n <= 0 {
@@ -73,7 +73,7 @@
 	return v
 }
 
-// Float takes an amount.
+// Float reads a float of 8 bytes, big-endian.
 func (d *Decoder) Float() float64 {
 	if len(d.B) < 8 {
 		d.fail()
@@ -84,7 +84,7 @@
 	return v
 }
 
-// Bool takes a byte that is 0 or 1.
+// Bool reads a byte that must be 0 or 1.
 func (d *Decoder) Bool() bool {
 	if len(d.B) == 0 || d.B[0] > 1 {
 		d.fail()
@@ -95,7 +95,7 @@
 	return v
 }
 
-// Bytes takes a string of bytes, which stays part of the payload.
+// Bytes reads a length-prefixed byte string. The result shares the payload's memory.
 func (d *Decoder) Bytes() []byte {
 	n := d.Uint()
 	if n > uint64(len(d.B)) {
@@ -107,11 +107,11 @@
 	return v
 }
 
-// Str takes a string.
+// Str reads a length-prefixed string.
 func (d *Decoder) Str() string { return string(d.Bytes()) }
 
-// Count reads the length of a list whose elements take at least one byte, so
-// that a false length cannot ask for much memory.
+// Count reads the length of a list. Each element takes at least one byte, so a length
+// beyond the rest of the payload is an error and cannot cause a large allocation.
 func (d *Decoder) Count() int {
 	n := d.Uint()
 	if n > uint64(len(d.B)) {
@@ -121,7 +121,8 @@
 	return int(n)
 }
 
-// Items ranges over a list's elements and stops at the first error.
+// Items reads the length of a list and iterates over the indexes of its elements, up to
+// the first error.
 func (d *Decoder) Items() iter.Seq[int] {
 	n := d.Count()
 	return func(yield func(int) bool) {
@@ -130,7 +131,7 @@
 	}
 }
 
-// Strs takes a list of strings.
+// Strs reads a list of strings.
 func (d *Decoder) Strs() []string {
 	var out []string
 	for range d.Items() {
@@ -139,7 +140,7 @@
 	return out
 }
 
-// Done reports the first error; bytes left over are one.
+// Done returns the first error. Bytes left over at the end are an error too.
 func (d *Decoder) Done() error {
 	if d.err == nil && len(d.B) > 0 {
 		d.err = fmt.Errorf("%w: %d bytes left over", ErrFormat, len(d.B))
--- a/internal/peer/answers.go
+++ b/internal/peer/answers.go
@@ -14,44 +14,46 @@
 	"rillflow/internal/wire"
 )
 
-// Handler serves what peers ask of this controller. All methods are called from many
-// goroutines at once.
+// Handler serves the requests of peers and keeps what they report. All methods must be
+// safe for concurrent use.
 type Handler interface {
-	// OwnStatus is what this controller tells of itself in a ping, and PeerStatus takes in
-	// what a peer tells.
+	// OwnStatus returns this controller's status for a ping. PeerStatus processes the
+	// status in a ping from a peer.
 	OwnStatus() Ping
 	PeerStatus(Ping)
-	// HandleHeartbeat answers, as the leader, a heartbeat that a shard owner passed on.
+	// HandleHeartbeat answers, as the leader, a heartbeat that a shard owner forwarded.
 	HandleHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat) HeartbeatAnswer
-	// PickTypes picks, as a shard owner, from the leader's offer.
+	// PickTypes selects, as a shard owner, jobs for the workers in the leader's offer.
 	PickTypes(offer placement.Offer) []placement.Pick
 	HandleUserRequest(ctx context.Context, request UserRequest) UserAnswer
-	TaskCounts(job string) (Counts, error)
-	// WorkerReachability tells how well this controller hears workers.
+	TaskCounts(jobID string) (Counts, error)
+	// WorkerReachability returns how well workers reach this controller.
 	WorkerReachability() Reachability
 	Version() string
-	// StoreIncarnation tells which incarnation of the store's data this controller knows,
-	// and PeerStoreIncarnation takes in what a peer knows.
+	// StoreIncarnation returns the incarnation of the store's data that this controller
+	// knows. PeerStoreIncarnation processes the one that a peer reports.
 	StoreIncarnation() StoreIncarnation
-	PeerStoreIncarnation(peer string, known StoreIncarnation)
+	PeerStoreIncarnation(peer string, incarnation StoreIncarnation)
 	ReceiveReplica(push *replica.Push) replica.Ack
 	ReadReplicaPage(request replica.PageRequest) replica.Page
-	// ReceiveCancellations takes a peer's cancellations in. PeerConnected is run on each
-	// new connection to a peer ahead of anything else, and PeerSynced after each round of
-	// pings: both see to it that the peer knows of cancellations.
+	// ReceiveCancellations processes cancellations sent by a peer. PeerConnected is called
+	// on each new connection once the peer's version is known, usually before the first
+	// ping, and PeerSynced after each ping and the exchanges that follow it. Both make sure
+	// that the peer knows all cancellations.
 	ReceiveCancellations(message *cancellation.Message) cancellation.Ack
 	PeerConnected(ctx context.Context, peer string)
 	PeerSynced(ctx context.Context, peer string)
 }
 
-// A peer pings all the time, so one that is silent for this many ping intervals is gone,
-// and so is one that takes an answer no sooner than in the second.
+// Limits on a connection that a peer opened, in ping intervals: the time between two
+// requests, as a live peer pings at every interval, and the time to write an answer. The
+// connection is closed when either passes.
 const (
-	silentIntervals = 16
-	writeIntervals  = 4
+	readTimeoutIntervals        = 16
+	answerWriteTimeoutIntervals = 4
 )
 
-// serve answers one peer's requests, each in a goroutine of its own.
+// serve answers the requests on a connection that a peer opened, each in its own goroutine.
 func (mesh *Mesh) serve(ctx context.Context, conn net.Conn) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -61,7 +63,7 @@
 	var writeMu sync.Mutex
 	reader := bufio.NewReader(conn)
 	for {
-		conn.SetReadDeadline(time.Now().Add(silentIntervals * mesh.pingInterval))
+		conn.SetReadDeadline(time.Now().Add(readTimeoutIntervals * mesh.pingInterval))
 		request, err := readFrame(reader)
 		if err != nil {
 			return
@@ -76,7 +78,7 @@
 			answer := mesh.answerFrame(ctx, request)
 			writeMu.Lock()
 			defer writeMu.Unlock()
-			conn.SetWriteDeadline(time.Now().Add(writeIntervals * mesh.pingInterval))
+			conn.SetWriteDeadline(time.Now().Add(answerWriteTimeoutIntervals * mesh.pingInterval))
 			if writeFrame(conn, answer) != nil {
 				conn.Close()
 			}
@@ -84,7 +86,7 @@
 	}
 }
 
-// answerFrame answers a request, or refuses it.
+// answerFrame returns the answer to a request, or a refusal if it cannot be served.
 func (mesh *Mesh) answerFrame(ctx context.Context, request frame) frame {
 	body, err := mesh.answer(ctx, request)
 	if err != nil {
@@ -94,8 +96,9 @@
 	return frame{kind: kindAnswer, id: request.id, body: body}
 }
 
-// answer has the handler answer a request. Its errors are those of decoding, of a kind
-// that this version does not know, and of counts that the leader cannot tell.
+// answer passes a request to the handler and encodes the result. It fails if the request
+// is malformed, if this version does not know its kind, or if the handler cannot look up
+// the task counts.
 func (mesh *Mesh) answer(ctx context.Context, request frame) ([]byte, error) {
 	body := request.body
 	switch request.kind {
@@ -124,7 +127,7 @@
 	case kindReachability:
 		return mesh.answerReachability(body)
 	}
-	return nil, fmt.Errorf("%w: kind %d", ErrFormat, request.kind)
+	return nil, fmt.Errorf("%w: unknown request kind %d", ErrFormat, request.kind)
 }
 
 func (mesh *Mesh) answerPing(body []byte) ([]byte, error) {
@@ -174,11 +177,11 @@
 }
 
 func (mesh *Mesh) answerStoreIncarnation(body []byte) ([]byte, error) {
-	known, err := decodeStoreIncarnation(body)
+	incarnation, err := decodeStoreIncarnation(body)
 	if err != nil {
 		return nil, err
 	}
-	mesh.handler.PeerStoreIncarnation("a peer", known)
+	mesh.handler.PeerStoreIncarnation("a peer", incarnation)
 	own := mesh.handler.StoreIncarnation()
 	return own.encode(), nil
 }
@@ -218,8 +221,8 @@
 	return own.encode(), nil
 }
 
-// limitToFrame leaves out the last picks where all do not fit a frame; their candidates
-// are offered again with the next pass.
+// limitToFrame drops the last picks if all of them do not fit into one frame. The
+// candidates of dropped picks are offered again in the next placement pass.
 func limitToFrame(picks []placement.Pick) []placement.Pick {
 	size := 0
 	for i := range picks {
@@ -230,6 +233,6 @@
 	return picks
 }
 
-// maxPickBytes is what a pick takes at most, its strings aside: their lengths and the
-// tier as varints, two amounts.
+// maxPickBytes bounds the encoded size of a pick without the bytes of its strings: two
+// string lengths and the tier as varints, and two floats.
 const maxPickBytes = 3*10 + 2*8
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -22,31 +22,31 @@
 	"rillflow/internal/wire"
 )
 
-// testdata/production holds frames as version 0.1 sends them. Its decoder takes
-// no other version and no byte more, so what is sent to it stays as it was, byte
-// for byte.
-func TestFramesOfProduction(t *testing.T) {
-	one := offer
-	q := one.Queues[0]
-	q.Jobs = append([]placement.WaitingJob(nil), q.Jobs...)
-	q.Jobs[0].ZoneSlots = map[string]int{"a": 1} // a map has no order to compare
-	one.Queues = []placement.Queue{q}
+// Guards against a change of a frame that version 0.1 sends and reads: its decoder rejects
+// any other format version and any extra byte. testdata/production holds frames recorded
+// from version 0.1, which must be encoded and decoded byte for byte.
+func TestFramesOfVersion01(t *testing.T) {
+	offerOfOneZone := testOffer
+	queue := offerOfOneZone.Queues[0]
+	queue.Jobs = append([]placement.WaitingJob(nil), queue.Jobs...)
+	queue.Jobs[0].ZoneSlots = map[string]int{"a": 1} // one entry, as the order of a map's entries is random
+	offerOfOneZone.Queues = []placement.Queue{queue}
 	for _, tc := range []struct {
 		name   string
-		kind   kind
+		kind   frameKind
 		body   []byte
 		in     any
 		decode func([]byte) (any, error)
 	}{
-		{"ping", kindPing, ping.encode(), ping, func(b []byte) (any, error) { return decodePing(b) }},
-		{"beat", kindHeartbeat, encodeHeartbeat(report), report, func(b []byte) (any, error) { return decodeHeartbeat(b) }},
-		{"beat-answer", kindAnswer, answer.encode(), answer, func(b []byte) (any, error) { return decodeHeartbeatAnswer(b) }},
-		{"offer", kindOffer, encodeOffer(&one), one, func(b []byte) (any, error) { return decodeOffer(b) }},
-		{"picks", kindAnswer, encodePicks(picks), picks, func(b []byte) (any, error) { return decodePicks(b) }},
-		{"user", kindUser, user.encode(), user, func(b []byte) (any, error) { return decodeUserRequest(b) }},
-		{"user-answer", kindAnswer, useranswer.encode(), useranswer, func(b []byte) (any, error) { return decodeUserAnswer(b) }},
+		{"ping", kindPing, testPing.encode(), testPing, func(b []byte) (any, error) { return decodePing(b) }},
+		{"beat", kindHeartbeat, encodeHeartbeat(testHeartbeat), testHeartbeat, func(b []byte) (any, error) { return decodeHeartbeat(b) }},
+		{"beat-answer", kindAnswer, testHeartbeatAnswer.encode(), testHeartbeatAnswer, func(b []byte) (any, error) { return decodeHeartbeatAnswer(b) }},
+		{"offer", kindOffer, encodeOffer(&offerOfOneZone), offerOfOneZone, func(b []byte) (any, error) { return decodeOffer(b) }},
+		{"picks", kindAnswer, encodePicks(testPicks), testPicks, func(b []byte) (any, error) { return decodePicks(b) }},
+		{"user", kindUser, testUserRequest.encode(), testUserRequest, func(b []byte) (any, error) { return decodeUserRequest(b) }},
+		{"user-answer", kindAnswer, testUserAnswer.encode(), testUserAnswer, func(b []byte) (any, error) { return decodeUserAnswer(b) }},
 		{"counts", kindCounts, []byte("req-1"), "req-1", func(b []byte) (any, error) { return string(b), nil }},
-		{"counts-answer", kindAnswer, counts.encode(), counts, func(b []byte) (any, error) { return decodeCounts(b) }},
+		{"counts-answer", kindAnswer, testCounts.encode(), testCounts, func(b []byte) (any, error) { return decodeCounts(b) }},
 		{"refuse", kindRefusal, nil, "", func(b []byte) (any, error) { return string(b), nil }},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,155 +56,159 @@
 			}
 			var out bytes.Buffer
 			if err := writeFrame(&out, frame{kind: tc.kind, id: 77, body: tc.body}); err != nil || !bytes.Equal(out.Bytes(), want) {
-				t.Errorf("sent as %x, %v; version 0.1 takes %x", out.Bytes(), err, want)
+				t.Errorf("frame encoded as %x, %v, want %x as of version 0.1", out.Bytes(), err, want)
 			}
 			f, err := readFrame(bytes.NewReader(want))
 			if err != nil || f.kind != tc.kind || f.id != 77 {
-				t.Fatalf("read as %+v, %v", f, err)
+				t.Fatalf("frame of version 0.1 read as %+v, %v, want kind %d, id 77", f, err, tc.kind)
 			}
 			if got, err := tc.decode(f.body); err != nil || !reflect.DeepEqual(got, tc.in) {
-				t.Errorf("read as %+v, %v", got, err)
+				t.Errorf("payload decoded as %+v, %v, want %+v", got, err, tc.in)
 			}
 		})
 	}
 }
 
-// node is a handler that only tells how it stands, and picks as told.
-type node struct {
-	told    atomic.Bool // a peer said how it takes the history
-	version string
-	pick    func(placement.Offer) []placement.Pick
+// fakeHandler is a Handler that returns fixed answers, and picks by the pick function.
+type fakeHandler struct {
+	incarnationReceived atomic.Bool // a peer has reported its store incarnation
+	version             string
+	pick                func(placement.Offer) []placement.Pick
 }
 
-func (n *node) OwnStatus() Ping { return Ping{Node: "n"} }
-func (n *node) PeerStatus(Ping) {}
-func (n *node) HandleHeartbeat(context.Context, *wire.Heartbeat) HeartbeatAnswer {
+func (h *fakeHandler) OwnStatus() Ping { return Ping{Node: "n"} }
+func (h *fakeHandler) PeerStatus(Ping) {}
+func (h *fakeHandler) HandleHeartbeat(context.Context, *wire.Heartbeat) HeartbeatAnswer {
 	return HeartbeatAnswer{}
 }
-func (n *node) PickTypes(o placement.Offer) []placement.Pick              { return n.pick(o) }
-func (n *node) HandleUserRequest(context.Context, UserRequest) UserAnswer { return UserAnswer{} }
-func (n *node) TaskCounts(string) (Counts, error)                         { return Counts{}, nil }
-func (n *node) WorkerReachability() Reachability {
+func (h *fakeHandler) PickTypes(o placement.Offer) []placement.Pick              { return h.pick(o) }
+func (h *fakeHandler) HandleUserRequest(context.Context, UserRequest) UserAnswer { return UserAnswer{} }
+func (h *fakeHandler) TaskCounts(string) (Counts, error)                         { return Counts{}, nil }
+func (h *fakeHandler) WorkerReachability() Reachability {
 	return Reachability{SinceHeartbeat: time.Second, Isolated: true}
 }
-func (n *node) Version() string                                  { return n.version }
-func (n *node) StoreIncarnation() StoreIncarnation               { return StoreIncarnation{} }
-func (n *node) PeerStoreIncarnation(string, StoreIncarnation)    { n.told.Store(true) }
-func (n *node) ReceiveReplica(*replica.Push) replica.Ack         { return replica.Ack{} }
-func (n *node) ReadReplicaPage(replica.PageRequest) replica.Page { return replica.Page{} }
-func (n *node) ReceiveCancellations(*cancellation.Message) cancellation.Ack {
+func (h *fakeHandler) Version() string                    { return h.version }
+func (h *fakeHandler) StoreIncarnation() StoreIncarnation { return StoreIncarnation{} }
+func (h *fakeHandler) PeerStoreIncarnation(string, StoreIncarnation) {
+	h.incarnationReceived.Store(true)
+}
+func (h *fakeHandler) ReceiveReplica(*replica.Push) replica.Ack         { return replica.Ack{} }
+func (h *fakeHandler) ReadReplicaPage(replica.PageRequest) replica.Page { return replica.Page{} }
+func (h *fakeHandler) ReceiveCancellations(*cancellation.Message) cancellation.Ack {
 	return cancellation.Ack{Accepted: true}
 }
-func (n *node) PeerConnected(context.Context, string) {}
-func (n *node) PeerSynced(context.Context, string)    {}
+func (h *fakeHandler) PeerConnected(context.Context, string) {}
+func (h *fakeHandler) PeerSynced(context.Context, string)    {}
 
-func refuse(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
+func refuseDial(context.Context, string, string) (net.Conn, error) { return nil, net.ErrClosed }
 
-func quiet() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// old answers a request as version 0.1 does.
-func old(ctx context.Context, m *Mesh, f frame) frame {
-	if f.kind < kindVersion {
-		if body, err := m.answer(ctx, f); err == nil {
-			return frame{kind: kindAnswer, id: f.id, body: body}
+// answerAsVersion01 answers a request as version 0.1 does: it refuses all kinds from
+// kindVersion on.
+func answerAsVersion01(ctx context.Context, mesh *Mesh, request frame) frame {
+	if request.kind < kindVersion {
+		if body, err := mesh.answer(ctx, request); err == nil {
+			return frame{kind: kindAnswer, id: request.id, body: body}
 		}
 	}
-	return frame{kind: kindRefusal, id: f.id}
+	return frame{kind: kindRefusal, id: request.id}
 }
 
-// How a node hears is asked of peers that are known to tell, and of no others.
-func TestHearingOfPeer(t *testing.T) {
+// Guards against sending a peer a request kind that its version does not support, and
+// against withholding one that it does.
+func TestRequestsMatchPeerVersion(t *testing.T) {
 	for _, tc := range []struct {
-		version string
-		known   bool
-		tokens  bool
-		copies  bool
-		notes   bool
+		version       string
+		reachability  bool
+		tokens        bool
+		replicas      bool
+		cancellations bool
 	}{{"0.2.0", false, false, false, false}, {"0.3.0", true, false, false, false}, {"0.4.0", true, true, false, false}, {"0.5.0", true, true, true, false}, {"0.6.0", true, true, true, true}, {"0.10.1", true, true, true, true}, {"odd", false, false, false, false}} {
 		t.Run(tc.version, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
-				far := NewMesh(nil, &node{version: tc.version}, time.Second, 4, refuse, quiet())
+				peerMesh := NewMesh(nil, &fakeHandler{version: tc.version}, time.Second, 4, refuseDial, discardLogger())
 				dial := func(context.Context, string, string) (net.Conn, error) {
-					near, there := net.Pipe()
-					go far.serve(ctx, there)
-					return near, nil
+					local, remote := net.Pipe()
+					go peerMesh.serve(ctx, remote)
+					return local, nil
 				}
-				h := &node{version: "0.3.0"}
-				m := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, h, time.Second, 4, dial, quiet())
+				handler := &fakeHandler{version: "0.3.0"}
+				mesh := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, handler, time.Second, 4, dial, discardLogger())
 				done := make(chan struct{})
-				go func() { defer close(done); m.links["n"].dialLoop(ctx, m.handler) }()
+				go func() { defer close(done); mesh.links["n"].dialLoop(ctx, mesh.handler) }()
 				time.Sleep(10 * time.Second)
-				if s := m.Peers()["n"]; s.ReachabilityKnown != tc.known || s.Reachability.Isolated != tc.known {
-					t.Errorf("%+v", s)
+				if status := mesh.Peers()["n"]; status.ReachabilityKnown != tc.reachability || status.Reachability.Isolated != tc.reachability {
+					t.Errorf("status is %+v, want reachability known: %v", status, tc.reachability)
 				}
-				// A token goes to those that know tokens: the others would take the
-				// request for somebody else's.
-				if _, err := m.ForwardUserRequest(ctx, "n", UserRequest{Method: "GET", Auth: "Bearer x"}); (err == nil) != tc.tokens {
-					t.Errorf("a request with a token: %v", err)
+				// A peer without support for tokens would serve the request without
+				// knowing whose it is.
+				if _, err := mesh.ForwardUserRequest(ctx, "n", UserRequest{Method: "GET", Auth: "Bearer x"}); (err == nil) != tc.tokens {
+					t.Errorf("request with a token: error %v, want success: %v", err, tc.tokens)
 				}
-				if _, err := m.ForwardUserRequest(ctx, "n", UserRequest{Method: "GET"}); err != nil {
-					t.Errorf("a request without: %v", err)
+				if _, err := mesh.ForwardUserRequest(ctx, "n", UserRequest{Method: "GET"}); err != nil {
+					t.Errorf("request without a token: %v", err)
 				}
-				// Copies, and what is made of the history, go to those that know of them.
-				_, err := m.Push(ctx, "n", &replica.Push{})
-				_, err2 := m.FetchPage(ctx, "n", replica.PageRequest{})
-				if (err == nil) != tc.copies || (err2 == nil) != tc.copies || (len(m.Followers()) == 1) != tc.copies || h.told.Load() != tc.copies {
-					t.Errorf("a copy: %v, %v; followers %v, told of the history: %v", err, err2, m.Followers(), h.told.Load())
+				// Replicas and store incarnations are supported since the same version.
+				_, pushErr := mesh.Push(ctx, "n", &replica.Push{})
+				_, fetchErr := mesh.FetchPage(ctx, "n", replica.PageRequest{})
+				if (pushErr == nil) != tc.replicas || (fetchErr == nil) != tc.replicas || (len(mesh.Followers()) == 1) != tc.replicas || handler.incarnationReceived.Load() != tc.replicas {
+					t.Errorf("push error %v, fetch error %v, followers %v, incarnation received %v, want all to succeed: %v", pushErr, fetchErr, mesh.Followers(), handler.incarnationReceived.Load(), tc.replicas)
 				}
-				// Notes of withdrawals go to those that know of them; of the others it is known
-				// that they do not, which is not the same as not reaching them.
-				if a, err := m.SendCancellations(ctx, "n", &cancellation.Message{JobIDs: []string{"req-1"}}); a.Accepted != tc.notes || errors.Is(err, cancellation.ErrUnsupported) == tc.notes {
-					t.Errorf("a note: %+v, %v", a, err)
+				// A peer known not to support cancellations gives ErrUnsupported, one that
+				// is not connected ErrDown.
+				if ack, err := mesh.SendCancellations(ctx, "n", &cancellation.Message{JobIDs: []string{"req-1"}}); ack.Accepted != tc.cancellations || errors.Is(err, cancellation.ErrUnsupported) == tc.cancellations {
+					t.Errorf("cancellations: got %+v, %v, want accepted: %v", ack, err, tc.cancellations)
 				}
 				cancel()
 				<-done
-				if _, err := m.SendCancellations(context.Background(), "n", &cancellation.Message{}); !errors.Is(err, ErrDown) {
-					t.Errorf("a note without a link: %v", err)
+				if _, err := mesh.SendCancellations(context.Background(), "n", &cancellation.Message{}); !errors.Is(err, ErrDown) {
+					t.Errorf("cancellations without a connection: got error %v, want %v", err, ErrDown)
 				}
 			})
 		})
 	}
 }
 
-// A peer's version is known from its answer, an old one by its refusal, and a
-// peer that comes back as the other is known as that: connection by connection.
-func TestVersionOfPeer(t *testing.T) {
+// Guards against keeping a peer's version from an earlier connection: the peer may have
+// been restarted with another version, and one before 0.2 refuses to report its version.
+func TestPeerVersionPerConnection(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		far := NewMesh(nil, &node{version: "0.2.0"}, time.Second, 4, refuse, quiet())
+		peerMesh := NewMesh(nil, &fakeHandler{version: "0.2.0"}, time.Second, 4, refuseDial, discardLogger())
 		var isOld bool
 		var conn net.Conn
 		dial := func(context.Context, string, string) (net.Conn, error) {
-			near, there := net.Pipe()
-			conn = there
+			local, remote := net.Pipe()
+			conn = remote
 			if !isOld {
-				go far.serve(ctx, there)
-				return near, nil
+				go peerMesh.serve(ctx, remote)
+				return local, nil
 			}
 			go func() {
-				defer there.Close()
+				defer remote.Close()
 				for {
-					f, err := readFrame(there)
+					request, err := readFrame(remote)
 					if err != nil {
 						return
 					}
-					if writeFrame(there, old(ctx, far, f)) != nil {
+					if writeFrame(remote, answerAsVersion01(ctx, peerMesh, request)) != nil {
 						return
 					}
 				}
 			}()
-			return near, nil
+			return local, nil
 		}
-		m := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, &node{version: "0.2.0"}, time.Second, 4, dial, quiet())
+		mesh := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, &fakeHandler{version: "0.2.0"}, time.Second, 4, dial, discardLogger())
 		done := make(chan struct{})
-		go func() { defer close(done); m.links["n"].dialLoop(ctx, m.handler) }()
+		go func() { defer close(done); mesh.links["n"].dialLoop(ctx, mesh.handler) }()
 		for i, want := range []string{"0.2.0", "", "0.2.0"} {
 			time.Sleep(10 * time.Second)
-			s := m.Peers()["n"]
-			if !s.Live || s.Version != want {
-				t.Errorf("connection %d: live %v, version %q, want %q", i, s.Live, s.Version, want)
+			status := mesh.Peers()["n"]
+			if !status.Live || status.Version != want {
+				t.Errorf("connection %d: live %v, version %q, want live with version %q", i, status.Live, status.Version, want)
 			}
 			isOld = !isOld
 			conn.Close()
--- a/internal/peer/heartbeat_messages.go
+++ b/internal/peer/heartbeat_messages.go
@@ -8,11 +8,11 @@
 	"rillflow/internal/wire"
 )
 
-// HeartbeatAnswer is the leader's answer to a heartbeat that a shard owner passed on.
+// HeartbeatAnswer is the leader's answer to a heartbeat that a shard owner forwarded.
 type HeartbeatAnswer struct {
-	OK       bool // false: the leader may not answer it
+	OK       bool // false if the leader could not answer the heartbeat
 	Commands wire.CommandBatch
-	Samples  []agent.RuntimeSample // for the owner's estimates
+	Samples  []agent.RuntimeSample // for the shard owner's run-time estimates
 }
 
 func encodeHeartbeat(heartbeat *wire.Heartbeat) []byte {
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -12,43 +12,44 @@
 	"rillflow/internal/retry"
 )
 
-// Errors of a request to a peer.
+// Errors of requests to a peer.
 var (
-	// ErrDown says that there is no connection to the peer, or that it broke before the answer.
+	// ErrDown means that there is no connection to the peer, or that it broke before the
+	// answer arrived.
 	ErrDown = errors.New("peer: not connected")
-	// ErrRefused says that the peer does not serve the request: it is too old to know it, or
-	// cannot answer it now.
-	ErrRefused = errors.New("peer: refused")
+	// ErrRefused means that the peer did not serve the request: its version is too old for
+	// it, or it cannot answer it now.
+	ErrRefused = errors.New("peer: request refused")
 )
 
-// Time limits, in ping intervals.
+// Time limits of a link, in ping intervals.
 const (
-	dialIntervals     = 4 // to connect, and between attempts at the most
-	askIntervals      = 3 // for an answer that a peer gives at once
-	askWriteIntervals = 2 // to hand a request to the network
-	liveIntervals     = 3 // since the last answered ping, while a peer counts as live
-	unbrokenIntervals = 4 // between two answered pings, while it counts as live throughout
+	dialTimeoutIntervals         = 4 // to connect; also the longest backoff between attempts
+	answerTimeoutIntervals       = 3 // for an answer that needs no lengthy work of the peer
+	requestWriteTimeoutIntervals = 2 // to write a request to the connection
+	liveIntervals                = 3 // longest time since the last answered ping of a live peer
+	maxLiveGapIntervals          = 4 // longest time between answered pings that does not restart LiveSince
 )
 
-// Link is the connection that this controller dialled to a peer: requests go out on it,
-// and answers come back in any order, told apart by number. mu guards all that changes
-// but the order of writes.
+// Link is the outgoing connection to a peer. Requests are sent on it, and their answers
+// arrive in any order, matched by request number. mu guards the fields from conn to
+// liveSince; writeMu serializes writes to the connection.
 type Link struct {
-	peer         string // its name
+	peer         string // the peer's name
 	addr         string
 	pingInterval time.Duration
 	dial         DialFunc
 
 	mu                sync.Mutex
-	conn              net.Conn // nil while there is none
+	conn              net.Conn // nil while disconnected
 	nextID            uint64
 	pending           map[uint64]chan frame
 	lastPing          Ping
 	version           string
-	versionKnown      bool // settled for this connection, "" included
+	versionKnown      bool // the peer has reported or refused its version on this connection
 	reachability      Reachability
-	reachabilityKnown bool      // told on this connection
-	lastAnswer        time.Time // of the last answered ping
+	reachabilityKnown bool      // reported on this connection
+	lastPingAt        time.Time // of the last answered ping
 	liveSince         time.Time
 
 	writeMu sync.Mutex
@@ -57,36 +58,37 @@
 func (link *Link) status() Status {
 	link.mu.Lock()
 	defer link.mu.Unlock()
-	live := !link.lastAnswer.IsZero() && time.Since(link.lastAnswer) < liveIntervals*link.pingInterval
+	live := !link.lastPingAt.IsZero() && time.Since(link.lastPingAt) < liveIntervals*link.pingInterval
 	return Status{
 		Ping: link.lastPing, Version: link.version, Live: live, LiveSince: link.liveSince,
 		Reachability: link.reachability, ReachabilityKnown: link.reachabilityKnown,
 	}
 }
 
-// dialLoop connects to the peer, and again each time the connection is lost, until ctx ends.
+// dialLoop connects to the peer, and reconnects whenever the connection is lost, until
+// ctx ends.
 func (link *Link) dialLoop(ctx context.Context, handler Handler) error {
 	for attempt := 0; ctx.Err() == nil; {
 		conn, err := link.connect(ctx)
 		if err != nil {
-			retry.Backoff(ctx, attempt, link.pingInterval, dialIntervals*link.pingInterval)
+			retry.Backoff(ctx, attempt, link.pingInterval, dialTimeoutIntervals*link.pingInterval)
 			attempt++
 			continue
 		}
 		attempt = 0
-		link.keep(ctx, conn, handler)
+		link.runConnection(ctx, conn, handler)
 	}
 	return ctx.Err()
 }
 
 func (link *Link) connect(ctx context.Context) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialIntervals*link.pingInterval)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeoutIntervals*link.pingInterval)
 	defer cancel()
 	return link.dial(ctx, "tcp", link.addr)
 }
 
-// keep uses a new connection until a ping on it is not answered.
-func (link *Link) keep(ctx context.Context, conn net.Conn, handler Handler) {
+// runConnection uses a new connection until a ping on it fails, and then closes it.
+func (link *Link) runConnection(ctx context.Context, conn net.Conn, handler Handler) {
 	link.mu.Lock()
 	link.conn = conn
 	link.mu.Unlock()
@@ -103,7 +105,7 @@
 	link.failPending()
 }
 
-// readAnswers hands answers to those who wait for them until the connection ends.
+// readAnswers delivers answers to the pending requests until the connection ends.
 func (link *Link) readAnswers(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -112,16 +114,17 @@
 			return
 		}
 		link.mu.Lock()
-		waiting := link.pending[answer.id]
+		answers := link.pending[answer.id]
 		delete(link.pending, answer.id)
 		link.mu.Unlock()
-		if waiting != nil {
-			waiting <- answer
+		if answers != nil {
+			answers <- answer
 		}
 	}
 }
 
-// failPending fails what still waits on a connection that is gone.
+// failPending fails the requests that are still pending when the connection ends, and
+// resets what the peer reported on it.
 func (link *Link) failPending() {
 	link.mu.Lock()
 	defer link.mu.Unlock()
@@ -133,16 +136,17 @@
 	}
 }
 
-// askWithTimeout asks what a peer that is up answers at once.
-func (link *Link) askWithTimeout(ctx context.Context, k kind, body []byte) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, askIntervals*link.pingInterval)
+// callWithTimeout sends a request that a live peer answers without lengthy work, and waits
+// for its answer for answerTimeoutIntervals.
+func (link *Link) callWithTimeout(ctx context.Context, kind frameKind, body []byte) ([]byte, error) {
+	ctx, cancel := context.WithTimeout(ctx, answerTimeoutIntervals*link.pingInterval)
 	defer cancel()
-	return link.ask(ctx, k, body)
+	return link.call(ctx, kind, body)
 }
 
-// ask sends a request and waits for its answer. The error is ErrDown, ErrRefused,
-// ErrFormat or that of ctx; after ErrDown the peer may have served the request.
-func (link *Link) ask(ctx context.Context, k kind, body []byte) ([]byte, error) {
+// call sends a request and waits for its answer. The error is ErrDown, ErrRefused,
+// ErrFormat or that of ctx. After ErrDown the peer may still have served the request.
+func (link *Link) call(ctx context.Context, kind frameKind, body []byte) ([]byte, error) {
 	link.mu.Lock()
 	conn := link.conn
 	if conn == nil {
@@ -159,7 +163,7 @@
 		delete(link.pending, id)
 		link.mu.Unlock()
 	}()
-	if err := link.send(conn, frame{kind: k, id: id, body: body}); err != nil {
+	if err := link.send(conn, frame{kind: kind, id: id, body: body}); err != nil {
 		return nil, err
 	}
 	select {
@@ -169,15 +173,15 @@
 		if !ok {
 			return nil, ErrDown
 		}
-		return answerBody(answer)
+		return bodyOfAnswer(answer)
 	}
 }
 
-// send writes a request. After an error the connection is of no more use, for a frame may
-// have gone out in part.
+// send writes a request. After an error it closes the connection, because the frame may
+// have been written in part.
 func (link *Link) send(conn net.Conn, request frame) error {
 	link.writeMu.Lock()
-	conn.SetWriteDeadline(time.Now().Add(askWriteIntervals * link.pingInterval))
+	conn.SetWriteDeadline(time.Now().Add(requestWriteTimeoutIntervals * link.pingInterval))
 	err := writeFrame(conn, request)
 	link.writeMu.Unlock()
 	if err != nil {
@@ -187,7 +191,7 @@
 	return nil
 }
 
-func answerBody(answer frame) ([]byte, error) {
+func bodyOfAnswer(answer frame) ([]byte, error) {
 	switch answer.kind {
 	case kindAnswer:
 		return answer.body, nil
--- a/internal/peer/mesh.go
+++ b/internal/peer/mesh.go
@@ -12,20 +12,21 @@
 	"rillflow/internal/settings"
 )
 
-// DialFunc opens a connection to an address.
+// DialFunc opens a network connection to a peer's address.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Mesh is this controller's links to all others. It is safe for concurrent use.
+// Mesh holds this controller's links to all peers and serves their requests. It is safe
+// for concurrent use.
 type Mesh struct {
 	handler      Handler
 	pingInterval time.Duration
 	links        map[string]*Link // by the peer's name; never changed after NewMesh
 	log          *slog.Logger
-	slots        chan struct{} // bounds requests served at once
+	slots        chan struct{} // limits the requests served concurrently
 }
 
-// NewMesh makes the links; nothing is dialled before Run. slots bounds the peers'
-// requests that are served at once.
+// NewMesh returns a mesh with a link to each peer; nothing is dialled before Run. At most
+// slots requests of peers are served concurrently.
 func NewMesh(
 	peers []settings.Peer, handler Handler, pingInterval time.Duration, slots int, dial DialFunc, log *slog.Logger,
 ) *Mesh {
@@ -42,7 +43,7 @@
 	return mesh
 }
 
-// Run keeps the links and serves peers on listener until ctx ends.
+// Run maintains the links and serves peers on listener until ctx ends.
 func (mesh *Mesh) Run(ctx context.Context, listener net.Listener) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { <-ctx.Done(); return listener.Close() })
@@ -53,7 +54,7 @@
 	return group.Wait()
 }
 
-// accept serves each peer that connects in a goroutine of the group.
+// accept serves each incoming connection in a goroutine of the group.
 func (mesh *Mesh) accept(ctx context.Context, group *errgroup.Group, listener net.Listener) error {
 	for {
 		conn, err := listener.Accept()
@@ -68,21 +69,21 @@
 	}
 }
 
-// Status is how a peer stood at its last ping.
+// Status is what is known of a peer, mostly from its last ping.
 type Status struct {
 	Ping
-	// Version is the peer's program version, or "" if it is too old to tell or
-	// has not been asked yet. It is asked anew with each connection, for a
-	// process may come back as another version.
+	// Version is the peer's program version, or "" if the peer is too old to report it or
+	// has not been asked yet. It is requested again on each connection, because the peer
+	// may have been restarted with another version.
 	Version   string    `json:"Version"`
-	Live      bool      `json:"Live"`  // answered lately
-	LiveSince time.Time `json:"Since"` // live without a break since
-	// Reachability is how the peer hears workers, if it is new enough to tell.
+	Live      bool      `json:"Live"`  // answered a ping within liveIntervals
+	LiveSince time.Time `json:"Since"` // start of the current run of answered pings
+	// Reachability is how well workers reach the peer, if its version reports that.
 	Reachability      Reachability `json:"Hearing"`
 	ReachabilityKnown bool         `json:"HearingKnown"`
 }
 
-// Peers tells how all peers stand, by their names.
+// Peers returns the status of every peer, keyed by name.
 func (mesh *Mesh) Peers() map[string]Status {
 	statuses := make(map[string]Status, len(mesh.links))
 	for name, link := range mesh.links {
--- a/internal/peer/offer_messages.go
+++ b/internal/peer/offer_messages.go
@@ -19,8 +19,8 @@
 		encoder.Str(queue.Type)
 		encoder.Int(int64(queue.Unfinished))
 		encoder.Uint(uint64(len(queue.Jobs)))
-		for k := range queue.Jobs {
-			encodeWaitingJob(&encoder, &queue.Jobs[k])
+		for j := range queue.Jobs {
+			encodeWaitingJob(&encoder, &queue.Jobs[j])
 		}
 	}
 	return encoder.B
@@ -120,7 +120,8 @@
 	return job
 }
 
-// decodeZoneSlots tells slots that are not bound to zones, nil, from none in any.
+// decodeZoneSlots returns nil for a job that is not limited to zones, and an empty map for
+// one without a free slot in any zone.
 func decodeZoneSlots(decoder *codec.Decoder) map[string]int {
 	var slots map[string]int
 	if decoder.Bool() {
--- a/internal/peer/ping.go
+++ b/internal/peer/ping.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// pingLoop exchanges with the peer how both stand, once an interval, until an answer
-// fails to come.
+// pingLoop exchanges status with the peer at every ping interval, until a ping fails.
 func (link *Link) pingLoop(ctx context.Context, handler Handler) {
 	versionKnown := link.exchangeVersions(ctx, handler)
 	if versionKnown {
-		// Ahead of the pings, which tell who leads: a process that has just begun answers
-		// workers once it knows that, and must know of cancellations by then.
+		// Before the first ping, because a ping reports who leads: a controller that has
+		// just started answers workers as soon as it knows the leader, and must know the
+		// cancellations by then.
 		handler.PeerConnected(ctx, link.peer)
 	}
 	for ctx.Err() == nil {
@@ -35,11 +35,11 @@
 	}
 }
 
-// exchangePing tells the peer how this controller stands and hears how the peer does. It
-// reports whether an answer came.
+// exchangePing sends this controller's status and records the peer's. It reports whether
+// the peer answered.
 func (link *Link) exchangePing(ctx context.Context, handler Handler) bool {
 	own := handler.OwnStatus()
-	body, err := link.askWithTimeout(ctx, kindPing, own.encode())
+	body, err := link.callWithTimeout(ctx, kindPing, own.encode())
 	if err != nil {
 		return false
 	}
@@ -56,19 +56,20 @@
 	link.mu.Lock()
 	defer link.mu.Unlock()
 	now := time.Now()
-	if link.lastAnswer.IsZero() || now.Sub(link.lastAnswer) > unbrokenIntervals*link.pingInterval {
+	if link.lastPingAt.IsZero() || now.Sub(link.lastPingAt) > maxLiveGapIntervals*link.pingInterval {
 		link.liveSince = now
 	}
-	link.lastPing, link.lastAnswer = ping, now
+	link.lastPing, link.lastPingAt = ping, now
 }
 
-// exchangeReachability asks how well the peer hears workers, if it is new enough to tell.
+// exchangeReachability exchanges with the peer how well workers reach each of the two, if
+// its version supports that.
 func (link *Link) exchangeReachability(ctx context.Context, handler Handler) {
-	if !link.atLeastVersion(sinceReachability) {
+	if !link.atLeastVersion(minVersionReachability) {
 		return
 	}
 	own := handler.WorkerReachability()
-	body, err := link.askWithTimeout(ctx, kindReachability, own.encode())
+	body, err := link.callWithTimeout(ctx, kindReachability, own.encode())
 	if err != nil {
 		return
 	}
@@ -81,18 +82,18 @@
 	link.reachability, link.reachabilityKnown = reachability, true
 }
 
-// exchangeStoreIncarnation tells the peer which incarnation of the store's data this
-// controller knows, and hears which one the peer does, if it is new enough.
+// exchangeStoreIncarnation exchanges with the peer which incarnation of the store's data
+// each of the two knows, if its version supports that.
 func (link *Link) exchangeStoreIncarnation(ctx context.Context, handler Handler) {
-	if !link.atLeastVersion(sinceReplicas) {
+	if !link.atLeastVersion(minVersionReplicas) {
 		return
 	}
 	own := handler.StoreIncarnation()
-	body, err := link.askWithTimeout(ctx, kindStoreIncarnation, own.encode())
+	body, err := link.callWithTimeout(ctx, kindStoreIncarnation, own.encode())
 	if err != nil {
 		return
 	}
-	if known, err := decodeStoreIncarnation(body); err == nil {
-		handler.PeerStoreIncarnation(link.peer, known)
+	if incarnation, err := decodeStoreIncarnation(body); err == nil {
+		handler.PeerStoreIncarnation(link.peer, incarnation)
 	}
 }
--- a/internal/peer/split_test.go
+++ b/internal/peer/split_test.go
@@ -13,72 +13,73 @@
 	"rillflow/internal/settings"
 )
 
-// An offer of any size gets all its rooms to the owner, in frames within the
-// bound; picks that do not fit an answer are left for the next pass.
-func TestOfferAtTheBound(t *testing.T) {
-	long := strings.Repeat("x", 400)
-	rooms := func(n int) []placement.Candidate {
-		rs := make([]placement.Candidate, n)
-		for i := range rs {
-			rs[i] = placement.Candidate{Worker: fmt.Sprintf("i-%06d", i), InstanceType: long}
+// Guards against an offer above the frame limit that is rejected or loses candidates: it
+// must reach the owner in several frames. Picks that do not fit into an answer are left
+// for the next placement pass.
+func TestOfferIsSplitAtFrameLimit(t *testing.T) {
+	longName := strings.Repeat("x", 400)
+	candidates := func(n int) []placement.Candidate {
+		list := make([]placement.Candidate, n)
+		for i := range list {
+			list[i] = placement.Candidate{Worker: fmt.Sprintf("i-%06d", i), InstanceType: longName}
 		}
-		return rs
+		return list
 	}
-	one := len(encodeOffer(&placement.Offer{Candidates: rooms(2)})) - len(encodeOffer(&placement.Offer{Candidates: rooms(1)}))
-	fit := (maxPayloadBytes - 8) / one
-	if len(encodeOffer(&placement.Offer{Candidates: rooms(fit)})) > maxPayloadBytes || len(encodeOffer(&placement.Offer{Candidates: rooms(fit + 1)})) <= maxPayloadBytes {
-		t.Fatalf("%d rooms are not the most that fit", fit)
+	candidateBytes := len(encodeOffer(&placement.Offer{Candidates: candidates(2)})) - len(encodeOffer(&placement.Offer{Candidates: candidates(1)}))
+	maxFitting := (maxPayloadBytes - 8) / candidateBytes
+	if len(encodeOffer(&placement.Offer{Candidates: candidates(maxFitting)})) > maxPayloadBytes || len(encodeOffer(&placement.Offer{Candidates: candidates(maxFitting + 1)})) <= maxPayloadBytes {
+		t.Fatalf("%d candidates are not the most that fit into a frame", maxFitting)
 	}
 	for _, tc := range []struct {
-		name   string
-		rooms  int
-		ref    string
-		frames int
-		all    bool
+		name       string
+		candidates int
+		jobID      string
+		frames     int
+		allPicked  bool
 	}{
-		{"small", 10, "req-1", 1, true},
-		{"as many as fit", fit, "req-1", 1, true},
-		{"one more", fit + 1, "req-1", 2, true},
-		{"five times as many", 5 * fit, "req-1", 8, true},
-		{"an answer too large", fit, long + long, 1, false},
+		{"small offer", 10, "req-1", 1, true},
+		{"largest offer of one frame", maxFitting, "req-1", 1, true},
+		{"one candidate more", maxFitting + 1, "req-1", 2, true},
+		{"five times as many", 5 * maxFitting, "req-1", 8, true},
+		{"answer too large", maxFitting, longName + longName, 1, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(context.Background())
 				frames := 0
-				h := &node{pick: func(o placement.Offer) []placement.Pick {
+				handler := &fakeHandler{pick: func(offer placement.Offer) []placement.Pick {
 					frames++
-					var ps []placement.Pick
-					for _, r := range o.Candidates {
-						ps = append(ps, placement.Pick{Worker: r.Worker, JobID: tc.ref})
+					var picks []placement.Pick
+					for _, candidate := range offer.Candidates {
+						picks = append(picks, placement.Pick{Worker: candidate.Worker, JobID: tc.jobID})
 					}
-					return ps
+					return picks
 				}}
-				far := NewMesh(nil, h, time.Second, 4, refuse, quiet())
-				var there net.Conn
-				dial := func(context.Context, string, string) (c net.Conn, err error) {
-					c, there = net.Pipe()
-					go far.serve(ctx, there)
-					return c, nil
+				peerMesh := NewMesh(nil, handler, time.Second, 4, refuseDial, discardLogger())
+				var remote net.Conn
+				dial := func(context.Context, string, string) (local net.Conn, err error) {
+					local, remote = net.Pipe()
+					go peerMesh.serve(ctx, remote)
+					return local, nil
 				}
-				m := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, h, time.Second, 4, dial, quiet())
+				mesh := NewMesh([]settings.Peer{{Name: "n", Endpoint: "n:1"}}, handler, time.Second, 4, dial, discardLogger())
 				done := make(chan struct{})
-				go func() { defer close(done); m.links["n"].dialLoop(ctx, h) }()
+				go func() { defer close(done); mesh.links["n"].dialLoop(ctx, handler) }()
 				time.Sleep(5 * time.Second)
-				ps, err := m.Pick(ctx, "n", &placement.Offer{Candidates: rooms(tc.rooms)})
+				picks, err := mesh.Pick(ctx, "n", &placement.Offer{Candidates: candidates(tc.candidates)})
 				if err != nil {
 					t.Fatal(err)
 				}
-				seen := make(map[string]bool)
-				for _, p := range ps {
-					seen[p.Worker] = true
+				pickedWorkers := make(map[string]bool)
+				for _, pick := range picks {
+					pickedWorkers[pick.Worker] = true
 				}
-				if all := len(seen) == tc.rooms; all != tc.all || len(seen) == 0 || frames != tc.frames {
-					t.Errorf("%d of %d rooms picked for, in %d frames", len(seen), tc.rooms, frames)
+				if all := len(pickedWorkers) == tc.candidates; all != tc.allPicked || len(pickedWorkers) == 0 || frames != tc.frames {
+					t.Errorf("%d of %d candidates picked in %d frames, want all picked: %v, in %d frames", len(pickedWorkers), tc.candidates, frames, tc.allPicked, tc.frames)
 				}
 				cancel()
 				<-done
-				there.Close()
+				remote.Close()
 			})
 		})
 	}
--- a/internal/peer/status_messages.go
+++ b/internal/peer/status_messages.go
@@ -6,13 +6,13 @@
 	"rillflow/internal/codec"
 )
 
-// Ping tells a peer how a controller stands.
+// Ping is the status that a controller sends to its peers.
 type Ping struct {
 	Node         string        `json:"Node"`
-	Epoch        uint64        `json:"Epoch"`    // highest known
-	Leader       string        `json:"Leader"`   // who leads under it
-	ShardOwners  []string      `json:"Parts"`    // the shard owners under it
-	StoreSilence time.Duration `json:"StateAge"` // since the store last answered this controller
+	Epoch        uint64        `json:"Epoch"`    // highest epoch known
+	Leader       string        `json:"Leader"`   // leader in that epoch
+	ShardOwners  []string      `json:"Parts"`    // shard owners in that epoch
+	StoreSilence time.Duration `json:"StateAge"` // time since the store last answered this controller
 }
 
 func (ping *Ping) encode() []byte {
@@ -34,10 +34,10 @@
 	return ping, decoder.Done()
 }
 
-// Reachability tells a peer how well a controller hears workers.
+// Reachability reports how well workers reach a controller.
 type Reachability struct {
-	SinceHeartbeat time.Duration `json:"Age"`  // since a worker's last heartbeat here
-	Isolated       bool          `json:"Deaf"` // workers do not reach this controller, though they reach others
+	SinceHeartbeat time.Duration `json:"Age"`  // time since a worker last reached this controller
+	Isolated       bool          `json:"Deaf"` // workers reach other controllers, but not this one
 }
 
 func (reachability *Reachability) encode() []byte {
@@ -53,12 +53,12 @@
 	return reachability, decoder.Done()
 }
 
-// StoreIncarnation tells a peer which incarnation of the store's data a controller knows.
+// StoreIncarnation reports which incarnation of the store's data a controller knows.
 type StoreIncarnation struct {
 	ID                string
-	DataLossSuspected bool // data may have been lost, as far as this controller knows
-	Reason            string
-	Revision          uint64 // that the store is known to have reached
+	DataLossSuspected bool   // this controller suspects that the store lost data
+	Reason            string // of the suspicion
+	Revision          uint64 // highest store revision known
 }
 
 func (incarnation *StoreIncarnation) encode() []byte {
--- a/internal/peer/user_messages.go
+++ b/internal/peer/user_messages.go
@@ -2,12 +2,13 @@
 
 import "rillflow/internal/codec"
 
-// UserRequest is a user's request, passed on by a controller that the store refuses.
+// UserRequest is a user's request, forwarded by a controller that the store refuses while
+// it serves a peer.
 type UserRequest struct {
 	Method, Path string
 	Body         []byte
-	// Auth is the request's Authorization, if it has one. A request with it goes in a
-	// frame of another kind, which versions that know no tokens refuse.
+	// Auth is the request's Authorization header, if it has one. Such a request is sent as
+	// kindUserWithToken, which versions without support for tokens refuse.
 	Auth string
 }
 
@@ -26,7 +27,7 @@
 	return encoder.B
 }
 
-// encodeWithToken encodes a request with its Authorization.
+// encodeWithToken encodes a request with its Authorization header.
 func (request *UserRequest) encodeWithToken() []byte {
 	var encoder codec.Encoder
 	encoder.Str(request.Auth)
@@ -62,9 +63,9 @@
 	return answer, decoder.Done()
 }
 
-// Counts are the numbers of a live job's tasks.
+// Counts holds how many tasks of a live job are done and how many are running.
 type Counts struct {
-	Known         bool
+	Known         bool // false if the leader has no such live job
 	Done, Running int
 }
 
