--- a/internal/audit/archive.go
+++ b/internal/audit/archive.go
@@ -12,119 +12,122 @@
 	"rillflow/internal/wire"
 )
 
-// Store is what reading and trimming the audit log asks of the store.
+// Store is the part of the key-value store that reading and trimming the log needs.
 type Store interface {
 	Get(ctx context.Context, key string) (wire.KeyValue, error)
-	List(ctx context.Context, under string) ([]wire.KeyValue, uint64, error)
-	Commit(ctx context.Context, t wire.Txn) (gen uint64, failed []string, err error)
+	List(ctx context.Context, prefix string) ([]wire.KeyValue, uint64, error)
+	Commit(ctx context.Context, txn wire.Txn) (revision uint64, failed []string, err error)
 }
 
-// Archive is the audit log as the store has it.
+// Archive is the audit log as read from the store.
 type Archive struct {
-	Before Head // of what was exported and trimmed; zero where nothing was
+	Before Head // head of the blocks that were exported and trimmed; zero if none were
 	Blocks [][]byte
-	// Found are values that hold no block at all.
-	Found    []error
-	trimMark wire.KeyValue
-	keys     []wire.KeyValue
+	// Found has an error for an invalid trim mark, and for each block key whose value is
+	// not a block or has another block's number.
+	Found      []error
+	trimMark   wire.KeyValue
+	blockItems []wire.KeyValue
 }
 
-// Read reads the audit log, oldest block first. The mark of what was trimmed must be
-// sealed, or whoever can write to the store could hide the beginning.
-func Read(ctx context.Context, st Store, ring *keyring.Ring) (*Archive, error) {
-	var a Archive
-	it, err := st.Get(ctx, TrimKey)
+// Read reads the audit log, oldest block first. The trim mark must have a valid seal;
+// otherwise anyone who can write to the store could hide the beginning of the log.
+func Read(ctx context.Context, store Store, ring *keyring.Ring) (*Archive, error) {
+	var archive Archive
+	item, err := store.Get(ctx, TrimKey)
 	if err == nil {
-		if a.Before, err = openTrimMark(ring, it.Value); err != nil {
-			a.Found = append(a.Found, fmt.Errorf("the mark of what was trimmed: %w", err))
+		if archive.Before, err = openTrimMark(ring, item.Value); err != nil {
+			archive.Found = append(archive.Found, fmt.Errorf("the mark of what was trimmed: %w", err))
 		}
-		a.trimMark = it
+		archive.trimMark = item
 	} else if !errors.Is(err, kvstore.ErrNotFound) {
 		return nil, err
 	}
-	if a.keys, _, err = st.List(ctx, BlockPrefix); err != nil {
+	if archive.blockItems, _, err = store.List(ctx, BlockPrefix); err != nil {
 		return nil, err
 	}
-	slices.Reverse(a.keys)
-	for _, it := range a.keys {
-		seq, ok := BlockSeq(it.Key)
-		raw, err := Raw(it.Value)
+	slices.Reverse(archive.blockItems)
+	for _, item := range archive.blockItems {
+		seq, ok := BlockSeq(item.Key)
+		raw, err := Raw(item.Value)
 		if !ok {
 			err = errors.New("it is no block's")
 		}
 		if err != nil {
-			a.Found = append(a.Found, fmt.Errorf("key %s: %w", it.Key, err))
+			archive.Found = append(archive.Found, fmt.Errorf("key %s: %w", item.Key, err))
 			continue
 		}
-		if b, err := Open(raw); err == nil && b.Seq != seq {
-			a.Found = append(a.Found, fmt.Errorf("key %s holds block %d: %w", it.Key, b.Seq, ErrOrder))
+		if block, err := Open(raw); err == nil && block.Seq != seq {
+			archive.Found = append(archive.Found, fmt.Errorf("key %s holds block %d: %w", item.Key, block.Seq, ErrOrder))
 		}
-		a.Blocks = append(a.Blocks, raw)
+		archive.Blocks = append(archive.Blocks, raw)
 	}
-	return &a, nil
+	return &archive, nil
 }
 
-// openTrimMark reads the mark of what was trimmed: pending entries whose only one names a head.
+// openTrimMark reads the trim mark, which is stored as pending entries: a single Trimmed
+// entry whose subject is the head of the trimmed blocks.
 func openTrimMark(ring *keyring.Ring, value []byte) (Head, error) {
 	if ring == nil {
 		return Head{}, keyring.ErrUnknown
 	}
-	s, err := ReadPending(ring, TrimKey, value)
+	pending, err := ReadPending(ring, TrimKey, value)
 	if err != nil {
 		return Head{}, err
 	}
-	if len(s.Entries) != 1 {
+	if len(pending.Entries) != 1 {
 		return Head{}, errors.New("not a mark")
 	}
-	return ParseHead(s.Entries[0].Subject)
+	return ParseHead(pending.Entries[0].Subject)
 }
 
-// Trim removes blocks from the store up to and with a number, a few in each
-// transaction. They must have been exported and the export read back. The newest
-// block always stays: a leader goes on from it.
+// Trim removes blocks up to and including number upTo from the store, in transactions of
+// at most ops operations, and returns how many it removed. The blocks must have been
+// exported, and the export read back. The newest block always stays, because the next
+// leader continues the chain from it.
 func (archive *Archive) Trim(
-	ctx context.Context, st Store, ring *keyring.Ring, upTo uint64, ops int,
+	ctx context.Context, store Store, ring *keyring.Ring, upTo uint64, ops int,
 ) (removed int, err error) {
-	mark := archive.trimMark.ModRevision
-	for len(archive.keys) > 1 {
+	markRevision := archive.trimMark.ModRevision
+	for len(archive.blockItems) > 1 {
 		n := 0
-		txn := wire.Txn{Compares: []wire.Compare{{Key: TrimKey, ModRevision: mark}}}
+		txn := wire.Txn{Compares: []wire.Compare{{Key: TrimKey, ModRevision: markRevision}}}
 		var head Head
-		for n < min(len(archive.keys)-1, ops-1) {
-			it := archive.keys[n]
-			raw, err := Raw(it.Value)
+		for n < min(len(archive.blockItems)-1, ops-1) {
+			item := archive.blockItems[n]
+			raw, err := Raw(item.Value)
 			if err != nil {
 				return removed, err
 			}
-			b, err := Open(raw)
+			block, err := Open(raw)
 			if err != nil {
 				return removed, err
 			}
-			if b.Seq > upTo {
+			if block.Seq > upTo {
 				break
 			}
-			head = b.Head()
-			txn.Compares = append(txn.Compares, wire.Compare{Key: it.Key, ModRevision: it.ModRevision})
-			txn.Operations = append(txn.Operations, wire.Operation{Delete: it.Key})
+			head = block.Head()
+			txn.Compares = append(txn.Compares, wire.Compare{Key: item.Key, ModRevision: item.ModRevision})
+			txn.Operations = append(txn.Operations, wire.Operation{Delete: item.Key})
 			n++
 		}
 		if n == 0 {
 			return removed, nil
 		}
-		s := PendingEntries{Entries: []Entry{{At: time.Now(), Action: Trimmed, Subject: head.String()}}}
-		put, err := s.Put(ring, TrimKey)
+		mark := PendingEntries{Entries: []Entry{{At: time.Now(), Action: Trimmed, Subject: head.String()}}}
+		put, err := mark.Put(ring, TrimKey)
 		if err != nil {
 			return removed, err
 		}
 		txn.Operations = append(txn.Operations, put)
-		gen, failed, err := st.Commit(ctx, txn)
+		revision, failed, err := store.Commit(ctx, txn)
 		if err != nil {
 			return removed, err
 		}
 		if len(failed) > 0 {
-			return removed, fmt.Errorf("audit: somebody else trims: %v", failed)
+			return removed, fmt.Errorf("audit: trim conflicts with a concurrent change of keys %v", failed)
 		}
-		mark, archive.keys = gen, archive.keys[n:]
+		markRevision, archive.blockItems = revision, archive.blockItems[n:]
 		removed += n
 	}
 	return removed, nil
--- a/internal/audit/block.go
+++ b/internal/audit/block.go
@@ -17,38 +17,38 @@
 	"rillflow/internal/keyring"
 )
 
-// Keys of the store. Blocks are named so that the newest comes first in a
-// list: a new leader finds the end of the chain by reading one key.
+// Keys in the store. The block keys are in descending order of block number, so that a
+// new leader finds the end of the chain by listing a single key.
 const (
 	BlockPrefix   = "a/b/"
 	PendingPrefix = "a/s/"
 	TrimKey       = "a/trim"
 )
 
-// BlockKey is the key of a block.
+// BlockKey returns the store's key for the block with the given number.
 func BlockKey(seq uint64) string { return fmt.Sprintf("%s%016x", BlockPrefix, math.MaxUint64-seq) }
 
-// BlockSeq reads a block's number from its key.
+// BlockSeq returns the block number of a store's key, and whether it is a block's key.
 func BlockSeq(key string) (uint64, bool) {
 	n, err := strconv.ParseUint(strings.TrimPrefix(key, BlockPrefix), 16, 64)
 	return math.MaxUint64 - n, err == nil && strings.HasPrefix(key, BlockPrefix)
 }
 
-// Head is the end of a chain: how many blocks it has, and the last one's digest.
+// Head identifies the end of a chain.
 type Head struct {
-	Seq  uint64
-	Hash [keyring.Size]byte
+	Seq  uint64             // number of the last block, 0 for an empty chain
+	Hash [keyring.Size]byte // digest of the last block
 }
 
-// String gives a head in the form that operators write down.
+// String formats a head as NUMBER:DIGEST, the form that operators record.
 func (h Head) String() string { return fmt.Sprintf("%d:%x", h.Seq, h.Hash) }
 
-// ParseHead reads what String wrote.
+// ParseHead parses the result of Head.String.
 func ParseHead(s string) (h Head, err error) {
 	seq, digits, _ := strings.Cut(s, ":")
 	hash, err := hex.DecodeString(digits)
-	n, err2 := strconv.ParseUint(seq, 10, 64)
-	if err != nil || err2 != nil || len(hash) != len(h.Hash) {
+	n, seqErr := strconv.ParseUint(seq, 10, 64)
+	if err != nil || seqErr != nil || len(hash) != len(h.Hash) {
 		return h, errors.New("a head is a number, a colon and 64 hexadecimal digits")
 	}
 	copy(h.Hash[:], hash)
@@ -58,30 +58,31 @@
 
 // Block is a link of the chain.
 type Block struct {
-	Seq     uint64 // from 1, without a gap
-	Epoch   uint64 // of the leader that wrote it
-	Writer  string // the controller that wrote it
+	Seq     uint64 // block number, counted from 1 without gaps
+	Epoch   uint64 // of the leader that wrote the block
+	Writer  string // name of the controller that wrote the block
 	At      time.Time
-	Prev    [keyring.Size]byte // digest of the block before, seal included
-	Key     uint32             // of the ring, that seals it
+	Prev    [keyring.Size]byte // digest of the previous block, including its seal
+	Key     uint32             // number of the key in the ring that seals the block
 	Entries []Entry
-	Raw     []byte // as sealed
+	Raw     []byte // encoded form, including the seal
 }
 
-// A block is: format (1 byte), key (4), number (8), epoch (8), time in milliseconds
-// (8), digest of the block before (32), writer, entries compressed or not, seal (32).
+// A block is encoded as: format version (1 byte), key number (4), block number (8),
+// epoch (8), time in Unix milliseconds (8), digest of the previous block (32), writer,
+// whether the entries are compressed, entries, seal (32).
 const (
-	format          = 1
+	formatVersion   = 1
 	blockFixedBytes = 1 + 4 + 8 + 8 + 8 + keyring.Size
 	sealBytes       = keyring.Size
 )
 
-// ErrSeal says that a seal does not match what it seals.
+// ErrSeal means that a seal does not match the sealed data.
 var ErrSeal = errors.New("audit: the seal does not hold")
 
-// NewBlock seals a block that follows a head, under the ring's newest key, or the one given
-// if that is newer: no block is sealed under an older key than the one before, whatever
-// the clocks of two leaders say.
+// NewBlock returns a sealed block that follows head. It is sealed under the ring's active
+// key, or under minKey if that is newer: minKey is the key of the previous block, and the
+// clock of a new leader may be behind that of the previous one.
 func NewBlock(
 	ring *keyring.Ring, head Head, minKey uint32, epoch uint64, writer string, at time.Time, entries []Entry,
 ) (*Block, error) {
@@ -90,100 +91,102 @@
 		Key: max(ring.Newest(), minKey), Entries: entries,
 	}
 	raw := make([]byte, 0, 256)
-	raw = append(raw, format)
+	raw = append(raw, formatVersion)
 	raw = binary.BigEndian.AppendUint32(raw, block.Key)
 	raw = binary.BigEndian.AppendUint64(raw, block.Seq)
 	raw = binary.BigEndian.AppendUint64(raw, block.Epoch)
 	raw = binary.BigEndian.AppendUint64(raw, uint64(at.UnixMilli()))
 	raw = append(raw, block.Prev[:]...)
-	e := codec.Encoder{B: raw}
-	e.Str(writer)
-	body := encode(entries)
-	packed := compress(body)
-	e.Bool(len(packed) < len(body))
-	if len(packed) < len(body) {
-		body = packed
+	encoder := codec.Encoder{B: raw}
+	encoder.Str(writer)
+	body := encodeEntries(entries)
+	compressed := compress(body)
+	encoder.Bool(len(compressed) < len(body))
+	if len(compressed) < len(body) {
+		body = compressed
 	}
-	e.Bytes(body)
-	seal, err := ring.Seal(block.Key, keyring.ForAudit, e.B)
+	encoder.Bytes(body)
+	seal, err := ring.Seal(block.Key, keyring.ForAudit, encoder.B)
 	if err != nil {
 		return nil, err
 	}
-	block.Raw = append(e.B, seal[:]...)
+	block.Raw = append(encoder.B, seal[:]...)
 	return block, nil
 }
 
-// Open reads a block without a look at its seal.
+// Open decodes a block without checking its seal.
 func Open(raw []byte) (*Block, error) {
-	if len(raw) < blockFixedBytes+sealBytes || raw[0] != format {
+	if len(raw) < blockFixedBytes+sealBytes || raw[0] != formatVersion {
 		return nil, fmt.Errorf("audit: block: %w", codec.ErrFormat)
 	}
-	b := &Block{
+	block := &Block{
 		Key: binary.BigEndian.Uint32(raw[1:]), Seq: binary.BigEndian.Uint64(raw[5:]),
 		Epoch: binary.BigEndian.Uint64(raw[13:]),
 		At:    time.UnixMilli(int64(binary.BigEndian.Uint64(raw[21:]))), Prev: [keyring.Size]byte(raw[29:]), Raw: raw,
 	}
-	d := codec.Decoder{B: raw[blockFixedBytes : len(raw)-sealBytes]}
-	b.Writer = d.Str()
-	packed, body := d.Bool(), d.Bytes()
-	if err := d.Done(); err != nil {
-		return nil, fmt.Errorf("audit: block %d: %w", b.Seq, err)
+	decoder := codec.Decoder{B: raw[blockFixedBytes : len(raw)-sealBytes]}
+	block.Writer = decoder.Str()
+	compressed, body := decoder.Bool(), decoder.Bytes()
+	if err := decoder.Done(); err != nil {
+		return nil, fmt.Errorf("audit: block %d: %w", block.Seq, err)
 	}
 	var err error
-	if packed {
+	if compressed {
 		if body, err = decompress(body); err != nil {
-			return nil, fmt.Errorf("audit: block %d: %w", b.Seq, err)
+			return nil, fmt.Errorf("audit: block %d: %w", block.Seq, err)
 		}
 	}
-	if b.Entries, err = decode(body); err != nil {
-		return nil, fmt.Errorf("audit: block %d: %w", b.Seq, err)
+	if block.Entries, err = decodeEntries(body); err != nil {
+		return nil, fmt.Errorf("audit: block %d: %w", block.Seq, err)
 	}
-	return b, nil
+	return block, nil
 }
 
-// VerifySeal checks a block's seal. A ring without the key cannot tell.
+// VerifySeal checks a block's seal. It returns ErrSeal if the seal does not match, and
+// keyring.ErrUnknown if the ring has no such key.
 func (block *Block) VerifySeal(ring *keyring.Ring) error {
 	body, seal := block.Raw[:len(block.Raw)-sealBytes], block.Raw[len(block.Raw)-sealBytes:]
-	ok, err := ring.Check(block.Key, keyring.ForAudit, seal, body)
-	if err == nil && !ok {
+	matches, err := ring.Check(block.Key, keyring.ForAudit, seal, body)
+	if err == nil && !matches {
 		err = ErrSeal
 	}
 	return err
 }
 
-// Head is the chain's end with this block as its last.
+// Head returns the head of the chain that ends with this block.
 func (block *Block) Head() Head { return Head{block.Seq, keyring.Digest(block.Raw)} }
 
-// stored is a block, pending entries or a mark as the store has it.
+// stored is the JSON form of a store's value: a block, pending entries or the trim mark.
 type stored struct {
 	Raw string `json:"b"`
 }
 
-// Value is raw data as the store keeps it.
+// Value encodes raw data as a value for the store.
 func Value(raw []byte) json.RawMessage {
-	out := make([]byte, 0, ValueLen(len(raw)))
+	out := make([]byte, 0, EncodedValueLen(len(raw)))
 	out = append(out, `{"b":"`...)
 	out = base64.StdEncoding.AppendEncode(out, raw)
 	return append(out, `"}`...)
 }
 
-// ValueLen is how long the value of so many bytes is.
-func ValueLen(n int) int { return len(`{"b":""}`) + base64.StdEncoding.EncodedLen(n) }
+// EncodedValueLen returns the length of the store's value for n bytes of raw data.
+func EncodedValueLen(n int) int { return len(`{"b":""}`) + base64.StdEncoding.EncodedLen(n) }
 
-// Raw takes the data out of a value. There is only one text for each.
+// Raw decodes the data of a store's value. It accepts only the canonical base64 form, so
+// that no two base64 strings decode to the same data.
 func Raw(value []byte) ([]byte, error) {
-	var s stored
-	if err := json.Unmarshal(value, &s); err != nil {
+	var wrapper stored
+	if err := json.Unmarshal(value, &wrapper); err != nil {
 		return nil, fmt.Errorf("audit: value: %w", err)
 	}
-	raw, err := base64.StdEncoding.Strict().DecodeString(s.Raw)
+	raw, err := base64.StdEncoding.Strict().DecodeString(wrapper.Raw)
 	if err != nil {
 		return nil, fmt.Errorf("audit: value: %w", err)
 	}
 	return raw, nil
 }
 
-// EqualsStored tells whether a value holds exactly a block.
+// EqualsStored reports whether a store's value holds exactly this block.
 func (block *Block) EqualsStored(value []byte) bool {
 	raw, err := Raw(value)
 	return err == nil && bytes.Equal(raw, block.Raw)
--- a/internal/audit/compression.go
+++ b/internal/audit/compression.go
@@ -9,35 +9,35 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// Bounds of compression.
+// Size limits of compression.
 const (
-	minPackedBytes   = 128      // below which compression saves nothing
-	maxUnpackedBytes = 16 << 20 // of a block
+	minCompressBytes     = 128      // smaller data is not worth compressing
+	maxDecompressedBytes = 16 << 20 // decompressed size of a block's entries
 )
 
 var errTooLarge = errors.New("unpacked, it is too large")
 
-// compress compresses, or returns the data as it is where that gains nothing. Blocks
-// are small and many: a compressor without state of its own serves them best.
-func compress(b []byte) []byte {
-	if len(b) < minPackedBytes {
-		return b
+// compress returns the compressed data, or the data itself if it is small or cannot be
+// compressed. It uses a stateless compressor because there are many small blocks.
+func compress(data []byte) []byte {
+	if len(data) < minCompressBytes {
+		return data
 	}
 	var out bytes.Buffer
-	if err := flate.StatelessDeflate(&out, b, true, nil); err != nil {
-		return b
+	if err := flate.StatelessDeflate(&out, data, true, nil); err != nil {
+		return data
 	}
 	return out.Bytes()
 }
 
-func decompress(b []byte) ([]byte, error) {
-	r := flate.NewReader(bytes.NewReader(b))
-	defer r.Close()
-	out, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes+1))
+func decompress(data []byte) ([]byte, error) {
+	reader := flate.NewReader(bytes.NewReader(data))
+	defer reader.Close()
+	out, err := io.ReadAll(io.LimitReader(reader, maxDecompressedBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("unpack: %w", err)
 	}
-	if len(out) > maxUnpackedBytes {
+	if len(out) > maxDecompressedBytes {
 		return nil, errTooLarge
 	}
 	return out, nil
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -1,11 +1,13 @@
-// Package audit is the log of who did what and what the service decided: entries in
-// blocks, each block sealed under the operator's key and holding the digest of the one
-// before, so that every change, gap or disorder shows.
+// Package audit implements the audit log of user actions and of decisions of the service.
+// Its entries are stored in a chain of blocks. Each block is sealed under the operator's
+// key and contains the digest of the previous block, so that any modified, missing or
+// reordered block is detected.
 //
-// The package owns the formats of blocks, pending entries and exported segments, and no
-// state. The leader writes blocks, each in the transaction of what it tells; other
-// controllers leave pending entries for it; cmd/rillflow reads, verifies, exports and
-// trims. It must not decide what is told, nor write by itself but to trim.
+// The package defines the formats of blocks, pending entries and exported segments, and
+// keeps no state. The leader writes each block in the same transaction as the changes that
+// the block records; other controllers store pending entries, which the leader moves into
+// the chain; cmd/rillflow reads, verifies, exports and trims the log. The package must not
+// decide what is recorded, and writes to the store only to trim.
 package audit
 
 import (
@@ -17,26 +19,27 @@
 	"rillflow/internal/ledger"
 )
 
-// Action is what an entry tells. The numbers are stored: never change one.
+// Action is the kind of event that an entry records. The numbers are stored and must never
+// change.
 type Action byte
 
-// Actions. Of those marked (*) the Actor is a person or service, of the others it is the
-// service itself. What the other fields hold is said beside each.
+// Actions, and the fields that their entries use. The Actor of those marked (*) is a person
+// or service; all others are actions of the controllers themselves.
 const (
 	Accepted  Action = iota + 1 // (*) Subject: the job
 	Cancelled                   // (*) Subject: the job. Reason: the cancelled job it depends on, if any
-	Refused                     // (*) Subject: the job. Reason: the rule
-	Claimed                     // Subject: the job, Tasks: where
-	Freed                       // Subject: the job, Tasks: freed without being done. Reason: the proof that they are gone
-	Stopped                     // Subject: the job, Tasks: told to stop. Reason: the rule, Purpose: for which job
+	Refused                     // (*) Subject: the job. Reason: the rule, Purpose: the refused operation
+	Claimed                     // Subject: the job, Tasks: its claimed tasks and their workers
+	Freed                       // Subject: the job, Tasks: freed without being done. Reason: the proof that they no longer run
+	Stopped                     // Subject: the job, Tasks: ordered to stop. Reason: the rule, Purpose: the preempting job, if any
 	Done                        // Subject: the job
-	Released                    // Subject: a worker. Reason: the reason
-	TookOver                    // Subject: the controller that leads from here on, Reason: its epoch
-	Unsealed                    // Subject: what was found stored without a seal that holds
+	Released                    // Subject: a worker. Reason: why it was released
+	TookOver                    // Subject: the new leader, Reason: its epoch
+	Unsealed                    // Subject: the job or store key whose record has no valid seal
 	Issued                      // (*) Subject: an identity or token
 	Revoked                     // (*) Subject: an identity or token
-	Missed                      // Reason: how many entries there was no room for
-	Trimmed                     // Subject: the last block that was removed after its export
+	Missed                      // Reason: the number of entries dropped for lack of room
+	Trimmed                     // Subject: the head of the blocks that were exported and removed
 )
 
 var actionNames = [...]string{
@@ -45,7 +48,7 @@
 	Unsealed: "unsealed", Issued: "issued", Revoked: "revoked", Missed: "missed", Trimmed: "trimmed",
 }
 
-// String names the action.
+// String returns the action's name.
 func (a Action) String() string {
 	if int(a) < len(actionNames) && actionNames[a] != "" {
 		return actionNames[a]
@@ -53,40 +56,41 @@
 	return fmt.Sprintf("act %d", byte(a))
 }
 
-// Entry is one thing that was done or decided.
+// Entry records one action.
 type Entry struct {
-	At         time.Time // to the millisecond, by the clock of who noted it
+	At         time.Time // with millisecond precision, by the clock of the recording controller
 	Action     Action
-	Actor      string // identity; "" is the service itself
-	Controller string // the controller that was asked
-	Subject    string // what it was done to
-	Purpose    string
+	Actor      string // identity; "" for the service itself or an anonymous user
+	Controller string // the controller that received the request
+	Subject    string // job, worker, identity or other object of the action
+	Purpose    string // what the action served, see the comments of the actions
 	Reason     string
 	Team       string // of the job
-	Priority   string // that was asked for
-	Tasks      []Task // of the job; of an acceptance, Index of the only one is how many
+	Priority   string // priority requested
+	Tasks      []Task // tasks of the job; in an Accepted entry one element, whose Index is the task count
 }
 
-// Task is one task of an entry's job.
+// Task identifies an attempt of a task, and its worker.
 type Task struct {
 	Index   int
 	Attempt uint64
 	Worker  string
 }
 
-// stringTable gives strings numbers as they come up, so that each is written once.
+// stringTable numbers strings in the order of their first use, so that each is encoded in
+// full only once.
 type stringTable struct {
 	indexes map[string]uint64
 	strings []string
 }
 
-func (table *stringTable) encode(e *codec.Encoder, s string) {
+func (table *stringTable) encode(encoder *codec.Encoder, s string) {
 	if s == "" {
-		e.Uint(0)
+		encoder.Uint(0)
 		return
 	}
 	if n, ok := table.indexes[s]; ok {
-		e.Uint(n)
+		encoder.Uint(n)
 		return
 	}
 	if table.indexes == nil {
@@ -94,99 +98,102 @@
 	}
 	n := uint64(len(table.indexes) + 1)
 	table.indexes[s] = n
-	e.Uint(n)
-	e.Str(s)
+	encoder.Uint(n)
+	encoder.Str(s)
 }
 
-func (table *stringTable) decode(d *codec.Decoder) (string, bool) {
-	n := d.Uint()
+func (table *stringTable) decode(decoder *codec.Decoder) (string, bool) {
+	n := decoder.Uint()
 	switch {
 	case n == 0:
 		return "", true
 	case n <= uint64(len(table.strings)):
 		return table.strings[n-1], true
 	case n == uint64(len(table.strings)+1):
-		s := d.Str()
+		s := decoder.Str()
 		table.strings = append(table.strings, s)
 		return s, s != ""
 	}
 	return "", false
 }
 
-// encode appends entries. Times are written as differences, task numbers too.
-func encode(entries []Entry) []byte {
-	var e codec.Encoder
-	var w stringTable
-	e.Uint(uint64(len(entries)))
-	last := int64(0)
+// encodeEntries encodes entries. Times and task indexes are written as differences from the
+// previous one.
+func encodeEntries(entries []Entry) []byte {
+	var encoder codec.Encoder
+	var table stringTable
+	encoder.Uint(uint64(len(entries)))
+	lastMS := int64(0)
 	for i := range entries {
-		n := &entries[i]
-		e.Uint(uint64(n.Action))
-		ms := n.At.UnixMilli()
-		e.Int(ms - last)
-		last = ms
-		for _, s := range n.strings() {
-			w.encode(&e, *s)
+		entry := &entries[i]
+		encoder.Uint(uint64(entry.Action))
+		ms := entry.At.UnixMilli()
+		encoder.Int(ms - lastMS)
+		lastMS = ms
+		for _, s := range entry.strings() {
+			table.encode(&encoder, *s)
 		}
-		e.Uint(uint64(len(n.Tasks)))
-		at := 0
-		for _, t := range n.Tasks {
-			e.Int(int64(t.Index - at))
-			at = t.Index
-			e.Uint(t.Attempt)
-			w.encode(&e, t.Worker)
+		encoder.Uint(uint64(len(entry.Tasks)))
+		lastIndex := 0
+		for _, task := range entry.Tasks {
+			encoder.Int(int64(task.Index - lastIndex))
+			lastIndex = task.Index
+			encoder.Uint(task.Attempt)
+			table.encode(&encoder, task.Worker)
 		}
 	}
-	return e.B
+	return encoder.B
 }
 
+// strings returns the string fields in the order in which they are encoded.
 func (entry *Entry) strings() [7]*string {
 	return [7]*string{
 		&entry.Actor, &entry.Controller, &entry.Subject, &entry.Purpose, &entry.Reason, &entry.Team, &entry.Priority,
 	}
 }
 
-func decode(b []byte) ([]Entry, error) {
-	d := codec.Decoder{B: b}
-	var w stringTable
-	var out []Entry
-	last := int64(0)
-	for range d.Items() {
-		var n Entry
-		act := d.Uint()
-		last += d.Int()
-		n.Action, n.At = Action(act), time.UnixMilli(last)
-		sound := act != 0 && act <= 0xff
-		for _, s := range n.strings() {
+func decodeEntries(b []byte) ([]Entry, error) {
+	decoder := codec.Decoder{B: b}
+	var table stringTable
+	var entries []Entry
+	lastMS := int64(0)
+	for range decoder.Items() {
+		var entry Entry
+		action := decoder.Uint()
+		lastMS += decoder.Int()
+		entry.Action, entry.At = Action(action), time.UnixMilli(lastMS)
+		valid := action != 0 && action <= 0xff
+		for _, s := range entry.strings() {
 			var ok bool
-			*s, ok = w.decode(&d)
-			sound = sound && ok
+			*s, ok = table.decode(&decoder)
+			valid = valid && ok
 		}
-		at := int64(0)
-		for range d.Items() {
-			at += d.Int()
-			t := Task{Index: int(at), Attempt: d.Uint()}
+		lastIndex := int64(0)
+		for range decoder.Items() {
+			lastIndex += decoder.Int()
+			task := Task{Index: int(lastIndex), Attempt: decoder.Uint()}
 			var ok bool
-			t.Worker, ok = w.decode(&d)
-			sound = sound && ok
-			n.Tasks = append(n.Tasks, t)
+			task.Worker, ok = table.decode(&decoder)
+			valid = valid && ok
+			entry.Tasks = append(entry.Tasks, task)
 		}
-		if !sound {
-			return nil, fmt.Errorf("audit: entry %d: %w", len(out), codec.ErrFormat)
+		if !valid {
+			return nil, fmt.Errorf("audit: entry %d: %w", len(entries), codec.ErrFormat)
 		}
-		out = append(out, n)
+		entries = append(entries, entry)
 	}
-	if err := d.Done(); err != nil {
+	if err := decoder.Done(); err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
-	return out, nil
+	return entries, nil
 }
 
-// Size is about how many bytes of a value entries take in a block.
-func Size(entries []Entry) int { return ValueLen(len(compress(encode(entries)))) }
+// Size estimates the length of the store's value for a block of the given entries.
+func Size(entries []Entry) int { return EncodedValueLen(len(compress(encodeEntries(entries)))) }
 
-// Split parts entries so that each part takes at most so many bytes of a value. An
-// entry of many tasks is parted too; one that cannot be is told as missed.
+// Split divides entries into parts of at most limit bytes of a store's value each. An entry
+// with many tasks is divided too; one that is too large with a single task is replaced by a
+// Missed entry.
 func Split(entries []Entry, limit int) [][]Entry {
 	if len(entries) == 0 {
 		return nil
@@ -197,29 +204,29 @@
 	if n := len(entries); n > 1 {
 		return append(Split(entries[:n/2], limit), Split(entries[n/2:], limit)...)
 	}
-	one, two := entries[0], entries[0]
-	n := len(one.Tasks)
+	first, second := entries[0], entries[0]
+	n := len(first.Tasks)
 	if n < 2 {
-		return [][]Entry{{{At: one.At, Action: Missed, Reason: "1"}}}
+		return [][]Entry{{{At: first.At, Action: Missed, Reason: "1"}}}
 	}
-	one.Tasks, two.Tasks = one.Tasks[:n/2], two.Tasks[n/2:]
-	return append(Split([]Entry{one}, limit), Split([]Entry{two}, limit)...)
+	first.Tasks, second.Tasks = first.Tasks[:n/2], second.Tasks[n/2:]
+	return append(Split([]Entry{first}, limit), Split([]Entry{second}, limit)...)
 }
 
-// AcceptedEntry is the entry of a submission, as the job's record has it. A record without a
-// seal that holds was stored by a controller that keeps no audit log, or by nobody
-// who may: the entry says so.
-func AcceptedEntry(ring *keyring.Ring, rec ledger.JobRecord) Entry {
-	j := &rec.Job
-	e := Entry{
-		At: time.UnixMilli(rec.SubmittedMS), Action: Accepted, Subject: j.ID, Team: j.Team, Priority: j.Priority,
-		Tasks: []Task{{Index: j.TaskCount}},
+// AcceptedEntry returns the entry of a job's submission, built from the job's record. If the
+// record has no valid seal, it was stored by a controller without an audit log or by someone
+// without the key; the entry's action is then Unsealed.
+func AcceptedEntry(ring *keyring.Ring, record ledger.JobRecord) Entry {
+	job := &record.Job
+	entry := Entry{
+		At: time.UnixMilli(record.SubmittedMS), Action: Accepted, Subject: job.ID, Team: job.Team, Priority: job.Priority,
+		Tasks: []Task{{Index: job.TaskCount}},
 	}
-	if o := rec.Origin; o != nil {
-		e.Actor, e.Controller, e.Reason = o.Submitter, o.Controller, o.Rule
+	if origin := record.Origin; origin != nil {
+		entry.Actor, entry.Controller, entry.Reason = origin.Submitter, origin.Controller, origin.Rule
 	}
-	if err := rec.Verify(ring); err != nil {
-		e.Action, e.Reason = Unsealed, err.Error()
+	if err := record.Verify(ring); err != nil {
+		entry.Action, entry.Reason = Unsealed, err.Error()
 	}
-	return e
+	return entry
 }
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -13,7 +13,7 @@
 	"rillflow/internal/keyring"
 )
 
-// goldenRing is a ring of one key that is always the same.
+// goldenRing returns a ring with one fixed key.
 func goldenRing(t *testing.T) *keyring.Ring {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "keys")
@@ -28,72 +28,72 @@
 }
 
 func goldenEntries(n int) []Entry {
-	e := goldentest.Filled[Entry]()
-	e.At, e.Action = at, Claimed
-	e.Tasks = append(e.Tasks, Task{Index: 2, Attempt: 5, Worker: "i-1"}, Task{Index: 1, Attempt: 6, Worker: "i-1"})
-	es := []Entry{e, {At: at.Add(-time.Second), Action: Done, Subject: e.Subject}}
-	for i := len(es); i < n; i++ {
-		later := at.Add(time.Duration(i) * time.Second)
-		es = append(es, Entry{At: later, Action: Accepted, Actor: "ana", Subject: fmt.Sprintf("req-%d", i)})
+	claimed := goldentest.Filled[Entry]()
+	claimed.At, claimed.Action = testTime, Claimed
+	claimed.Tasks = append(claimed.Tasks, Task{Index: 2, Attempt: 5, Worker: "i-1"}, Task{Index: 1, Attempt: 6, Worker: "i-1"})
+	entries := []Entry{claimed, {At: testTime.Add(-time.Second), Action: Done, Subject: claimed.Subject}}
+	for i := len(entries); i < n; i++ {
+		later := testTime.Add(time.Duration(i) * time.Second)
+		entries = append(entries, Entry{At: later, Action: Accepted, Actor: "ana", Subject: fmt.Sprintf("req-%d", i)})
 	}
-	return es
+	return entries
 }
 
-// Blocks, slips and acts are stored as they are today. The block is small enough not to be
-// packed.
+// Guards against a change in the stored form of blocks, pending entries and actions, which
+// would make existing logs unreadable. The block is too small to be compressed.
 func TestGoldenStored(t *testing.T) {
 	ring := goldenRing(t)
 	head := Head{Seq: 6, Hash: keyring.Digest([]byte("before"))}
-	b, err := NewBlock(ring, head, 0, 12, "host-0", at, goldenEntries(2))
+	block, err := NewBlock(ring, head, 0, 12, "host-0", testTime, goldenEntries(2))
 	if err != nil {
 		t.Fatal(err)
 	}
-	slip, err := (&PendingEntries{Entries: goldenEntries(2)}).Put(ring, PendingPrefix+"req-1")
+	pending, err := (&PendingEntries{Entries: goldenEntries(2)}).Put(ring, PendingPrefix+"req-1")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Open(b.Raw); err != nil || !reflect.DeepEqual(got.Entries, b.Entries) || got.Head() != b.Head() {
-		t.Errorf("the block reads back as %+v, %v", got, err)
+	if got, err := Open(block.Raw); err != nil || !reflect.DeepEqual(got.Entries, block.Entries) || got.Head() != block.Head() {
+		t.Errorf("block decoded as %+v, %v, want %+v", got, err, block)
 	}
-	if got, err := ReadPending(ring, slip.Put, slip.Value); err != nil || !reflect.DeepEqual(got.Entries, b.Entries) {
-		t.Errorf("the slip reads back as %+v, %v", got, err)
+	if got, err := ReadPending(ring, pending.Put, pending.Value); err != nil || !reflect.DeepEqual(got.Entries, block.Entries) {
+		t.Errorf("pending entries decoded as %+v, %v, want %+v", got, err, block.Entries)
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s\t%s\n", BlockKey(b.Seq), Value(b.Raw))
-	fmt.Fprintf(&out, "%s\t%s\n%s\n%s\n", slip.Put, slip.Value, TrimKey, b.Head())
-	for a := Action(1); int(a) <= len(actionNames); a++ {
-		fmt.Fprintf(&out, "%d %s\n", a, a)
+	fmt.Fprintf(&out, "%s\t%s\n", BlockKey(block.Seq), Value(block.Raw))
+	fmt.Fprintf(&out, "%s\t%s\n%s\n%s\n", pending.Put, pending.Value, TrimKey, block.Head())
+	for action := Action(1); int(action) <= len(actionNames); action++ {
+		fmt.Fprintf(&out, "%d %s\n", action, action)
 	}
 	goldentest.Check(t, "stored.txt", out.String())
 }
 
-// A packed block and a segment as written today stay readable, seals included. Their bytes
-// are the compressors' affair.
-func TestGoldenPacked(t *testing.T) {
+// Guards against a change that makes existing compressed blocks or segments unreadable or
+// their seals invalid. Their exact bytes depend on the compressors and are not compared.
+func TestGoldenCompressed(t *testing.T) {
 	ring := goldenRing(t)
 	entries := goldenEntries(64)
 	raw := goldentest.Read(t, "packed.block", func() []byte {
-		b, err := NewBlock(ring, Head{}, 0, 12, "host-0", at, entries)
+		block, err := NewBlock(ring, Head{}, 0, 12, "host-0", testTime, entries)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return b.Raw
+		return block.Raw
 	})
-	b, err := Open(raw)
+	block, err := Open(raw)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Block{Seq: 1, Epoch: 12, Writer: "host-0", At: time.UnixMilli(at.UnixMilli()), Key: 3, Entries: entries, Raw: raw}
-	if !reflect.DeepEqual(*b, want) {
-		t.Fatalf("reads as %+v", b)
+	want := Block{Seq: 1, Epoch: 12, Writer: "host-0", At: time.UnixMilli(testTime.UnixMilli()), Key: 3, Entries: entries, Raw: raw}
+	if !reflect.DeepEqual(*block, want) {
+		t.Fatalf("block decoded as %+v, want %+v", block, want)
 	}
-	if err := b.VerifySeal(ring); err != nil {
+	if err := block.VerifySeal(ring); err != nil {
 		t.Error(err)
 	}
-	if plain := len(encode(entries)); len(raw) >= plain {
-		t.Errorf("a block of %d bytes for %d is not packed: the case shows nothing", len(raw), plain)
+	if uncompressedBytes := len(encodeEntries(entries)); len(raw) >= uncompressedBytes {
+		t.Errorf("block of %d bytes for %d bytes of entries is not compressed, so the test checks nothing", len(raw), uncompressedBytes)
 	}
-	segment := &Segment{Last: b.Head(), Blocks: [][]byte{raw}}
+	segment := &Segment{Last: block.Head(), Blocks: [][]byte{raw}}
 	data := goldentest.Read(t, "segment", func() []byte {
 		data, err := segment.Encode(ring)
 		if err != nil {
@@ -102,6 +102,6 @@
 		return data
 	})
 	if got, err := OpenSegment(ring, data); err != nil || !reflect.DeepEqual(got, segment) {
-		t.Errorf("the segment reads as %+v, %v", got, err)
+		t.Errorf("segment decoded as %+v, %v, want %+v", got, err, segment)
 	}
 }
--- a/internal/audit/history.go
+++ b/internal/audit/history.go
@@ -4,149 +4,149 @@
 	"fmt"
 )
 
-// JobHistory is what the audit log tells of one job.
+// JobHistory collects the audit log's entries of one job.
 type JobHistory struct {
 	Job       string
 	Accepted  *Entry
 	Cancelled *Entry
 	Done      *Entry
 	Refused   []Entry
-	Entries   []Entry // all of the job, in the order of the log
-	claims    map[int]Task
-	freed     map[int]uint64 // the last attempt that was freed, by task
-	Faults    []string       // what cannot have been, by the service's own rules
+	Entries   []Entry        // all entries of the job, in the order of the log
+	claims    map[int]Task   // current claims, by task index
+	lastFreed map[int]uint64 // the last attempt that was freed, by task index
+	Faults    []string       // events that contradict the service's own rules
 }
 
-// History puts the log's entries together, job by job.
+// History groups the log's entries by job.
 type History struct {
 	Jobs    map[string]*JobHistory
-	Others  []Entry // of no job: workers, controllers, identities
+	Others  []Entry // entries about workers, controllers and identities
 	Entries int
-	Missed  int // entries of which there is one that tells that it had no room for them
+	Missed  int // number of Missed entries, which stand for dropped ones
 }
 
-// NewHistory begins with nothing.
+// NewHistory returns an empty history.
 func NewHistory() *History { return &History{Jobs: make(map[string]*JobHistory)} }
 
-// Add takes the next entry of the log.
-func (history *History) Add(e Entry) {
+// Add adds the next entry of the log.
+func (history *History) Add(entry Entry) {
 	history.Entries++
-	switch e.Action {
+	switch entry.Action {
 	case Accepted, Cancelled, Refused, Claimed, Freed, Stopped, Done, Unsealed:
 	case Missed:
 		history.Missed++
-		history.Others = append(history.Others, e)
+		history.Others = append(history.Others, entry)
 		return
 	default:
-		history.Others = append(history.Others, e)
+		history.Others = append(history.Others, entry)
 		return
 	}
-	s := history.Jobs[e.Subject]
-	if s == nil {
-		s = &JobHistory{Job: e.Subject, claims: make(map[int]Task), freed: make(map[int]uint64)}
-		history.Jobs[e.Subject] = s
+	job := history.Jobs[entry.Subject]
+	if job == nil {
+		job = &JobHistory{Job: entry.Subject, claims: make(map[int]Task), lastFreed: make(map[int]uint64)}
+		history.Jobs[entry.Subject] = job
 	}
-	s.add(e)
+	job.add(entry)
 }
 
-func (job *JobHistory) addFault(e Entry, format string, a ...any) {
+func (job *JobHistory) addFault(entry Entry, format string, args ...any) {
 	job.Faults = append(
 		job.Faults,
-		fmt.Sprintf("%s at %s: ", e.Action, e.At.UTC().Format("15:04:05.000"))+fmt.Sprintf(format, a...),
+		fmt.Sprintf("%s at %s: ", entry.Action, entry.At.UTC().Format("15:04:05.000"))+fmt.Sprintf(format, args...),
 	)
 }
 
-func (job *JobHistory) add(e Entry) {
-	job.Entries = append(job.Entries, e)
-	switch e.Action {
+func (job *JobHistory) add(entry Entry) {
+	job.Entries = append(job.Entries, entry)
+	switch entry.Action {
 	case Accepted, Unsealed:
 		if job.Accepted != nil {
-			return // told again, by pending entries or a later leader
+			return // recorded again, from pending entries or by a later leader
 		}
-		job.Accepted = &e
+		job.Accepted = &entry
 	case Refused:
-		job.Refused = append(job.Refused, e)
+		job.Refused = append(job.Refused, entry)
 	case Cancelled:
 		if job.Done != nil {
-			job.addFault(e, "the job was done")
+			job.addFault(entry, "the job was done")
 		}
 		if job.Cancelled == nil {
-			job.Cancelled = &e
+			job.Cancelled = &entry
 		}
 	case Done:
 		if job.Cancelled != nil {
-			job.addFault(e, "the job was withdrawn")
+			job.addFault(entry, "the job was withdrawn")
 		}
 		if job.Done == nil {
-			job.Done = &e
+			job.Done = &entry
 		}
 	case Claimed:
-		job.claim(e)
+		job.addClaims(entry)
 	case Freed:
-		for _, t := range e.Tasks {
-			// A claim that was freed stands in its job's stored claims until the next
-			// one is written, so a new leader may free it once more.
-			if c, ok := job.claims[t.Index]; (!ok || c.Attempt != t.Attempt) && job.freed[t.Index] != t.Attempt {
-				job.addFault(e, "task %d, try %d was not claimed", t.Index, t.Attempt)
-			} else if ok && c.Attempt == t.Attempt {
-				delete(job.claims, t.Index)
+		for _, task := range entry.Tasks {
+			// A freed claim remains in the job's stored claims until the next claim is
+			// written, so a new leader may free it a second time.
+			if claim, ok := job.claims[task.Index]; (!ok || claim.Attempt != task.Attempt) && job.lastFreed[task.Index] != task.Attempt {
+				job.addFault(entry, "task %d, try %d was not claimed", task.Index, task.Attempt)
+			} else if ok && claim.Attempt == task.Attempt {
+				delete(job.claims, task.Index)
 			}
-			job.freed[t.Index] = t.Attempt
+			job.lastFreed[task.Index] = task.Attempt
 		}
 	}
 }
 
-func (job *JobHistory) claim(e Entry) {
+func (job *JobHistory) addClaims(entry Entry) {
 	if job.Accepted == nil {
-		job.addFault(e, "the job was not accepted")
+		job.addFault(entry, "the job was not accepted")
 	}
 	if job.Done != nil || job.Cancelled != nil {
-		job.addFault(e, "the job was over")
+		job.addFault(entry, "the job was over")
 	}
-	for _, t := range e.Tasks {
-		if c, ok := job.claims[t.Index]; ok {
-			job.addFault(e, "task %d is claimed for %s already", t.Index, c.Worker)
+	for _, task := range entry.Tasks {
+		if claim, ok := job.claims[task.Index]; ok {
+			job.addFault(entry, "task %d is claimed for %s already", task.Index, claim.Worker)
 		}
-		job.claims[t.Index] = t
+		job.claims[task.Index] = task
 	}
 }
 
-// Describe gives an entry in a line, for people.
+// Describe formats an entry as one line of text.
 func (entry Entry) Describe() string {
-	s := entry.At.UTC().Format("2006-01-02 15:04:05.000") + "  " + entry.Action.String()
+	line := entry.At.UTC().Format("2006-01-02 15:04:05.000") + "  " + entry.Action.String()
 	if entry.Subject != "" {
-		s += " " + entry.Subject
+		line += " " + entry.Subject
 	}
 	switch {
 	case entry.Action == Accepted || entry.Action == Unsealed && len(entry.Tasks) == 1:
 		if len(entry.Tasks) == 1 {
-			s += fmt.Sprintf(" of %s, %s, %d tasks", entry.Team, entry.Priority, entry.Tasks[0].Index)
+			line += fmt.Sprintf(" of %s, %s, %d tasks", entry.Team, entry.Priority, entry.Tasks[0].Index)
 		}
 	default:
-		for i, t := range entry.Tasks {
+		for i, task := range entry.Tasks {
 			if i == 8 {
-				s += fmt.Sprintf(" and %d more", len(entry.Tasks)-i)
+				line += fmt.Sprintf(" and %d more", len(entry.Tasks)-i)
 				break
 			}
-			s += fmt.Sprintf(" %d#%d@%s", t.Index, t.Attempt, t.Worker)
+			line += fmt.Sprintf(" %d#%d@%s", task.Index, task.Attempt, task.Worker)
 		}
 	}
 	if entry.Action == Refused {
-		s += fmt.Sprintf(" (%s, owner %s, rank %s)", entry.Purpose, entry.Team, entry.Priority)
+		line += fmt.Sprintf(" (%s, owner %s, rank %s)", entry.Purpose, entry.Team, entry.Priority)
 	} else if entry.Purpose != "" {
-		s += " for " + entry.Purpose
+		line += " for " + entry.Purpose
 	}
 	switch {
 	case entry.Actor != "":
-		s += " by " + entry.Actor
+		line += " by " + entry.Actor
 	case entry.Controller != "":
-		s += " by anonymous"
+		line += " by anonymous"
 	}
 	if entry.Controller != "" {
-		s += " through " + entry.Controller
+		line += " through " + entry.Controller
 	}
 	if entry.Reason != "" {
-		s += ": " + entry.Reason
+		line += ": " + entry.Reason
 	}
-	return s
+	return line
 }
--- a/internal/audit/pending.go
+++ b/internal/audit/pending.go
@@ -9,60 +9,62 @@
 	"rillflow/internal/wire"
 )
 
-// PendingEntries are what a controller that does not lead writes in the transaction of what it
-// did: the leader takes them into the chain and removes them. They are sealed, so that
-// nobody without the key can add anything.
+// PendingEntries are entries that a controller other than the leader stores in the same
+// transaction as the change that they record. The leader moves them into the chain. They
+// are sealed, so that nobody without the key can add entries.
 type PendingEntries struct {
-	Key     uint32
+	Key     uint32 // number of the key in the ring that seals them
 	Entries []Entry
 }
 
 const pendingFixedBytes = 1 + 4
 
-// Encode seals pending entries under the newest key, for the store's key at which they are
-// kept: the seal does not match if they are moved elsewhere.
-func (pending *PendingEntries) Encode(ring *keyring.Ring, place string) ([]byte, error) {
+// Encode encodes pending entries and seals them under the ring's active key. The seal
+// covers the store's key at which they are stored, and does not match at any other.
+func (pending *PendingEntries) Encode(ring *keyring.Ring, storeKey string) ([]byte, error) {
 	pending.Key = ring.Newest()
-	raw := append([]byte{format}, 0, 0, 0, 0)
+	raw := append([]byte{formatVersion}, 0, 0, 0, 0)
 	binary.BigEndian.PutUint32(raw[1:], pending.Key)
-	raw = append(raw, encode(pending.Entries)...)
-	seal, err := ring.Seal(pending.Key, keyring.ForPendingEntries, []byte(place), []byte{0}, raw)
+	raw = append(raw, encodeEntries(pending.Entries)...)
+	seal, err := ring.Seal(pending.Key, keyring.ForPendingEntries, []byte(storeKey), []byte{0}, raw)
 	if err != nil {
 		return nil, err
 	}
 	return append(raw, seal[:]...), nil
 }
 
-// Put returns the operation that stores pending entries.
-func (pending *PendingEntries) Put(ring *keyring.Ring, place string) (wire.Operation, error) {
-	raw, err := pending.Encode(ring, place)
-	return wire.Operation{Put: place, Value: Value(raw)}, err
+// Put returns the operation that stores pending entries at a key of the store.
+func (pending *PendingEntries) Put(ring *keyring.Ring, storeKey string) (wire.Operation, error) {
+	raw, err := pending.Encode(ring, storeKey)
+	return wire.Operation{Put: storeKey, Value: Value(raw)}, err
 }
 
-// ReadPending reads pending entries from the value of their key, and checks the seal.
-func ReadPending(ring *keyring.Ring, key string, value []byte) (*PendingEntries, error) {
+// ReadPending decodes pending entries from the value at a key of the store, and checks their
+// seal.
+func ReadPending(ring *keyring.Ring, storeKey string, value []byte) (*PendingEntries, error) {
 	raw, err := Raw(value)
 	if err != nil {
 		return nil, err
 	}
-	return OpenPending(ring, key, raw)
+	return OpenPending(ring, storeKey, raw)
 }
 
-// OpenPending reads pending entries and checks the seal.
-func OpenPending(ring *keyring.Ring, place string, raw []byte) (*PendingEntries, error) {
-	if len(raw) < pendingFixedBytes+sealBytes || raw[0] != format {
+// OpenPending decodes pending entries that were stored at a key of the store, and checks
+// their seal.
+func OpenPending(ring *keyring.Ring, storeKey string, raw []byte) (*PendingEntries, error) {
+	if len(raw) < pendingFixedBytes+sealBytes || raw[0] != formatVersion {
 		return nil, fmt.Errorf("audit: slip: %w", codec.ErrFormat)
 	}
 	pending := &PendingEntries{Key: binary.BigEndian.Uint32(raw[1:])}
 	body, seal := raw[:len(raw)-sealBytes], raw[len(raw)-sealBytes:]
-	ok, err := ring.Check(pending.Key, keyring.ForPendingEntries, seal, []byte(place), []byte{0}, body)
+	matches, err := ring.Check(pending.Key, keyring.ForPendingEntries, seal, []byte(storeKey), []byte{0}, body)
 	if err != nil {
 		return nil, fmt.Errorf("audit: slip: %w", err)
 	}
-	if !ok {
+	if !matches {
 		return nil, fmt.Errorf("audit: slip: %w", ErrSeal)
 	}
-	if pending.Entries, err = decode(body[pendingFixedBytes:]); err != nil {
+	if pending.Entries, err = decodeEntries(body[pendingFixedBytes:]); err != nil {
 		return nil, err
 	}
 	return pending, nil
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -13,43 +13,43 @@
 	"rillflow/internal/keyring"
 )
 
-// Segment is a run of blocks sealed in a file of its own, for keeping elsewhere.
+// Segment is a sequence of consecutive blocks, sealed as a whole for export to a file.
 type Segment struct {
-	Before Head // what its first block follows
-	Last   Head
-	Blocks [][]byte // as sealed
+	Before Head     // head of the block before the first one
+	Last   Head     // head of the last block
+	Blocks [][]byte // encoded blocks, including their seals
 }
 
-// A segment is: mark (4 bytes), format (1), key (4), number and digest of the block
-// before (8, 32), of the last block (8, 32), blocks with their lengths, compressed, seal
-// (32). The seal is over all before it as it stands in the file, so that a change of
-// any bit shows, also one that decompressing would not notice.
+// A segment is encoded as: magic (4 bytes), format version (1), key number (4), number and
+// digest of the previous block (8, 32) and of the last block (8, 32), the blocks prefixed
+// by their lengths and compressed, seal (32). The seal covers the compressed bytes, so that
+// it also detects changed bits that decompression ignores.
 const (
 	segmentMagic      = "RFSG"
 	segmentFixedBytes = len(segmentMagic) + 1 + 4 + 2*(8+keyring.Size)
 	maxSegmentBytes   = 1 << 30 // decompressed
 )
 
-// Encode seals the segment under the newest key.
+// Encode encodes the segment and seals it under the ring's active key.
 func (segment *Segment) Encode(ring *keyring.Ring) ([]byte, error) {
 	key := ring.Newest()
-	raw := append([]byte(segmentMagic), format)
+	raw := append([]byte(segmentMagic), formatVersion)
 	raw = binary.BigEndian.AppendUint32(raw, key)
-	for _, h := range []Head{segment.Before, segment.Last} {
-		raw = binary.BigEndian.AppendUint64(raw, h.Seq)
-		raw = append(raw, h.Hash[:]...)
+	for _, head := range []Head{segment.Before, segment.Last} {
+		raw = binary.BigEndian.AppendUint64(raw, head.Seq)
+		raw = append(raw, head.Hash[:]...)
 	}
 	out := bytes.NewBuffer(raw)
-	z, err := zstd.NewWriter(out, zstd.WithEncoderConcurrency(1))
+	compressor, err := zstd.NewWriter(out, zstd.WithEncoderConcurrency(1))
 	if err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
-	for _, b := range segment.Blocks {
-		if _, err := z.Write(append(binary.AppendUvarint(nil, uint64(len(b))), b...)); err != nil {
+	for _, block := range segment.Blocks {
+		if _, err := compressor.Write(append(binary.AppendUvarint(nil, uint64(len(block))), block...)); err != nil {
 			return nil, fmt.Errorf("audit: %w", err)
 		}
 	}
-	if err := z.Close(); err != nil {
+	if err := compressor.Close(); err != nil {
 		return nil, fmt.Errorf("audit: %w", err)
 	}
 	seal, err := ring.Seal(key, keyring.ForAudit, out.Bytes())
@@ -59,84 +59,84 @@
 	return append(out.Bytes(), seal[:]...), nil
 }
 
-// OpenSegment reads a segment and checks its seal; the blocks are still to be
-// verified. With no ring the seal is left alone.
+// OpenSegment decodes a segment and checks its seal, unless ring is nil. It does not verify
+// the blocks.
 func OpenSegment(ring *keyring.Ring, raw []byte) (*Segment, error) {
 	if len(raw) < segmentFixedBytes+sealBytes || string(raw[:len(segmentMagic)]) != segmentMagic ||
-		raw[len(segmentMagic)] != format {
+		raw[len(segmentMagic)] != formatVersion {
 		return nil, fmt.Errorf("audit: segment: %w", codec.ErrFormat)
 	}
 	body, seal := raw[:len(raw)-sealBytes], raw[len(raw)-sealBytes:]
-	at := len(segmentMagic) + 1
-	key := binary.BigEndian.Uint32(raw[at:])
+	offset := len(segmentMagic) + 1
+	key := binary.BigEndian.Uint32(raw[offset:])
 	if ring != nil {
-		ok, err := ring.Check(key, keyring.ForAudit, seal, body)
+		matches, err := ring.Check(key, keyring.ForAudit, seal, body)
 		if err != nil {
 			return nil, fmt.Errorf("audit: segment: %w", err)
 		}
-		if !ok {
+		if !matches {
 			return nil, fmt.Errorf("audit: segment: %w", ErrSeal)
 		}
 	}
-	var s Segment
-	at += 4
-	for _, h := range []*Head{&s.Before, &s.Last} {
-		h.Seq = binary.BigEndian.Uint64(raw[at:])
-		copy(h.Hash[:], raw[at+8:])
-		at += 8 + keyring.Size
+	var segment Segment
+	offset += 4
+	for _, head := range []*Head{&segment.Before, &segment.Last} {
+		head.Seq = binary.BigEndian.Uint64(raw[offset:])
+		copy(head.Hash[:], raw[offset+8:])
+		offset += 8 + keyring.Size
 	}
 	var err error
-	if s.Blocks, err = decompressBlocks(body[segmentFixedBytes:]); err != nil {
+	if segment.Blocks, err = decompressBlocks(body[segmentFixedBytes:]); err != nil {
 		return nil, fmt.Errorf("audit: segment: %w", err)
 	}
-	return &s, nil
+	return &segment, nil
 }
 
-func decompressBlocks(packed []byte) ([][]byte, error) {
-	z, err := zstd.NewReader(
-		bytes.NewReader(packed), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSegmentBytes),
+func decompressBlocks(compressed []byte) ([][]byte, error) {
+	decompressor, err := zstd.NewReader(
+		bytes.NewReader(compressed), zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxSegmentBytes),
 	)
 	if err != nil {
 		return nil, err
 	}
-	defer z.Close()
-	data, err := io.ReadAll(io.LimitReader(z, maxSegmentBytes))
+	defer decompressor.Close()
+	data, err := io.ReadAll(io.LimitReader(decompressor, maxSegmentBytes))
 	if err != nil {
 		return nil, err
 	}
-	var out [][]byte
+	var blocks [][]byte
 	for len(data) > 0 {
-		n, k := binary.Uvarint(data)
-		if k <= 0 || n > uint64(len(data)-k) {
+		length, prefixBytes := binary.Uvarint(data)
+		if prefixBytes <= 0 || length > uint64(len(data)-prefixBytes) {
 			return nil, codec.ErrFormat
 		}
-		out = append(out, data[k:k+int(n)])
-		data = data[k+int(n):]
+		blocks = append(blocks, data[prefixBytes:prefixBytes+int(length)])
+		data = data[prefixBytes+int(length):]
 	}
-	return out, nil
+	return blocks, nil
 }
 
-// ErrSegments says that segments of an export do not join.
-var ErrSegments = errors.New("segments do not join")
+// ErrSegmentLink means that a segment does not start where the previous one ended.
+var ErrSegmentLink = errors.New("segments do not join")
 
-// Follow checks that a segment joins what a verifier has checked, and checks its
-// blocks. Every fault is passed to found, entries that hold to each.
-func (segment *Segment) Follow(v *Verifier, each func(*Block), found func(error)) {
-	if was := v.Head(); segment.Before != was {
-		found(fmt.Errorf("segment of blocks %d to %d after block %d: %w",
-			segment.Before.Seq+1, segment.Last.Seq, was.Seq, ErrSegments))
-		v.head = segment.Before
+// Follow checks that a segment continues the chain of a verifier, and adds its blocks to
+// the verifier. It calls onFault for each fault, and onBlock for each block without one.
+func (segment *Segment) Follow(verifier *Verifier, onBlock func(*Block), onFault func(error)) {
+	if previous := verifier.Head(); segment.Before != previous {
+		onFault(fmt.Errorf("segment of blocks %d to %d after block %d: %w",
+			segment.Before.Seq+1, segment.Last.Seq, previous.Seq, ErrSegmentLink))
+		verifier.head = segment.Before
 	}
 	for _, raw := range segment.Blocks {
-		b, err := v.Add(raw)
+		block, err := verifier.Add(raw)
 		if err != nil {
-			found(err)
+			onFault(err)
 			continue
 		}
-		each(b)
+		onBlock(block)
 	}
-	if v.Head() != segment.Last {
-		found(fmt.Errorf("segment of blocks %d to %d ends at block %d: %w",
-			segment.Before.Seq+1, segment.Last.Seq, v.Head().Seq, ErrGap))
+	if verifier.Head() != segment.Last {
+		onFault(fmt.Errorf("segment of blocks %d to %d ends at block %d: %w",
+			segment.Before.Seq+1, segment.Last.Seq, verifier.Head().Seq, ErrGap))
 	}
 }
