--- a/internal/certs/authority.go
+++ b/internal/certs/authority.go
@@ -15,54 +15,56 @@
 	"time"
 )
 
-// MakeAuthority makes an authority in a folder: ca.pem, for every controller and user,
-// and ca.key, for nobody but who makes certificates.
-func MakeAuthority(folder, name string, life time.Duration) error {
+// MakeAuthority creates a certificate authority in a folder: ca.pem, which every controller
+// and user needs, and ca.key, which only the issuer of certificates may have.
+func MakeAuthority(folder, name string, lifetime time.Duration) error {
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	t := template(name, life)
-	t.IsCA, t.BasicConstraintsValid, t.KeyUsage = true, true, x509.KeyUsageCertSign
-	return issue(folder, "ca", t, nil, nil)
+	certificate := template(name, lifetime)
+	certificate.IsCA, certificate.BasicConstraintsValid, certificate.KeyUsage = true, true, x509.KeyUsageCertSign
+	return issue(folder, "ca", certificate, nil, nil)
 }
 
-// MakeCertificate makes a node's certificate by the authority in the folder. It holds
-// for the node's name, by which controllers know one another, and for the hosts by which
-// users call it. One that is there is replaced: the controller takes it up by itself.
-func MakeCertificate(folder, node string, hosts []string, life time.Duration) error {
-	ca, key, err := authority(folder)
+// MakeCertificate issues a node's certificate, signed by the authority in the folder. It is
+// valid for the node's name, which controllers verify, and for the hosts under which users
+// reach the node. An existing certificate is replaced; a running controller reloads it.
+func MakeCertificate(folder, node string, hosts []string, lifetime time.Duration) error {
+	ca, caKey, err := loadAuthority(folder)
 	if err != nil {
 		return err
 	}
-	t := template(node, life)
-	t.KeyUsage = x509.KeyUsageDigitalSignature
-	t.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
-	t.DNSNames = []string{node}
-	for _, h := range hosts {
-		if ip := net.ParseIP(h); ip != nil {
-			t.IPAddresses = append(t.IPAddresses, ip)
+	certificate := template(node, lifetime)
+	certificate.KeyUsage = x509.KeyUsageDigitalSignature
+	certificate.ExtKeyUsage = []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}
+	certificate.DNSNames = []string{node}
+	for _, host := range hosts {
+		if ip := net.ParseIP(host); ip != nil {
+			certificate.IPAddresses = append(certificate.IPAddresses, ip)
 		} else {
-			t.DNSNames = append(t.DNSNames, h)
+			certificate.DNSNames = append(certificate.DNSNames, host)
 		}
 	}
-	for _, f := range []string{".pem", ".key"} {
-		if err := os.Remove(filepath.Join(folder, node+f)); err != nil && !errors.Is(err, os.ErrNotExist) {
+	for _, extension := range []string{".pem", ".key"} {
+		if err := os.Remove(filepath.Join(folder, node+extension)); err != nil && !errors.Is(err, os.ErrNotExist) {
 			return fmt.Errorf("certs: %w", err)
 		}
 	}
-	return issue(folder, node, t, ca, key)
+	return issue(folder, node, certificate, ca, caKey)
 }
 
-func template(name string, life time.Duration) *x509.Certificate {
+// template returns the fields that all certificates have in common.
+func template(name string, lifetime time.Duration) *x509.Certificate {
 	now := time.Now()
 	return &x509.Certificate{
 		Subject: pkix.Name{CommonName: name, Organization: []string{"rillflow"}},
-		// Clocks differ: it holds from a little before.
-		NotBefore: now.Add(-life / 1000), NotAfter: now.Add(life),
+		// Valid from slightly earlier, because clocks differ.
+		NotBefore: now.Add(-lifetime / 1000), NotAfter: now.Add(lifetime),
 	}
 }
 
-func authority(folder string) (*x509.Certificate, *ecdsa.PrivateKey, error) {
+// loadAuthority reads the authority's certificate and key from a folder.
+func loadAuthority(folder string) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	der, err := readPEM(filepath.Join(folder, "ca.pem"))
 	if err != nil {
 		return nil, nil, err
@@ -82,36 +84,37 @@
 }
 
 func readPEM(path string) ([]byte, error) {
-	b, err := os.ReadFile(path)
+	content, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("certs: %w", err)
 	}
-	p, _ := pem.Decode(b)
-	if p == nil {
-		return nil, fmt.Errorf("certs: %s is no PEM", path)
+	block, _ := pem.Decode(content)
+	if block == nil {
+		return nil, fmt.Errorf("certs: %s is not a PEM file", path)
 	}
-	return p.Bytes, nil
+	return block.Bytes, nil
 }
 
-// issue signs a certificate for a new key and writes both; by nobody, it signs itself.
-func issue(folder, name string, t, by *x509.Certificate, byKey *ecdsa.PrivateKey) error {
+// issue generates a key, signs a certificate for it and writes both files. The certificate
+// is self-signed if issuer is nil.
+func issue(folder, name string, certificate, issuer *x509.Certificate, issuerKey *ecdsa.PrivateKey) error {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	if by == nil {
-		by, byKey = t, key
+	if issuer == nil {
+		issuer, issuerKey = certificate, key
 	}
-	der, err := x509.CreateCertificate(rand.Reader, t, by, &key.PublicKey, byKey)
+	der, err := x509.CreateCertificate(rand.Reader, certificate, issuer, &key.PublicKey, issuerKey)
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	secret, err := x509.MarshalECPrivateKey(key)
+	keyDER, err := x509.MarshalECPrivateKey(key)
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	if err := write(filepath.Join(folder, name+".key"), "EC PRIVATE KEY", secret, 0o600); err != nil {
+	if err := writePEM(filepath.Join(folder, name+".key"), "EC PRIVATE KEY", keyDER, 0o600); err != nil {
 		return err
 	}
-	return write(filepath.Join(folder, name+".pem"), "CERTIFICATE", der, 0o644)
+	return writePEM(filepath.Join(folder, name+".pem"), "CERTIFICATE", der, 0o644)
 }
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -1,6 +1,7 @@
-// Package certs puts TLS on the addresses of a controller: certificates from files that
-// are read again when they change, listeners that take both kinds of connection while a
-// change is rolled out, and a small authority for places that have none.
+// Package certs provides TLS for the addresses of a controller: certificates from files
+// that are reloaded when they change, listeners that accept connections with and without
+// TLS while it is rolled out, and a minimal certificate authority for deployments that have
+// none of their own.
 package certs
 
 import (
@@ -18,227 +19,238 @@
 	"time"
 )
 
-// Modes of an address. A change is rolled out in their order, one start of every
-// controller for each.
+// Modes of an address. TLS is rolled out by going through them in this order, with a
+// restart of all controllers for each.
 const (
 	Off     = "off"
-	Accept  = "accept"  // takes both; dials without
-	Prefer  = "prefer"  // takes both; dials with
-	Require = "require" // takes and dials with
+	Accept  = "accept"  // accepts both; dials without TLS
+	Prefer  = "prefer"  // accepts both; dials with TLS
+	Require = "require" // accepts and dials with TLS only
 )
 
-// Keeper has a node's certificate and the authority's, as they are in the files now.
+// Keeper holds a node's certificate and the authority's certificate, and reloads them when
+// their files change. It is safe for concurrent use.
 type Keeper struct {
 	folder, node string
 	log          *slog.Logger
 	now          func() time.Time
 
-	mu   sync.Mutex
-	cert *tls.Certificate
-	pool *x509.CertPool
-	read [3]time.Time // of the files, when they were read
+	mu       sync.Mutex
+	cert     *tls.Certificate
+	pool     *x509.CertPool
+	modTimes [3]time.Time // of the files when they were last read, in the order of files
 }
 
-// Load reads ca.pem, NODE.pem and NODE.key of a folder.
+// Load reads ca.pem, NODE.pem and NODE.key from a folder.
 func Load(folder, node string, log *slog.Logger) (*Keeper, error) {
-	k := &Keeper{folder: folder, node: node, log: log, now: time.Now}
-	return k, k.reload()
+	reloader := &Keeper{folder: folder, node: node, log: log, now: time.Now}
+	return reloader, reloader.reload()
 }
 
-func (k *Keeper) files() [3]string {
+// files returns the paths of the authority's certificate, the node's certificate and its key.
+func (reloader *Keeper) files() [3]string {
 	return [3]string{
-		filepath.Join(k.folder, "ca.pem"), filepath.Join(k.folder, k.node+".pem"),
-		filepath.Join(k.folder, k.node+".key"),
+		filepath.Join(reloader.folder, "ca.pem"), filepath.Join(reloader.folder, reloader.node+".pem"),
+		filepath.Join(reloader.folder, reloader.node+".key"),
 	}
 }
 
-// reload reads the files if any of them changed.
-func (k *Keeper) reload() error {
-	var at [3]time.Time
-	for i, f := range k.files() {
-		st, err := os.Stat(f)
+// reload reads the files if any of them has changed.
+func (reloader *Keeper) reload() error {
+	var modTimes [3]time.Time
+	for i, path := range reloader.files() {
+		info, err := os.Stat(path)
 		if err != nil {
 			return fmt.Errorf("certs: %w", err)
 		}
-		at[i] = st.ModTime()
+		modTimes[i] = info.ModTime()
 	}
-	k.mu.Lock()
-	same := at == k.read
-	k.mu.Unlock()
-	if same {
+	reloader.mu.Lock()
+	unchanged := modTimes == reloader.modTimes
+	reloader.mu.Unlock()
+	if unchanged {
 		return nil
 	}
-	fs := k.files()
-	cert, err := tls.LoadX509KeyPair(fs[1], fs[2])
+	paths := reloader.files()
+	cert, err := tls.LoadX509KeyPair(paths[1], paths[2])
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	ca, err := os.ReadFile(fs[0])
+	ca, err := os.ReadFile(paths[0])
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(ca) {
-		return fmt.Errorf("certs: %s holds no certificate", fs[0])
+		return fmt.Errorf("certs: no certificate in %s", paths[0])
 	}
-	// A certificate that its own authority does not hold for would be refused by all.
+	// All peers would reject a certificate that the authority did not sign.
 	if _, err := cert.Leaf.Verify(
-		x509.VerifyOptions{Roots: pool, CurrentTime: k.now(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}},
+		x509.VerifyOptions{Roots: pool, CurrentTime: reloader.now(), KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}},
 	); err != nil {
-		return fmt.Errorf("certs: %s: %w", fs[1], err)
+		return fmt.Errorf("certs: %s: %w", paths[1], err)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.cert, k.pool, k.read = &cert, pool, at
+	reloader.mu.Lock()
+	defer reloader.mu.Unlock()
+	reloader.cert, reloader.pool, reloader.modTimes = &cert, pool, modTimes
 	return nil
 }
 
-// Watch reads the files again when they change, until ctx ends, and says ahead when
-// the certificate is about to expire. What cannot be read leaves things as they are.
-func (k *Keeper) Watch(ctx context.Context, every time.Duration) error {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+// Watch checks the files for changes at each interval and reloads them, until ctx ends. The
+// previous certificates stay in use if the files are invalid. It also logs an error when the
+// certificate is about to expire.
+func (reloader *Keeper) Watch(ctx context.Context, interval time.Duration) error {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
-		if left, soon := k.expires(); soon {
-			k.log.Error("the certificate is about to expire", "node", k.node, "left_h", left.Hours())
+		if left, expiresSoon := reloader.timeToExpiry(); expiresSoon {
+			reloader.log.Error("the certificate is about to expire", "node", reloader.node, "left_h", left.Hours())
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 		}
-		before := k.current()
-		if err := k.reload(); err != nil {
-			k.log.Error("certificates are not read again", "err", err)
-		} else if k.current() != before {
-			k.log.Info("certificates read again", "until", k.current().Leaf.NotAfter)
+		before := reloader.current()
+		if err := reloader.reload(); err != nil {
+			reloader.log.Error("certificates not reloaded", "err", err)
+		} else if reloader.current() != before {
+			reloader.log.Info("certificates reloaded", "until", reloader.current().Leaf.NotAfter)
 		}
 	}
 }
 
-// lastPart is the share of a certificate's life in which its end is told.
-const lastPart = 0.1
+// expiryWarningShare is the final part of a certificate's lifetime, in which Watch warns of
+// its expiry.
+const expiryWarningShare = 0.1
 
-func (k *Keeper) expires() (left time.Duration, soon bool) {
-	leaf := k.current().Leaf
-	left = leaf.NotAfter.Sub(k.now())
-	return left, float64(left) < lastPart*float64(leaf.NotAfter.Sub(leaf.NotBefore))
+// timeToExpiry returns how long the certificate is still valid, and whether that is soon
+// enough for a warning.
+func (reloader *Keeper) timeToExpiry() (left time.Duration, expiresSoon bool) {
+	leaf := reloader.current().Leaf
+	left = leaf.NotAfter.Sub(reloader.now())
+	return left, float64(left) < expiryWarningShare*float64(leaf.NotAfter.Sub(leaf.NotBefore))
 }
 
-func (k *Keeper) current() *tls.Certificate {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.cert
+func (reloader *Keeper) current() *tls.Certificate {
+	reloader.mu.Lock()
+	defer reloader.mu.Unlock()
+	return reloader.cert
 }
 
-// Server is how to take connections; mutual asks peers for a certificate of the same
-// authority. Each connection is taken by the files as they are then.
-func (k *Keeper) Server(mutual bool) *tls.Config {
+// Server returns the TLS configuration for incoming connections. If mutual is set, clients
+// must present a certificate of the same authority. Each connection uses the certificates
+// that are current when it is accepted.
+func (reloader *Keeper) Server(mutual bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		c := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*k.cert}}
+		reloader.mu.Lock()
+		defer reloader.mu.Unlock()
+		config := &tls.Config{MinVersion: tls.VersionTLS13, Certificates: []tls.Certificate{*reloader.cert}}
 		if mutual {
-			c.ClientAuth, c.ClientCAs = tls.RequireAndVerifyClientCert, k.pool
+			config.ClientAuth, config.ClientCAs = tls.RequireAndVerifyClientCert, reloader.pool
 		}
-		return c, nil
+		return config, nil
 	}}
 }
 
-// Dial puts TLS on a connection to a node, which must show that it is the one.
-func (k *Keeper) Dial(ctx context.Context, c net.Conn, node string) (net.Conn, error) {
-	k.mu.Lock()
-	cfg := &tls.Config{
-		MinVersion: tls.VersionTLS13, ServerName: node, RootCAs: k.pool,
-		Certificates: []tls.Certificate{*k.cert},
+// Dial performs the client's TLS handshake on a connection to a node, which must present a
+// certificate for its name. It closes the connection if the handshake fails.
+func (reloader *Keeper) Dial(ctx context.Context, plain net.Conn, node string) (net.Conn, error) {
+	reloader.mu.Lock()
+	config := &tls.Config{
+		MinVersion: tls.VersionTLS13, ServerName: node, RootCAs: reloader.pool,
+		Certificates: []tls.Certificate{*reloader.cert},
 	}
-	k.mu.Unlock()
-	t := tls.Client(c, cfg)
-	if err := t.HandshakeContext(ctx); err != nil {
-		c.Close()
+	reloader.mu.Unlock()
+	secure := tls.Client(plain, config)
+	if err := secure.HandshakeContext(ctx); err != nil {
+		plain.Close()
 		return nil, fmt.Errorf("certs: %s: %w", node, err)
 	}
-	return t, nil
+	return secure, nil
 }
 
-// Listen puts TLS on a listener as its mode says.
-func (k *Keeper) Listen(ln net.Listener, mode string, mutual bool) net.Listener {
+// Listen wraps a listener to accept connections as the mode specifies; see Server for
+// mutual.
+func (reloader *Keeper) Listen(inner net.Listener, mode string, mutual bool) net.Listener {
 	if mode == Off {
-		return ln
+		return inner
 	}
-	return &listener{ln, k.Server(mutual), mode == Require}
+	return &listener{inner, reloader.Server(mutual), mode == Require}
 }
 
+// listener accepts connections with TLS and, unless requireTLS is set, also without.
 type listener struct {
 	net.Listener
-	cfg  *tls.Config
-	only bool
+	config     *tls.Config
+	requireTLS bool
 }
 
 func (l *listener) Accept() (net.Conn, error) {
-	c, err := l.Listener.Accept()
+	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, cfg: l.cfg, only: l.only}, nil
+	return &conn{Conn: accepted, config: l.config, requireTLS: l.requireTLS}, nil
 }
 
-// conn finds out by the first byte that comes whether its peer speaks TLS. It does so
-// when it is first read, under the deadline of whoever reads: Accept never waits for it.
+// conn detects from the first byte received whether its peer uses TLS. It does so on the
+// first read or write, under the caller's deadline, so that Accept never blocks on it.
 type conn struct {
 	net.Conn
-	cfg  *tls.Config
-	only bool
-	once sync.Once
-	in   net.Conn // after the first byte
-	err  error
+	config     *tls.Config
+	requireTLS bool
+	once       sync.Once
+	stream     net.Conn // stream of application data, set by detectTLS
+	err        error
 }
 
-// handshake is the first byte of a TLS connection.
-const handshake = 0x16
+// tlsHandshakeRecord is the record type in the first byte of a TLS connection.
+const tlsHandshakeRecord = 0x16
 
-// errPlain: the address takes TLS alone.
-var errPlain = errors.New("certs: a connection without TLS")
+// errNoTLS means that a connection without TLS came to an address that requires it.
+var errNoTLS = errors.New("certs: connection without TLS refused")
 
-func (c *conn) begin() {
+// detectTLS reads the first byte and sets stream or err.
+func (c *conn) detectTLS() {
 	var first [1]byte
 	if _, c.err = c.Conn.Read(first[:]); c.err != nil {
 		return
 	}
-	back := &prefixed{Conn: c.Conn, first: first[:]}
+	replayed := &prefixedConn{Conn: c.Conn, first: first[:]}
 	switch {
-	case first[0] == handshake:
-		c.in = tls.Server(back, c.cfg)
-	case c.only:
-		c.err = errPlain
+	case first[0] == tlsHandshakeRecord:
+		c.stream = tls.Server(replayed, c.config)
+	case c.requireTLS:
+		c.err = errNoTLS
 	default:
-		c.in = back
+		c.stream = replayed
 	}
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	c.once.Do(c.begin)
+	c.once.Do(c.detectTLS)
 	if c.err != nil {
 		return 0, c.err
 	}
-	return c.in.Read(b)
+	return c.stream.Read(b)
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	c.once.Do(c.begin)
+	c.once.Do(c.detectTLS)
 	if c.err != nil {
 		return 0, c.err
 	}
-	return c.in.Write(b)
+	return c.stream.Write(b)
 }
 
-// prefixed gives back what was read ahead.
-type prefixed struct {
+// prefixedConn returns the bytes that were already read before those of the connection.
+type prefixedConn struct {
 	net.Conn
 	first []byte
 }
 
-func (p *prefixed) Read(b []byte) (int, error) {
+func (p *prefixedConn) Read(b []byte) (int, error) {
 	if len(p.first) > 0 && len(b) > 0 {
 		n := copy(b, p.first)
 		p.first = p.first[n:]
@@ -247,11 +259,11 @@
 	return p.Conn.Read(b)
 }
 
-// write writes a file of PEM that is not there yet.
-func write(path, kind string, der []byte, mode os.FileMode) error {
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
+// writePEM writes a new PEM file. It fails if the file exists.
+func writePEM(path, blockType string, der []byte, mode os.FileMode) error {
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
 		return fmt.Errorf("certs: %w", err)
 	}
-	return errors.Join(pem.Encode(f, &pem.Block{Type: kind, Bytes: der}), f.Sync(), f.Close())
+	return errors.Join(pem.Encode(file, &pem.Block{Type: blockType, Bytes: der}), file.Sync(), file.Close())
 }
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -16,11 +16,12 @@
 	"time"
 )
 
-func folder(t *testing.T, nodes ...string) string {
+// newFolder creates a folder with an authority and the nodes' certificates.
+func newFolder(t *testing.T, nodes ...string) string {
 	dir := t.TempDir()
 	err := MakeAuthority(dir, "test", time.Hour)
-	for _, n := range nodes {
-		err = errors.Join(err, MakeCertificate(dir, n, []string{"127.0.0.1"}, time.Hour))
+	for _, node := range nodes {
+		err = errors.Join(err, MakeCertificate(dir, node, []string{"127.0.0.1"}, time.Hour))
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -28,68 +29,70 @@
 	return dir
 }
 
-func load(t *testing.T, dir, node string) *Keeper {
-	k, err := Load(dir, node, slog.New(slog.DiscardHandler))
+func loadKeeper(t *testing.T, dir, node string) *Keeper {
+	reloader, err := Load(dir, node, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return reloader
 }
 
-// echo serves a listener: it gives back what comes.
-func echo(t *testing.T, k *Keeper, mode string, mutual bool) string {
-	raw, err := net.Listen("tcp", "127.0.0.1:0")
+// startEchoServer starts a server that returns what it receives, and returns its address.
+func startEchoServer(t *testing.T, reloader *Keeper, mode string, mutual bool) string {
+	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	ln := k.Listen(raw, mode, mutual)
-	t.Cleanup(func() { ln.Close() })
+	wrapped := reloader.Listen(inner, mode, mutual)
+	t.Cleanup(func() { wrapped.Close() })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			accepted, err := wrapped.Accept()
 			if err != nil {
 				return
 			}
 			go func() {
-				defer c.Close()
-				io.Copy(c, c)
+				defer accepted.Close()
+				io.Copy(accepted, accepted)
 			}()
 		}
 	}()
-	return raw.Addr().String()
+	return inner.Addr().String()
 }
 
-// says tells whether a connection answers.
-func says(c net.Conn, err error) bool {
+// echoes reports whether the echo server answers on a connection.
+func echoes(client net.Conn, err error) bool {
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(5 * time.Second))
+	defer client.Close()
+	client.SetDeadline(time.Now().Add(5 * time.Second))
 	got := make([]byte, 5)
-	if _, err := c.Write([]byte("hello")); err != nil {
+	if _, err := client.Write([]byte("hello")); err != nil {
 		return false
 	}
-	_, err = io.ReadFull(c, got)
+	_, err = io.ReadFull(client, got)
 	return err == nil && string(got) == "hello"
 }
 
-func TestModes(t *testing.T) {
-	dir := folder(t, "host-0", "host-1")
-	zero, one := load(t, dir, "host-0"), load(t, dir, "host-1")
-	stranger := load(t, folder(t, "host-1"), "host-1")
+// Guards against a listener that refuses a client which its mode allows, or accepts one
+// which it does not.
+func TestListenerModes(t *testing.T) {
+	dir := newFolder(t, "host-0", "host-1")
+	server, peer := loadKeeper(t, dir, "host-0"), loadKeeper(t, dir, "host-1")
+	otherAuthority := loadKeeper(t, newFolder(t, "host-1"), "host-1")
 	plain := func(addr string) (net.Conn, error) { return net.Dial("tcp", addr) }
-	as := func(k *Keeper, node string) func(string) (net.Conn, error) {
+	asPeer := func(reloader *Keeper, node string) func(string) (net.Conn, error) {
 		return func(addr string) (net.Conn, error) {
-			c, err := net.Dial("tcp", addr)
+			client, err := net.Dial("tcp", addr)
 			if err != nil {
 				return nil, err
 			}
-			return k.Dial(context.Background(), c, node)
+			return reloader.Dial(context.Background(), client, node)
 		}
 	}
-	// browser is a user: it trusts the authority and has no certificate.
-	browser := func(addr string) (net.Conn, error) {
+	// asUser trusts the authority and has no certificate of its own.
+	asUser := func(addr string) (net.Conn, error) {
 		pem, err := os.ReadFile(filepath.Join(dir, "ca.pem"))
 		pool := x509.NewCertPool()
 		pool.AppendCertsFromPEM(pem)
@@ -105,66 +108,67 @@
 		dial   func(string) (net.Conn, error)
 		want   bool
 	}{
-		{"accept takes plain", Accept, true, plain, true},
-		{"accept takes a peer", Accept, true, as(one, "host-0"), true},
-		{"prefer takes plain", Prefer, true, plain, true},
-		{"require takes no plain", Require, true, plain, false},
-		{"require takes a peer", Require, true, as(one, "host-0"), true},
-		{"a peer of another authority", Require, true, as(stranger, "host-0"), false},
-		{"not the node that was meant", Require, true, as(one, "host-2"), false},
-		{"a peer without a certificate", Require, true, browser, false},
-		{"a user without a certificate", Require, false, browser, true},
+		{"accept mode, no TLS", Accept, true, plain, true},
+		{"accept mode, peer with TLS", Accept, true, asPeer(peer, "host-0"), true},
+		{"prefer mode, no TLS", Prefer, true, plain, true},
+		{"require mode, no TLS", Require, true, plain, false},
+		{"require mode, peer with TLS", Require, true, asPeer(peer, "host-0"), true},
+		{"peer of another authority", Require, true, asPeer(otherAuthority, "host-0"), false},
+		{"server has another name", Require, true, asPeer(peer, "host-2"), false},
+		{"peer without a certificate", Require, true, asUser, false},
+		{"user without a certificate", Require, false, asUser, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := says(tc.dial(echo(t, zero, tc.mode, tc.mutual))); got != tc.want {
-				t.Errorf("answered: %v, want %v", got, tc.want)
+			if got := echoes(tc.dial(startEchoServer(t, server, tc.mode, tc.mutual))); got != tc.want {
+				t.Errorf("server answered: %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// A certificate made anew is shown without a restart; files that do not go together
-// leave the one there was; its end is told ahead.
+// Guards against a renewed certificate that is used only after a restart, against loading
+// files that are half written or of another authority, and against a certificate that is
+// about to expire without a log message.
 func TestReload(t *testing.T) {
-	dir := folder(t, "host-0")
-	k := load(t, dir, "host-0")
-	was := k.current().Leaf.SerialNumber
+	dir := newFolder(t, "host-0")
+	reloader := loadKeeper(t, dir, "host-0")
+	oldSerial := reloader.current().Leaf.SerialNumber
 	if err := MakeCertificate(dir, "host-0", nil, time.Hour); err != nil {
 		t.Fatal(err)
 	}
-	later := time.Now().Add(time.Minute) // a file system may not tell two writes apart
+	later := time.Now().Add(time.Minute) // the file system's times may be too coarse to differ
 	os.Chtimes(filepath.Join(dir, "host-0.pem"), later, later)
-	if err := k.reload(); err != nil || k.current().Leaf.SerialNumber.Cmp(was) == 0 {
-		t.Errorf("still the old one: %v", err)
+	if err := reloader.reload(); err != nil || reloader.current().Leaf.SerialNumber.Cmp(oldSerial) == 0 {
+		t.Errorf("renewed certificate not loaded: %v", err)
 	}
-	is := k.current()
+	renewed := reloader.current()
 	if err := os.WriteFile(filepath.Join(dir, "host-0.key"), []byte("half a ke"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := k.reload(); err == nil || k.current() != is {
-		t.Errorf("half a key was taken: %v", err)
+	if err := reloader.reload(); err == nil || reloader.current() != renewed {
+		t.Errorf("reload with a half-written key: got error %v, want an error and the previous certificate", err)
 	}
-	if _, soon := k.expires(); soon {
-		t.Error("it is to expire, an hour ahead")
+	if _, expiresSoon := reloader.timeToExpiry(); expiresSoon {
+		t.Error("expiry warning one hour before the certificate expires")
 	}
-	k.now = func() time.Time { return time.Now().Add(57 * time.Minute) }
+	reloader.now = func() time.Time { return time.Now().Add(57 * time.Minute) }
 	var log bytes.Buffer
-	k.log = slog.New(slog.NewTextHandler(&log, nil))
+	reloader.log = slog.New(slog.NewTextHandler(&log, nil))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	k.Watch(ctx, time.Hour)
+	reloader.Watch(ctx, time.Hour)
 	if !strings.Contains(log.String(), "about to expire") {
-		t.Errorf("not told: %q", log.String())
+		t.Errorf("no expiry warning in the log: %q", log.String())
 	}
-	stray := folder(t, "host-0")
+	mixedDir := newFolder(t, "host-0")
 	ca, err := os.ReadFile(filepath.Join(dir, "ca.pem"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(stray, "ca.pem"), ca, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(mixedDir, "ca.pem"), ca, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Load(stray, "host-0", slog.New(slog.DiscardHandler)); err == nil {
-		t.Error("a certificate of another authority was taken")
+	if _, err := Load(mixedDir, "host-0", slog.New(slog.DiscardHandler)); err == nil {
+		t.Error("certificate of another authority was loaded")
 	}
 }
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -1,7 +1,7 @@
-// Package keyring keeps the operator's secret keys: what tokens are hashed under
-// and what the audit record is sealed with. A ring is a file that every controller
-// has; its last key is the one in use, those before it still open what was made
-// under them. Each purpose has a key of its own, derived from the ring's.
+// Package keyring holds the operator's secret keys, which hash tokens and seal the audit
+// log. A ring is a file that every controller has a copy of. The newest key that has become
+// active is used for new hashes and seals; older ones still verify what was made under them.
+// For each purpose a separate key is derived from the ring's key.
 package keyring
 
 import (
@@ -27,7 +27,7 @@
 // Size is the length of a key, of a digest and of a seal, in bytes.
 const Size = 32
 
-// Purposes of a key. They are part of the formats: never change one.
+// Purposes of derived keys. They are part of the stored formats and must never change.
 const (
 	ForAudit          = "rillflow 2026-12-01 audit chain v1"
 	ForTokens         = "rillflow 2026-12-01 bearer tokens v1"
@@ -36,15 +36,15 @@
 
 // Errors of a ring.
 var (
-	ErrUnknown = errors.New("keyring: no such key")
-	ErrOpen    = errors.New("keyring: the file can be read by others: its mode must be 0600")
+	ErrUnknown     = errors.New("keyring: no such key")
+	ErrPermissions = errors.New("keyring: file is accessible to other users, its mode must be 0600")
 )
 
-// key is one secret with its number.
+// key is a numbered secret of a ring.
 type key struct {
 	id         uint32
 	secret     [Size]byte
-	activeFrom time.Time // in use from then on; until then the file can be copied to all
+	activeFrom time.Time // new seals use the key from then on; until then the file is copied to all controllers
 }
 
 // Ring is a set of keys, read from a file. It is safe for concurrent use.
@@ -53,35 +53,36 @@
 	now  func() time.Time
 
 	mu          sync.Mutex
-	keys        []key       // in order of age
-	lastRead    fileVersion // the file as it was read
+	keys        []key       // in ascending order of number
+	lastRead    fileVersion // version of the file that keys were read from
 	derivedKeys map[derivation][Size]byte
 }
 
-// fileVersion tells versions of a file apart: a time alone is too coarse, and a ring that
-// gets a key gets longer.
+// fileVersion identifies a version of the ring's file. The modification time alone can be
+// too coarse, but the size grows with every added key.
 type fileVersion struct {
-	at   time.Time
-	size int64
+	modTime time.Time
+	size    int64
 }
 
-func fileVersionOf(st os.FileInfo) fileVersion { return fileVersion{st.ModTime(), st.Size()} }
+func fileVersionOf(info os.FileInfo) fileVersion { return fileVersion{info.ModTime(), info.Size()} }
 
+// derivation identifies a derived key.
 type derivation struct {
 	id      uint32
 	purpose string
 }
 
-// Load reads a ring.
+// Load reads a ring from a file.
 func Load(path string) (*Ring, error) {
-	r := &Ring{path: path, now: time.Now, derivedKeys: make(map[derivation][Size]byte)}
-	if err := r.reload(); err != nil {
+	ring := &Ring{path: path, now: time.Now, derivedKeys: make(map[derivation][Size]byte)}
+	if err := ring.reload(); err != nil {
 		return nil, err
 	}
-	return r, nil
+	return ring, nil
 }
 
-// newKey draws a key. The random reader of the runtime never fails.
+// newKey returns a key with a random secret. rand.Read never returns an error.
 func newKey(id uint32) key {
 	k := key{id: id}
 	rand.Read(k.secret[:])
@@ -89,68 +90,71 @@
 }
 
 func (ring *Ring) reload() error {
-	st, err := os.Stat(ring.path)
+	info, err := os.Stat(ring.path)
 	if err != nil {
 		return fmt.Errorf("keyring: %w", err)
 	}
-	if st.Mode().Perm()&0o077 != 0 {
-		return fmt.Errorf("%w: %s", ErrOpen, ring.path)
+	if info.Mode().Perm()&0o077 != 0 {
+		return fmt.Errorf("%w: %s", ErrPermissions, ring.path)
 	}
-	b, err := os.ReadFile(ring.path)
+	content, err := os.ReadFile(ring.path)
 	if err != nil {
 		return fmt.Errorf("keyring: %w", err)
 	}
-	keys, err := parse(b)
+	keys, err := parseKeys(content)
 	if err != nil {
 		return fmt.Errorf("keyring: %s: %w", ring.path, err)
 	}
-	ring.keys, ring.lastRead = keys, fileVersionOf(st)
+	ring.keys, ring.lastRead = keys, fileVersionOf(info)
 	return nil
 }
 
-// parse reads a ring's file: a line for each key, its number, its secret in hexadecimal
-// and, for one that replaces another, from when on it is in use; what begins with # is a
-// comment. Numbers rise.
-func parse(b []byte) ([]key, error) {
+// parseKeys parses a ring's file. Each key is a line with its number, its secret in
+// hexadecimal and, for a key that replaces another, the time from which it is active. The
+// numbers must increase from line to line. Lines that start with # are comments.
+func parseKeys(content []byte) ([]key, error) {
 	var keys []key
-	sc := bufio.NewScanner(bytes.NewReader(b))
-	for n := 1; sc.Scan(); n++ {
-		line := strings.TrimSpace(sc.Text())
+	scanner := bufio.NewScanner(bytes.NewReader(content))
+	for lineNumber := 1; scanner.Scan(); lineNumber++ {
+		line := strings.TrimSpace(scanner.Text())
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		// The line is not told: it may be most of a secret.
-		wrong := fmt.Errorf("line %d is not a number, %d bytes in hexadecimal and perhaps a time", n, Size)
-		f := strings.Fields(line)
-		if len(f) < 2 || len(f) > 3 {
-			return nil, wrong
+		// The error must not contain the line, which may hold most of a secret.
+		syntaxErr := fmt.Errorf(
+			"line %d must have a key number, %d bytes in hexadecimal and optionally an RFC 3339 time", lineNumber, Size,
+		)
+		fields := strings.Fields(line)
+		if len(fields) < 2 || len(fields) > 3 {
+			return nil, syntaxErr
 		}
-		id, err := strconv.ParseUint(f[0], 10, 32)
-		raw, err2 := hex.DecodeString(f[1])
-		if err != nil || err2 != nil || len(raw) != Size {
-			return nil, wrong
+		id, err := strconv.ParseUint(fields[0], 10, 32)
+		secret, secretErr := hex.DecodeString(fields[1])
+		if err != nil || secretErr != nil || len(secret) != Size {
+			return nil, syntaxErr
 		}
-		var from time.Time
-		if len(f) == 3 {
-			if from, err = time.Parse(time.RFC3339, f[2]); err != nil {
-				return nil, wrong
+		var activeFrom time.Time
+		if len(fields) == 3 {
+			if activeFrom, err = time.Parse(time.RFC3339, fields[2]); err != nil {
+				return nil, syntaxErr
 			}
 		}
 		if len(keys) > 0 && uint32(id) <= keys[len(keys)-1].id {
-			return nil, fmt.Errorf("line %d: numbers must rise", n)
+			return nil, fmt.Errorf("line %d: key numbers must increase", lineNumber)
 		}
-		keys = append(keys, key{uint32(id), [Size]byte(raw), from})
+		keys = append(keys, key{uint32(id), [Size]byte(secret), activeFrom})
 	}
-	if err := sc.Err(); err != nil {
+	if err := scanner.Err(); err != nil {
 		return nil, err
 	}
 	if len(keys) == 0 {
-		return nil, errors.New("no key")
+		return nil, errors.New("the file contains no key")
 	}
 	return keys, nil
 }
 
-// Newest is the number of the key in use.
+// Newest returns the number of the active key: the last one in the file whose activation
+// time has passed, or the first one if there is none.
 func (ring *Ring) Newest() uint32 {
 	ring.mu.Lock()
 	defer ring.mu.Unlock()
@@ -162,57 +166,57 @@
 	return ring.keys[0].id
 }
 
-// Follow takes up keys that are added to the file, until ctx ends. What cannot be read
-// leaves the ring as it is.
-func (ring *Ring) Follow(ctx context.Context, every time.Duration, log *slog.Logger) error {
-	tick := time.NewTicker(every)
-	defer tick.Stop()
+// Follow checks the file for changes at each interval and reloads it, until ctx ends. The
+// ring stays as it is if the file cannot be read.
+func (ring *Ring) Follow(ctx context.Context, interval time.Duration, log *slog.Logger) error {
+	ticker := time.NewTicker(interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-tick.C:
+		case <-ticker.C:
 		}
 		ring.mu.Lock()
-		n := len(ring.keys)
-		st, err := os.Stat(ring.path)
-		if err == nil && fileVersionOf(st) != ring.lastRead {
+		countBefore := len(ring.keys)
+		info, err := os.Stat(ring.path)
+		if err == nil && fileVersionOf(info) != ring.lastRead {
 			err = ring.reload()
 		}
-		now := len(ring.keys)
+		count := len(ring.keys)
 		ring.mu.Unlock()
 		if err != nil {
-			log.Error("the key ring is not read again", "err", err)
-		} else if now != n {
-			log.Info("key ring read again", "keys", now)
+			log.Error("key ring not reloaded", "err", err)
+		} else if count != countBefore {
+			log.Info("key ring reloaded", "keys", count)
 		}
 	}
 }
 
-// Derive gives a key of the ring for a purpose. A key that is not known may have
-// come with a rotation: the file is read once more if it changed.
+// Derive derives the key for a purpose from a key of the ring. An unknown key may have been
+// added by a rotation, so the file is reloaded if it has changed.
 func (ring *Ring) Derive(id uint32, purpose string) ([Size]byte, error) {
 	ring.mu.Lock()
 	defer ring.mu.Unlock()
-	if k, ok := ring.derivedKeys[derivation{id, purpose}]; ok {
-		return k, nil
+	if cached, ok := ring.derivedKeys[derivation{id, purpose}]; ok {
+		return cached, nil
 	}
-	k := ring.find(id)
-	if k == nil && ring.path != "" {
-		if st, err := os.Stat(ring.path); err == nil && fileVersionOf(st) != ring.lastRead && ring.reload() == nil {
-			k = ring.find(id)
+	source := ring.findKey(id)
+	if source == nil && ring.path != "" {
+		if info, err := os.Stat(ring.path); err == nil && fileVersionOf(info) != ring.lastRead && ring.reload() == nil {
+			source = ring.findKey(id)
 		}
 	}
-	var out [Size]byte
-	if k == nil {
-		return out, fmt.Errorf("%w: %d", ErrUnknown, id)
+	var derived [Size]byte
+	if source == nil {
+		return derived, fmt.Errorf("%w: %d", ErrUnknown, id)
 	}
-	blake3.DeriveKey(purpose, k.secret[:], out[:])
-	ring.derivedKeys[derivation{id, purpose}] = out
-	return out, nil
+	blake3.DeriveKey(purpose, source.secret[:], derived[:])
+	ring.derivedKeys[derivation{id, purpose}] = derived
+	return derived, nil
 }
 
-func (ring *Ring) find(id uint32) *key {
+func (ring *Ring) findKey(id uint32) *key {
 	for i := range ring.keys {
 		if ring.keys[i].id == id {
 			return &ring.keys[i]
@@ -221,58 +225,59 @@
 	return nil
 }
 
-// Seal is a keyed digest of some data under a key of the ring.
-func (ring *Ring) Seal(id uint32, purpose string, data ...[]byte) (out [Size]byte, err error) {
-	k, err := ring.Derive(id, purpose)
+// Seal returns the keyed digest of the concatenated data, under the key for a purpose that
+// is derived from a key of the ring.
+func (ring *Ring) Seal(id uint32, purpose string, data ...[]byte) (seal [Size]byte, err error) {
+	derived, err := ring.Derive(id, purpose)
 	if err != nil {
-		return out, err
+		return seal, err
 	}
-	h, err := blake3.NewKeyed(k[:])
+	hash, err := blake3.NewKeyed(derived[:])
 	if err != nil {
-		return out, fmt.Errorf("keyring: %w", err)
+		return seal, fmt.Errorf("keyring: %w", err)
 	}
-	for _, d := range data {
-		h.Write(d)
+	for _, part := range data {
+		hash.Write(part)
 	}
-	h.Sum(out[:0])
-	return out, nil
+	hash.Sum(seal[:0])
+	return seal, nil
 }
 
-// Check tells whether a seal is that of the data.
+// Check reports whether a seal matches the data.
 func (ring *Ring) Check(id uint32, purpose string, seal []byte, data ...[]byte) (bool, error) {
 	want, err := ring.Seal(id, purpose, data...)
 	return err == nil && subtle.ConstantTimeCompare(want[:], seal) == 1, err
 }
 
-// Digest is a digest of some data without a key.
-func Digest(data ...[]byte) (out [Size]byte) {
-	h := blake3.New()
-	for _, d := range data {
-		h.Write(d)
+// Digest returns the digest of the concatenated data, without a key.
+func Digest(data ...[]byte) (digest [Size]byte) {
+	hash := blake3.New()
+	for _, part := range data {
+		hash.Write(part)
 	}
-	h.Sum(out[:0])
-	return out
+	hash.Sum(digest[:0])
+	return digest
 }
 
-// Init writes a new ring of one key. A file that is there is never overwritten.
+// Init creates the file of a new ring with one key. It fails if the file exists.
 func Init(path string) error {
-	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
+	file, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_EXCL, 0o600)
 	if err != nil {
 		return fmt.Errorf("keyring: %w", err)
 	}
-	k := newKey(1)
+	first := newKey(1)
 	_, err = fmt.Fprintf(
-		f, "# rillflow's key ring: keep it secret, keep a copy, and give every controller the same.\n%d %x\n",
-		k.id, k.secret,
+		file, "# rillflow's key ring: keep it secret, keep a copy, and give every controller the same.\n%d %x\n",
+		first.id, first.secret,
 	)
-	return errors.Join(err, f.Sync(), f.Close())
+	return errors.Join(err, file.Sync(), file.Close())
 }
 
-// Rotate adds a key to the ring's file, which is replaced whole, and returns its
-// number. It is in use from a time on, by when every controller must have the file: one
-// without it could not go on where another left off.
-func Rotate(path string, from time.Time) (uint32, error) {
-	r, err := Load(path)
+// Rotate adds a key to the ring's file, which is replaced atomically, and returns the key's
+// number. The key becomes active at activeFrom. Every controller must have the new file by
+// then: one without it can neither verify nor continue what another has sealed.
+func Rotate(path string, activeFrom time.Time) (uint32, error) {
+	ring, err := Load(path)
 	if err != nil {
 		return 0, err
 	}
@@ -280,13 +285,13 @@
 	if err != nil {
 		return 0, fmt.Errorf("keyring: %w", err)
 	}
-	k := newKey(r.keys[len(r.keys)-1].id + 1)
+	added := newKey(ring.keys[len(ring.keys)-1].id + 1)
 	tmp, err := os.CreateTemp(filepath.Dir(path), ".keyring-*") // of mode 0600
 	if err != nil {
 		return 0, fmt.Errorf("keyring: %w", err)
 	}
 	_, err = fmt.Fprintf(
-		tmp, "%s\n%d %x %s\n", bytes.TrimRight(old, "\n"), k.id, k.secret, from.UTC().Format(time.RFC3339),
+		tmp, "%s\n%d %x %s\n", bytes.TrimRight(old, "\n"), added.id, added.secret, activeFrom.UTC().Format(time.RFC3339),
 	)
 	err = errors.Join(err, tmp.Sync(), tmp.Close())
 	if err == nil {
@@ -296,5 +301,5 @@
 		os.Remove(tmp.Name())
 		return 0, fmt.Errorf("keyring: %w", err)
 	}
-	return k.id, nil
+	return added.id, nil
 }
--- a/internal/keyring/keyringtest/keyringtest.go
+++ b/internal/keyring/keyringtest/keyringtest.go
@@ -1,5 +1,4 @@
-// Package keyringtest makes keyrings for tests. It owns no state, and only test
-// files may import it.
+// Package keyringtest creates key rings for tests. Only test files may import it.
 package keyringtest
 
 import (
@@ -9,7 +8,7 @@
 	"rillflow/internal/keyring"
 )
 
-// New returns a ring with one new key, from a file that goes with the test.
+// New returns a ring with one new key. Its file is removed when the test ends.
 func New(tb testing.TB) *keyring.Ring {
 	tb.Helper()
 	path := filepath.Join(tb.TempDir(), "keys")
