--- a/internal/audit/pending.go
+++ b/internal/audit/pending.go
@@ -13,7 +13,7 @@
 // transaction as the change that they record. The leader moves them into the chain. They
 // are sealed, so that nobody without the key can add entries.
 type PendingEntries struct {
-	Key     uint32 // number of the key in the ring that seals them
+	KeyID   uint32 // number of the key in the ring that seals them
 	Entries []Entry
 }
 
@@ -22,11 +22,11 @@
 // Encode encodes pending entries and seals them under the ring's active key. The seal
 // covers the store's key at which they are stored, and does not match at any other.
 func (pending *PendingEntries) Encode(ring *keyring.Ring, storeKey string) ([]byte, error) {
-	pending.Key = ring.Newest()
+	pending.KeyID = ring.Newest()
 	raw := append([]byte{formatVersion}, 0, 0, 0, 0)
-	binary.BigEndian.PutUint32(raw[1:], pending.Key)
+	binary.BigEndian.PutUint32(raw[1:], pending.KeyID)
 	raw = append(raw, encodeEntries(pending.Entries)...)
-	seal, err := ring.Seal(pending.Key, keyring.ForPendingEntries, []byte(storeKey), []byte{0}, raw)
+	seal, err := ring.Seal(pending.KeyID, keyring.ForPendingEntries, []byte(storeKey), []byte{0}, raw)
 	if err != nil {
 		return nil, err
 	}
@@ -55,9 +55,9 @@
 	if len(raw) < pendingFixedBytes+sealBytes || raw[0] != formatVersion {
 		return nil, fmt.Errorf("audit: slip: %w", codec.ErrFormat)
 	}
-	pending := &PendingEntries{Key: binary.BigEndian.Uint32(raw[1:])}
+	pending := &PendingEntries{KeyID: binary.BigEndian.Uint32(raw[1:])}
 	body, seal := raw[:len(raw)-sealBytes], raw[len(raw)-sealBytes:]
-	matches, err := ring.Check(pending.Key, keyring.ForPendingEntries, seal, []byte(storeKey), []byte{0}, body)
+	matches, err := ring.Check(pending.KeyID, keyring.ForPendingEntries, seal, []byte(storeKey), []byte{0}, body)
 	if err != nil {
 		return nil, fmt.Errorf("audit: slip: %w", err)
 	}
--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -138,10 +138,10 @@
 	return reloader.cert
 }
 
-// Server returns the TLS configuration for incoming connections. If mutual is set, clients
-// must present a certificate of the same authority. Each connection uses the certificates
-// that are current when it is accepted.
-func (reloader *Keeper) Server(mutual bool) *tls.Config {
+// ServerConfig returns the TLS configuration for incoming connections. If mutual is set,
+// clients must present a certificate of the same authority. Each connection uses the
+// certificates that are current at its handshake.
+func (reloader *Keeper) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		reloader.mu.Lock()
 		defer reloader.mu.Unlock()
@@ -170,13 +170,13 @@
 	return secure, nil
 }
 
-// Listen wraps a listener to accept connections as the mode specifies; see Server for
-// mutual.
+// Listen wraps a listener to accept connections as the mode specifies; see ServerConfig
+// for mutual.
 func (reloader *Keeper) Listen(inner net.Listener, mode string, mutual bool) net.Listener {
 	if mode == Off {
 		return inner
 	}
-	return &listener{inner, reloader.Server(mutual), mode == Require}
+	return &listener{inner, reloader.ServerConfig(mutual), mode == Require}
 }
 
 // listener accepts connections with TLS and, unless requireTLS is set, also without.
