--- a/internal/jsonhttp/answer.go
+++ b/internal/jsonhttp/answer.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Answer writes a message as the answer to a request. A message that cannot be encoded is a bug, and
-// the answer is then a 500.
+// Answer writes a message as the response to a request. A message that cannot be encoded is a bug;
+// the response then has status 500.
 func Answer(w http.ResponseWriter, status int, message any) {
 	body, err := json.Marshal(message)
 	if err != nil {
@@ -16,7 +16,7 @@
 	AnswerBody(w, status, body)
 }
 
-// AnswerBody writes an encoded message as the answer to a request.
+// AnswerBody writes an encoded message as the response to a request.
 func AnswerBody(w http.ResponseWriter, status int, body []byte) {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
--- a/internal/jsonhttp/jsonhttp.go
+++ b/internal/jsonhttp/jsonhttp.go
@@ -1,7 +1,7 @@
 // Package jsonhttp exchanges JSON messages with HTTP servers over pooled connections. The clients of
 // the key-value store, the workers and the cloud are built on it: it encodes a request, sends it
-// once, reads the whole answer and distinguishes errors that prove that nothing was sent from others.
-// The servers for users, workers and operators write their answers with it.
+// once, reads the whole response and distinguishes errors that prove that nothing was sent from
+// others. The servers for users, workers and operators write their responses with it.
 //
 // It owns only the connections. It must not retry requests, limit rates, set timeouts or interpret
 // status codes: these differ between the servers, so the callers do it.
@@ -76,11 +76,11 @@
 	return request, nil
 }
 
-// Do sends a request once and reads the answer, whatever its status. An error that matches
+// Do sends a request once and reads the response, whatever its status. An error that matches
 // ErrNotConnected proves that nothing was sent. After any other error the request may have been
 // executed or may still be.
 func (c *Client) Do(request *http.Request) (*Response, error) {
-	answer, err := c.httpClient.Do(request)
+	httpResponse, err := c.httpClient.Do(request)
 	if err != nil {
 		var opErr *net.OpError
 		if errors.As(err, &opErr) && opErr.Op == "dial" {
@@ -88,15 +88,15 @@
 		}
 		return nil, err
 	}
-	defer answer.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, c.maxResponseBytes))
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(httpResponse.Body, c.maxResponseBytes))
 	if err != nil {
-		return nil, fmt.Errorf("read answer to %s %s: %w", request.Method, request.URL, err)
+		return nil, fmt.Errorf("read response to %s %s: %w", request.Method, request.URL, err)
 	}
-	return &Response{StatusCode: answer.StatusCode, Body: body, request: request}, nil
+	return &Response{StatusCode: httpResponse.StatusCode, Body: body, request: request}, nil
 }
 
-// Response is a server's answer with its body, up to MaxResponseBytes.
+// Response is a server's response with its body, up to MaxResponseBytes.
 type Response struct {
 	StatusCode int
 	Body       []byte
@@ -106,17 +106,17 @@
 // Decode decodes the body from JSON into message.
 func (r *Response) Decode(message any) error {
 	if err := json.Unmarshal(r.Body, message); err != nil {
-		return fmt.Errorf("decode answer to %s %s: %w", r.request.Method, r.request.URL, err)
+		return fmt.Errorf("decode response to %s %s: %w", r.request.Method, r.request.URL, err)
 	}
 	return nil
 }
 
-// StatusError returns an error for an answer with a status that the caller does not accept.
+// StatusError returns an error for a response with a status that the caller does not accept.
 func (r *Response) StatusError() *StatusError {
 	return &StatusError{Method: r.request.Method, URL: r.request.URL.String(), StatusCode: r.StatusCode, Body: r.Body}
 }
 
-// StatusError is the error of an answer with a status that the caller does not accept.
+// StatusError is the error of a response with a status that the caller does not accept.
 type StatusError struct {
 	Method     string
 	URL        string
--- a/internal/jsonhttp/jsonhttp_test.go
+++ b/internal/jsonhttp/jsonhttp_test.go
@@ -133,7 +133,7 @@
 	}{
 		{"connection refused", refusing, true},
 		{"connection aborted", aborting.URL, false},
-		{"truncated answer", truncating.URL, false},
+		{"truncated response", truncating.URL, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			request, err := NewRequest(t.Context(), http.MethodGet, tc.url, nil)
--- a/internal/kvstore/budget_test.go
+++ b/internal/kvstore/budget_test.go
@@ -52,9 +52,9 @@
 	}
 }
 
-// Guards against a client that keeps exceeding limits that the store has lowered, or that takes
-// another refusal for lowered limits. A rejection for size, or two for the rate within a short time,
-// show that the announced limits are in force.
+// Guards against a client that keeps exceeding limits that the store has lowered, or that lowers its
+// limits after an unrelated error. Only a rejection for size, or two for the rate within a short
+// time, show that the announced limits are in force.
 func TestAnnouncedLimits(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -50,7 +50,7 @@
 	// other process can be leader. If HoldsLease is nil, RequestsPerSecond always applies.
 	LeaderRequestsPerSecond float64
 	HoldsLease              func() bool
-	// Limits are the limits that are initially taken to be in force.
+	// Limits are the limits assumed to be in force at first.
 	Limits
 	// AnnouncedLimits are lower limits that the store may apply at any time without further
 	// notice. A MaxValueBytes of 0 means that none are announced.
@@ -82,7 +82,7 @@
 }
 
 // SinceLastAnswer returns the time since the store last answered this process or, before the first
-// answer, since the client was created.
+// response, since the client was created.
 func (c *Client) SinceLastAnswer() time.Duration {
 	return time.Since(c.start) - time.Duration(c.lastAnswer.Load())
 }
@@ -92,5 +92,5 @@
 
 // Probe reads a key that need not exist, so that SinceLastAnswer shows whether the store answers.
 func (c *Client) Probe(ctx context.Context) {
-	_, _ = c.Get(ctx, "probe") // an answer resets SinceLastAnswer
+	_, _ = c.Get(ctx, "probe") // a response resets SinceLastAnswer
 }
--- a/internal/kvstore/errors_test.go
+++ b/internal/kvstore/errors_test.go
@@ -33,12 +33,12 @@
 		{"503", status(503), ErrRefused},
 		{"400", status(400), ErrRefused},
 		{"500", status(500), ErrOutcomeUnknown},
-		{"no answer", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrOutcomeUnknown},
-		{"truncated answer", func(w http.ResponseWriter, _ *http.Request) {
+		{"no response", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, ErrOutcomeUnknown},
+		{"truncated response", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "50")
 			w.Write([]byte(`{"gen`))
 		}, ErrOutcomeUnknown},
-		{"malformed answer", body(`[`), ErrOutcomeUnknown},
+		{"malformed response", body(`[`), ErrOutcomeUnknown},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			_, _, err := serve(t, tc.handle).Commit(context.Background(), wire.Txn{})
@@ -85,7 +85,7 @@
 	}
 }
 
-// Guards against reporting a failed compare as an error: the answer is valid.
+// Guards against reporting a failed compare as an error: the response is valid.
 func TestFailedCompareIsNotAnError(t *testing.T) {
 	client := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(409)
--- a/internal/kvstore/operations.go
+++ b/internal/kvstore/operations.go
@@ -57,13 +57,13 @@
 
 // txnOutcomeOf returns the outcome of a transaction from the results of Commit.
 func txnOutcomeOf(failed []string, err error) string {
-	var request *RequestError
+	var requestError *RequestError
 	switch {
 	case err == nil && len(failed) == 0:
 		return txnApplied
 	case err == nil:
 		return txnCompareFailed
-	case errors.As(err, &request) && isUnsent(request):
+	case errors.As(err, &requestError) && isUnsent(requestError):
 		return txnUnsent
 	case errors.Is(err, ErrRefused):
 		return txnRejected
@@ -71,9 +71,10 @@
 	return txnUnknown
 }
 
-// isUnsent reports whether this process's budget did not allow a request, rather than the store.
-func isUnsent(request *RequestError) bool {
-	return errors.Is(request.Cause, errQueueFull) || errors.Is(request.Cause, errDeadlineTooClose)
+// isUnsent reports whether a request failed because this process's budget did not allow it, so that
+// the store never received it.
+func isUnsent(requestError *RequestError) bool {
+	return errors.Is(requestError.Cause, errQueueFull) || errors.Is(requestError.Cause, errDeadlineTooClose)
 }
 
 // OperationCounts returns all counters of operations, in a fixed order.
--- a/internal/kvstore/operations_test.go
+++ b/internal/kvstore/operations_test.go
@@ -17,7 +17,7 @@
 		err    error
 	}{
 		{nil, nil}, {nil, nil}, {[]string{"j/req-1"}, nil}, {nil, unsent},
-		{nil, &RequestError{Outcome: ErrRateLimited}}, {nil, errors.New("no answer")},
+		{nil, &RequestError{Outcome: ErrRateLimited}}, {nil, errors.New("no response")},
 	} {
 		client.operations.add(end, txnOutcomeOf(tc.failed, tc.err))
 	}
--- a/internal/kvstore/requests.go
+++ b/internal/kvstore/requests.go
@@ -16,7 +16,7 @@
 // Get reads a key. The error is ErrNotFound if it does not exist.
 func (c *Client) Get(ctx context.Context, key string) (wire.KeyValue, error) {
 	var item wire.KeyValue
-	err := c.do(ctx, call{operation: "get", key: key, method: http.MethodGet, path: "/store/" + key, answer: &item})
+	err := c.do(ctx, call{operation: "get", key: key, method: http.MethodGet, path: "/store/" + key, result: &item})
 	return item, err
 }
 
@@ -107,7 +107,7 @@
 	}
 	err = c.do(ctx, call{
 		operation: "list", key: request.prefix, method: http.MethodGet, path: "/store?" + query.Encode(),
-		answer: &page, extraTimeout: request.extraTimeout, onSend: request.onSend,
+		result: &page, extraTimeout: request.extraTimeout, onSend: request.onSend,
 	})
 	return page, err
 }
@@ -124,7 +124,7 @@
 	var result wire.TxnResponse
 	err = c.do(ctx, call{
 		operation: "commit", key: firstKey(txn),
-		method: http.MethodPost, path: "/commit", body: txn, answer: &result, writes: len(txn.Operations),
+		method: http.MethodPost, path: "/commit", body: txn, result: &result, writes: len(txn.Operations),
 	})
 	c.operations.add(txn.Operations, txnOutcomeOf(result.FailedKeys, err))
 	if err != nil {
@@ -147,7 +147,7 @@
 	var lease wire.Lease
 	err = c.do(ctx, call{
 		operation: "grant lease",
-		method:    http.MethodPost, path: "/grants", body: wire.Lease{TTLMillis: ttl.Milliseconds()}, answer: &lease,
+		method:    http.MethodPost, path: "/grants", body: wire.Lease{TTLMillis: ttl.Milliseconds()}, result: &lease,
 	})
 	return lease.ID, err
 }
--- a/internal/kvstore/revision.go
+++ b/internal/kvstore/revision.go
@@ -3,8 +3,8 @@
 import "sync"
 
 // revisionFloor is the latest revision that the store is known to have reached. The store is
-// linearizable: an answer never has an earlier revision than any answer received before its request
-// was sent. An answer that does shows that the store lost data, and starts a new incarnation.
+// linearizable: a response never has an earlier revision than any response that was received before
+// its request was sent. If one does, the store has lost data, and a new incarnation starts.
 type revisionFloor struct {
 	mu               sync.Mutex
 	position         position
@@ -19,7 +19,7 @@
 	incarnation uint64
 }
 
-// OnRollback sets a function that is called when the store's revision goes back: when an answer has
+// OnRollback sets a function that is called when the store's revision goes back: when a response has
 // an earlier revision than was known when its request was sent. It is called once per rollback, by
 // the goroutine that made the request, and must not block.
 func (c *Client) OnRollback(callback func(known, got uint64)) {
@@ -34,15 +34,15 @@
 	return latest.revision, latest.incarnation
 }
 
-// ObserveRevision records a revision that another controller reports the present incarnation of the
-// store to have reached.
+// ObserveRevision records a revision that the store has reached in its present incarnation, as
+// reported by another controller.
 func (c *Client) ObserveRevision(revision uint64) {
 	_, incarnation := c.Revision()
 	c.revision.raise(position{revision, incarnation})
 }
 
-// StartIncarnation records that the store's data was replaced. The revisions need not show it: the
-// new incarnation may have passed the last revision of the earlier one before the next request.
+// StartIncarnation records that the store's data was replaced. The revisions alone may not show it:
+// by the next request, the new incarnation may have passed the last revision of the earlier one.
 func (c *Client) StartIncarnation() {
 	c.revision.mu.Lock()
 	defer c.revision.mu.Unlock()
@@ -73,8 +73,8 @@
 	f.incarnationEnded = make(chan struct{})
 }
 
-// observe records the revision of an answer, given the position known when its request was sent. An
-// answer to a request sent in an earlier incarnation is ignored: it may describe the lost data.
+// observe records the revision of a response, given the position known when its request was sent. An
+// response to a request sent in an earlier incarnation is ignored: it may describe the lost data.
 func (f *revisionFloor) observe(revision uint64, knownAtSend position) {
 	if revision == 0 {
 		return
--- a/internal/kvstore/revision_test.go
+++ b/internal/kvstore/revision_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// revisionServer is a fake store that includes a preset revision in every answer.
+// revisionServer is a fake store that includes a preset revision in every response.
 type revisionServer struct{ revision uint64 }
 
 func (s *revisionServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -27,12 +27,12 @@
 	}
 }
 
-// Guards against a missed, repeated or false report of a rollback. A rollback shows by an answer
+// Guards against a missed, repeated or false report of a rollback. A rollback shows by a response
 // with an earlier revision than was known when its request was sent.
 func TestRevisionRollback(t *testing.T) {
 	type step struct {
 		request  string
-		revision uint64 // in the store's answer
+		revision uint64 // in the store's response
 	}
 	for _, tc := range []struct {
 		name      string
@@ -48,7 +48,7 @@
 		{"an old mod revision is no rollback", []step{{"miss", 9}, {"hit", 3}, {"miss", 9}}, nil},
 		{"a watch with the revision of its last change is no rollback", []step{{"miss", 9}, {"watch", 3}, {"miss", 9}}, nil},
 		{"back from the revision of a watch", []step{{"miss", 1}, {"watch", 9}, {"miss", 3}}, []uint64{3}},
-		{"an answer without a revision is no rollback", []step{{"miss", 9}, {"miss", 0}, {"miss", 9}}, nil},
+		{"a response without a revision is no rollback", []step{{"miss", 9}, {"miss", 0}, {"miss", 9}}, nil},
 		{"back from the revision known to a peer", []step{{"miss", 1}, {"peer", 9}, {"miss", 3}}, []uint64{3}},
 		{"a new incarnation may start at a lower revision", []step{{"miss", 9}, {"incarnation", 0}, {"miss", 3}, {"miss", 2}}, []uint64{2}},
 	} {
@@ -84,9 +84,9 @@
 	}
 }
 
-// Guards against a late answer to a request sent before a rollback that counts for the incarnation
-// after it.
-func TestLateAnswerAfterRollback(t *testing.T) {
+// Guards against applying the revision of a late response to the wrong incarnation: the request was
+// sent before a rollback, and its response arrives after it.
+func TestLateResponseAfterRollback(t *testing.T) {
 	floor := revisionFloor{incarnationEnded: make(chan struct{})}
 	rollbacks := 0
 	floor.onRollback = func(uint64, uint64) { rollbacks++ }
--- a/internal/kvstore/sharedread.go
+++ b/internal/kvstore/sharedread.go
@@ -6,8 +6,8 @@
 	"rillflow/internal/wire"
 )
 
-// GetByListing reads a key as Get does, but by a listing that starts with it. Unlike the answer to
-// Get, a listing includes the store's revision even if the key exists, so it reveals a rollback.
+// GetByListing reads a key as Get does, but by a listing that starts with it. Unlike the response
+// to Get, a listing includes the store's revision even if the key exists, so it reveals a rollback.
 //
 // Callers that wait for the budget with the same key and priority share one read. It is sent after
 // the last of them has called, so each sees a value at least as new as its call.
--- a/internal/kvstore/sharedread_test.go
+++ b/internal/kvstore/sharedread_test.go
@@ -11,7 +11,7 @@
 	"rillflow/internal/memnet"
 )
 
-// Guards against answers older than the call: a read that has been sent is not shared with later
+// Guards against results older than the call: a read that has been sent is not shared with later
 // callers.
 func TestSharedReadIsSentAfterAllItsCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -44,18 +44,18 @@
 		if got := requests.Load(); got != 2 {
 			t.Errorf("%d requests in total, want 2: the last reader came after the first read was sent", got)
 		}
-		if got := reads.answers.Load(); got != 6 {
-			t.Errorf("%d answers to 6 readers, want 6", got)
+		if got := reads.results.Load(); got != 6 {
+			t.Errorf("%d of 6 readers got a result, want all", got)
 		}
 		server.Close()
 	})
 }
 
-// concurrentReads starts concurrent reads of a key and counts their answers.
+// concurrentReads starts concurrent reads of a key and counts their results.
 type concurrentReads struct {
 	t       *testing.T
 	client  *Client
-	answers atomic.Int64
+	results atomic.Int64
 }
 
 func (r *concurrentReads) start(ctx context.Context) {
@@ -65,7 +65,7 @@
 			r.t.Errorf("read item %v, error %v, want mod revision 7", item, err)
 			return
 		}
-		r.answers.Add(1)
+		r.results.Add(1)
 	}()
 	synctest.Wait()
 }
--- a/internal/kvstore/transport.go
+++ b/internal/kvstore/transport.go
@@ -13,8 +13,8 @@
 	"rillflow/internal/wire"
 )
 
-// noSuchLease is the text in the body of a 400 answer to a write with a lease that has ended. Every
-// other 400 answer to a write is about the size of a value or transaction.
+// noSuchLease is the text in the body of a 400 response to a write with a lease that has ended.
+// Every other 400 response to a write is about the size of a value or transaction.
 var noSuchLease = []byte("no such lease")
 
 // call describes one request to the store.
@@ -24,7 +24,7 @@
 	method       string
 	path         string
 	body         any           // to encode; nil: no body
-	answer       any           // to decode the body of the answer into; nil: it is ignored
+	result       any           // to decode the response body into; nil: the body is ignored
 	writes       int           // operations that count against the write budget
 	extraTimeout time.Duration // added to the client's timeout
 	onSend       func()        // if not nil, called after the wait for the budget, before sending
@@ -84,18 +84,18 @@
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
-// receive processes the answer to a call, given the position known when the request was sent.
+// receive processes the response to a call, given the position known when the request was sent.
 func (c *Client) receive(call *call, response *jsonhttp.Response, knownAtSend position) error {
 	switch response.StatusCode {
 	case http.StatusOK, http.StatusConflict: // 409: a compare failed, which is not an error
 		c.recordAnswer()
-		if call.answer == nil {
+		if call.result == nil {
 			return nil
 		}
-		if err := response.Decode(call.answer); err != nil {
+		if err := response.Decode(call.result); err != nil {
 			return call.newError(ErrOutcomeUnknown, err)
 		}
-		c.observe(call.answer, knownAtSend)
+		c.observe(call.result, knownAtSend)
 		return nil
 	case http.StatusNotFound:
 		c.recordAnswer()
@@ -126,19 +126,19 @@
 // recordAnswer records that the store has just answered.
 func (c *Client) recordAnswer() { c.lastAnswer.Store(int64(time.Since(c.start))) }
 
-// revisionReporter is an answer that includes the store's revision.
+// revisionReporter is a response that includes the store's revision.
 type revisionReporter interface{ StoreRevision() uint64 }
 
-// observe records the revision in an answer.
-func (c *Client) observe(answer any, knownAtSend position) {
-	switch answer := answer.(type) {
+// observe records the revision in a decoded response.
+func (c *Client) observe(result any, knownAtSend position) {
+	switch result := result.(type) {
 	case *wire.WatchResponse:
 		// The revision may be only that of the last change under the prefix, so an earlier one than
 		// was known does not show a rollback.
-		c.revision.raise(position{answer.Revision, knownAtSend.incarnation})
+		c.revision.raise(position{result.Revision, knownAtSend.incarnation})
 	case *wire.KeyValue:
-		c.revision.raise(position{answer.ModRevision, knownAtSend.incarnation})
+		c.revision.raise(position{result.ModRevision, knownAtSend.incarnation})
 	case revisionReporter:
-		c.revision.observe(answer.StoreRevision(), knownAtSend)
+		c.revision.observe(result.StoreRevision(), knownAtSend)
 	}
 }
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -56,7 +56,7 @@
 		}
 	}()
 	var changes wire.WatchResponse
-	request.answer = &changes
+	request.result = &changes
 	err := c.do(ctx, request)
 	if errors.Is(context.Cause(ctx), ErrCompacted) {
 		err = request.newError(ErrCompacted, err)
@@ -108,8 +108,8 @@
 	return ctx.Err()
 }
 
-// advance brings a watcher to a later revision and returns that: by a listing if the revision is 0,
-// else by a watch.
+// advance brings a watcher to a later revision, by a listing if the revision is 0 and by a watch
+// otherwise, and returns the revision reached.
 func (c *Client) advance(ctx context.Context, watcher *Watcher, revision uint64) (uint64, error) {
 	requestedAt := time.Now()
 	if revision == 0 {
--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -29,7 +29,7 @@
 	Count        int    `json:"how_many"`
 }
 
-// InstanceNames is the answer to a ScaleOutRequest, and the body of a release.
+// InstanceNames is the response to a ScaleOutRequest, and the body of a release request.
 type InstanceNames struct {
 	Names []string `json:"hosts"`
 }
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -39,7 +39,7 @@
 // Priorities returns the priorities of jobs, the highest first.
 func Priorities() []string { return []string{"production", "urgent", "standard", "idle"} }
 
-// JobStatus is the answer to a submission, a poll or a cancellation.
+// JobStatus is the response to a submission, a poll or a cancellation.
 type JobStatus struct {
 	ID      string `json:"ref"`
 	Phase   string `json:"phase"`
@@ -55,7 +55,7 @@
 	PhaseCancelled = "withdrawn"
 )
 
-// ErrorResponse is the body of an error answer.
+// ErrorResponse is the body of an error response.
 type ErrorResponse struct {
 	Error string `json:"error"`
 }
--- a/internal/wire/store.go
+++ b/internal/wire/store.go
@@ -17,7 +17,7 @@
 	Revision uint64     `json:"generation"`
 }
 
-// StoreRevision returns the store's revision at the time of the answer.
+// StoreRevision returns the store's revision at the time of the response.
 func (response *RangeResponse) StoreRevision() uint64 { return response.Revision }
 
 // Compare is a condition of a transaction: the key's mod revision must be equal to this one.
@@ -42,16 +42,16 @@
 	Operations []Operation `json:"apply"`
 }
 
-// TxnResponse is the answer to a transaction.
+// TxnResponse is the response to a transaction.
 type TxnResponse struct {
 	Revision   uint64   `json:"generation"`
 	FailedKeys []string `json:"failed"` // keys whose compares failed; empty: it was committed
 }
 
-// StoreRevision returns the store's revision at the time of the answer.
+// StoreRevision returns the store's revision at the time of the response.
 func (response *TxnResponse) StoreRevision() uint64 { return response.Revision }
 
-// Lease is the request for a lease, with its time to live, and the answer, with its ID.
+// Lease is the request for a lease, with its time to live, and the response, with its ID.
 type Lease struct {
 	TTLMillis int64  `json:"life_ms,omitempty"`
 	ID        uint64 `json:"ticket,omitempty"`
@@ -63,5 +63,5 @@
 	Events   []Operation `json:"log"`
 }
 
-// StoreRevision returns the store's revision at the time of the answer.
+// StoreRevision returns the store's revision at the time of the response.
 func (response *WatchResponse) StoreRevision() uint64 { return response.Revision }
--- a/internal/wire/worker.go
+++ b/internal/wire/worker.go
@@ -1,7 +1,7 @@
 package wire
 
 // Heartbeat is a worker's report of its state. A worker sends it at its interval, when something
-// changes, and in answer to direct commands and status requests.
+// changes, and in response to direct commands and status requests.
 type Heartbeat struct {
 	Worker            string       `json:"host"`
 	Address           string       `json:"address"`
@@ -43,7 +43,7 @@
 	ExitUnknownTask = "unknown" // not started: no such job or task
 )
 
-// CommandBatch is the answer to a heartbeat. A batch sent to a worker directly includes the
+// CommandBatch is the response to a heartbeat. A batch sent to a worker directly includes the
 // incarnation that it is meant for.
 type CommandBatch struct {
 	Epoch       uint64    `json:"epoch"` // fencing token of the sender
