--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -7,8 +7,8 @@
 	"rillflow/internal/wire"
 )
 
-// Commands returns the commands that make a worker's tasks match the claims on it, given what it
-// last reported. Stops come first, so that the starts find the resources free. Each claim whose
+// Commands returns the commands that make a worker's tasks match the claims on it, given its last
+// reported state. Stops come first, so that the starts find the resources free. Each claim whose
 // start is among the commands is marked as StartSent.
 //
 // A worker is told to forget an ended task only in the answer to a heartbeat: it has at most one
--- a/internal/agent/image.go
+++ b/internal/agent/image.go
@@ -9,7 +9,7 @@
 	Pulling bool // the pull is not known to have completed
 }
 
-// HasImage reports whether the worker is known from its tasks to have pulled an image.
+// HasImage reports whether the worker's tasks have shown that it has pulled an image.
 func (w *Worker) HasImage(name string) bool {
 	return slices.ContainsFunc(w.Images, func(image Image) bool { return image.Name == name && !image.Pulling })
 }
--- a/internal/agent/worker.go
+++ b/internal/agent/worker.go
@@ -2,7 +2,7 @@
 // the commands that make its tasks match the claims, and the client that sends commands to it
 // directly.
 //
-// It owns no state of its own. The leader keeps one Worker per machine and guards it with its
+// It owns no state of its own. The leader keeps one Worker per machine, guarded by the leader's
 // lock; shard owners exchange only the RuntimeSamples. The package must not decide what runs
 // where, and must not change claims, except to mark their starts as sent.
 package agent
@@ -14,8 +14,8 @@
 	"rillflow/internal/wire"
 )
 
-// Worker holds what a machine last reported and what the leader recorded about it. It is not safe
-// for concurrent use.
+// Worker holds the last reported state of a worker and the leader's own records about it. It is not
+// safe for concurrent use.
 type Worker struct {
 	Name         string
 	Address      string
--- a/internal/fleet/ahead.go
+++ b/internal/fleet/ahead.go
@@ -18,8 +18,8 @@
 	return p.plan
 }
 
-// scaleOutAhead requests instances up to the quota limits of the teams that are scaled ahead, and
-// for the work of the other teams. Every offering is requested for the full shortfall.
+// scaleOutAhead requests instances up to the quota limits of the teams for which the fleet is scaled
+// ahead, and for the work of the other teams. Every offering is requested for the full shortfall.
 func (p *pass) scaleOutAhead() {
 	missingCores := p.demand.ScaleAheadCores +
 		(p.demand.OnDemandCores+p.demand.SpotCores)*(1+p.planner.settings.Operator.Fleet.SpareCapacity)
@@ -48,9 +48,10 @@
 	}
 }
 
-// blockedByReplicas returns the instances to drain because service replicas on them keep waiting
-// tasks from running: replicas may move to smaller instances, which those tasks do not fit. The
-// instances that move the fewest cores per task gained come first. maxDraining bounds their number.
+// blockedByReplicas returns the instances to drain because service replicas on them take the cores
+// that waiting tasks need. The replicas may move to smaller instances, which those tasks do not fit.
+// Instances with the fewest replica cores to move per task gained come first. maxDraining bounds
+// their number.
 func (p *pass) blockedByReplicas() []string {
 	type candidate struct {
 		instance          *Instance
--- a/internal/fleet/cloud.go
+++ b/internal/fleet/cloud.go
@@ -31,7 +31,7 @@
 	maxResponseBytes = 4 << 20
 	listPageSize     = 500
 
-	// noCapacity is the error in the body of a 503 answer when the cloud is out of instances.
+	// noCapacity is the error in the body of a 503 response when the cloud is out of instances.
 	noCapacity = "no capacity"
 )
 
@@ -61,9 +61,9 @@
 	}
 }
 
-// do sends a request once, after waiting for the rate limit, and decodes the body of the answer
-// into answer unless that is nil.
-func (c *CloudClient) do(ctx context.Context, method, path string, body, answer any) error {
+// do sends a request once, after waiting for the rate limit, and decodes the response body into
+// result unless result is nil.
+func (c *CloudClient) do(ctx context.Context, method, path string, body, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	if err := c.limiter.Wait(ctx); err != nil {
@@ -83,10 +83,10 @@
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("cloud: %w", response.StatusError())
 	}
-	if answer == nil {
+	if result == nil {
 		return nil
 	}
-	if err := response.Decode(answer); err != nil {
+	if err := response.Decode(result); err != nil {
 		return fmt.Errorf("cloud: %w", err)
 	}
 	return nil
--- a/internal/fleet/demand.go
+++ b/internal/fleet/demand.go
@@ -20,7 +20,7 @@
 	LargestServiceCores float64            // the largest current service: the next one may be as large
 	SecondZoneCores     float64            // the most that a service spread over zones needs outside its first zone
 	ZoneBoundCores      map[string]float64 // waiting work that only one zone may run, by that zone
-	FailoverCores       map[string]float64 // by zone, the part of its replicas that may move to other zones
+	FailoverCores       map[string]float64 // by zone, the cores of its replicas that may move to other zones
 	OnDemandJobs        int                // number of jobs in OnDemandCores
 	ScaleAheadCores     float64            // quota limits of the teams for which instances are requested ahead
 	TaskShapes          []TaskShape        // shapes of all unfinished tasks
--- a/internal/fleet/zones.go
+++ b/internal/fleet/zones.go
@@ -8,9 +8,9 @@
 	"rillflow/internal/settings"
 )
 
-// coveredHeadroomShare is the share of the usual headroom that is kept for the loss of a zone that
-// has a controller.
-const coveredHeadroomShare = 0.3
+// controllerZoneHeadroomShare is the share of the usual headroom that is kept for the loss of a zone
+// that has a controller.
+const controllerZoneHeadroomShare = 0.3
 
 // zoneCores are numbers of cores by zone.
 type zoneCores map[string]float64
@@ -53,7 +53,7 @@
 	for _, lost := range slices.Sorted(maps.Keys(replicaCores)) {
 		share := config.Operator.Fleet.ZoneLossHeadroom
 		if config.HasControllerInZone(lost) {
-			share *= coveredHeadroomShare
+			share *= controllerZoneHeadroomShare
 		}
 		if missing := share*replicaCores[lost] - (total - free[lost]); missing > shortfall {
 			zone, shortfall = lost, missing
@@ -64,7 +64,8 @@
 
 // releaseWorsensShortfall reports whether the failover shortfall grows when an instance is released
 // and its replicas move to other instances. An instance that does not reduce the shortfall is not
-// kept for it, as when the zones that should grow have no more instances to offer.
+// kept because of it, even if the shortfall persists: the zones that should grow may have no more
+// instances to offer.
 func releaseWorsensShortfall(
 	config *settings.Settings, replicaCores, free zoneCores, instance Instance, cores float64,
 ) bool {
--- a/internal/pressure/pressure.go
+++ b/internal/pressure/pressure.go
@@ -43,6 +43,6 @@
 	return g.heldBytes
 }
 
-// AboveLimit reports whether the process holds more memory than the limit. The garbage collector's memory
-// limit is lower, so memory above this limit is in use and not garbage.
+// AboveLimit reports whether the process holds more memory than the limit. The garbage collector's
+// memory limit is lower, so memory above this limit is in use and not garbage.
 func (g *Gauge) AboveLimit() bool { return g.HeldBytes() > g.limitBytes }
--- a/internal/pressure/pressure_test.go
+++ b/internal/pressure/pressure_test.go
@@ -14,7 +14,7 @@
 		name             string
 		heldBytes        uint64
 		elapsed          time.Duration
-		wantHigh         bool
+		wantAboveLimit   bool
 		wantMeasurements int
 	}{
 		{"below the limit", 90, 0, false, 1},
@@ -23,9 +23,9 @@
 		{"at the limit", 100, time.Second, false, 3},
 	} {
 		heldBytes, now = tc.heldBytes, now.Add(tc.elapsed)
-		if got := g.AboveLimit(); got != tc.wantHigh || measurements != tc.wantMeasurements {
-			t.Errorf("%s: High %v after %d measurements, want %v after %d",
-				tc.name, got, measurements, tc.wantHigh, tc.wantMeasurements)
+		if got := g.AboveLimit(); got != tc.wantAboveLimit || measurements != tc.wantMeasurements {
+			t.Errorf("%s: AboveLimit %v after %d measurements, want %v after %d",
+				tc.name, got, measurements, tc.wantAboveLimit, tc.wantMeasurements)
 		}
 	}
 	if process := New(1, time.Second); !process.AboveLimit() || process.HeldBytes() < 1<<16 {
