--- a/internal/intake/api.go
+++ b/internal/intake/api.go
@@ -3,10 +3,10 @@
 // requests.
 //
 // An API owns two caches of immutable facts: how jobs ended, and which jobs were accepted.
-// Package serve routes users' requests to it, including those that a peer forwards. It must
-// never answer with a state older than one that any controller has answered with, confirm a
-// cancellation before all controllers that may renew leases of the job's workers have it, or
-// report a job as unknown while the store may have lost data.
+// Package serve routes users' requests to the API, including those that a peer forwards. The
+// API must never answer with a state older than one that any controller has answered with,
+// confirm a cancellation before all controllers that may renew leases of the job's workers
+// have it, or report a job as unknown while the store may have lost data.
 package intake
 
 import (
@@ -31,8 +31,8 @@
 // MaxBody is the protocol's limit on a request body, in bytes.
 const MaxBody = 64 << 10
 
-// Time limits of requests. Users wait 5 s for the answer to a submission or a cancellation
-// and 2 s for the answer to a poll; a request that takes longer than its limit is answered
+// Time limits of requests. Users wait 5 s for the response to a submission or a cancellation
+// and 2 s for the response to a poll; a request that takes longer than its limit is answered
 // with a Retry-After header.
 const (
 	submitTimeout = 2 * time.Second
@@ -109,7 +109,7 @@
 
 // shouldRetry reports, after a backoff delay, whether to repeat a store operation that
 // failed. A refusal by the store is passed on at once, with a Retry-After header, since
-// waiting would not help. A lost answer or a rate limit may well be overcome within the
+// waiting would not help. A lost response or a rate limit may well be overcome within the
 // time that a user waits.
 func (api *API) shouldRetry(ctx context.Context, err error, attempt int) bool {
 	refused := errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrRateLimited)
@@ -160,7 +160,7 @@
 
 // rejectedError reports that a submission can never be accepted.
 type rejectedError struct {
-	status int // HTTP status of the answer
+	status int // HTTP status of the response
 	reason error
 }
 
--- a/internal/intake/backpressure_test.go
+++ b/internal/intake/backpressure_test.go
@@ -52,14 +52,14 @@
 	now := time.Now()
 	api.waitingEnds.observe("req-1", now.Add(-20*time.Second))
 	api.waitingEnds.observe("req-1", now)
-	if answer := submitJob(mux, "req-10", nil, "", ""); answer.Code != http.StatusCreated {
-		t.Errorf("submission at the limit: got status %d, want 201", answer.Code)
+	if response := submitJob(mux, "req-10", nil, "", ""); response.Code != http.StatusCreated {
+		t.Errorf("submission at the limit: got status %d, want 201", response.Code)
 	}
 	api.waitingEnds.observe("req-2", now.Add(-21*time.Second))
 	api.waitingEnds.observe("req-2", now)
-	answer := submitJob(mux, "req-11", nil, "", "")
-	if answer.Code != http.StatusServiceUnavailable || answer.Header().Get("Retry-After") != "3" {
-		t.Errorf("submission above the limit: got status %d, Retry-After %q, want 503, \"3\"", answer.Code, answer.Header().Get("Retry-After"))
+	response := submitJob(mux, "req-11", nil, "", "")
+	if response.Code != http.StatusServiceUnavailable || response.Header().Get("Retry-After") != "3" {
+		t.Errorf("submission above the limit: got status %d, Retry-After %q, want 503, \"3\"", response.Code, response.Header().Get("Retry-After"))
 	}
 	if got := api.SubmissionRefusals().WriteBacklog; got != 1 {
 		t.Errorf("got %d refusals counted, want 1", got)
@@ -69,11 +69,11 @@
 	if poll.Code != http.StatusOK {
 		t.Errorf("poll above the limit: got status %d, want 200", poll.Code)
 	}
-	if answer := submitJob(mux, "req-3", nil, "", ""); answer.Code != http.StatusOK {
-		t.Errorf("repeated submission of an ended job: got status %d, want 200", answer.Code)
+	if response := submitJob(mux, "req-3", nil, "", ""); response.Code != http.StatusOK {
+		t.Errorf("repeated submission of an ended job: got status %d, want 200", response.Code)
 	}
 	api.waitingEnds.forget("req-2")
-	if answer := submitJob(mux, "req-11", nil, "", ""); answer.Code != http.StatusCreated {
-		t.Errorf("submission after the end was stored: got status %d, want 201", answer.Code)
+	if response := submitJob(mux, "req-11", nil, "", ""); response.Code != http.StatusCreated {
+		t.Errorf("submission after the end was stored: got status %d, want 201", response.Code)
 	}
 }
--- a/internal/intake/cancel.go
+++ b/internal/intake/cancel.go
@@ -48,8 +48,8 @@
 var errJobChanged = errors.New("intake: the job changed meanwhile")
 
 // cancelJob replaces a job's live key with an end record, in one transaction. The compare on the
-// live key's revision orders it against the leader's claims and the job's last finish: the
-// transaction that commits first takes effect.
+// live key's revision orders the cancellation against the leader's claims and the job's last
+// finish: the transaction that commits first takes effect.
 func (api *API) cancelJob(ctx context.Context, caller identity.Caller, id string) (jobState, error) {
 	if job, ok := api.finishedState(id); ok {
 		_, err := api.authorize(caller, rights.Cancel, job.team, id)
--- a/internal/intake/cancel_test.go
+++ b/internal/intake/cancel_test.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// Guards against confirming a cancellation, in the answer to any request, before all controllers
+// Guards against confirming a cancellation, in the response to any request, before all controllers
 // that may renew leases of the job's workers have it. Once confirmed, it is answered from memory.
 func TestCancellationConfirmedAfterBroadcast(t *testing.T) {
 	store := &fakeStore{values: map[string]string{}}
--- a/internal/intake/dataloss.go
+++ b/internal/intake/dataloss.go
@@ -19,7 +19,8 @@
 	// Fence returns the compares on the current incarnation of the store's data, which
 	// every write includes, and its recovery phase. It fails while data loss is suspected.
 	Fence() ([]wire.Compare, dataloss.Phase, error)
-	// SuspectDataLoss records that a key is missing that nobody deleted.
+	// SuspectDataLoss records the reason to suspect a data loss, such as a missing key that
+	// nobody deleted.
 	SuspectDataLoss(reason string)
 	// RecheckStore triggers another read of the incarnation, after a compare on it failed.
 	RecheckStore()
@@ -36,8 +37,9 @@
 }
 
 // replicaView is what this controller's replica held about a job before the store was read.
-// The store's answer can contradict only that. While a read is in flight, which may take long
-// with a slow store, the job may be accepted or end, and the replica may learn of it first.
+// Only a contradiction between this view and the store's response shows a data loss. While a read
+// is in flight, which may take long with a slow store, the job may be accepted or end, and the
+// replica may learn of it first.
 type replicaView struct{ knowsJob, knowsEnd bool }
 
 func (api *API) replicaView(id string) replicaView {
@@ -86,7 +88,7 @@
 }
 
 // finishedButStoredLive returns how a job ended that the store has as live although the
-// replica has its end: the store went back to an earlier state, which the answer to the read
+// replica has its end: the store went back to an earlier state, which the response to the read
 // of a single key does not show.
 func (api *API) finishedButStoredLive(id string, before replicaView) (jobState, bool) {
 	job, ok := api.finishedInReplica(id)
--- a/internal/intake/dataloss_test.go
+++ b/internal/intake/dataloss_test.go
@@ -10,7 +10,7 @@
 	"rillflow/internal/wire"
 )
 
-// Guards against wrong answers to users while the store may have lost data, during its recovery,
+// Guards against wrong responses to users while the store may have lost data, during its recovery,
 // and when it contradicts this controller's replica.
 func TestAnswersAroundDataLoss(t *testing.T) {
 	const live, done = `{"job":{"ref":"req-1","members":1},"at":1,"chunk":8}`, `{"phase":"done","tasks":4}`
@@ -92,7 +92,7 @@
 
 // Guards against a false suspicion of data loss, which once stopped all placement for ten
 // seconds. A job may be accepted or end while a read of it is in flight, and the replica may
-// learn of that before the answer arrives.
+// learn of that before the response arrives.
 func TestReplicaChangesDuringRead(t *testing.T) {
 	const live, done = `{"job":{"ref":"req-1","members":1},"at":1,"chunk":8}`, `{"phase":"done","tasks":4}`
 	for _, tc := range []struct {
--- a/internal/intake/dependencies_test.go
+++ b/internal/intake/dependencies_test.go
@@ -31,7 +31,7 @@
 	values      map[string]string
 	unavailable bool
 	keyReads    int
-	onRead      func() // called after a read, before its answer is sent
+	onRead      func() // called after a read, before its response is sent
 }
 
 func (store *fakeStore) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -83,7 +83,7 @@
 	fmt.Fprint(w, `{"generation":2}`)
 }
 
-// fakeDataLossState is a DataLossState with fixed answers.
+// fakeDataLossState is a DataLossState with fixed return values.
 type fakeDataLossState struct {
 	phase                                      dataloss.Phase
 	err                                        error
@@ -239,7 +239,7 @@
 	}
 }
 
-// Guards against keeping a user waiting while the store refuses requests: the answer is an
+// Guards against keeping a user waiting while the store refuses requests: the response is an
 // immediate 503 with a Retry-After header.
 func TestDependenciesWhileStoreUnavailable(t *testing.T) {
 	store := &fakeStore{values: map[string]string{}, unavailable: true}
@@ -250,7 +250,7 @@
 		t.Errorf("got status %d, Retry-After %q, want 503 with a delay", recorder.Code, recorder.Header().Get("Retry-After"))
 	}
 	if time.Since(startedAt) > time.Second {
-		t.Error("the answer took longer than 1 s")
+		t.Error("the response took longer than 1 s")
 	}
 }
 
--- a/internal/intake/golden_test.go
+++ b/internal/intake/golden_test.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/goldentest"
 )
 
-// Guards against changes to the status, headers and bodies of answers to users.
+// Guards against changes to the status, headers and bodies of responses to users.
 func TestGoldenAnswers(t *testing.T) {
 	store := &fakeStore{values: map[string]string{
 		"d/req-3": `{"phase":"done","tasks":4}`, "d/req-4": `{"phase":"withdrawn","tasks":4,"job":{"ref":"req-4"}}`,
--- a/internal/intake/livejobs.go
+++ b/internal/intake/livejobs.go
@@ -9,7 +9,8 @@
 	"rillflow/internal/readindex"
 )
 
-// Pace of the rounds of status reads, as parts of a heartbeat interval.
+// Divisors of the heartbeat interval that give the shortest pause between two rounds of status
+// reads, and the longest wait of a read for its round.
 const (
 	roundsPerHeartbeat     = 64
 	roundWaitsPerHeartbeat = 8
--- a/internal/intake/reply.go
+++ b/internal/intake/reply.go
@@ -15,7 +15,7 @@
 	"rillflow/internal/wire"
 )
 
-// Error texts and the default delay of answers.
+// Error texts of responses, and the shortest delay before a retry.
 const (
 	noSuchJob     = "no such job"
 	storeBusy     = "state service"
@@ -62,7 +62,7 @@
 
 // replyStatus answers with a job's status. The status of a cancelled job promises that its
 // tasks stop, so it is given only after all controllers that have to keep that promise have
-// acknowledged the cancellation; until then the answer is 503.
+// acknowledged the cancellation; until then the response is 503.
 func (api *API) replyStatus(ctx context.Context, w http.ResponseWriter, job jobState) {
 	if job.Phase == wire.PhaseCancelled && !job.cancellationAcknowledged {
 		if err := api.broadcaster.Broadcast(ctx, job.ID); err != nil {
@@ -77,7 +77,7 @@
 	jsonhttp.Answer(w, http.StatusOK, job.JobStatus)
 }
 
-// replyRejected answers a submission that cannot be accepted. If the job exists, the answer is
+// replyRejected answers a submission that cannot be accepted. If the job exists, the response is
 // its status, whatever the faults of this submission.
 func (api *API) replyRejected(
 	ctx context.Context, w http.ResponseWriter, caller identity.Caller, id string, rejected *rejectedError,
--- a/internal/intake/status.go
+++ b/internal/intake/status.go
@@ -112,8 +112,8 @@
 	if job, ok := api.finishedButStoredLive(id, before); ok {
 		return job, nil
 	}
-	// The read itself may have revealed that the store lost data. The job may then have
-	// ended, as another controller has answered, without this one having its end.
+	// The read itself may have revealed that the store lost data. Another controller may then
+	// have answered that the job has ended, although this one does not have the end.
 	if _, err := api.incarnationCompares(); err != nil {
 		return jobState{}, err
 	}
--- a/internal/intake/status_test.go
+++ b/internal/intake/status_test.go
@@ -20,7 +20,7 @@
 func TestPollIsNotShedBetweenItsReads(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const polls, pollInterval = 80, 20 * time.Millisecond
-		var firstReads, answers atomic.Int64
+		var firstReads, answeredPolls atomic.Int64
 		listener := memnet.NewListener()
 		server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.Path == "/store" {
@@ -42,7 +42,7 @@
 				recorder := httptest.NewRecorder()
 				mux.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, fmt.Sprintf("/v1/jobs/req-%06d", i), nil))
 				if recorder.Code == http.StatusOK {
-					answers.Add(1)
+					answeredPolls.Add(1)
 				}
 			})
 			time.Sleep(pollInterval)
@@ -52,8 +52,8 @@
 		if firstReads.Load() == 0 || firstReads.Load() == polls {
 			t.Errorf("%d of %d polls were admitted, want some shed and some admitted", firstReads.Load(), polls)
 		}
-		if answers.Load() != firstReads.Load() {
-			t.Errorf("%d of %d admitted polls were answered, want all", answers.Load(), firstReads.Load())
+		if answeredPolls.Load() != firstReads.Load() {
+			t.Errorf("%d of %d admitted polls were answered, want all", answeredPolls.Load(), firstReads.Load())
 		}
 	})
 }
--- a/internal/intake/submit.go
+++ b/internal/intake/submit.go
@@ -147,9 +147,9 @@
 	return data, nil
 }
 
-// create stores a job at most once: compares on both of its keys order concurrent calls, and
-// retries after a lost answer. The error is identity.ErrToken if the caller's identity or token
-// has changed since the token was checked; the next request is then decided anew.
+// create stores a job at most once, also in concurrent calls and in retries after a lost response:
+// the transaction compares both of the job's keys. The error is identity.ErrToken if the caller's
+// identity or token has changed since the token was checked; the next request is then decided anew.
 func (api *API) create(
 	ctx context.Context, job *wire.Job, caller identity.Caller, put wire.Operation,
 ) (created bool, err error) {
--- a/internal/serve/connectionlimiter.go
+++ b/internal/serve/connectionlimiter.go
@@ -12,7 +12,7 @@
 // It is safe for concurrent use.
 type connectionLimiter struct {
 	open           atomic.Int64
-	keepAliveLimit int64 // with more open connections, answers to workers close theirs
+	keepAliveLimit int64 // with more open connections, responses to workers close theirs
 }
 
 // keepAliveShare is the share of the front's sockets up to which connections are kept open.
@@ -33,7 +33,7 @@
 	}
 }
 
-// closeIfCrowded makes the answer close its connection if too many connections are open.
+// closeIfCrowded makes the response close its connection if too many connections are open.
 func (limiter *connectionLimiter) closeIfCrowded(w http.ResponseWriter) {
 	if limiter.open.Load() > limiter.keepAliveLimit {
 		w.Header().Set("Connection", "close")
--- a/internal/serve/controller.go
+++ b/internal/serve/controller.go
@@ -79,7 +79,7 @@
 }
 
 // newController creates a controller's components and connects them, but starts none. Some
-// components call others that are created after them, which they do only once all run.
+// components call others that are created after them, but only once all are running.
 func newController(settings *settings.Settings, network Network, log *slog.Logger) (*controller, error) {
 	controller := &controller{
 		settings: settings, network: network, log: log, startedAt: time.Now(), unknownEpochs: make(chan uint64, 1),
--- a/internal/serve/datalossstate.go
+++ b/internal/serve/datalossstate.go
@@ -37,7 +37,7 @@
 // ReplicaCurrent implements intake.DataLossState.
 func (state dataLossState) ReplicaCurrent() bool {
 	if state.elector.LegacyLeader() {
-		return true // leaders of such versions send no replicas
+		return true // leaders of versions before 0.5 send no replicas
 	}
 	if state.replica.Head().Incarnation != state.dataLoss.Current().ID {
 		return false
--- a/internal/serve/recorder.go
+++ b/internal/serve/recorder.go
@@ -6,7 +6,7 @@
 	"net/http"
 )
 
-// responseRecorder is an http.ResponseWriter that records an answer, which is then sent to a peer.
+// responseRecorder is an http.ResponseWriter that records a response, which is then sent to a peer.
 type responseRecorder struct {
 	header http.Header
 	status int
--- a/internal/serve/users.go
+++ b/internal/serve/users.go
@@ -47,7 +47,7 @@
 	jsonhttp.AnswerBody(w, answer.Status, answer.Body)
 }
 
-// lookupTaskCounts returns a live job's task counts, which it asks the leader for.
+// lookupTaskCounts returns a live job's task counts, which it requests from the leader.
 func (controller *controller) lookupTaskCounts(
 	ctx context.Context, job string,
 ) (done, running int, ok bool, err error) {
