--- a/internal/access/authorizer_test.go
+++ b/internal/access/authorizer_test.go
@@ -19,16 +19,16 @@
 )
 
 // Guards against refused requests that fill the audit log. Refusals are written in one bounded
-// batch at a time, further ones are only counted, and a batch whose answer was lost is written
+// batch at a time, further ones are only counted, and a batch whose response was lost is written
 // again unchanged.
 func TestRefusalsAreBounded(t *testing.T) {
 	var bodies []string
-	answers := []int{503, 500, 200, 200}
+	statuses := []int{503, 500, 200, 200}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		buffer := make([]byte, 1<<16)
 		n, _ := r.Body.Read(buffer)
 		bodies = append(bodies, string(buffer[:n]))
-		w.WriteHeader(answers[len(bodies)-1])
+		w.WriteHeader(statuses[len(bodies)-1])
 		w.Write([]byte(`{"generation":3}`))
 	}))
 	defer server.Close()
@@ -44,8 +44,8 @@
 	}
 	refuse(maxPendingRefusals + 1000)
 	for i := range 4 {
-		if err := authorizer.writeBatch(context.Background()); (err == nil) != (answers[i] == 200) {
-			t.Fatalf("write %d: got error %v after status %d", i, err, answers[i])
+		if err := authorizer.writeBatch(context.Background()); (err == nil) != (statuses[i] == 200) {
+			t.Fatalf("write %d: got error %v after status %d", i, err, statuses[i])
 		}
 		if i < 2 {
 			refuse(1) // while the batch is pending
--- a/internal/identity/admin.go
+++ b/internal/identity/admin.go
@@ -31,7 +31,7 @@
 // ErrChanged reports a concurrent change of the same record; the command may be repeated.
 var ErrChanged = errors.New("identity: record was changed concurrently")
 
-// recordChange is a record to be written on condition that its revision is as read.
+// recordChange is a record to be written if its revision is unchanged since it was read.
 type recordChange struct {
 	key         string
 	modRevision uint64
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -42,7 +42,7 @@
 // Token is the stored record of a token. It does not contain the token's secret.
 type Token struct {
 	Identity    string `json:"who"`
-	Key         uint32 `json:"key"`
+	Key         uint32 `json:"key"` // ID of the key ring's key that Hash is made with
 	Hash        []byte `json:"hash"`
 	IssuedUnix  int64  `json:"from"` // time of issue, in Unix seconds
 	ExpiresUnix int64  `json:"till"` // end of validity, in Unix seconds
@@ -114,7 +114,7 @@
 // Registry is a controller's copy of the identities and tokens.
 type Registry struct {
 	ring          *keyring.Ring
-	cacheLifetime time.Duration // how long the copy may be used without an answer of the store
+	cacheLifetime time.Duration // how long the copy may be used without a response from the store
 	clockError    time.Duration // maximum error of the clock
 	log           *slog.Logger
 	now           func() time.Time
@@ -239,6 +239,6 @@
 		}
 	}
 	if err != nil {
-		registry.log.Error("identity", "key", key, "err", fmt.Errorf("cannot decode record, treated as revoked: %w", err))
+		registry.log.Error("identity or token record treated as revoked", "key", key, "err", fmt.Errorf("cannot decode record: %w", err))
 	}
 }
--- a/internal/identity/identity_test.go
+++ b/internal/identity/identity_test.go
@@ -14,12 +14,12 @@
 	"rillflow/internal/wire"
 )
 
-// fakeStore is an in-memory store. Its next lostAnswers commits take effect, but report an unknown
+// fakeStore is an in-memory store. Its next lostResponses commits take effect, but report an unknown
 // outcome.
 type fakeStore struct {
-	items       map[string]wire.KeyValue
-	revision    uint64
-	lostAnswers int
+	items         map[string]wire.KeyValue
+	revision      uint64
+	lostResponses int
 }
 
 func (store *fakeStore) Get(_ context.Context, key string) (wire.KeyValue, error) {
@@ -49,9 +49,9 @@
 	for _, operation := range txn.Operations {
 		store.items[operation.Put] = wire.KeyValue{Key: operation.Put, Value: operation.Value, ModRevision: store.revision}
 	}
-	if store.lostAnswers > 0 {
-		store.lostAnswers--
-		return 0, nil, fmt.Errorf("%w: answer lost", kvstore.ErrOutcomeUnknown)
+	if store.lostResponses > 0 {
+		store.lostResponses--
+		return 0, nil, fmt.Errorf("%w: response lost", kvstore.ErrOutcomeUnknown)
 	}
 	return store.revision, nil, nil
 }
@@ -137,7 +137,7 @@
 	ring, now := keyringtest.New(t), time.Unix(1_764_600_000, 0)
 	store := &fakeStore{items: make(map[string]wire.KeyValue)}
 	admin := &Admin{Store: store, Ring: ring, Now: func() time.Time { return now }}
-	store.lostAnswers = 1 // Issue must still return the token that is stored
+	store.lostResponses = 1 // Issue must still return the token that is stored
 	token, err := admin.Issue(t.Context(), "ana", Record{Kind: "service"}, time.Hour)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/rights/rights_test.go
+++ b/internal/rights/rights_test.go
@@ -100,7 +100,7 @@
 			t.Fatalf("allowed without an allow rule: %+v", decision)
 		}
 		if allowOnly := (&Rules{Allow: policy.Allow}).Decide(&who, request); decision.Allowed && !allowOnly.Allowed {
-			t.Fatal("allowed with the deny policy, but not without them")
+			t.Fatal("allowed with the deny rules, but not without them")
 		}
 		if decision.Allowed && request.Action == Submit && HigherPriority(request.Priority, decision.MaxPriority) {
 			t.Fatalf("priority %s is allowed, above the maximum %s", request.Priority, decision.MaxPriority)
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -82,7 +82,7 @@
 	LeaseRatio float64 `xml:"grant" validate:"gt=0,lt=0.5"`
 }
 
-// Fleet are the settings of scaling: when cloud machines are rented and returned.
+// Fleet are the settings of scaling: when instances are requested from the cloud and released.
 type Fleet struct {
 	CostSaving       string  `xml:"thrift" validate:"oneof=auto always never"`
 	FailureTimeout   float64 `xml:"silence" validate:"gte=1.5"`
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -25,7 +25,7 @@
 	IncrementalSnapshots int // at most this many follow a full snapshot
 	FullSnapshots        int // kept, each with the incremental ones that follow it
 
-	// Of the snapshot saved last; lastNumber is 0 before the first one.
+	// The last saved snapshot; lastNumber is 0 before the first one.
 	lastTree     *replica.Tree
 	lastHead     replica.Head
 	lastSum      Sum
@@ -213,9 +213,9 @@
 	return nil
 }
 
-// SavePeriodically saves a snapshot of the replica at each interval until ctx ends. A failed write is
-// logged and retried at the next interval, so that a full or broken disk does not stop the
-// controller.
+// SavePeriodically saves a snapshot of the replica at each interval until ctx ends. A failed
+// write is logged and retried at the next interval, so that a full or broken disk does not stop
+// the controller.
 func (folder *Folder) SavePeriodically(
 	ctx context.Context, source *replica.Replica, interval time.Duration, log *slog.Logger,
 ) error {
@@ -233,9 +233,9 @@
 		}
 		name, err := folder.Save(tree, head, time.Now())
 		if err != nil {
-			log.Error("no snapshot is saved", "err", err)
+			log.Error("snapshot not saved", "err", err)
 		} else if name != "" {
-			log.Debug("snapshot", "file", name, "generation", head.Revision, "keys", tree.Len())
+			log.Debug("snapshot saved", "file", name, "generation", head.Revision, "keys", tree.Len())
 		}
 	}
 }
