--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -75,8 +75,8 @@
 	return verifier, found, nil
 }
 
-// readSegments verifies the segments in a directory and calls visit for each valid block. An
-// invalid segment is added to found, and reading continues with the next one.
+// readSegments verifies the segments in a directory and calls visit for each valid block. The
+// fault of an invalid segment is added to found, and reading continues with the next segment.
 func readSegments(
 	dir string, ring *keyring.Ring, verifier *audit.Verifier, visit func(*audit.Block), found *faults,
 ) error {
--- a/cmd/rillflow/tools.go
+++ b/cmd/rillflow/tools.go
@@ -19,11 +19,13 @@
 	"rillflow/internal/settings"
 )
 
-// toolShare is the fraction of the store's request limits that a command uses beside the
-// controllers, whose shares together leave a fifth free.
+// toolShare is the share of the store's request and write rates that a command uses beside the
+// controllers. Their budgets (package serve) leave a tenth of the request rate free, and that of a
+// single controller a fifth of the write rate.
 const toolShare = 0.1
 
-// session holds what commands need that access the store themselves.
+// session holds the configuration, the store client and the key ring of a command that accesses the
+// store itself.
 type session struct {
 	settings *settings.Settings
 	store    *kvstore.Client
