--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -239,6 +239,6 @@
 		}
 	}
 	if err != nil {
-		registry.log.Error("identity or token record treated as revoked", "key", key, "err", fmt.Errorf("cannot decode record: %w", err))
+		registry.log.Error("identity", "key", key, "err", fmt.Errorf("cannot decode record, treated as revoked: %w", err))
 	}
 }
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -81,8 +81,9 @@
 	}
 }
 
-// SinceLastAnswer returns the time since the store last answered this process or, before the first
-// response, since the client was created.
+// SinceLastAnswer returns the time since the store last answered a request of this process (status
+// 200, 404 or 409) or, before the first time, since the client was created. Other statuses do not
+// count as answers.
 func (c *Client) SinceLastAnswer() time.Duration {
 	return time.Since(c.start) - time.Duration(c.lastAnswer.Load())
 }
@@ -92,5 +93,5 @@
 
 // Probe reads a key that need not exist, so that SinceLastAnswer shows whether the store answers.
 func (c *Client) Probe(ctx context.Context) {
-	_, _ = c.Get(ctx, "probe") // a response resets SinceLastAnswer
+	_, _ = c.Get(ctx, "probe") // a response with 200 or 404 resets SinceLastAnswer
 }
--- a/internal/kvstore/requests.go
+++ b/internal/kvstore/requests.go
@@ -121,16 +121,16 @@
 	if txn.Operations == nil {
 		txn.Operations = []wire.Operation{}
 	}
-	var result wire.TxnResponse
+	var response wire.TxnResponse
 	err = c.do(ctx, call{
 		operation: "commit", key: firstKey(txn),
-		method: http.MethodPost, path: "/commit", body: txn, result: &result, writes: len(txn.Operations),
+		method: http.MethodPost, path: "/commit", body: txn, result: &response, writes: len(txn.Operations),
 	})
-	c.operations.add(txn.Operations, txnOutcomeOf(result.FailedKeys, err))
+	c.operations.add(txn.Operations, txnOutcomeOf(response.FailedKeys, err))
 	if err != nil {
 		return 0, nil, err
 	}
-	return result.Revision, result.FailedKeys, nil
+	return response.Revision, response.FailedKeys, nil
 }
 
 // firstKey returns the key of a transaction's first operation, for error texts.
--- a/internal/kvstore/transport.go
+++ b/internal/kvstore/transport.go
@@ -123,7 +123,7 @@
 	return call.newError(ErrOutcomeUnknown, response.StatusError())
 }
 
-// recordAnswer records that the store has just answered.
+// recordAnswer records that the store has just answered a request, as SinceLastAnswer defines it.
 func (c *Client) recordAnswer() { c.lastAnswer.Store(int64(time.Since(c.start))) }
 
 // revisionReporter is a response that includes the store's revision.
--- a/internal/snapshot/folder.go
+++ b/internal/snapshot/folder.go
@@ -235,7 +235,7 @@
 		if err != nil {
 			log.Error("snapshot not saved", "err", err)
 		} else if name != "" {
-			log.Debug("snapshot saved", "file", name, "generation", head.Revision, "keys", tree.Len())
+			log.Debug("snapshot", "file", name, "generation", head.Revision, "keys", tree.Len())
 		}
 	}
 }
