--- a/internal/ledger/batch.go
+++ b/internal/ledger/batch.go
@@ -86,10 +86,10 @@
 // is: ends of jobs that others depend on, claims, other ends, finishes, then the deletion of chunks
 // of ended jobs.
 func (t *Table) NextBatch(limits BatchLimits, now time.Time) *Batch {
-	t.writeCount++
+	t.batchCount++
 	builder := batchBuilder{
-		batch:        &Batch{Writer: fmt.Sprintf("%s.%d", t.writer, t.writeCount)},
-		writeNumber:  t.writeCount,
+		batch:        &Batch{Writer: fmt.Sprintf("%s.%d", t.writer, t.batchCount)},
+		batchNumber:  t.batchCount,
 		limits:       limits,
 		now:          now,
 		bytesLeft:    limits.MaxBytes,
@@ -127,7 +127,7 @@
 // batchBuilder fills one batch.
 type batchBuilder struct {
 	batch        *Batch
-	writeNumber  uint64 // number of the write
+	batchNumber  uint64 // numbers the table's batches, from 1
 	limits       BatchLimits
 	now          time.Time
 	bytesLeft    int
@@ -181,7 +181,7 @@
 		}
 	}
 	chunk.dirty = false
-	chunk.inFlightWrite = b.writeNumber
+	chunk.inFlightBatch = b.batchNumber
 	b.batch.writes = append(b.batch.writes, write)
 	return true
 }
@@ -194,8 +194,8 @@
 }
 
 // putChunk adds the put of a chunk. It returns false if the chunk is too large even in the packed
-// form, which takes names of hundreds of bytes: such a chunk must wait until enough of its tasks
-// have ended for it to fit.
+// form. That happens only with names of hundreds of bytes; the chunk then waits until enough of its
+// tasks have ended for it to fit.
 func (b *batchBuilder) putChunk(ref chunkRef) bool {
 	chunk := ref.chunk()
 	if chunk.uncommittedClaims > 0 {
@@ -212,8 +212,8 @@
 	return true
 }
 
-// uncommittedChanges returns the chunk's claims that are not durable yet, and those whose finish is
-// not.
+// uncommittedChanges returns the chunk's claims that are not durable yet, and its claims of finished
+// tasks whose finish is not durable yet.
 func (r chunkRef) uncommittedChanges() (claims, finished []*Claim) {
 	job := r.job
 	end := min((r.index+1)*job.chunkTasks, job.nextNewTask)
--- a/internal/ledger/chunk.go
+++ b/internal/ledger/chunk.go
@@ -13,10 +13,10 @@
 
 	dirty             bool   // differs from the stored chunk
 	uncommittedClaims int    // number of claims that are not durable
-	inFlightWrite     uint64 // number of the write in flight; 0: none
+	inFlightBatch     uint64 // number of the batch in flight that writes the chunk; 0: none
 }
 
-func (c *taskChunk) inFlight() bool { return c.inFlightWrite != 0 }
+func (c *taskChunk) inFlight() bool { return c.inFlightBatch != 0 }
 
 // lastTask returns the last task that is claimed or done, or -1.
 func (c *taskChunk) lastTask() int {
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -13,7 +13,7 @@
 	var result CommitResult
 	for _, write := range batch.writes {
 		job, chunk := write.job, write.chunk()
-		chunk.inFlightWrite = 0
+		chunk.inFlightBatch = 0
 		switch {
 		case write.deletesChunk:
 			chunk.modRevision = 0
@@ -94,7 +94,7 @@
 // BatchFailed records that a batch was definitely not committed, and queues its changes again.
 func (t *Table) BatchFailed(batch *Batch) {
 	for _, write := range batch.writes {
-		write.chunk().inFlightWrite = 0
+		write.chunk().inFlightBatch = 0
 		t.writes.enqueue(write.chunkRef)
 	}
 	for _, write := range batch.writes {
--- a/internal/ledger/compat_test.go
+++ b/internal/ledger/compat_test.go
@@ -173,7 +173,8 @@
 			limits := batchLimits(4)
 			batch := table.NextBatch(limits, now)
 			if size := len(batch.Operations[0].Value); (size > lowerLimit) == tc.plain {
-				t.Fatalf("a chunk of %d tasks takes %d bytes: the case does not test what it should", tc.tasks, size)
+				t.Fatalf("a chunk of %d tasks takes %d bytes under a lower limit of %d, want it to fit: %v",
+					tc.tasks, size, lowerLimit, tc.plain)
 			}
 			table.BatchCommitted(batch, 2)
 			for _, claim := range table.ClaimsOfJob(job)[:3] {
--- a/internal/ledger/dependencies.go
+++ b/internal/ledger/dependencies.go
@@ -34,8 +34,8 @@
 	return dependencyIDs
 }
 
-// dependencyGraph holds the dependencies between jobs that are still waited for. A job that is
-// durably done or cancelled is no longer in it.
+// dependencyGraph holds the unmet dependencies between jobs. A job is removed once it is recorded as
+// durably done or cancelled.
 type dependencyGraph struct {
 	jobs       map[string]*Job   // the jobs of the Table, by ID
 	dependents map[string][]*Job // by the ID of the job that they depend on
@@ -98,14 +98,14 @@
 
 // cancelDownstream marks a job, and all that depend on it directly or transitively, as to be
 // cancelled because of a job that was cancelled at a given time.
-func (g *dependencyGraph) cancelDownstream(job *Job, cancelled string, at time.Time) {
+func (g *dependencyGraph) cancelDownstream(job *Job, cancelledID string, at time.Time) {
 	for pending := []*Job{job}; len(pending) > 0; {
 		job = pending[len(pending)-1]
 		pending = pending[:len(pending)-1]
 		if job.cancelledUpstream != "" || job.Cancelled {
 			continue
 		}
-		job.cancelledUpstream, job.cancelPendingSince = cancelled, laterOf(at, job.ArrivedAt)
+		job.cancelledUpstream, job.cancelPendingSince = cancelledID, laterOf(at, job.ArrivedAt)
 		g.toCancel = append(g.toCancel, job)
 		pending = append(pending, g.dependents[job.ID]...)
 	}
--- a/internal/ledger/job.go
+++ b/internal/ledger/job.go
@@ -67,7 +67,7 @@
 	endPendingSince    time.Time       // when NextBatch first found the job's end waiting to be written
 	unmetDependencies  map[string]bool // IDs of dependencies not known to be done
 	cancelledUpstream  string          // ID of a cancelled job that this one depends on, or ""
-	cancelPendingSince time.Time       // since when the job is to be cancelled because of it
+	cancelPendingSince time.Time       // since when the job is to be cancelled because of that one
 }
 
 // Mean accumulates values for their mean.
@@ -96,7 +96,7 @@
 
 // MarkArrived records when this controller saw the job arrive. Waiting times are counted from
 // then instead of from the submission: the clock of the controller that accepted the job may
-// be off by more than its users wait.
+// be off by more than the time that users wait for their jobs.
 func (j *Job) MarkArrived(at time.Time) {
 	j.ArrivalSeen, j.ArrivedAt = true, at
 	if j.ReadyAt.Equal(j.SubmittedAt) {
@@ -137,7 +137,7 @@
 func (j *Job) ClaimsInZone(zone string) int { return j.claimsByZone[zone] }
 
 // zoneHeadroom returns how many more tasks of the job a zone may take. The spread and single-zone
-// rules count every claim, even if its task may no longer run, since it may still be running.
+// rules count every claim, also one whose task has probably stopped: it may still be running.
 func (j *Job) zoneHeadroom(zone string) int {
 	wrongZone := j.Spec.Zone != "" && j.Spec.Zone != zone
 	claimedElsewhere := len(j.claims) > j.claimsByZone[zone]
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -10,7 +10,7 @@
 )
 
 // AddEndedJob adds a job that has ended but still has stored chunks. The operator's status document
-// shows the text of its error, like that of LoadChunk's, as the reason of a suspected data loss.
+// shows errors of AddEndedJob and LoadChunk as the reason of a suspected data loss.
 func (t *Table) AddEndedJob(jobID string, data []byte) error {
 	var end EndRecord
 	if err := json.Unmarshal(data, &end); err != nil {
@@ -25,8 +25,8 @@
 	return nil
 }
 
-// LoadChunk loads a stored chunk of a job that has been added. The tasks of its claims may have
-// been started by an earlier leader, under the given epoch at most.
+// LoadChunk loads a stored chunk of a job that has been added. An earlier leader may have started
+// the tasks of the chunk's claims; epoch is the highest under which it can have done so.
 func (t *Table) LoadChunk(key string, data []byte, modRevision, epoch uint64) error {
 	jobID, index, ok := ParseChunkKey(key)
 	job := t.jobs[jobID]
@@ -73,8 +73,8 @@
 	}
 }
 
-// SetModRevision records the revision at which a key was rewritten with the content that this table
-// was loaded from, as recovery does.
+// SetModRevision records the revision at which recovery wrote a key back to the store. The written
+// value is the one that this table was loaded from.
 func (t *Table) SetModRevision(key string, modRevision uint64) {
 	if jobID, ok := strings.CutPrefix(key, LivePrefix); ok {
 		if job := t.jobs[jobID]; job != nil {
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -10,7 +10,7 @@
 // JobRecord is the stored form of an accepted job.
 type JobRecord struct {
 	Job         wire.Job `json:"job"`
-	SubmittedMS int64    `json:"at"`    // time of day of the submission
+	SubmittedMS int64    `json:"at"`    // Unix time of the submission
 	ChunkTasks  int      `json:"chunk"` // tasks per chunk
 	// Origin is set if the audit log is kept or identities are on.
 	Origin *Origin `json:"from,omitempty"`
@@ -23,10 +23,10 @@
 	// Job is set for a cancelled job, whose claims still count in its team's quota.
 	Job wire.Job `json:"job,omitzero"`
 	// ChunkTasks is copied from the job record: chunks may remain that only the next leader
-	// deletes, and version 0.1 stops on claims that it finds in the chunks of a done job if it
-	// does not have the chunk size.
+	// deletes, and a leader of version 0.1 that does not have the chunk size fails on claims that
+	// it finds in the chunks of a done job.
 	ChunkTasks int   `json:"chunk,omitempty"`
-	EndedMS    int64 `json:"at,omitempty"` // time of day of the end
+	EndedMS    int64 `json:"at,omitempty"` // Unix time of the end
 	// Team is the team that may query the job, set if identities are on.
 	Team string `json:"own,omitempty"`
 	// AuditBlock is the audit log block that records the end, 0 if there is none.
@@ -70,7 +70,7 @@
 func (r *JobRecord) ChunkSize() int { return max(1, r.ChunkTasks) }
 
 // Sizes for the layout of chunks. A claim takes some 32 bytes, and up to 64 with long names. The
-// store refuses values over its limit, so three quarters of that are left free as a margin.
+// store refuses values over its limit, so three quarters of it are left free as a margin.
 const (
 	bytesPerTask = 256
 	// lowLimitBytesPerTask applies if a reduction of the limit is announced: chunks are then laid
--- a/internal/ledger/recovery.go
+++ b/internal/ledger/recovery.go
@@ -21,19 +21,19 @@
 }
 
 // AdoptOrphan adds a claim for a task that a worker reports and for which the table has no claim on
-// that worker, because the claim was in data since lost. An unconfirmed claim of an earlier attempt
-// is removed: it had ended before the reported attempt was issued. AdoptOrphan returns nil if the
-// job has ended or has no such task, or if the task is done or has a claim that is confirmed or not
-// of an earlier attempt.
+// that worker, because the claim was lost with the stored data. An unconfirmed claim of an earlier
+// attempt is removed: that attempt had ended before the reported one was issued. AdoptOrphan returns
+// nil if the job has ended or has no such task, or if the task is done or has a claim that is
+// confirmed, or that is of the same or a later attempt.
 func (t *Table) AdoptOrphan(job *Job, task int, record ClaimRecord, epoch uint64) *Claim {
 	if job.Cancelled || job.Finished || task < 0 || task >= job.Spec.TaskCount || job.isTaskDone(task) {
 		return nil
 	}
-	if known := job.claims[task]; known != nil {
-		if known.Finished || !known.Unconfirmed || known.Attempt >= record.Attempt {
+	if existing := job.claims[task]; existing != nil {
+		if existing.Finished || !existing.Unconfirmed || existing.Attempt >= record.Attempt {
 			return nil
 		}
-		t.removeClaim(known)
+		t.removeClaim(existing)
 	}
 	chunk := job.ensureChunk(task, t.minAttempt)
 	chunk.lastAttempt = max(chunk.lastAttempt, record.Attempt)
--- a/internal/ledger/recovery_test.go
+++ b/internal/ledger/recovery_test.go
@@ -12,7 +12,7 @@
 // attempts must be numbered above all earlier ones.
 func TestAdoptOrphan(t *testing.T) {
 	const minAttempt = 1 << 20
-	on := func(worker string, attempt uint64) ClaimRecord {
+	claimOn := func(worker string, attempt uint64) ClaimRecord {
 		return ClaimRecord{Worker: worker, Incarnation: 1, Attempt: attempt, Zone: "a"}
 	}
 	confirm := func(_ *Table, job *Job) { job.claims[0].Unconfirmed = false }
@@ -23,20 +23,20 @@
 		record  ClaimRecord
 		prepare func(table *Table, job *Job)
 		adopted bool
-		used    float64 // CPUs after
+		cpus    float64 // used by the team afterwards
 	}{
-		{"task without a claim", 3, on("b", 7), nil, true, 2},
-		{"later attempt than the unconfirmed claim", 0, on("b", 7), nil, true, 1},
-		{"earlier attempt than the unconfirmed claim", 0, on("b", 1), nil, false, 1},
-		{"same attempt on another worker", 0, on("b", 2), nil, false, 1},
-		{"later attempt than a confirmed claim", 0, on("b", 7), confirm, false, 1},
-		{"task is done", 1, on("b", 7), nil, false, 1},
-		{"job is cancelled", 3, on("b", 7), cancel, false, 1},
-		{"no such task", 6, on("b", 7), nil, false, 1},
+		{"task without a claim", 3, claimOn("b", 7), nil, true, 2},
+		{"later attempt than the unconfirmed claim", 0, claimOn("b", 7), nil, true, 1},
+		{"earlier attempt than the unconfirmed claim", 0, claimOn("b", 1), nil, false, 1},
+		{"same attempt on another worker", 0, claimOn("b", 2), nil, false, 1},
+		{"later attempt than a confirmed claim", 0, claimOn("b", 7), confirm, false, 1},
+		{"task is done", 1, claimOn("b", 7), nil, false, 1},
+		{"job is cancelled", 3, claimOn("b", 7), cancel, false, 1},
+		{"no such task", 6, claimOn("b", 7), nil, false, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			table, job := newLoadedTable(t, ChunkRecord{
-				LastAttempt: 2, Done: map[int]bool{1: true}, Claims: map[int]ClaimRecord{0: on("a", 2)},
+				LastAttempt: 2, Done: map[int]bool{1: true}, Claims: map[int]ClaimRecord{0: claimOn("a", 2)},
 			})
 			table.MarkClaimsUnconfirmed(minAttempt)
 			if tc.prepare != nil {
@@ -45,8 +45,8 @@
 			if got := table.AdoptOrphan(job, tc.task, tc.record, 8); (got != nil) != tc.adopted {
 				t.Fatalf("adopted claim %v, want one: %v", got, tc.adopted)
 			}
-			if used := table.Usage("t").CPUs; used != tc.used {
-				t.Errorf("the team uses %v CPUs, want %v", used, tc.used)
+			if cpus := table.Usage("t").CPUs; cpus != tc.cpus {
+				t.Errorf("the team uses %v CPUs, want %v", cpus, tc.cpus)
 			}
 			if tc.adopted {
 				if table.AdoptOrphan(job, tc.task, tc.record, 8) != nil {
--- a/internal/ledger/table.go
+++ b/internal/ledger/table.go
@@ -29,7 +29,7 @@
 // Table holds the jobs and claims of one leader term. It is not safe for concurrent use.
 type Table struct {
 	writer     string // identifies this leader in the chunks that it writes
-	writeCount uint64
+	batchCount uint64 // calls of NextBatch so far, by which the batches are numbered
 
 	jobs         map[string]*Job
 	workers      workerIndex
--- a/internal/ledger/table_test.go
+++ b/internal/ledger/table_test.go
@@ -22,8 +22,8 @@
 	return []settings.Team{{Name: "a", CPUs: 8, CPUsMax: 16}, {Name: "b", CPUs: 100, CPUsMax: 100}}
 }
 
-func newJobRecord(team, kind string, tasks int, cores float64) JobRecord {
-	return JobRecord{Job: wire.Job{Team: team, Kind: kind, TaskCount: tasks, CPUs: cores}, ChunkTasks: 8}
+func newJobRecord(team, kind string, tasks int, cpus float64) JobRecord {
+	return JobRecord{Job: wire.Job{Team: team, Kind: kind, TaskCount: tasks, CPUs: cpus}, ChunkTasks: 8}
 }
 
 func TestCheckClaim(t *testing.T) {
@@ -138,8 +138,9 @@
 	}
 }
 
-// The incrementally maintained totals, the resources used on each worker and the number of
-// uncommitted claims of each chunk, must equal a recount after every step of a random sequence.
+// The totals that the table maintains incrementally, which are the resources used on each worker and
+// the number of uncommitted claims of each chunk, must equal a recount after every step of a random
+// sequence.
 func TestCountersEqualRecount(t *testing.T) {
 	table := New("w", []settings.Team{{Name: "t", CPUs: 1e6, CPUsMax: 1e6}})
 	rnd := rand.New(rand.NewPCG(3, 4))
@@ -209,8 +210,8 @@
 			}
 		}
 		got := table.UsedOnWorker(worker)
-		offCPUs, offMemory := math.Abs(got.CPUs-want.CPUs), math.Abs(got.MemoryGB-want.MemoryGB)
-		if offCPUs > tolerance || offMemory > tolerance || got.GPUs != want.GPUs {
+		diffCPUs, diffMemory := math.Abs(got.CPUs-want.CPUs), math.Abs(got.MemoryGB-want.MemoryGB)
+		if diffCPUs > tolerance || diffMemory > tolerance || got.GPUs != want.GPUs {
 			t.Fatalf("step %d, %s: %+v used, recount gives %+v", step, worker, got, want)
 		}
 	}
--- a/internal/ledger/writebacklog.go
+++ b/internal/ledger/writebacklog.go
@@ -18,9 +18,9 @@
 		switch t.writes.priority(ref) {
 		case priorityBlockingEnd, priorityEnd:
 			backlog.Ends++
-			if from := ref.job.endPendingSince; !from.IsZero() &&
-				(backlog.OldestEnd.IsZero() || from.Before(backlog.OldestEnd)) {
-				backlog.OldestEnd = from
+			if since := ref.job.endPendingSince; !since.IsZero() &&
+				(backlog.OldestEnd.IsZero() || since.Before(backlog.OldestEnd)) {
+				backlog.OldestEnd = since
 			}
 		case priorityClaim:
 			backlog.Claims++
