--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -98,11 +98,11 @@
 }
 
 // isStaleLeader reports whether no controller leads under the leader key, because a restore of
-// the store's data brought it back: its lease may then never expire. That is assumed in two
-// cases. The key's epoch may have been below a known one for longer than a lease duration,
-// while data loss is suspected or the latest shard map names another leader. Or the key may
-// have been unchanged for more than two lease durations, while data loss is suspected or the
-// key names this controller, which does not lead.
+// the store's data brought the key back: its lease may then never expire. The key counts as
+// stale in two cases. Either its epoch has been below a known one for longer than a lease
+// duration, while data loss is suspected or the latest shard map names another leader. Or the
+// key has been unchanged for more than two lease durations, while data loss is suspected or
+// the key names this controller, which does not lead.
 func (e *Elector) isStaleLeader(record leaderRecord) bool {
 	suspected := e.detector.Suspicion().Active
 	e.mu.Lock()
--- a/internal/election/epoch.go
+++ b/internal/election/epoch.go
@@ -13,8 +13,8 @@
 // leader key it has no lease, so that epochs keep rising from one term to the next.
 const epochKey = "epoch"
 
-// maxCredibleEpoch is the limit from which epochs reported by workers are ignored: starting
-// above it would leave too few epochs to count up through.
+// maxCredibleEpoch is the limit from which epochs reported by workers are ignored: a term
+// that began above it would leave too few epochs for later terms.
 const maxCredibleEpoch = 1 << 62
 
 // epochWatchLeases is how many lease durations one watch request for the epoch key stays open.
@@ -29,7 +29,7 @@
 }
 
 // learn replaces the known shard map by one from the store or a peer if that has a higher
-// epoch, and reports whether it does. A map with a lower epoch is ignored.
+// epoch, and reports whether it did. A map with a lower epoch is ignored.
 func (k *knownEpochs) learn(received ShardMap) (isNewer bool) {
 	if received.Epoch == k.shardMap.Epoch && received.ZoneFallback {
 		// The known map may come from a ping, which does not carry these two fields.
--- a/internal/election/epoch_test.go
+++ b/internal/election/epoch_test.go
@@ -10,7 +10,7 @@
 		name            string
 		learned         ShardMap
 		reported        uint64
-		risen           bool
+		isNewer         bool
 		leader          string
 		incarnation     string
 		highest         uint64
@@ -28,8 +28,8 @@
 		t.Run(tc.name, func(t *testing.T) {
 			epochs := knownEpochs{shardMap: ShardMap{Epoch: 3, Leader: "a"}}
 			epochs.observe(tc.reported)
-			if risen := epochs.learn(tc.learned); risen != tc.risen {
-				t.Errorf("epoch risen: got %v, want %v", risen, tc.risen)
+			if isNewer := epochs.learn(tc.learned); isNewer != tc.isNewer {
+				t.Errorf("map replaced by a newer one: got %v, want %v", isNewer, tc.isNewer)
 			}
 			if m := epochs.shardMap; m.Leader != tc.leader || m.Incarnation != tc.incarnation ||
 				m.ZoneFallback == tc.withoutFallback {
--- a/internal/election/shardmap.go
+++ b/internal/election/shardmap.go
@@ -8,9 +8,9 @@
 	Epoch  uint64   `json:"n"`
 	Leader string   `json:"leader"`
 	Owners []string `json:"parts"`
-	// ZoneFallback is set if the writer of the map expects every controller in Owners to
-	// answer the workers of its own zone, whichever owner they are assigned to. Versions
-	// before 0.3 neither write nor read it, and a ping does not carry it.
+	// ZoneFallback is set if the leader that wrote the map allows every controller in Owners
+	// to answer the workers of its own zone in place of an unreachable owner.
+	// Versions before 0.3 neither write nor read it, and a ping does not carry it.
 	ZoneFallback bool `json:"near,omitempty"`
 	// Incarnation is the ID of the store incarnation that the map was written in. Versions
 	// before 0.5 neither write nor read it, and a ping does not carry it.
