--- a/internal/cancellation/set.go
+++ b/internal/cancellation/set.go
@@ -74,8 +74,8 @@
 }
 
 // AddComplete adds the entire set of a synced peer or, with from "", all cancelled jobs
-// that a new leader found in the store and whose tasks may still run. The set is synced
-// from then on. AddComplete reports whether there was room.
+// that a new leader found in the store and whose tasks may still run. It reports whether
+// there was room for them; if so, the set is synced from then on.
 func (s *Set) AddComplete(from string, jobIDs ...string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/cancellation/set_test.go
+++ b/internal/cancellation/set_test.go
@@ -15,35 +15,35 @@
 
 const testStopDeadline = 40 * time.Second
 
-// clock is a manually advanced clock.
-type clock struct{ now time.Time }
+// fakeClock is a manually advanced clock.
+type fakeClock struct{ now time.Time }
 
-func newTestSet(c *clock, storeUnavailable *bool, capacity int) *Set {
+func newTestSet(clock *fakeClock, storeUnavailable *bool, capacity int) *Set {
 	return New(Options{
 		StopDeadline: testStopDeadline, Capacity: capacity, Peers: []string{"a", "b"},
-		StoreUnavailable: func() bool { return *storeUnavailable }, Now: func() time.Time { return c.now },
+		StoreUnavailable: func() bool { return *storeUnavailable }, Now: func() time.Time { return clock.now },
 	})
 }
 
 // A cancellation is retained while a task of its job may still run or start, and is never
 // evicted to make room for another one.
 func TestSetRetention(t *testing.T) {
-	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
-	set := newTestSet(c, &storeUnavailable, 2)
+	clock, storeUnavailable := &fakeClock{time.Unix(1e9, 0)}, false
+	set := newTestSet(clock, &storeUnavailable, 2)
 	if !set.Add("", "req-1", "req-2") || set.Add("", "req-3") || !set.Add("a", "req-2") {
 		t.Fatal("a set of capacity 2 does not hold exactly the first two jobs")
 	}
-	c.now = c.now.Add(testStopDeadline + time.Second)
+	clock.now = clock.now.Add(testStopDeadline + time.Second)
 	if set.Add("", "req-3") {
 		t.Error("entries removed at the stop deadline, although a delayed command may still start a task")
 	}
 	storeUnavailable = true
-	c.now = c.now.Add(10 * testStopDeadline)
+	clock.now = clock.now.Add(10 * testStopDeadline)
 	if set.Add("", "req-3") {
 		t.Error("entries removed while the store is unavailable")
 	}
 	storeUnavailable = false
-	c.now = c.now.Add(testStopDeadline)
+	clock.now = clock.now.Add(testStopDeadline)
 	if !set.Add("", "req-3") || slices.Contains(set.JobIDs(), "req-1") || !slices.Equal(set.JobIDs(), []string{"req-3"}) {
 		t.Errorf("got %v after the retention period, want only req-3", set.JobIDs())
 	}
@@ -52,8 +52,8 @@
 // AmendCommands stops each running task of a cancelled job with one command, removes its
 // start commands, and leaves commands for other jobs unchanged.
 func TestAmendCommands(t *testing.T) {
-	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
-	set := newTestSet(c, &storeUnavailable, 8)
+	clock, storeUnavailable := &fakeClock{time.Unix(1e9, 0)}, false
+	set := newTestSet(clock, &storeUnavailable, 8)
 	heartbeat := &wire.Heartbeat{Tasks: []wire.TaskStatus{
 		{Task: "req-1/0", Attempt: 1, Phase: wire.TaskRunning},
 		{Task: "req-1/1", Attempt: 2, Phase: wire.TaskFetching},
@@ -79,11 +79,11 @@
 // A controller that has just started becomes synced by the full message of a synced peer,
 // or once the stop deadline has passed.
 func TestSynced(t *testing.T) {
-	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
-	old := newTestSet(c, &storeUnavailable, 8)
-	c.now = c.now.Add(testStopDeadline + time.Second)
+	clock, storeUnavailable := &fakeClock{time.Unix(1e9, 0)}, false
+	old := newTestSet(clock, &storeUnavailable, 8)
+	clock.now = clock.now.Add(testStopDeadline + time.Second)
 	old.Add("", "req-1")
-	young, next := newTestSet(c, &storeUnavailable, 8), newTestSet(c, &storeUnavailable, 8)
+	young, next := newTestSet(clock, &storeUnavailable, 8), newTestSet(clock, &storeUnavailable, 8)
 	notLeading := fakeLeader{}
 	if young.Receive(&Message{From: "a", Full: true}, notLeading); young.Synced() {
 		t.Error("synced by a peer that is not synced itself")
@@ -99,7 +99,7 @@
 	if ack = next.Receive(&Message{From: "b", Full: true}, notLeading); !next.Synced() || !ack.Synced {
 		t.Error("not synced by a synced peer")
 	}
-	c.now = c.now.Add(testStopDeadline + time.Second)
+	clock.now = clock.now.Add(testStopDeadline + time.Second)
 	if !young.Synced() {
 		t.Error("not synced after the stop deadline")
 	}
@@ -108,20 +108,20 @@
 // The acknowledgements of a peer are discarded when it reconnects, since it may have
 // restarted with an empty set.
 func TestReconnectedPeerIsUnacknowledged(t *testing.T) {
-	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
-	set := newTestSet(c, &storeUnavailable, 8)
+	clock, storeUnavailable := &fakeClock{time.Unix(1e9, 0)}, false
+	set := newTestSet(clock, &storeUnavailable, 8)
 	set.Add("a", "req-1")
 	set.Add("", "req-2")
 	set.acknowledge("a", []string{"req-2"})
-	if u := set.unacknowledgedBy("a"); len(u) != 0 {
-		t.Errorf("got unacknowledged %v, want none", u)
+	if jobIDs := set.unacknowledgedBy("a"); len(jobIDs) != 0 {
+		t.Errorf("got unacknowledged %v, want none", jobIDs)
 	}
 	set.forgetAcknowledgements("a")
-	if u := set.unacknowledgedBy("a"); !slices.Equal(u, []string{"req-1", "req-2"}) {
-		t.Errorf("got unacknowledged %v after a reconnection, want req-1 and req-2", u)
+	if jobIDs := set.unacknowledgedBy("a"); !slices.Equal(jobIDs, []string{"req-1", "req-2"}) {
+		t.Errorf("got unacknowledged %v after a reconnection, want req-1 and req-2", jobIDs)
 	}
-	if u := set.unacknowledgedBy("b"); len(u) != 2 {
-		t.Errorf("got unacknowledged %v for the other peer, want both jobs", u)
+	if jobIDs := set.unacknowledgedBy("b"); len(jobIDs) != 2 {
+		t.Errorf("got unacknowledged %v for the other peer, want both jobs", jobIDs)
 	}
 }
 
@@ -138,7 +138,7 @@
 // A cancellation may be acknowledged to the user once all controllers or the current leader
 // have accepted it. The leader is read from the store only if a peer has not accepted.
 func TestBroadcast(t *testing.T) {
-	down, accepts, leads, full := errors.New("down"), Ack{Accepted: true}, Ack{Accepted: true, IsLeader: true}, Ack{}
+	down, accepts, leads, setFull := errors.New("down"), Ack{Accepted: true}, Ack{Accepted: true, IsLeader: true}, Ack{}
 	type peers = fakeLink
 	for _, tc := range []struct {
 		name             string
@@ -160,15 +160,15 @@
 		{"this controller is the leader and has not read its job table yet", false,
 			peers{"a": {Ack{}, down}, "b": {accepts, nil}}, "me", false, 1},
 		{"the leader cannot be read", false, peers{"a": {Ack{}, down}, "b": {leads, nil}}, "", false, 1},
-		{"the leader's set is full", false, peers{"a": {accepts, nil}, "b": {full, nil}}, "b", false, 1},
+		{"the leader's set is full", false, peers{"a": {accepts, nil}, "b": {setFull, nil}}, "b", false, 1},
 		{"the leader does not support the message", false,
 			peers{"a": {Ack{}, down}, "b": {Ack{}, ErrUnsupported}}, "b", true, 1},
 		{"no peer supports the message", false,
 			peers{"a": {Ack{}, ErrUnsupported}, "b": {Ack{}, ErrUnsupported}}, "", true, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c, storeUnavailable, reads := &clock{time.Unix(1e9, 0)}, false, 0
-			set := newTestSet(c, &storeUnavailable, 8)
+			clock, storeUnavailable, reads := &fakeClock{time.Unix(1e9, 0)}, false, 0
+			set := newTestSet(clock, &storeUnavailable, 8)
 			broadcaster := &Broadcaster{
 				Controller: "me", Cancellations: set, Link: tc.peers, LocalLeader: fakeLeader{t, set, tc.isLeader, true},
 				CurrentLeader: func(context.Context) (string, error) {
@@ -182,7 +182,8 @@
 			err := broadcaster.Broadcast(t.Context(), "req-1")
 			if (err == nil) != tc.wantAcknowledged || err != nil && !errors.Is(err, ErrNotAcknowledged) ||
 				reads != tc.wantReads {
-				t.Errorf("got error %v after %d reads of the leader", err, reads)
+				t.Errorf("got error %v after %d reads of the leader, want acknowledged %v after %d",
+					err, reads, tc.wantAcknowledged, tc.wantReads)
 			}
 			for name, peer := range tc.peers {
 				if got := !slices.Contains(set.unacknowledgedBy(name), "req-1"); got != (peer.err == nil && peer.Accepted) {
@@ -234,8 +235,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
-				set, leader := newTestSet(c, &storeUnavailable, 8), &resolvingLink{}
+				clock, storeUnavailable := &fakeClock{time.Unix(1e9, 0)}, false
+				set, leader := newTestSet(clock, &storeUnavailable, 8), &resolvingLink{}
 				leader.unresolvedAnswers.Store(2 * tc.unresolvedPerPeer) // there are two peers
 				broadcaster := &Broadcaster{
 					Controller: "me", Cancellations: set, Link: leader,
@@ -250,11 +251,11 @@
 				startedAt := time.Now()
 				err := broadcaster.Broadcast(ctx, "req-1")
 				if (err == nil) != tc.wantAcknowledged || err != nil && !errors.Is(err, ErrNotAcknowledged) {
-					t.Error(err)
+					t.Errorf("got error %v, want acknowledged %v", err, tc.wantAcknowledged)
 				}
 				if since := time.Since(startedAt); tc.wantAcknowledged && since > time.Second ||
 					!tc.wantAcknowledged && since != 2*time.Second {
-					t.Errorf("Broadcast returned after %v", since)
+					t.Errorf("Broadcast returned after %v, want at most 1s if acknowledged, otherwise 2s", since)
 				}
 			})
 		})
@@ -263,8 +264,8 @@
 
 // A leader with unresolved launches records a cancellation although it does not accept it.
 func TestReceiveWithUnresolvedLaunches(t *testing.T) {
-	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
-	set := newTestSet(c, &storeUnavailable, 8)
+	clock, storeUnavailable := &fakeClock{time.Unix(1e9, 0)}, false
+	set := newTestSet(clock, &storeUnavailable, 8)
 	ack := set.Receive(&Message{From: "a", JobIDs: []string{"req-1"}}, fakeLeader{isLeader: true})
 	if ack.Accepted || !ack.IsLeader {
 		t.Errorf("got %+v, want IsLeader without Accepted", ack)
@@ -312,8 +313,8 @@
 // controller sends only cancellations that the peer lacks, and one that is not synced
 // repeats the exchange until a synced peer answers.
 func TestExchangeAll(t *testing.T) {
-	c, storeUnavailable := &clock{time.Unix(1e9, 0)}, false
-	peer, local := &remoteSet{Set: newTestSet(c, &storeUnavailable, 8)}, newTestSet(c, &storeUnavailable, 8)
+	clock, storeUnavailable := &fakeClock{time.Unix(1e9, 0)}, false
+	peer, local := &remoteSet{Set: newTestSet(clock, &storeUnavailable, 8)}, newTestSet(clock, &storeUnavailable, 8)
 	broadcaster := &Broadcaster{Controller: "me", Cancellations: local, Link: peer}
 	local.Add("", "req-1")
 	peer.Add("", "req-2")
