--- a/internal/dataloss/detector.go
+++ b/internal/dataloss/detector.go
@@ -79,7 +79,7 @@
 }
 
 // reloadOnRequest reads the incarnation's keys again whenever Recheck requests it: a key
-// lost together with its history causes no watch event.
+// that was lost together with the store's change log causes no watch event.
 func (d *Detector) reloadOnRequest(ctx context.Context, pollWait time.Duration) {
 	for attempt := 0; ctx.Err() == nil; {
 		select {
@@ -87,7 +87,7 @@
 			return
 		case <-d.recheck:
 		}
-		askedAt := time.Now()
+		requestedAt := time.Now()
 		items, _, err := d.store.List(ctx, keyPrefix)
 		if err != nil {
 			retry.Backoff(ctx, attempt, pollWait/backoffBaseDivisor, pollWait/backoffLimitDivisor)
@@ -96,7 +96,7 @@
 			continue
 		}
 		attempt = 0
-		d.replaceAll(items, askedAt)
+		d.replaceAll(items, requestedAt)
 	}
 }
 
@@ -109,17 +109,17 @@
 	}
 }
 
-// replaceAll replaces the keys by the result of a list requested at askedAt. A response to a
-// request that is older than the current state is out of date and causes another read: it
-// may lack the key of an incarnation that has begun since.
-func (d *Detector) replaceAll(items []wire.KeyValue, askedAt time.Time) {
+// replaceAll replaces the keys by the result of a list requested at requestedAt. If the
+// current state is newer than the request, the result is dropped and the keys are read
+// again: it may lack the key of an incarnation that has begun since.
+func (d *Detector) replaceAll(items []wire.KeyValue, requestedAt time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if askedAt.Before(d.currentAsOf) {
+	if requestedAt.Before(d.currentAsOf) {
 		d.Recheck()
 		return
 	}
-	d.currentAsOf = askedAt
+	d.currentAsOf = requestedAt
 	clear(d.items)
 	for _, item := range items {
 		d.items[item.Key] = item
--- a/internal/dataloss/golden_test.go
+++ b/internal/dataloss/golden_test.go
@@ -35,7 +35,7 @@
 			{Key: setPhase.Put, Value: setPhase.Value, ModRevision: 6},
 		})
 		if want := (IncarnationState{Incarnation: incarnation, Phase: phase}); !reflect.DeepEqual(got, want) {
-			t.Errorf("got %+v from the stored keys", got)
+			t.Errorf("got %+v from the stored keys, want %+v", got, want)
 		}
 	}
 	compare, _ := incarnation.Compare()
--- a/internal/dataloss/state_test.go
+++ b/internal/dataloss/state_test.go
@@ -48,7 +48,8 @@
 		state := parseState(tc.items)
 		if state.ID != tc.id || state.Phase != tc.phase ||
 			state.DataLost != tc.dataLost || len(state.Superseded) != tc.superseded {
-			t.Errorf("%s: got %+v", tc.name, state)
+			t.Errorf("%s: got %+v, want ID %q, phase %q, data lost %v, %d superseded",
+				tc.name, state, tc.id, tc.phase, tc.dataLost, tc.superseded)
 		}
 	}
 }
--- a/internal/dataloss/suspicion.go
+++ b/internal/dataloss/suspicion.go
@@ -56,8 +56,9 @@
 }
 
 // Fence returns the compares that the writes of a user's request must carry, and the phase of
-// the current incarnation. It fails with ErrDataLossSuspected. legacyLeader means that the
-// leader runs a version without incarnations, whose data is taken as complete.
+// the current incarnation. It returns ErrDataLossSuspected while a suspicion is active or the
+// current incarnation is unknown. legacyLeader means that the leader runs a version without
+// incarnations, whose data is taken as complete.
 func (d *Detector) Fence(legacyLeader bool) ([]wire.Compare, Phase, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/dataloss/suspicion_test.go
+++ b/internal/dataloss/suspicion_test.go
@@ -25,11 +25,11 @@
 // lateSnapshot is the response to a list that was requested before the given steps.
 func lateSnapshot(items []wire.KeyValue, meanwhile ...step) step {
 	return func(d *Detector) {
-		askedAt := time.Now()
+		requestedAt := time.Now()
 		for _, apply := range meanwhile {
 			apply(d)
 		}
-		d.replaceAll(items, askedAt)
+		d.replaceAll(items, requestedAt)
 	}
 }
 
@@ -87,7 +87,8 @@
 			suspected := d.Suspicion().Active
 			compares, _, err := d.Fence(tc.legacyLeader)
 			if suspected != tc.wantSuspected || len(compares) != tc.wantCompares || (err != nil) != tc.wantFenceError {
-				t.Errorf("got suspected %v, compares %v, error %v", suspected, compares, err)
+				t.Errorf("got suspected %v, compares %v, error %v; want %v, %d compares, error: %v",
+					suspected, compares, err, tc.wantSuspected, tc.wantCompares, tc.wantFenceError)
 			}
 		})
 	}
