--- a/internal/recovery/merge.go
+++ b/internal/recovery/merge.go
@@ -28,7 +28,9 @@
 // operation with a compare of it.
 type Write struct {
 	Value
-	IsLive bool // it concerns a live job, and precedes the other writes
+	// IsLive is false only for the end record of a job that the store does not hold as live.
+	// Such writes come last.
+	IsLive bool
 }
 
 // Result holds the reconstructed records.
--- a/internal/recovery/result.go
+++ b/internal/recovery/result.go
@@ -113,8 +113,8 @@
 	slices.Sort(m.result.Damaged)
 }
 
-// deleteOrphanedChunks deletes claims without a job record. They are not needed: workers
-// report the tasks that they run.
+// deleteOrphanedChunks deletes the stored chunks of jobs without a record. Their claims are
+// not needed: workers report the tasks that they run.
 func (m *merger) deleteOrphanedChunks() {
 	for key, value := range m.stored {
 		if jobID, _, ok := ledger.ParseChunkKey(key); ok && slices.Contains(m.result.OrphanedJobs, jobID) {
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -57,7 +57,8 @@
 	return DecodePage(page.Encode())
 }
 
-// pushOnce sends a follower what it lacks, as Replicate does at a tick with changes.
+// pushOnce sends a follower the changes that it lacks, or a full replica, as Replicate does at a
+// tick with changes.
 func pushOnce(leader *Replica, peer *lossyPeer, acknowledged *Head) {
 	push, needsFull := leader.nextPush(*acknowledged)
 	var ack Ack
