--- a/internal/shard/heartbeat.go
+++ b/internal/shard/heartbeat.go
@@ -44,8 +44,8 @@
 func (e *NotOwnerError) Unwrap() error { return e.Err }
 
 // Heartbeat answers a worker's heartbeat. Its error is a [*NotOwnerError] if this controller
-// must not answer. Whoever made the answer, it stops the tasks of jobs in this controller's
-// cancellation set: a leader that the store refuses may not know of those cancellations.
+// must not answer. Every answer, also one that a leader made, stops the tasks of jobs in this
+// controller's cancellation set: a leader that the store refuses may lack those cancellations.
 func (o *Owner) Heartbeat(
 	ctx context.Context, heartbeat *wire.Heartbeat, localLeader Leader,
 ) (wire.CommandBatch, error) {
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -12,10 +12,10 @@
 // Thresholds for detecting that a controller is isolated from workers. Durations are in
 // heartbeat intervals.
 const (
-	isolatedAfterIntervals     = 1.75 // duration of the silence of workers that used to report here
+	isolatedAfterIntervals     = 1.75 // duration of the silence of workers that used to send heartbeats here
 	peerReachedWithinIntervals = 0.5  // maximum age of a peer's last heartbeat from a worker
 	peersReachedLapseIntervals = 2.5  // gap without heartbeats at peers that restarts the measurement
-	minReportingWorkers        = 4    // fewer may well be silent at the same time
+	minWorkers                 = 4    // fewer may well be silent at the same time
 )
 
 // maxIsolationDoublings limits how often the duration of an isolation is doubled.
@@ -43,9 +43,9 @@
 // RecordRequest records that a worker reached this controller.
 func (o *Owner) RecordRequest() { o.isolation.recordRequest(o.now()) }
 
-// WorkerReachability returns whether workers reach this controller, for its peers. The
-// controller counts as isolated if the workers that used to report to it are silent while
-// workers reach a peer. It stays isolated for a worker lease, and twice as long each
+// WorkerReachability returns whether workers reach this controller, to be sent to its peers.
+// The controller counts as isolated if the workers that used to send it heartbeats are silent
+// while workers reach a peer. It stays isolated for a worker lease, and twice as long each
 // consecutive time: an isolated owner loses its shard well before its workers' leases
 // expire, and then cannot detect whether they could reach it again.
 func (o *Owner) WorkerReachability() peer.Reachability {
@@ -108,11 +108,11 @@
 	return peer.Reachability{SinceHeartbeat: age, Isolated: now.Before(d.isolatedUntil)}
 }
 
-// hasEnoughWorkersLocked reports whether enough workers report here for their simultaneous
-// silence to be significant. The caller holds d.mu.
+// hasEnoughWorkersLocked reports whether enough workers send heartbeats here for their
+// simultaneous silence to be significant. The caller holds d.mu.
 func (d *isolationDetector) hasEnoughWorkersLocked() bool {
 	heartbeatsPerLease := float64(d.config.WorkerLease()) / float64(d.config.HeartbeatInterval())
-	return float64(max(d.requests, d.previousRequests)) >= minReportingWorkers*heartbeatsPerLease
+	return float64(max(d.requests, d.previousRequests)) >= minWorkers*heartbeatsPerLease
 }
 
 // workersReachPeers reports whether workers have been reaching peers for as long as silence
--- a/internal/shard/isolation_test.go
+++ b/internal/shard/isolation_test.go
@@ -26,7 +26,7 @@
 	}{
 		{"workers reach a peer first after a cut of all controllers", 100, 8 * heartbeat, true, peer.Reachability{},
 			true, false, false},
-		{"workers report", 100, heartbeat, true, peer.Reachability{}, true, false, false},
+		{"workers send heartbeats", 100, heartbeat, true, peer.Reachability{}, true, false, false},
 		{"workers reach only the peer", 100, 2 * heartbeat, true, peer.Reachability{}, true, true, true},
 		{"workers reach no controller", 100, 2 * heartbeat, true, peerSilent, true, false, false},
 		{"no peer connected", 100, 2 * heartbeat, true, peer.Reachability{}, false, false, false},
@@ -48,12 +48,12 @@
 			}
 			now = now.Add(tc.silentFor)
 			if got := owner.IsIsolated(); got != tc.wantIsolated {
-				t.Fatalf("IsIsolated: got %v", got)
+				t.Fatalf("IsIsolated: got %v, want %v", got, tc.wantIsolated)
 			}
 			want := tc.peerLive &&
 				(tc.peer.SinceHeartbeat > heartbeat || tc.silentFor > 4*heartbeat || tc.silentFor < 7*heartbeat/4)
 			if got := owner.WorkersReachNoPeer(); got != want {
-				t.Errorf("PeersHearNoWorkers: got %v, want %v", got, want)
+				t.Errorf("WorkersReachNoPeer: got %v, want %v", got, want)
 			}
 			if !tc.wantIsolated {
 				return
@@ -67,7 +67,7 @@
 			owner.WorkerReachability()
 			now = now.Add(2 * heartbeat)
 			if got := owner.IsIsolated(); got != tc.wantIsolatedAgain {
-				t.Errorf("IsIsolated after the first isolation ended: got %v", got)
+				t.Errorf("IsIsolated after the first isolation ended: got %v, want %v", got, tc.wantIsolatedAgain)
 			}
 			now = now.Add(2*lease - time.Second)
 			if !owner.IsIsolated() {
@@ -116,7 +116,7 @@
 			heartbeat := &wire.Heartbeat{Worker: worker, Zone: tc.zone, Epoch: tc.workerEpoch}
 			batch, err := owner.Heartbeat(t.Context(), heartbeat, fakeLeader{})
 			if batch.Epoch != tc.wantEpoch || (err == nil) != (tc.wantEpoch > 0) || len(batch.Commands) > 0 {
-				t.Errorf("got answer %+v, error %v", batch, err)
+				t.Errorf("got answer %+v, error %v, want epoch %d (0: refused) and no commands", batch, err, tc.wantEpoch)
 			}
 		})
 	}
--- a/internal/shard/owner_test.go
+++ b/internal/shard/owner_test.go
@@ -91,7 +91,7 @@
 			owner := newTestOwner(t, tc.shardMap, 0, &tc.links)
 			batch, err := owner.Heartbeat(t.Context(), &wire.Heartbeat{Worker: "i-1", Epoch: tc.workerEpoch}, tc.leader)
 			if batch.Epoch != tc.wantEpoch || (err == nil) != (tc.wantEpoch > 0) {
-				t.Errorf("got epoch %d, error %v", batch.Epoch, err)
+				t.Errorf("got epoch %d, error %v, want epoch %d (0: refused)", batch.Epoch, err, tc.wantEpoch)
 			}
 			var notOwner *NotOwnerError
 			if err != nil && (!errors.As(err, &notOwner) || notOwner.RedirectTarget != tc.wantRedirect) {
@@ -140,7 +140,7 @@
 			}}
 			batch, err := owner.Heartbeat(t.Context(), heartbeat, fakeLeader{errNotLeading})
 			if batch.Epoch != tc.wantEpoch || (err == nil) != (tc.wantEpoch > 0) {
-				t.Fatalf("got epoch %d, error %v", batch.Epoch, err)
+				t.Fatalf("got epoch %d, error %v, want epoch %d (0: refused)", batch.Epoch, err, tc.wantEpoch)
 			}
 			want := []wire.Command{{Action: wire.ActionStop, Task: "req-1/0", Attempt: 2}}
 			if err == nil && !slices.Equal(batch.Commands, want) {
@@ -183,7 +183,7 @@
 				t.Errorf("got eligible %v, want %v", got, tc.wantEligible)
 			}
 			if _, peerOnly := owner.StoreServesPeerOnly(); peerOnly != tc.wantPeerOnly {
-				t.Errorf("StoreServesPeerOnly: got %v", peerOnly)
+				t.Errorf("StoreServesPeerOnly: got %v, want %v", peerOnly, tc.wantPeerOnly)
 			}
 		})
 	}
