--- a/internal/readindex/fakestore_test.go
+++ b/internal/readindex/fakestore_test.go
@@ -86,17 +86,17 @@
 	clear(s.keys)
 }
 
-// wasInState reports whether a key existed (or was missing, if exists is false) at any moment from
-// from to to.
-func (s *fakeStore) wasInState(name string, exists bool, from, to time.Time) bool {
+// wasInState reports whether a key existed (or was missing, if exists is false) at any moment between
+// start and end.
+func (s *fakeStore) wasInState(name string, exists bool, start, end time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	state := false
 	for _, change := range s.history[name] {
-		if change.at.After(to) {
+		if change.at.After(end) {
 			break
 		}
-		if !change.at.Before(from) && state == exists {
+		if !change.at.Before(start) && state == exists {
 			return true
 		}
 		state = change.exists
--- a/internal/readindex/view.go
+++ b/internal/readindex/view.go
@@ -1,9 +1,10 @@
 // Package readindex answers reads of the keys under a prefix of the key-value store from memory,
 // with the same linearizability as reads of the store. It applies the ReadIndex technique of Raft
 // to a store with revisions: a read waits for the next round and is then answered from memory. A
-// round is one request, sent after the read began, that returns all changes up to a revision later
-// than that, which are then applied. One round serves all waiting reads, so the number of requests
-// depends on the elapsed time and not on the number of readers.
+// round is one request, sent after the read began, for all changes since the previous round. They
+// are applied in memory before the read is answered, and include every change that was committed
+// before the read began. One round serves all waiting reads, so the number of requests depends on
+// the elapsed time and not on the number of readers.
 //
 // A View owns the keys in memory and the revision up to which they are current. Its Run is one
 // long-lived loop of the process; the job API calls Read. The package must not answer a read from
@@ -52,7 +53,7 @@
 	wake    chan struct{} // signals Run that a read waits
 
 	// Only Run's goroutine uses these.
-	revision    uint64 // up to which keys is current
+	revision    uint64 // keys holds all changes up to this revision
 	incarnation uint64 // store incarnation of keys, as numbered by the store client
 
 	mu        sync.Mutex         // guards the fields below
@@ -223,10 +224,11 @@
 	return current
 }
 
-// errBehind means that a round's answer has an earlier revision than was known when it was sent.
+// errBehind means that a round's response has an earlier revision than was known when the request
+// was sent.
 var errBehind = errors.New("readindex: change log is behind the known revision")
 
-// apply applies the changes of a round's answer to the keys.
+// apply applies the changes of a round's response to the keys.
 func (v *View[Summary]) apply(changes wire.WatchResponse, minRevision uint64) error {
 	if _, incarnation := v.options.Store.Revision(); incarnation != v.incarnation {
 		return kvstore.ErrCompacted // the keys are from an earlier incarnation
