--- a/internal/cancellation/broadcast.go
+++ b/internal/cancellation/broadcast.go
@@ -51,7 +51,8 @@
 // The leader is read from the store after the commit, because any later leader finds the
 // cancellation in the store; the leader also stops tasks on workers that receive no
 // answers from any controller. Until ctx ends, Broadcast waits for the leader to resolve
-// its pending launches. Every error wraps [ErrNotAcknowledged].
+// its pending launches: start commands that may still take effect. Every error wraps
+// [ErrNotAcknowledged].
 func (b *Broadcaster) Broadcast(ctx context.Context, jobID string) error {
 	if !b.Cancellations.Add("", jobID) {
 		return fmt.Errorf("broadcast job %s: %w: cancellation set is full", jobID, ErrNotAcknowledged)
--- a/internal/cancellation/set_test.go
+++ b/internal/cancellation/set_test.go
@@ -251,7 +251,7 @@
 				startedAt := time.Now()
 				err := broadcaster.Broadcast(ctx, "req-1")
 				if (err == nil) != tc.wantAcknowledged || err != nil && !errors.Is(err, ErrNotAcknowledged) {
-					t.Errorf("got error %v, want acknowledged %v", err, tc.wantAcknowledged)
+					t.Error("got error", err, "and want acknowledged", tc.wantAcknowledged)
 				}
 				if since := time.Since(startedAt); tc.wantAcknowledged && since > time.Second ||
 					!tc.wantAcknowledged && since != 2*time.Second {
--- a/internal/readindex/view_test.go
+++ b/internal/readindex/view_test.go
@@ -48,7 +48,7 @@
 			continue
 		}
 		readers.Go(func() {
-			startedAt := time.Now()
+			readStart := time.Now()
 			_, exists, err := view.Read(t.Context(), name)
 			mu.Lock()
 			defer mu.Unlock()
@@ -56,9 +56,9 @@
 				return
 			}
 			answered++
-			if !store.wasInState(name, exists, startedAt, time.Now()) {
+			if !store.wasInState(name, exists, readStart, time.Now()) {
 				violation = fmt.Sprintf("stale answer: %s exists=%v, read started at %v, ended at %v",
-					name, exists, startedAt.Sub(store.startedAt), time.Since(store.startedAt))
+					name, exists, readStart.Sub(store.startedAt), time.Since(store.startedAt))
 			}
 		})
 	}
--- a/internal/shard/isolation.go
+++ b/internal/shard/isolation.go
@@ -14,7 +14,7 @@
 const (
 	isolatedAfterIntervals     = 1.75 // duration of the silence of workers that used to send heartbeats here
 	peerReachedWithinIntervals = 0.5  // maximum age of a peer's last heartbeat from a worker
-	peersReachedLapseIntervals = 2.5  // gap without heartbeats at peers that restarts the measurement
+	peersReachedLapseIntervals = 2.5  // a longer gap without heartbeats at peers restarts peersReachedSince
 	minWorkers                 = 4    // fewer may well be silent at the same time
 )
 
@@ -125,9 +125,9 @@
 }
 
 // peersReachedLocked reports whether a peer has a recent heartbeat of a worker, and for how
-// long that has held. The duration matters when a cut of all controllers ends: workers reach
-// one of them slightly before the others, which are not isolated in between. The caller
-// holds d.mu.
+// long that has held. The duration matters when a partition between the workers and all
+// controllers ends: workers reach one of them slightly before the others, which are not
+// isolated in between. The caller holds d.mu.
 func (d *isolationDetector) peersReachedLocked(
 	now time.Time, links PeerLinks,
 ) (reached bool, reachedFor time.Duration) {
--- a/internal/shard/isolation_test.go
+++ b/internal/shard/isolation_test.go
@@ -24,7 +24,7 @@
 		wantIsolated      bool
 		wantIsolatedAgain bool // after the first isolation has ended
 	}{
-		{"workers reach a peer first after a cut of all controllers", 100, 8 * heartbeat, true, peer.Reachability{},
+		{"workers reach a peer first after a partition from all controllers", 100, 8 * heartbeat, true, peer.Reachability{},
 			true, false, false},
 		{"workers send heartbeats", 100, heartbeat, true, peer.Reachability{}, true, false, false},
 		{"workers reach only the peer", 100, 2 * heartbeat, true, peer.Reachability{}, true, true, true},
