--- a/internal/leader/runner.go
+++ b/internal/leader/runner.go
@@ -102,7 +102,7 @@
 	)
 	if err := term.recovery.restoreLiveData(groupCtx); err != nil {
 		err = fmt.Errorf("recovery: %w", err)
-		group.Go(func() error { return err }) // ends the others
+		group.Go(func() error { return err }) // ends the other loops
 		return errors.Join(err, group.Wait())
 	}
 	term.startLoops(
@@ -110,7 +110,7 @@
 		term.claimWriter.runClaimWriter, term.scheduler.runScheduler,
 		term.dependencies.runLookUps, term.propagator.runPropagation,
 		term.autoscaler.runAutoscaler, term.failures.runReleases, term.collector.watchPendingAudit,
-		term.recovery.finishRecovery, term.scrubber.runAntiEntropy, term.orphans.resolveOrphans,
+		term.recovery.finishRecovery, term.scrubber.runScrubber, term.orphans.resolveOrphans,
 	)
 	notify(term.scheduleSignal)
 	term.dependenciesChanged()
--- a/internal/leader/antientropy.go
+++ b/internal/leader/scrubber.go
@@ -20,7 +20,7 @@
 // scrubber detects keys that the store has lost silently: page by page, it compares the keys in
 // the store with those of this controller's replica.
 //
-// Serve runs its loop, runAntiEntropy, and nobody else calls it. Its only state is the loop's
+// Serve runs its loop, runScrubber, and nobody else calls it. Its only state is the loop's
 // cursor. It takes mu to look up a job, and must not hold it during a request to the store. It
 // writes nothing to the store: if data is lost it ends the term, and the next term recovers it.
 type scrubber struct {
@@ -45,7 +45,7 @@
 	prefixIndex int           // index in scrubPrefixes
 	after       string        // the last key compared under the prefix; "" if none
 	interval    time.Duration // between two pages
-	pageSize    int           // page size
+	pageSize    int           // number of keys requested per page
 }
 
 // scrubPage is a range of keys and values as read from the store.
@@ -56,8 +56,8 @@
 	items  []wire.KeyValue
 }
 
-// runAntiEntropy compares the store with the replica, one page of keys at a time.
-func (s *scrubber) runAntiEntropy(ctx context.Context) error {
+// runScrubber compares the store with the replica, one page of keys at a time.
+func (s *scrubber) runScrubber(ctx context.Context) error {
 	cursor := scrubCursor{interval: s.settings.HeartbeatInterval() / 8, pageSize: firstRoundPageFactor * keysPerHeartbeat}
 	for retry.Sleep(ctx, cursor.interval) {
 		before, _ := s.replica.Tree()
@@ -92,8 +92,8 @@
 	s.replica.Apply(0, ops...)
 }
 
-// checkPage ends the term if a value of a page is damaged or a key is lost: the replica had the
-// key before the page was read and still has it, but the page lacks it.
+// checkPage ends the term if a value of a page is damaged or a key is lost. A lost key is one that
+// the replica had before the page was read and still has, but that the page lacks.
 func (s *scrubber) checkPage(ctx context.Context, before *replica.Tree, page scrubPage) error {
 	if page.prefix != ledger.EndedPrefix {
 		for _, item := range page.items {
@@ -144,17 +144,17 @@
 }
 
 // isLost reports whether a key missing from a page is certainly lost: neither just deleted nor
-// still to be restored by the recovery. If the store does not answer, nothing is proven.
+// still to be restored by the recovery. It reports false if the store does not answer.
 func (s *scrubber) isLost(ctx context.Context, prefix, key string) (bool, error) {
 	if prefix == ledger.EndedPrefix && s.endRecordPending(key) || !s.isAbsent(ctx, key) {
 		return false, nil
 	}
-	// The key may have been deleted meanwhile: leave the watch time to update the replica.
+	// The key may have been deleted meanwhile: give the watch time to update the replica.
 	if !retry.Sleep(ctx, s.settings.HeartbeatInterval()/4) {
 		return false, ctx.Err()
 	}
-	_, remembered := s.replica.Get(key)
-	if !remembered || prefix == ledger.ChunkPrefix && s.chunkRemovable(key) || !s.isAbsent(ctx, key) {
+	_, inReplica := s.replica.Get(key)
+	if !inReplica || prefix == ledger.ChunkPrefix && s.chunkRemovable(key) || !s.isAbsent(ctx, key) {
 		return false, nil
 	}
 	jobID, isJob := strings.CutPrefix(key, ledger.LivePrefix)
