--- a/internal/leader/commander.go
+++ b/internal/leader/commander.go
@@ -120,7 +120,7 @@
 		}
 		worker := c.registry.worker(instance.Name)
 		overdue := worker.LastHeartbeat.IsZero() && now.Sub(c.startedAt) > c.settings.HeartbeatInterval()/2 ||
-			!worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) > c.heartbeatLateAfter()
+			!worker.LastHeartbeat.IsZero() && now.Sub(worker.LastHeartbeat) > c.heartbeatTimeout()
 		if overdue && !worker.PollInFlight && len(pollable) < maxPolls {
 			worker.PollInFlight = true
 			worker.Address, worker.InstanceType, worker.Spot = instance.Address, instance.InstanceType, instance.Spot
@@ -154,7 +154,7 @@
 		Epoch: c.leadership.Epoch(), Incarnation: heartbeat.Incarnation, Commands: []wire.Command{},
 	})
 	if err != nil {
-		return // as above
+		return // it is polled again in a later round
 	}
 	c.mu.Lock()
 	c.heartbeats.applyHeartbeat(heartbeat)
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -19,7 +19,7 @@
 
 // failureMonitor detects expired leases and workers that are failed, silent or unreachable. It frees
 // claims only where a lease has expired by every clock; on any other suspicion it has the instance
-// released, and the cloud's answer proves that the tasks have ended.
+// released, and the cloud's response proves that the tasks have ended.
 //
 // Its loops are runMonitor and runReleases. The autoscaler calls unreachable. Its state is guarded by
 // mu.
@@ -72,7 +72,7 @@
 // controller may have renewed its lease under an earlier one: a shard owner on the worker's side of
 // a partition does so, and the worker learns the epoch only from a poll after the partition.
 func (m *failureMonitor) expireLeases(now time.Time) {
-	leaseTimeout := m.leaseOverAfter()
+	leaseTimeout := m.leaseTimeout()
 	for _, worker := range m.workers {
 		soleOwner := worker.SoleOwnerEpoch != 0 && worker.SeenEpoch >= worker.SoleOwnerEpoch
 		if worker.LastHeartbeat.IsZero() || !soleOwner ||
@@ -206,7 +206,7 @@
 	wasUp := !worker.LastHeartbeat.IsZero() || !worker.ListedRunningAt.IsZero()
 	reclaimed := !worker.ReclaimAt.IsZero() && now.After(worker.ReclaimAt)
 	return wasUp && m.silentFor(worker, now) > silenceLimit ||
-		reclaimed && m.silentFor(worker, now) > m.heartbeatLateAfter()
+		reclaimed && m.silentFor(worker, now) > m.heartbeatTimeout()
 }
 
 // bootTimedOut reports whether an instance has taken several times the boot time of its type
--- a/internal/leader/faults_test.go
+++ b/internal/leader/faults_test.go
@@ -79,7 +79,7 @@
 				}
 			}
 			if got := leader.failures.faultyWorkers(now); len(got) > 0 {
-				t.Errorf("released %v", got)
+				t.Errorf("got released workers %v, want none", got)
 			}
 			if got := leader.scheduler.acceptsTasks(leader.workers["h0"], now); got != tc.wantAccepts {
 				t.Errorf("accepts tasks: %v, want %v", got, tc.wantAccepts)
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -39,8 +39,8 @@
 	defer h.mu.Unlock()
 	epoch := h.leadership.Epoch()
 	if heartbeat.Epoch > epoch || h.ctx.Err() != nil {
-		// The worker has seen a later leader. It would discard a 200 and stay with this
-		// controller while its lease expires.
+		// The worker has seen a later leader. It would discard a successful response (HTTP 200)
+		// and stay with this controller while its lease expires.
 		return wire.CommandBatch{}, nil, ErrNotLeading
 	}
 	worker := h.applyHeartbeat(heartbeat)
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -60,7 +60,7 @@
 	for _, tc := range []struct {
 		name                  string
 		incarnation, sequence uint64
-		heard                 bool // it counts as a sign of life
+		provesLiveness        bool
 	}{
 		{"newer", 2, 11, true},
 		{"older than the latest", 2, 9, false},
@@ -83,11 +83,11 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			heard := worker.LastHeartbeat.Equal(now) && leader.heartbeats.lastHeartbeat.Equal(now) &&
+			alive := worker.LastHeartbeat.Equal(now) && leader.heartbeats.lastHeartbeat.Equal(now) &&
 				worker.LastUpdate.Equal(now)
-			if renewed := leader.leaseRenewed(worker, now); heard != tc.heard || heard != renewed {
+			if renewed := leader.leaseRenewed(worker, now); alive != tc.provesLiveness || alive != renewed {
 				t.Errorf("got last heartbeat %v, last update %v, lease renewed %v; want counted as alive: %v",
-					worker.LastHeartbeat, worker.LastUpdate, renewed, tc.heard)
+					worker.LastHeartbeat, worker.LastUpdate, renewed, tc.provesLiveness)
 			}
 			if !worker.LastAnswered.Equal(now) {
 				t.Errorf("got last answered %v, want %v: the response may have renewed the lease", worker.LastAnswered, now)
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -32,7 +32,7 @@
 		}
 	}
 	silence := now.Sub(lastSeen)
-	if worker.LastUpdate.After(lastSeen) && silence <= m.leaseOverAfter() {
+	if worker.LastUpdate.After(lastSeen) && silence <= m.leaseTimeout() {
 		return now.Sub(worker.LastUpdate)
 	}
 	return silence
@@ -68,9 +68,9 @@
 	}
 }
 
-// unreachable reports whether a silent worker is more likely partitioned than dead. Until that has
-// lasted for longer than partitions usually do, its instance is not released, and does not count
-// as available capacity either.
+// unreachable reports whether a silent worker is more likely partitioned than dead. Until the
+// worker's outage has lasted for longer than partitions usually do, its instance is not released, and
+// does not count as available capacity either.
 func (m *failureMonitor) unreachable(worker *agent.Worker, now time.Time) bool {
 	observation := m.observation(worker, now)
 	if !m.detector.Suspected(observation) {
@@ -85,5 +85,5 @@
 // in its zone can answer it, and it has been silent for more than a lease. If another controller
 // owns it, this is no proof, but the release of its instance is.
 func (m *failureMonitor) likelyExpired(worker *agent.Worker, now time.Time) bool {
-	return !m.settings.HasControllerInZone(worker.Zone) && m.silentFor(worker, now) > m.leaseOverAfter()
+	return !m.settings.HasControllerInZone(worker.Zone) && m.silentFor(worker, now) > m.leaseTimeout()
 }
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -18,12 +18,13 @@
 // interval.
 func (s *termScope) monitorInterval() time.Duration { return s.settings.HeartbeatInterval() / 6 }
 
-// heartbeatLateAfter returns the time since the last heartbeat after which the next one is late:
+// heartbeatTimeout returns the time since the last heartbeat after which the next one is late:
 // half an interval after it was due.
-func (s *termScope) heartbeatLateAfter() time.Duration { return 3 * s.settings.HeartbeatInterval() / 2 }
+func (s *termScope) heartbeatTimeout() time.Duration { return 3 * s.settings.HeartbeatInterval() / 2 }
 
-// leaseOverAfter returns the time without an answer after which a lease has expired by any clock.
-func (s *termScope) leaseOverAfter() time.Duration {
+// leaseTimeout returns the time without an answered heartbeat after which a worker's lease has
+// expired by any clock.
+func (s *termScope) leaseTimeout() time.Duration {
 	return s.settings.WorkerLease() + s.settings.WorkerLease()/clockDriftDivisor + s.settings.HeartbeatInterval()/3
 }
 
