--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -31,8 +31,8 @@
 	limits txnLimits
 }
 
-// limitBatch reduces the limits of a batch so that the block that records it fits: it takes one
-// operation, and its value holds a limited number of claims.
+// limitBatch reduces the limits of a batch to leave room for the audit block that records it: the
+// block takes one operation, and its value holds a limited number of claims.
 func (a *auditWriter) limitBatch(limits *ledger.BatchLimits) {
 	limits.MaxOperations = max(limits.MaxOperations-1, minBatchOps)
 	limits.AuditBlock = a.head.Seq + 1
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -17,7 +17,8 @@
 )
 
 // auditWriter appends to the audit log: it records the leader's decisions in blocks that are
-// committed with its transactions. If no audit log is kept it is nil, and its methods do nothing.
+// committed with its transactions. The auditWriter is nil if no audit log is written; its methods
+// then do nothing.
 //
 // Decisions that take effect by a transaction (claims, ends, cancellations) are recorded in that
 // transaction. Other events (stops, releases, freed claims) are queued, and are written with the
@@ -216,8 +217,9 @@
 	a.pending[key] = pendingEntry{revision, pending.Entries}
 }
 
-// dropPending handles a failed compare: if the key is that of a pending entry, the entry was
-// appended by an earlier leader and is removed. It reports whether it is. Callers hold mu.
+// dropPending handles a failed compare. If the key is that of a pending entry, an earlier leader
+// has appended that entry, and dropPending removes it. It reports whether the key is that of a
+// pending entry. Callers hold mu.
 func (a *auditWriter) dropPending(key string) bool {
 	if a == nil || !strings.HasPrefix(key, audit.PendingPrefix) {
 		return false
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -20,7 +20,7 @@
 }
 
 // ApplyCancellations applies the cancellations that this controller has received to the current
-// term, and reports whether it leads and did so. Workers are then sent stop commands at once, even
+// term. It reports whether this controller leads and has applied them. Workers are then sent stop commands at once, even
 // while the store, whose watch also reports cancellations, refuses this controller.
 func (r *Runner) ApplyCancellations() bool {
 	term := r.current.Load()
@@ -44,8 +44,8 @@
 // LaunchesResolved reports whether no start command sent by this leader can still start a task of
 // the given cancelled jobs; the cancellation is acknowledged to the user only then. A start command
 // counts as unresolved no longer than the failure timeout, after which a worker that has not
-// reported its outcome is suspected: it is then either released or cut off by a partition, and the
-// user gets the acknowledgement.
+// reported its outcome is suspected: the worker is then either released or cut off by a partition,
+// and the user gets the acknowledgement.
 func (r *Runner) LaunchesResolved(jobIDs ...string) bool {
 	term := r.current.Load()
 	if term == nil {
@@ -53,10 +53,10 @@
 	}
 	term.mu.Lock()
 	defer term.mu.Unlock()
-	return term.cancellations.launchesResolved(jobIDs)
+	return term.cancellations.startCommandsResolved(jobIDs)
 }
 
-func (c *cancellations) launchesResolved(jobIDs []string) bool {
+func (c *cancellations) startCommandsResolved(jobIDs []string) bool {
 	now := c.now()
 	suspectAfter := time.Duration(c.settings.Operator.Fleet.FailureTimeout * float64(c.settings.HeartbeatInterval()))
 	for _, jobID := range jobIDs {
@@ -85,7 +85,7 @@
 }
 
 // cancelJob marks a job as cancelled: it left the live keys without being done. Its claims stay
-// until their tasks are proven to be gone.
+// until their tasks are proven to have ended.
 func (c *cancellations) cancelJob(jobID string) {
 	job := c.jobs.Job(jobID)
 	if job == nil || job.Cancelled {
@@ -96,13 +96,13 @@
 	} else {
 		c.log.Info("job cancelled", "job", jobID, "claims", job.ClaimedTasks())
 	}
-	holders := make(map[string]bool)
+	claimedWorkers := make(map[string]bool)
 	for _, claim := range c.jobs.ClaimsOfJob(job) {
-		holders[claim.Worker] = true
+		claimedWorkers[claim.Worker] = true
 	}
 	job.CancelledAt = c.now()
 	c.jobs.Cancel(jobID)
-	for name := range holders {
+	for name := range claimedWorkers {
 		if worker := c.workers[name]; worker != nil {
 			worker.WakeSender()
 		}
@@ -113,7 +113,7 @@
 
 // cancelledJobs returns the cancelled jobs that still have claims. Just after a new leader has
 // loaded the claims, these are all cancelled jobs whose tasks may still run: a claim is deleted
-// only once its task is proven to be gone.
+// only once its task is proven to have ended.
 func (c *cancellations) cancelledJobs() []string {
 	var jobIDs []string
 	for jobID, job := range c.jobs.Jobs() {
@@ -124,8 +124,8 @@
 	return jobIDs
 }
 
-// hasOverdueTask reports whether a cancelled task may still be on a worker at its deadline. The
-// worker may be in a partition with a controller that does not know of the cancellation, commands
+// hasOverdueTask reports whether a cancelled task may still be on a worker at the deadline by which
+// cancelled tasks must have ended. The worker may be in a partition with a controller that does not know of the cancellation, commands
 // may not reach it, or a start command of unknown outcome may still be in flight to it: in these
 // cases only the release of the instance is certain to end the task.
 func (c *cancellations) hasOverdueTask(worker *agent.Worker, now time.Time) bool {
--- a/internal/leader/dataloss.go
+++ b/internal/leader/dataloss.go
@@ -28,7 +28,8 @@
 	return fmt.Errorf("%w: %w", dataloss.ErrIncarnationReplaced, cause)
 }
 
-// dataLossSuspected reports whether data may have been lost. While it does, no commands are sent.
+// dataLossSuspected reports whether data may have been lost. No commands are sent while a data loss
+// is suspected.
 func (e *environment) dataLossSuspected() bool {
 	if e.dataLoss == nil {
 		return false
--- a/internal/leader/load_test.go
+++ b/internal/leader/load_test.go
@@ -51,14 +51,14 @@
 		}
 		page.Items = append(page.Items, wire.KeyValue{Key: s.keys[i], Value: s.data[s.keys[i]], ModRevision: 9})
 	}
-	answer, err := json.Marshal(page)
+	response, err := json.Marshal(page)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	s.requests++
-	s.bytes += len(answer)
-	w.Write(answer)
+	s.bytes += len(response)
+	w.Write(response)
 }
 
 // Shape of the jobs in BenchmarkTakeover.
--- a/internal/leader/loadcheck.go
+++ b/internal/leader/loadcheck.go
@@ -8,13 +8,13 @@
 	"rillflow/internal/replica"
 )
 
-// maxEndRecordLookUps bounds the end records that are looked up in a row.
+// maxEndRecordLookUps bounds the end records that are looked up one after the other.
 const maxEndRecordLookUps = 64
 
 // compareWithReplica compares the loaded state with this controller's replica of the same
 // incarnation. A key of the replica that is not in the store and that nobody can have deleted
-// proves a data loss. If the replica is behind, the check takes a few reads; it returns the end
-// records that the replica lacks, by job.
+// proves a data loss. If the replica is behind, compareWithReplica reads the end records that the
+// replica lacks, which takes a few reads, and returns them by job.
 func (l *loader) compareWithReplica(ctx context.Context, state *loadedState) (map[string][]byte, error) {
 	endRecords := make(map[string][]byte)
 	tree, head := l.replica.Tree()
@@ -35,7 +35,7 @@
 	return endRecords, nil
 }
 
-// jobsNotLive returns the first maxEndingLookups jobs that are live in the replica but not in the
+// jobsNotLive returns the first maxEndRecordLookUps jobs that are live in the replica but not in the
 // store.
 func jobsNotLive(tree *replica.Tree, live map[string]bool) []string {
 	var jobIDs []string
--- a/internal/leader/orphans.go
+++ b/internal/leader/orphans.go
@@ -15,8 +15,8 @@
 )
 
 // orphanTracker tracks orphans: tasks on workers whose job has no record left, because the record
-// was in the lost part of the data. They keep running until the user submits the job again, and
-// they are adopted, or cancels it.
+// was in the lost part of the data. They keep running until the user submits the job again, which
+// lets the leader adopt them, or cancels it.
 //
 // Serve runs its loop, resolveOrphans. The heartbeat reconciler asks it whether a task is an
 // orphan, the job watcher has it adopt the tasks of a new job, the status view counts them; all
@@ -93,8 +93,8 @@
 func (o *orphanTracker) hasEnded(ctx context.Context, jobID string) (bool, error) {
 	_, err := o.store.Get(ctx, ledger.EndedKey(jobID))
 	if errors.Is(err, kvstore.ErrNotFound) {
-		_, remembered := o.replica.Get(ledger.EndedKey(jobID))
-		return remembered, nil
+		_, inReplica := o.replica.Get(ledger.EndedKey(jobID))
+		return inReplica, nil
 	}
 	return err == nil, err
 }
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -33,9 +33,9 @@
 	return nil
 }
 
-// awaitEarlierEpochs waits until all workers that are up have reported, or for a lease, so that a
-// worker that knows an earlier incarnation of the store is found. A worker that has seen an epoch
-// of such an incarnation ends the term at once.
+// awaitEarlierEpochs waits until all workers that are up have reported, at most for a lease, so that
+// a worker that has seen an epoch of an earlier incarnation of the store is found. Such a worker
+// ends the term at once.
 func (r *dataRecovery) awaitEarlierEpochs(ctx context.Context) error {
 	for retry.Sleep(ctx, r.settings.HeartbeatInterval()/2) {
 		r.mu.Lock()
@@ -83,7 +83,8 @@
 
 // placementOnHold reports whether no task may be placed yet, because data was lost and some worker
 // may run a task that no record shows. Jobs that arrived after the loss cannot have such tasks; see
-// jobOnHold. The first call that finds the hold over ends it for good. Callers hold mu.
+// jobOnHold. The first call that finds that no job has to be held back any more ends the hold
+// for the rest of the term. Callers hold mu.
 func (r *dataRecovery) placementOnHold(now time.Time) bool {
 	progress := r.progress
 	if progress == nil || !progress.full || !progress.placementResumedAt.IsZero() {
--- a/internal/leader/placementhold_test.go
+++ b/internal/leader/placementhold_test.go
@@ -14,7 +14,7 @@
 // TestPlacementOnHold guards against starting a task a second time after the store has lost data:
 // nothing is placed before all live data is stored again and all workers that may run tasks have
 // reported. If some never report, only jobs that arrived after the loss are placed, unless this
-// controller remembers every claim.
+// controller's replica has every claim.
 func TestPlacementOnHold(t *testing.T) {
 	const firstEpoch = 7
 	startedAt := time.Unix(1000, 0)
@@ -34,7 +34,7 @@
 	fullRecovery := func(exact bool, durableAt time.Time) *recoveryProgress {
 		return &recoveryProgress{full: true, exact: exact, durableAt: durableAt}
 	}
-	const remembersAll, remembersSome = true, false // whether this controller remembers every claim
+	const allClaims, someClaims = true, false // whether this controller's replica has every claim
 	notStored := time.Time{}
 	for _, tc := range []struct {
 		name          string
@@ -46,20 +46,20 @@
 	}{
 		{"nothing was lost", nil, unreported(), 0, false, false},
 		{"only end records are missing", &recoveryProgress{}, unreported(), 0, false, false},
-		{"live data not stored yet", fullRecovery(remembersAll, notStored), reported(firstEpoch), 12 * time.Second,
+		{"live data not stored yet", fullRecovery(allClaims, notStored), reported(firstEpoch), 12 * time.Second,
 			true, true},
-		{"a worker has not reported", fullRecovery(remembersAll, startedAt), unreported(), 12 * time.Second, true, true},
-		{"reported, but an earlier leader may still command it", fullRecovery(remembersAll, startedAt),
+		{"a worker has not reported", fullRecovery(allClaims, startedAt), unreported(), 12 * time.Second, true, true},
+		{"reported, but an earlier leader may still command it", fullRecovery(allClaims, startedAt),
 			reported(firstEpoch - 1), 12 * time.Second, true, true},
-		{"all reported, all claims remembered", fullRecovery(remembersAll, startedAt), reported(firstEpoch),
+		{"all reported, all claims in the replica", fullRecovery(allClaims, startedAt), reported(firstEpoch),
 			2 * time.Second, false, false},
-		{"all reported, but the instance list may lag", fullRecovery(remembersSome, startedAt), reported(firstEpoch),
+		{"all reported, but the instance list may lag", fullRecovery(someClaims, startedAt), reported(firstEpoch),
 			9 * time.Second, true, true},
-		{"all reported, and the instance list is up to date", fullRecovery(remembersSome, startedAt),
+		{"all reported, and the instance list is up to date", fullRecovery(someClaims, startedAt),
 			reported(firstEpoch), 11 * time.Second, false, false},
-		{"one never reports, all claims remembered", fullRecovery(remembersAll, startedAt), unreported(),
+		{"one never reports, all claims in the replica", fullRecovery(allClaims, startedAt), unreported(),
 			34 * time.Second, false, false},
-		{"one never reports, some claims remembered", fullRecovery(remembersSome, startedAt), unreported(),
+		{"one never reports, some claims in the replica", fullRecovery(someClaims, startedAt), unreported(),
 			34 * time.Second, false, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -19,8 +19,9 @@
 // Serve runs restoreLiveData before any loop that makes decisions, then finishRecovery alongside
 // them. The scheduler asks it whether tasks may be placed, the heartbeat reconciler has it adopt
 // tasks that workers report, the status view reads the progress; all of these hold mu. mu guards
-// progress, and only the two functions, one after the other, change its pending writes. It must
-// not hold mu during a request to the store, nor let a task be placed that may already be running.
+// progress, and only the two functions, one after the other, change its pending writes. The
+// recovery must not hold mu during a request to the store, nor let a task be placed that may already
+// be running.
 type dataRecovery struct {
 	*termScope
 	storeReader *storeReader
