--- a/internal/leader/dependencies.go
+++ b/internal/leader/dependencies.go
@@ -30,8 +30,8 @@
 	lastOverdue string          // the dependent last logged as overdue for cancellation
 }
 
-// maxConcurrentLookups bounds the reads of end records in flight.
-const maxConcurrentLookups = 8
+// maxConcurrentLookUps bounds the reads of end records in flight.
+const maxConcurrentLookUps = 8
 
 // runLookUps looks up how dependencies ended that are not live in the job table, among them those
 // that ended under an earlier leader.
@@ -87,12 +87,12 @@
 	err   error // of the request to the store
 }
 
-// lookUp looks up dependencies, up to maxConcurrentLookups at a time, until the store refuses a
+// lookUp looks up dependencies, up to maxConcurrentLookUps at a time, until the store refuses a
 // request: the request budget is shared with other components. It returns the look-ups made, which
 // are those of a prefix of jobIDs.
 func (d *dependencies) lookUp(ctx context.Context, jobIDs []string) []dependencyLookUp {
 	lookUps := make([]dependencyLookUp, 0, len(jobIDs)) // never reallocated: goroutines hold pointers to elements
-	slots := make(chan struct{}, maxConcurrentLookups)
+	slots := make(chan struct{}, maxConcurrentLookUps)
 	var wg sync.WaitGroup
 	var refused atomic.Bool
 	for _, jobID := range jobIDs {
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -15,7 +15,7 @@
 )
 
 // All direct and indirect dependencies of a job inherit its priority and its deadline, the latter
-// reduced by the steps in between, even if the job is added last. They lose both when the job is
+// reduced by the expected durations of the jobs in between, even if the job is added last. They lose both when the job is
 // cancelled.
 func TestInheritedPriorityAndDeadline(t *testing.T) {
 	leader := newTestTerm(t)
@@ -57,7 +57,7 @@
 		ExpectedSeconds: 4, DeadlineSeconds: 200, DependsOn: []string{"req-4"},
 	}
 	leader.addTestJob("req-5", last)
-	// The objective allows 1.5 times the deadline; a step takes 1.5 times its expected run time and
+	// The objective allows 1.5 times the deadline; a job takes 1.5 times its expected run time and
 	// half a heartbeat interval.
 	d5 := 300.0
 	d4 := d5 - 1.5*4 - 1.5
--- a/internal/leader/inheritance.go
+++ b/internal/leader/inheritance.go
@@ -9,9 +9,10 @@
 // longestTaskRatio is the assumed ratio of the longest run time of a job's tasks to the mean.
 const longestTaskRatio = 1.5
 
-// inherited returns what a job inherits from its dependents: the highest priority among them, and
-// for each deadline objective the latest time at which the job may finish so that all of them, with
-// the steps between, meet their deadlines. It is cached in the job until its dependents change.
+// inherited returns what a job inherits from its direct and indirect dependents: the highest
+// priority among them, and for each deadline objective the latest time at which the job may finish
+// so that all of them meet their deadlines. The result is cached in the job until its dependents
+// change.
 //
 // Callers hold mu.
 func (d *dependencies) inherited(job *ledger.Job) *ledger.InheritedPriority {
@@ -29,14 +30,14 @@
 			if due.IsZero() {
 				continue
 			}
-			due = due.Add(-d.stepDuration(dependent))
+			due = due.Add(-d.expectedDuration(dependent))
 			if inherited.Deadlines[i].IsZero() || due.Before(inherited.Deadlines[i]) {
 				inherited.Deadlines[i] = due
 			}
 		}
 	}
 	if origin := job.Origin; origin != nil && origin.MaxPriority != "" {
-		// Whatever its dependents have, the priority does not exceed the submitter's limit. The
+		// Whatever the priorities of its dependents, the job does not exceed its submitter's limit. The
 		// limit is at least the requested priority, or the job would not have been accepted.
 		inherited.Priority = max(inherited.Priority, priorityLevel(origin.MaxPriority))
 	}
@@ -59,9 +60,9 @@
 	return own
 }
 
-// stepDuration returns how long a job is expected to take once it is ready: until its longest task
-// is done and the leader has learned of it, so that the next step can start.
-func (d *dependencies) stepDuration(job *ledger.Job) time.Duration {
+// expectedDuration returns how long a job is expected to take once it is ready: until its longest
+// task is done and the leader has learned of it, so that its dependents can start.
+func (d *dependencies) expectedDuration(job *ledger.Job) time.Duration {
 	longest := longestTaskRatio * job.Spec.ExpectedSeconds
 	return time.Duration(longest*float64(time.Second)) + d.settings.HeartbeatInterval()/2
 }
--- a/internal/leader/latencies.go
+++ b/internal/leader/latencies.go
@@ -27,6 +27,6 @@
 
 // recordStart records the latency from a task's job being ready to the task running.
 func (l *latencies) recordStart(claim *ledger.Claim, now time.Time) {
-	// Values out of range are refused; they are not needed here.
+	// RecordValue rejects values out of range; they are not needed here.
 	_ = l.start.RecordValue(now.Sub(claim.Job.ReadyAt).Milliseconds())
 }
--- a/internal/leader/offer.go
+++ b/internal/leader/offer.go
@@ -15,7 +15,8 @@
 // maxOfferedJobs limits the jobs per type in one offer; the rest follow once these are placed.
 const maxOfferedJobs = 64
 
-// pickTimeoutDivisor divides the heartbeat interval into the time that shard owners have to pick.
+// pickTimeoutDivisor determines how long shard owners have to pick: the heartbeat interval divided by
+// this number.
 const pickTimeoutDivisor = 12
 
 // offerMaker offers free capacity and waiting jobs to the shard owners and collects their picks.
@@ -155,8 +156,9 @@
 }
 
 // prefersOnDemand reports whether a job is better placed on workers that the cloud does not reclaim.
-// This is so if it or a dependent has a deadline, since one lost task delays all of them, unless the
-// fleet is never scaled ahead of demand, as where the objectives price instances.
+// That is so if the job or a dependent has a deadline, since one lost task delays all of them. It is
+// never so if the fleet is never scaled ahead of demand, for example because there is an objective
+// on the price of instances.
 func (o *offerMaker) prefersOnDemand(job *ledger.Job) bool {
 	return !o.settings.NeverScalesAhead() &&
 		slices.ContainsFunc(o.dependencies.inherited(job).Deadlines, func(deadline time.Time) bool {
--- a/internal/leader/offer_test.go
+++ b/internal/leader/offer_test.go
@@ -11,12 +11,12 @@
 // partitionedOwners is a Shards in which one shard owner is unreachable.
 type partitionedOwners struct {
 	noopShards
-	unreachable string
-	asked       []string
+	unreachable     string
+	requestedOwners []string
 }
 
 func (p *partitionedOwners) Pick(_ context.Context, node string, offer placement.Offer) ([]placement.Pick, error) {
-	p.asked = append(p.asked, node)
+	p.requestedOwners = append(p.requestedOwners, node)
 	if node == p.unreachable {
 		return nil, errors.New("not connected")
 	}
@@ -36,7 +36,7 @@
 	picks := leader.scheduler.offers.requestPicks(t.Context(), map[string]*placement.Offer{
 		"far": {Candidates: []placement.Candidate{{Worker: "h0"}, {Worker: "h1"}}},
 	})
-	if len(picks) != 2 || len(owners.asked) != 2 || owners.asked[1] != leader.settings.Name {
-		t.Errorf("%d picks, want 2; asked %v, want far, then %s", len(picks), owners.asked, leader.settings.Name)
+	if len(picks) != 2 || len(owners.requestedOwners) != 2 || owners.requestedOwners[1] != leader.settings.Name {
+		t.Errorf("got %d picks, requested from %v; want 2 picks, requested from far, then %s", len(picks), owners.requestedOwners, leader.settings.Name)
 	}
 }
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -21,12 +21,13 @@
 }
 
 const (
-	// preemptionWaitDivisor divides the heartbeat interval into the time that a job waits before
-	// it preempts others. If there were free capacity, the job would get it within that time.
+	// preemptionWaitDivisor determines how long a job waits before it preempts others: the
+	// heartbeat interval divided by this number. If there were free capacity, the job would get it
+	// within that time.
 	preemptionWaitDivisor = 16
-	// preemptionIntervalDivisor divides the heartbeat interval into the time between two
-	// preemptions for a job. Stopped tasks end quickly; the time is for the job to claim the
-	// freed capacity before more tasks are stopped.
+	// preemptionIntervalDivisor determines the time between two preemptions for a job: the
+	// heartbeat interval divided by this number. Stopped tasks end quickly; the time is for the job
+	// to claim the freed capacity before more tasks are stopped.
 	preemptionIntervalDivisor = 2
 	// preemptionPullWeight is the cost of a second of pulling the waiting task's image, in seconds
 	// of lost work.
--- a/internal/leader/ranking.go
+++ b/internal/leader/ranking.go
@@ -68,10 +68,10 @@
 	}
 }
 
-// limitLastChances limits the jobs that go first because they are about to miss a deadline to as
-// many as there will be capacity for, the least work first. In a long overload nearly all jobs are
-// about to miss one: the largest would go before all others, and most would still miss it. A job
-// without capacity counts as having missed its deadline already.
+// limitLastChances limits the number of jobs that go first because they are about to miss a
+// deadline: only as many do as there will be capacity for, chosen by the least work. In a long
+// overload nearly all jobs are about to miss one: the largest would go before all others, and most
+// would still miss it. A job without capacity counts as having missed its deadline already.
 func limitLastChances(entries []orderedJob, table *ledger.Table, margin time.Duration) {
 	var lastChances []*orderedJob
 	for i := range entries {
--- a/internal/leader/ranking_test.go
+++ b/internal/leader/ranking_test.go
@@ -39,7 +39,7 @@
 			jobs := []*ledger.Job{second, first}
 			leader.scheduler.ranking.orderJobs(jobs, now)
 			if got := jobs[0] == first; got != tc.wantFirst {
-				t.Errorf("the first goes first: %v", got)
+				t.Errorf("first job goes first: got %v, want %v", got, tc.wantFirst)
 			}
 		})
 	}
@@ -81,7 +81,7 @@
 			jobs := []*ledger.Job{second, first}
 			leader.scheduler.ranking.orderJobs(jobs, now)
 			if got := jobs[0] == first; got != tc.wantFirst {
-				t.Errorf("the first goes first: %v", got)
+				t.Errorf("first job goes first: got %v, want %v", got, tc.wantFirst)
 			}
 		})
 	}
--- a/internal/leader/reservation.go
+++ b/internal/leader/reservation.go
@@ -41,7 +41,7 @@
 }
 
 // lacksCapacity reports whether the job's next task fits no candidate, though it is within its
-// quota and would fit one that were empty.
+// quota and would fit one of them if that were empty.
 func lacksCapacity(table *ledger.Table, job *ledger.Job, candidates []*candidate) bool {
 	fitsSomewhere := false
 	for _, target := range candidates {
--- a/internal/leader/scheduler.go
+++ b/internal/leader/scheduler.go
@@ -119,7 +119,7 @@
 			continue
 		}
 		if s.ranking.tier(job) != pick.Tier {
-			tierChanged = true // the guaranteed quota is used up meanwhile: other jobs may come first
+			tierChanged = true // the guaranteed quota has been used up meanwhile: other jobs may come first
 			continue
 		}
 		if s.claimTask(target, job) {
--- a/internal/leader/taskevents.go
+++ b/internal/leader/taskevents.go
@@ -9,7 +9,7 @@
 	"rillflow/internal/wire"
 )
 
-// taskStarted records that a task is running, and so that its worker has pulled the image.
+// taskStarted records that a task is running, which shows that its worker has pulled the image.
 func (h *heartbeatReconciler) taskStarted(claim *ledger.Claim, worker *agent.Worker, now time.Time) {
 	cacheGB := 0.0
 	if instanceType := h.instanceTypes.InstanceTypes()[worker.InstanceType]; instanceType != nil {
