--- a/internal/leader/autoscaler.go
+++ b/internal/leader/autoscaler.go
@@ -16,7 +16,7 @@
 const (
 	maxReleaseNames     = 100 // instance names per release request, a limit of the protocol
 	maxRequestsPerRound = 32  // scale-out requests before the instance list is read again
-	requestsPerInterval = 4   // rounds are at least as far apart as this many requests at the cloud's rate limit
+	requestsPerInterval = 4   // requests that the cloud's rate limit must allow in the interval between rounds
 )
 
 // autoscaler requests and releases instances.
@@ -120,7 +120,7 @@
 	return idle
 }
 
-// recordScaleOut records the answer to a scale-out request and adds the granted workers.
+// recordScaleOut records the response to a scale-out request and adds the granted workers.
 func (a *autoscaler) recordScaleOut(request wire.ScaleOutRequest, names []string, err error) {
 	now := a.now()
 	if err != nil && !errors.Is(err, fleet.ErrNoCapacity) {
@@ -151,7 +151,7 @@
 	a.auditLog.enqueue(now, audit.Entry{Action: audit.Released, Subject: name, Reason: reason})
 }
 
-// releaseInstances releases instances and frees their claims: a successful answer proves that
+// releaseInstances releases instances and frees their claims: a successful response proves that
 // their tasks have ended.
 func (a *autoscaler) releaseInstances(ctx context.Context, names []string) {
 	err := a.cloud.ReleaseInstances(ctx, names)
--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -22,7 +22,7 @@
 // drains.
 //
 // The failure monitor and the autoscaler call it with mu held. It stops tasks and wakes
-// their workers' senders; it frees no claim and releases no instance.
+// the command loops of their workers; it frees no claim and releases no instance.
 type drainer struct {
 	*termScope
 	scheduler *scheduler
--- a/internal/leader/fakes_test.go
+++ b/internal/leader/fakes_test.go
@@ -50,7 +50,7 @@
 	return nil, nil
 }
 
-func (noopShards) EligibleOwners(have []string) []string { return have }
+func (noopShards) EligibleOwners(owners []string) []string { return owners }
 
 func (noopShards) StoreServesPeerOnly() (string, bool) { return "", false }
 
--- a/internal/leader/model_test.go
+++ b/internal/leader/model_test.go
@@ -39,7 +39,7 @@
 	store         map[string][]byte
 	jobs          []string
 	succeeded     map[string]bool // tasks that finished successfully
-	quotaCPUs     float64         // the team's quota, in CPUs and tasks
+	quotaCPUs     float64         // the team's quota; each task uses one CPU
 	config        *settings.Settings
 }
 
@@ -168,7 +168,7 @@
 	}
 }
 
-// write writes a batch of the job table's changes. The write may fail, or its answer may be lost.
+// write writes a batch of the job table's changes. The write may fail, or its response may be lost.
 func (m *model) write() {
 	operations := rapid.IntRange(3, 16).Draw(m.t, "ops")
 	limits := ledger.BatchLimits{MaxOperations: operations, MaxBytes: 1 << 16, MaxValueBytes: 1 << 14}
--- a/internal/leader/modelworker_test.go
+++ b/internal/leader/modelworker_test.go
@@ -79,19 +79,19 @@
 	}
 }
 
-// deliverAnswer delivers the answer to a heartbeat, which renews the worker's lease.
-func (m *model) deliverAnswer(worker *modelWorker, heartbeat wire.Heartbeat, answer wire.CommandBatch) {
-	if worker.released || worker.incarnation != heartbeat.Incarnation || answer.Epoch < worker.epoch {
+// deliverResponse delivers the response to a heartbeat, which renews the worker's lease.
+func (m *model) deliverResponse(worker *modelWorker, heartbeat wire.Heartbeat, response wire.CommandBatch) {
+	if worker.released || worker.incarnation != heartbeat.Incarnation || response.Epoch < worker.epoch {
 		return
 	}
-	worker.epoch, worker.answeredAt = answer.Epoch, m.now
-	m.execute(worker, answer.Commands)
+	worker.epoch, worker.answeredAt = response.Epoch, m.now
+	m.execute(worker, response.Commands)
 }
 
-// askLeader returns the leader's answer to a heartbeat, which may be a late one.
-func (m *model) askLeader(heartbeat wire.Heartbeat) (wire.CommandBatch, error) {
-	answer, _, err := runnerOf(m.leader).Heartbeat(context.Background(), &heartbeat)
-	return answer, err
+// sendToLeader sends a heartbeat, which may be a delayed one, to the leader and returns the response.
+func (m *model) sendToLeader(heartbeat wire.Heartbeat) (wire.CommandBatch, error) {
+	response, _, err := runnerOf(m.leader).Heartbeat(context.Background(), &heartbeat)
+	return response, err
 }
 
 // sendHeartbeats lets some workers send heartbeats by random routes: to the leader itself, to the
@@ -137,40 +137,40 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat by the given route. Its answer may be lost.
+// sendHeartbeat sends one heartbeat by the given route. The response may be lost.
 func (m *model) sendHeartbeat(worker *modelWorker, route string) {
 	heartbeat := worker.heartbeat()
-	answerLost := rapid.IntRange(0, 4).Draw(m.t, "answer lost") == 0
-	var answer wire.CommandBatch
+	responseLost := rapid.IntRange(0, 4).Draw(m.t, "answer lost") == 0
+	var response wire.CommandBatch
 	err := errors.New("no controller answers")
 	switch route {
 	case "leader":
 		if m.leadership.shards.Owner(worker.name) == "n" {
-			answer, err = m.askLeader(heartbeat)
+			response, err = m.sendToLeader(heartbeat)
 		}
 	case "forwarded":
 		if m.knownShards.Owner(worker.name) == "m" && heartbeat.Epoch <= m.knownShards.Epoch {
-			answer, err = m.askLeader(heartbeat)
+			response, err = m.sendToLeader(heartbeat)
 		}
 	case "partitioned":
 		mayAnswer := m.knownShards.Owner(worker.name) == "m" ||
 			m.knownShards.ZoneFallback && worker.zone == "b" && slices.Contains(m.knownShards.Owners, "m")
 		if mayAnswer && heartbeat.Epoch <= m.knownShards.Epoch {
-			answer, err = wire.CommandBatch{Epoch: m.knownShards.Epoch}, nil
+			response, err = wire.CommandBatch{Epoch: m.knownShards.Epoch}, nil
 		}
 	case "deposed":
 		if m.deposedLeader != nil {
-			answer, _, err = runnerOf(m.deposedLeader).Heartbeat(context.Background(), &heartbeat)
+			response, _, err = runnerOf(m.deposedLeader).Heartbeat(context.Background(), &heartbeat)
 		}
 	case "delayed":
 		worker.lateHeartbeats = append(worker.lateHeartbeats, heartbeat)
 	}
-	if err == nil && !answerLost {
-		m.deliverAnswer(worker, heartbeat, answer)
+	if err == nil && !responseLost {
+		m.deliverResponse(worker, heartbeat, response)
 	}
 }
 
-// deliverLateHeartbeat delivers a delayed heartbeat, whose answer the worker drops.
+// deliverLateHeartbeat delivers a delayed heartbeat, whose response the worker drops.
 func (m *model) deliverLateHeartbeat() {
 	worker := m.drawWorker()
 	if len(worker.lateHeartbeats) == 0 || m.leadership.shards.Owner(worker.name) != "n" {
@@ -178,7 +178,7 @@
 	}
 	heartbeat := worker.lateHeartbeats[0]
 	worker.lateHeartbeats = worker.lateHeartbeats[1:]
-	_, _ = m.askLeader(heartbeat)
+	_, _ = m.sendToLeader(heartbeat)
 }
 
 // sendCommands sends a worker's due commands directly to it, or delays them.
@@ -202,7 +202,7 @@
 	m.deliverCommands(worker, batch)
 }
 
-// deliverCommands delivers direct commands. The heartbeat that answers them may be lost.
+// deliverCommands delivers direct commands. The heartbeat that the worker returns may be lost.
 func (m *model) deliverCommands(worker *modelWorker, batch wire.CommandBatch) {
 	if worker.released || batch.Epoch < worker.epoch || batch.Incarnation != worker.incarnation {
 		return
--- a/internal/leader/propagator_test.go
+++ b/internal/leader/propagator_test.go
@@ -112,8 +112,8 @@
 // Guards against dependents that are never cancelled because a batch with more operations than the
 // store's rate limit allows at once is sent again unchanged forever.
 func TestPropagationReducesBatchWhenRateLimited(t *testing.T) {
-	for _, room := range []int{2, 4, 15, 16} {
-		t.Run(fmt.Sprint(room), func(t *testing.T) {
+	for _, maxOperations := range []int{2, 4, 15, 16} {
+		t.Run(fmt.Sprint(maxOperations), func(t *testing.T) {
 			const dependents = 20
 			cancelled, requests := 0, 0
 			leader := newStoreTerm(t, func(w http.ResponseWriter, r *http.Request) {
@@ -121,7 +121,7 @@
 				if err := json.NewDecoder(r.Body).Decode(&txn); err != nil {
 					t.Error(err)
 				}
-				if requests++; len(txn.Operations) > room {
+				if requests++; len(txn.Operations) > maxOperations {
 					w.WriteHeader(http.StatusTooManyRequests)
 					return
 				}
--- a/internal/leader/registry.go
+++ b/internal/leader/registry.go
@@ -7,7 +7,7 @@
 
 // workerRegistry looks up and adds workers in the cluster state, and records which controller
 // answers each. All components that learn of a worker call it, with mu held. It must not remove
-// workers: that happens only when the cloud has answered the release of the instance.
+// workers: that happens only after the cloud has confirmed the release of the instance.
 type workerRegistry struct {
 	*termScope
 	commander *commander
@@ -35,9 +35,9 @@
 }
 
 // assignOwner records which controller answers a worker, and since which epoch only this controller
-// may. That is so if this controller owns the worker's shard and no other shard owner is in the
-// worker's zone, where it might answer as a fallback while the zone is partitioned. It is called
-// again once the zone is known.
+// may answer it. This controller is the only one if it owns the worker's shard and no other shard
+// owner is in the worker's zone: an owner there might answer as a fallback while the zone is
+// partitioned. assignOwner is called again once the zone is known.
 func (r *workerRegistry) assignOwner(worker *agent.Worker, shardMap election.ShardMap) {
 	if owner := shardMap.Owner(worker.Name); owner != worker.ShardOwner {
 		worker.ShardOwner, worker.ShardOwnerSince = owner, r.now()
--- a/internal/leader/scope.go
+++ b/internal/leader/scope.go
@@ -44,7 +44,7 @@
 // blocks, and a busy loop runs once more.
 type signals struct {
 	writeSignal       chan struct{} // the job table has changes to write
-	scheduleSignal    chan struct{} // capacity or tasks may be free to place
+	scheduleSignal    chan struct{} // there may be new free capacity or new waiting tasks
 	dependencySignal  chan struct{} // a dependency may be resolved
 	propagationSignal chan struct{} // a dependent may have to be cancelled
 	epochSignal       chan struct{} // a higher epoch is needed
--- a/internal/leader/shardkeeper.go
+++ b/internal/leader/shardkeeper.go
@@ -90,7 +90,7 @@
 			}
 			continue
 		}
-		if peer, alone := k.shards.StoreServesPeerOnly(); alone {
+		if peer, servesPeerOnly := k.shards.StoreServesPeerOnly(); servesPeerOnly {
 			k.elector.StepDown(k.successorTimeout(), "the store serves "+peer+" but not this controller")
 			continue
 		}
--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -56,13 +56,13 @@
 
 // WorkerStatus describes one worker.
 type WorkerStatus struct {
-	Name         string  `json:"name"`
-	InstanceType string  `json:"flavor"`
-	Zone         string  `json:"zone"`
-	Spot         bool    `json:"loaners"`
-	Claims       int     `json:"claims"`
-	SilentS      float64 `json:"silent_s"` // since its last heartbeat; -1 if there was none
-	Quarantined  bool    `json:"bad,omitempty"`
+	Name          string  `json:"name"`
+	InstanceType  string  `json:"flavor"`
+	Zone          string  `json:"zone"`
+	Spot          bool    `json:"loaners"`
+	Claims        int     `json:"claims"`
+	SilentSeconds float64 `json:"silent_s"` // since its last heartbeat; -1 if there was none
+	Quarantined   bool    `json:"bad,omitempty"`
 }
 
 // QueueStatus describes the queue of one job type.
@@ -124,10 +124,10 @@
 	for _, worker := range v.workersByName {
 		workerStatus := WorkerStatus{
 			Name: worker.Name, InstanceType: worker.InstanceType, Zone: worker.Zone, Spot: worker.Spot,
-			Claims: len(v.jobs.ClaimsOnWorker(worker.Name)), SilentS: -1, Quarantined: v.faults.workerFaulty(worker),
+			Claims: len(v.jobs.ClaimsOnWorker(worker.Name)), SilentSeconds: -1, Quarantined: v.faults.workerFaulty(worker),
 		}
 		if !worker.LastHeartbeat.IsZero() {
-			workerStatus.SilentS = now.Sub(worker.LastHeartbeat).Seconds()
+			workerStatus.SilentSeconds = now.Sub(worker.LastHeartbeat).Seconds()
 		}
 		status.Claims += workerStatus.Claims
 		status.Workers = append(status.Workers, workerStatus)
