--- a/internal/leader/demand.go
+++ b/internal/leader/demand.go
@@ -23,7 +23,7 @@
 			if candidates == nil {
 				candidates = a.scheduler.candidates(now)
 			}
-			return a.drainer.replicasMovable(worker, candidates, now)
+			return a.drainer.serviceTasksMovable(worker, candidates, now)
 		}
 		instances = append(instances, instance)
 	}
--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -161,9 +161,9 @@
 	return nil
 }
 
-// replicasMovable reports whether all tasks of services on a worker can move to other workers. If
+// serviceTasksMovable reports whether all tasks of services on a worker can move to other workers. If
 // so, it allocates their resources on the candidates; otherwise it leaves the candidates unchanged.
-func (d *drainer) replicasMovable(worker *agent.Worker, candidates []*candidate, now time.Time) bool {
+func (d *drainer) serviceTasksMovable(worker *agent.Worker, candidates []*candidate, now time.Time) bool {
 	var undo []func()
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Job.Spec.Kind != wire.KindService {
--- a/internal/leader/drainer_test.go
+++ b/internal/leader/drainer_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestDrainOnTerminationNotice checks that on a worker with a termination notice only the tasks that
-// finish in time, replicas and gangs keep running.
+// finish in time and those of services and gangs keep running.
 func TestDrainOnTerminationNotice(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
@@ -26,7 +26,7 @@
 		{"finished tasks took less time", wire.Job{ExpectedSeconds: 60}, 20 * time.Second,
 			[]float64{20, 22, 24, 20, 22}, 15 * time.Second, false},
 		{"running for longer than expected", wire.Job{ExpectedSeconds: 30}, time.Minute, nil, time.Second, false},
-		{"a replica is not stopped", wire.Job{Kind: wire.KindService}, time.Minute, nil,
+		{"a service task is not stopped", wire.Job{Kind: wire.KindService}, time.Minute, nil,
 			15 * time.Second, false},
 		{"a gang task is not stopped alone", wire.Job{Kind: wire.KindGang, ExpectedSeconds: 30}, time.Second, nil,
 			15 * time.Second, false},
--- a/internal/leader/failures.go
+++ b/internal/leader/failures.go
@@ -67,12 +67,12 @@
 }
 
 // expireLeases frees the claims of workers whose lease has expired by every clock: the worker has
-// reported an epoch since which only this controller may answer it, and both that report and the
+// reported an epoch since which only this controller may answer it, and both that heartbeat and the
 // last answer are more than a lease ago by the slowest clock. Before it reported that epoch, another
 // controller may have renewed its lease under an earlier one: a shard owner on the worker's side of
 // a partition does so, and the worker learns the epoch only from a poll after the partition.
 func (m *failureMonitor) expireLeases(now time.Time) {
-	leaseTimeout := m.leaseTimeout()
+	leaseTimeout := m.leaseExpiryTimeout()
 	for _, worker := range m.workers {
 		soleOwner := worker.SoleOwnerEpoch != 0 && worker.SeenEpoch >= worker.SoleOwnerEpoch
 		if worker.LastHeartbeat.IsZero() || !soleOwner ||
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -12,7 +12,7 @@
 const maxPendingSamples = 64
 
 // heartbeatReconciler compares the tasks that workers report with the claims of the job table: it
-// records starts and ends of tasks, and frees a claim once a report proves that its task neither
+// records starts and ends of tasks, and frees a claim once a heartbeat proves that its task neither
 // runs nor can still be started.
 //
 // Runner.Heartbeat calls it for heartbeats, the commander for responses to commands and polls.
--- a/internal/leader/heartbeats_test.go
+++ b/internal/leader/heartbeats_test.go
@@ -60,7 +60,7 @@
 	for _, tc := range []struct {
 		name                  string
 		incarnation, sequence uint64
-		provesLiveness        bool
+		alive                 bool // the heartbeat counts as a sign of life
 	}{
 		{"newer", 2, 11, true},
 		{"older than the latest", 2, 9, false},
@@ -85,9 +85,9 @@
 			}
 			alive := worker.LastHeartbeat.Equal(now) && leader.heartbeats.lastHeartbeat.Equal(now) &&
 				worker.LastUpdate.Equal(now)
-			if renewed := leader.leaseRenewed(worker, now); alive != tc.provesLiveness || alive != renewed {
+			if renewed := leader.leaseRenewed(worker, now); alive != tc.alive || alive != renewed {
 				t.Errorf("got last heartbeat %v, last update %v, lease renewed %v; want counted as alive: %v",
-					worker.LastHeartbeat, worker.LastUpdate, renewed, tc.provesLiveness)
+					worker.LastHeartbeat, worker.LastUpdate, renewed, tc.alive)
 			}
 			if !worker.LastAnswered.Equal(now) {
 				t.Errorf("got last answered %v, want %v: the response may have renewed the lease", worker.LastAnswered, now)
--- a/internal/leader/placementhold.go
+++ b/internal/leader/placementhold.go
@@ -116,7 +116,7 @@
 }
 
 // adoptReported restores the claim of a reported task if it may have been lost with the data: a
-// worker's report is valid, whatever the records show. Callers hold mu.
+// worker's heartbeat is valid, whatever the records show. Callers hold mu.
 func (r *dataRecovery) adoptReported(worker *agent.Worker, task ledger.Task, status wire.TaskStatus) {
 	job := r.jobs.Job(task.JobID)
 	if job == nil {
--- a/internal/leader/preemption.go
+++ b/internal/leader/preemption.go
@@ -36,7 +36,7 @@
 
 // preempt stops tasks of lower priority for waiting tasks that found no free capacity. It selects
 // the tasks that lose the least work, and none that is about to finish. It only marks the claims;
-// the commander sends the stop commands, and capacity is free once a task is proved to have ended.
+// the commander sends the stop commands, and capacity is free once a task is proven to have ended.
 func (p *preemptor) preempt(queues []*typeQueue, now time.Time) {
 	var candidates []*candidate
 	for _, queue := range queues {
--- a/internal/leader/ranking_test.go
+++ b/internal/leader/ranking_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// TestOrderOfServices checks the order of services whose replicas wait for scarce capacity: those that
+// TestOrderOfServices checks the order of services whose tasks wait for scarce capacity: those that
 // can still start in time go first, whatever their teams, but jobs within their team's guaranteed
 // quota go before all others.
 func TestOrderOfServices(t *testing.T) {
@@ -59,8 +59,8 @@
 		{"both in time: the earlier one", 10 * time.Second, 5 * time.Second, 0, false, true},
 		{"the first late", 13 * time.Second, 5 * time.Second, 0, false, false},
 		{"both late: the earlier one", 60 * time.Second, 13 * time.Second, 0, false, true},
-		{"a replica just lost, of a job long ready", 60 * time.Second, 5 * time.Second, 2 * time.Second, false, true},
-		{"a replica lost long ago", 60 * time.Second, 5 * time.Second, 20 * time.Second, false, false},
+		{"a task just lost, of a job long ready", 60 * time.Second, 5 * time.Second, 2 * time.Second, false, true},
+		{"a task lost long ago", 60 * time.Second, 5 * time.Second, 20 * time.Second, false, false},
 		{"late, but the other is past its guaranteed quota", 13 * time.Second, 5 * time.Second, 0, true, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/leader/scope.go
+++ b/internal/leader/scope.go
@@ -112,7 +112,7 @@
 	notify(s.propagationSignal)
 }
 
-// freeClaim frees a claim whose task is proved to have ended. Callers hold mu.
+// freeClaim frees a claim whose task is proven to have ended. Callers hold mu.
 func (s *termScope) freeClaim(claim *ledger.Claim, reason string) {
 	s.log.Debug("claim freed", "task", claim.Task(), "worker", claim.Worker, "reason", reason)
 	now := s.now()
--- a/internal/leader/silence.go
+++ b/internal/leader/silence.go
@@ -32,7 +32,7 @@
 		}
 	}
 	silence := now.Sub(lastSeen)
-	if worker.LastUpdate.After(lastSeen) && silence <= m.leaseTimeout() {
+	if worker.LastUpdate.After(lastSeen) && silence <= m.leaseExpiryTimeout() {
 		return now.Sub(worker.LastUpdate)
 	}
 	return silence
@@ -85,5 +85,5 @@
 // in its zone can answer it, and it has been silent for more than a lease. If another controller
 // owns it, this is no proof, but the release of its instance is.
 func (m *failureMonitor) likelyExpired(worker *agent.Worker, now time.Time) bool {
-	return !m.settings.HasControllerInZone(worker.Zone) && m.silentFor(worker, now) > m.leaseTimeout()
+	return !m.settings.HasControllerInZone(worker.Zone) && m.silentFor(worker, now) > m.leaseExpiryTimeout()
 }
--- a/internal/leader/slack.go
+++ b/internal/leader/slack.go
@@ -55,7 +55,7 @@
 	switch {
 	case deadline.IsZero():
 	case now.Add(settings.Seconds(job.Spec.ExpectedSeconds)).After(deadline):
-		// This applies to replicas too: a late replica is late whenever it starts, and where
+		// This applies to services too: a late task is late whenever it starts, and where
 		// some kind of capacity is permanently short, late ones would delay all others as well.
 		s.missed++
 	case job.Spec.Kind != wire.KindService && now.Add(margin).After(latestStart):
@@ -84,8 +84,8 @@
 	return slack
 }
 
-// waitingSince returns the start of the time that a wait objective limits. A replica that ran and
-// was lost waits like a new one.
+// waitingSince returns the start of the time that a wait objective limits. A task of a service that
+// ran and was lost waits like a new one.
 func waitingSince(job *ledger.Job) time.Time {
 	if job.Spec.Kind == wire.KindService {
 		return job.WaitingSince
--- a/internal/leader/timing.go
+++ b/internal/leader/timing.go
@@ -22,9 +22,9 @@
 // half an interval after it was due.
 func (s *termScope) heartbeatTimeout() time.Duration { return 3 * s.settings.HeartbeatInterval() / 2 }
 
-// leaseTimeout returns the time without an answered heartbeat after which a worker's lease has
+// leaseExpiryTimeout returns the time without an answered heartbeat after which a worker's lease has
 // expired by any clock.
-func (s *termScope) leaseTimeout() time.Duration {
+func (s *termScope) leaseExpiryTimeout() time.Duration {
 	return s.settings.WorkerLease() + s.settings.WorkerLease()/clockDriftDivisor + s.settings.HeartbeatInterval()/3
 }
 
