--- a/internal/leader/leader_test.go
+++ b/internal/leader/leader_test.go
@@ -63,8 +63,8 @@
 }
 
 // testPeer returns the settings of another controller.
-func testPeer(node, zone string) settings.Peer {
-	return settings.Peer{Name: node, Zone: zone, Endpoint: node + ":1"}
+func testPeer(name, zone string) settings.Peer {
+	return settings.Peer{Name: name, Zone: zone, Endpoint: name + ":1"}
 }
 
 // addTestJob adds a live job, of team t unless the spec names another.
--- a/internal/leader/load.go
+++ b/internal/leader/load.go
@@ -189,8 +189,8 @@
 // that this controller's replica already has.
 func (l *loader) replicaTree(incarnation dataloss.IncarnationState, state *loadedState) *replica.Tree {
 	txn := iradix.New[[]byte]().Txn()
-	if known, head := l.replica.Tree(); head.Incarnation == incarnation.ID && state.recovered == nil {
-		known.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool {
+	if tree, head := l.replica.Tree(); head.Incarnation == incarnation.ID && state.recovered == nil {
+		tree.Root().WalkPrefix([]byte(ledger.EndedPrefix), func(key, value []byte) bool {
 			txn.Insert(key, value)
 			return false
 		})
--- a/internal/leader/offer_test.go
+++ b/internal/leader/offer_test.go
@@ -15,9 +15,9 @@
 	requestedOwners []string
 }
 
-func (p *partitionedOwners) Pick(_ context.Context, node string, offer placement.Offer) ([]placement.Pick, error) {
-	p.requestedOwners = append(p.requestedOwners, node)
-	if node == p.unreachable {
+func (p *partitionedOwners) Pick(_ context.Context, owner string, offer placement.Offer) ([]placement.Pick, error) {
+	p.requestedOwners = append(p.requestedOwners, owner)
+	if owner == p.unreachable {
 		return nil, errors.New("not connected")
 	}
 	var picks []placement.Pick
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -90,10 +90,10 @@
 
 // advancePhase advances the store's incarnation to a phase, and retries until the store answers.
 func (r *dataRecovery) advancePhase(ctx context.Context, phase dataloss.Phase) error {
-	answered := func(err error) bool {
+	isFinal := func(err error) bool {
 		return !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown)
 	}
-	err := r.storeReader.retry(ctx, answered, func() error { return r.leadership.AdvancePhase(ctx, phase) })
+	err := r.storeReader.retry(ctx, isFinal, func() error { return r.leadership.AdvancePhase(ctx, phase) })
 	if err == nil {
 		r.log.Info("recovery phase reached", "phase", phase)
 	}
--- a/internal/leader/scrubber.go
+++ b/internal/leader/scrubber.go
@@ -85,7 +85,7 @@
 func (s *scrubber) addEndRecords(items []wire.KeyValue) {
 	var ops []wire.Operation
 	for _, item := range items {
-		if _, known := s.replica.Get(item.Key); !known {
+		if _, inReplica := s.replica.Get(item.Key); !inReplica {
 			ops = append(ops, wire.Operation{Put: item.Key, Value: item.Value})
 		}
 	}
@@ -117,8 +117,8 @@
 
 // isDamaged reports whether a value differs from the replica's and is not valid JSON.
 func (s *scrubber) isDamaged(item wire.KeyValue) bool {
-	known, ok := s.replica.Get(item.Key)
-	return ok && string(known) != string(item.Value) && !json.Valid(item.Value)
+	replicaValue, ok := s.replica.Get(item.Key)
+	return ok && string(replicaValue) != string(item.Value) && !json.Valid(item.Value)
 }
 
 // missingKeys returns the keys of a tree that are within the range of a page but not in it.
--- a/internal/leader/storereader.go
+++ b/internal/leader/storereader.go
@@ -54,8 +54,8 @@
 
 // readOne reads one key. The error is kvstore.ErrNotFound if the key does not exist.
 func (r *storeReader) readOne(ctx context.Context, read func() (wire.KeyValue, error)) (item wire.KeyValue, err error) {
-	answered := func(err error) bool { return err == nil || errors.Is(err, kvstore.ErrNotFound) }
-	err = r.retry(ctx, answered, func() error {
+	isFinal := func(err error) bool { return err == nil || errors.Is(err, kvstore.ErrNotFound) }
+	err = r.retry(ctx, isFinal, func() error {
 		var err error
 		item, err = read()
 		return err
