--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -20,8 +20,9 @@
 }
 
 // ApplyCancellations applies the cancellations that this controller has received to the current
-// term. It reports whether this controller leads and has applied them. Workers are then sent stop commands at once, even
-// while the store, whose watch also reports cancellations, refuses this controller.
+// term. It reports whether this controller leads and has applied them. Workers are then sent stop
+// commands at once, even while the store, whose watch also reports cancellations, refuses this
+// controller.
 func (r *Runner) ApplyCancellations() bool {
 	term := r.current.Load()
 	if term == nil {
@@ -125,9 +126,10 @@
 }
 
 // hasOverdueTask reports whether a cancelled task may still be on a worker at the deadline by which
-// cancelled tasks must have ended. The worker may be in a partition with a controller that does not know of the cancellation, commands
-// may not reach it, or a start command of unknown outcome may still be in flight to it: in these
-// cases only the release of the instance is certain to end the task.
+// cancelled tasks must have ended. The worker may be in a partition with a controller that does not
+// know of the cancellation, commands may not reach it, or a start command of unknown outcome may
+// still be in flight to it: in these cases only the release of the instance is certain to end the
+// task.
 func (c *cancellations) hasOverdueTask(worker *agent.Worker, now time.Time) bool {
 	// The time of a cancellation may come from another controller's clock, and both clocks may
 	// be off.
--- a/internal/leader/dependencies_test.go
+++ b/internal/leader/dependencies_test.go
@@ -15,8 +15,8 @@
 )
 
 // All direct and indirect dependencies of a job inherit its priority and its deadline, the latter
-// reduced by the expected durations of the jobs in between, even if the job is added last. They lose both when the job is
-// cancelled.
+// reduced by the expected durations of the jobs in between, even if the job is added last. They
+// lose both when the job is cancelled.
 func TestInheritedPriorityAndDeadline(t *testing.T) {
 	leader := newTestTerm(t)
 	dueSeconds := func(jobID string) float64 {
--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// serviceTasksMovable reports whether all tasks of services on a worker can move to other workers. If
-// so, it allocates their resources on the candidates; otherwise it leaves the candidates unchanged.
+// serviceTasksMovable reports whether all tasks of services on a worker can move to other workers.
+// If so, it allocates their resources on the candidates; otherwise it leaves the candidates unchanged.
 func (d *drainer) serviceTasksMovable(worker *agent.Worker, candidates []*candidate, now time.Time) bool {
 	var undo []func()
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
--- a/internal/leader/inheritance.go
+++ b/internal/leader/inheritance.go
@@ -37,8 +37,9 @@
 		}
 	}
 	if origin := job.Origin; origin != nil && origin.MaxPriority != "" {
-		// Whatever the priorities of its dependents, the job does not exceed its submitter's limit. The
-		// limit is at least the requested priority, or the job would not have been accepted.
+		// Whatever the priorities of its dependents, a job inherits no higher one than its
+		// submitter's limit. The limit is at least the requested priority, or the job would not
+		// have been accepted.
 		inherited.Priority = max(inherited.Priority, priorityLevel(origin.MaxPriority))
 	}
 	job.Inherited = inherited
--- a/internal/leader/modelworker_test.go
+++ b/internal/leader/modelworker_test.go
@@ -88,7 +88,8 @@
 	m.execute(worker, response.Commands)
 }
 
-// sendToLeader sends a heartbeat, which may be a delayed one, to the leader and returns the response.
+// sendToLeader sends a heartbeat, which may be a delayed one, to the leader, and returns its
+// response.
 func (m *model) sendToLeader(heartbeat wire.Heartbeat) (wire.CommandBatch, error) {
 	response, _, err := runnerOf(m.leader).Heartbeat(context.Background(), &heartbeat)
 	return response, err
--- a/internal/leader/offer_test.go
+++ b/internal/leader/offer_test.go
@@ -37,6 +37,7 @@
 		"far": {Candidates: []placement.Candidate{{Worker: "h0"}, {Worker: "h1"}}},
 	})
 	if len(picks) != 2 || len(owners.requestedOwners) != 2 || owners.requestedOwners[1] != leader.settings.Name {
-		t.Errorf("got %d picks, requested from %v; want 2 picks, requested from far, then %s", len(picks), owners.requestedOwners, leader.settings.Name)
+		t.Errorf("got %d picks, requested from %v; want 2 picks, requested from far, then %s",
+			len(picks), owners.requestedOwners, leader.settings.Name)
 	}
 }
