--- a/internal/leader/drainer.go
+++ b/internal/leader/drainer.go
@@ -22,7 +22,7 @@
 // drains.
 //
 // The failure monitor and the autoscaler call it with mu held. It stops tasks and wakes
-// their workers' senders; it frees no claim and releases no instance.
+// the command loops of their workers; it frees no claim and releases no instance.
 type drainer struct {
 	*termScope
 	scheduler *scheduler
@@ -161,9 +161,9 @@
 	return nil
 }
 
-// replicasMovable reports whether all tasks of services on a worker can move to other workers. If
-// so, it allocates their resources on the candidates; otherwise it leaves the candidates unchanged.
-func (d *drainer) replicasMovable(worker *agent.Worker, candidates []*candidate, now time.Time) bool {
+// serviceTasksMovable reports whether all tasks of services on a worker can move to other workers.
+// If so, it allocates their resources on the candidates; otherwise it leaves the candidates unchanged.
+func (d *drainer) serviceTasksMovable(worker *agent.Worker, candidates []*candidate, now time.Time) bool {
 	var undo []func()
 	for _, claim := range d.jobs.ClaimsOnWorker(worker.Name) {
 		if claim.Job.Spec.Kind != wire.KindService {
--- a/internal/leader/heartbeats.go
+++ b/internal/leader/heartbeats.go
@@ -12,7 +12,7 @@
 const maxPendingSamples = 64
 
 // heartbeatReconciler compares the tasks that workers report with the claims of the job table: it
-// records starts and ends of tasks, and frees a claim once a report proves that its task neither
+// records starts and ends of tasks, and frees a claim once a heartbeat proves that its task neither
 // runs nor can still be started.
 //
 // Runner.Heartbeat calls it for heartbeats, the commander for responses to commands and polls.
@@ -39,8 +39,8 @@
 	defer h.mu.Unlock()
 	epoch := h.leadership.Epoch()
 	if heartbeat.Epoch > epoch || h.ctx.Err() != nil {
-		// The worker has seen a later leader. It would discard a 200 and stay with this
-		// controller while its lease expires.
+		// The worker has seen a later leader. It would discard a successful response (HTTP 200)
+		// and stay with this controller while its lease expires.
 		return wire.CommandBatch{}, nil, ErrNotLeading
 	}
 	worker := h.applyHeartbeat(heartbeat)
--- a/internal/leader/recovery.go
+++ b/internal/leader/recovery.go
@@ -19,8 +19,9 @@
 // Serve runs restoreLiveData before any loop that makes decisions, then finishRecovery alongside
 // them. The scheduler asks it whether tasks may be placed, the heartbeat reconciler has it adopt
 // tasks that workers report, the status view reads the progress; all of these hold mu. mu guards
-// progress, and only the two functions, one after the other, change its pending writes. It must
-// not hold mu during a request to the store, nor let a task be placed that may already be running.
+// progress, and only the two functions, one after the other, change its pending writes. The
+// recovery must not hold mu during a request to the store, nor let a task be placed that may already
+// be running.
 type dataRecovery struct {
 	*termScope
 	storeReader *storeReader
@@ -89,10 +90,10 @@
 
 // advancePhase advances the store's incarnation to a phase, and retries until the store answers.
 func (r *dataRecovery) advancePhase(ctx context.Context, phase dataloss.Phase) error {
-	answered := func(err error) bool {
+	isFinal := func(err error) bool {
 		return !errors.Is(err, kvstore.ErrRefused) && !errors.Is(err, kvstore.ErrOutcomeUnknown)
 	}
-	err := r.storeReader.retry(ctx, answered, func() error { return r.leadership.AdvancePhase(ctx, phase) })
+	err := r.storeReader.retry(ctx, isFinal, func() error { return r.leadership.AdvancePhase(ctx, phase) })
 	if err == nil {
 		r.log.Info("recovery phase reached", "phase", phase)
 	}
