--- a/internal/cancellation/broadcast.go
+++ b/internal/cancellation/broadcast.go
@@ -73,7 +73,7 @@
 // its acknowledgement to the user.
 func (b *Broadcaster) broadcastOnce(ctx context.Context, jobID string) error {
 	isLeader := b.LocalLeader.ApplyCancellations()
-	if isLeader && !b.LocalLeader.LaunchesResolved(jobID) {
+	if isLeader && !b.LocalLeader.StartCommandsResolved(jobID) {
 		return errLaunchesUnresolved
 	}
 	answers := b.sendToAll(ctx, jobID)
--- a/internal/cancellation/message.go
+++ b/internal/cancellation/message.go
@@ -67,9 +67,9 @@
 	// ApplyCancellations cancels the jobs of the set in the leader's job table. It reports
 	// whether this controller is the leader and has done so.
 	ApplyCancellations() bool
-	// LaunchesResolved reports whether no earlier start command can still start a task of
+	// StartCommandsResolved reports whether no earlier start command can still start a task of
 	// these jobs.
-	LaunchesResolved(jobIDs ...string) bool
+	StartCommandsResolved(jobIDs ...string) bool
 }
 
 // Receive handles a peer's message. A leader whose earlier start commands may still start
@@ -89,7 +89,7 @@
 	if message.Full {
 		ack.Synced, ack.JobIDs = s.Synced(), s.JobIDs()
 	} else if ack.IsLeader {
-		ack.Accepted = leader.LaunchesResolved(message.JobIDs...)
+		ack.Accepted = leader.StartCommandsResolved(message.JobIDs...)
 	}
 	return ack
 }
--- a/internal/cancellation/set_test.go
+++ b/internal/cancellation/set_test.go
@@ -209,7 +209,7 @@
 	return l.isLeader
 }
 
-func (l fakeLeader) LaunchesResolved(...string) bool { return l.launchesResolved }
+func (l fakeLeader) StartCommandsResolved(...string) bool { return l.launchesResolved }
 
 // resolvingLink is a link to a leader whose launches are resolved after a number of
 // answers.
--- a/internal/leader/cancellations.go
+++ b/internal/leader/cancellations.go
@@ -42,12 +42,12 @@
 	return true
 }
 
-// LaunchesResolved reports whether no start command sent by this leader can still start a task of
+// StartCommandsResolved reports whether no start command sent by this leader can still start a task of
 // the given cancelled jobs; the cancellation is acknowledged to the user only then. A start command
 // counts as unresolved no longer than the failure timeout, after which a worker that has not
 // reported its outcome is suspected: the worker is then either released or cut off by a partition,
 // and the user gets the acknowledgement.
-func (r *Runner) LaunchesResolved(jobIDs ...string) bool {
+func (r *Runner) StartCommandsResolved(jobIDs ...string) bool {
 	term := r.current.Load()
 	if term == nil {
 		return true
