--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -35,7 +35,7 @@
 	Claims         int      `json:"Claims"`
 	Writes         int      `json:"Writes"` // needed to restore the recovered data
 	Written        int      `json:"Written"`
-	DurableS       float64  `json:"durable_s"` // from the start of the term until all live data was stored
+	DurableSeconds float64  `json:"durable_s"` // from the start of the term until all live data was stored
 	PlacingS       float64  `json:"placing_s"` // from the start of the term until placement resumed
 	Unreported     []string `json:"unheard,omitempty"`
 	MissingPeers   []string `json:"missing_peers,omitempty"`
@@ -186,7 +186,7 @@
 	status.MissingPeers, status.DamagedKeys = progress.missingPeers, progress.damagedKeys
 	status.OrphanedClaims = progress.orphanedClaims
 	if !progress.durableAt.IsZero() {
-		status.DurableS = progress.durableAt.Sub(v.startedAt).Seconds()
+		status.DurableSeconds = progress.durableAt.Sub(v.startedAt).Seconds()
 	}
 	if !progress.placementResumedAt.IsZero() {
 		status.PlacingS = progress.placementResumedAt.Sub(v.startedAt).Seconds()
--- a/internal/sim/dataloss_test.go
+++ b/internal/sim/dataloss_test.go
@@ -379,7 +379,7 @@
 		t.Fatalf("no tasks were placed within a lease after the loss: %+v", recovery)
 	}
 	t.Logf("%d workers with %d tasks, %d survived; %d jobs, %d ends, %d claims restored by %d changes in %.1f s; tasks placed after %.1f s; %d changes and %d KB in two leases",
-		len(w.workers), len(before), surviving, recovery.Jobs, recovery.Ends, recovery.Claims, recovery.Written, recovery.DurableS, recovery.PlacingS, changes, bytes>>10)
+		len(w.workers), len(before), surviving, recovery.Jobs, recovery.Ends, recovery.Claims, recovery.Written, recovery.DurableSeconds, recovery.PlacingS, changes, bytes>>10)
 }
 
 // recoveryStatus reads the leader's recovery status from the operators' status page.
