--- a/internal/leader/status.go
+++ b/internal/leader/status.go
@@ -30,18 +30,18 @@
 
 // RecoveryStatus describes the data that the store lost and the progress of its recovery.
 type RecoveryStatus struct {
-	Jobs           int      `json:"Jobs"` // recovered live jobs that the store did not hold
-	Ends           int      `json:"Ends"`
-	Claims         int      `json:"Claims"`
-	Writes         int      `json:"Writes"` // needed to restore the recovered data
-	Written        int      `json:"Written"`
-	DurableSeconds float64  `json:"durable_s"` // from the start of the term until all live data was stored
-	PlacingS       float64  `json:"placing_s"` // from the start of the term until placement resumed
-	Unreported     []string `json:"unheard,omitempty"`
-	MissingPeers   []string `json:"missing_peers,omitempty"`
-	DamagedKeys    []string `json:"damaged_keys,omitempty"`
-	OrphanedClaims []string `json:"claims_without_job,omitempty"`
-	OrphanedJobs   []string `json:"known_only_from_machines,omitempty"`
+	Jobs                    int      `json:"Jobs"` // recovered live jobs that the store did not hold
+	Ends                    int      `json:"Ends"`
+	Claims                  int      `json:"Claims"`
+	Writes                  int      `json:"Writes"` // needed to restore the recovered data
+	Written                 int      `json:"Written"`
+	DurableSeconds          float64  `json:"durable_s"` // from the start of the term until all live data was stored
+	PlacementResumedSeconds float64  `json:"placing_s"` // from the start of the term until placement resumed
+	Unreported              []string `json:"unheard,omitempty"`
+	MissingPeers            []string `json:"missing_peers,omitempty"`
+	DamagedKeys             []string `json:"damaged_keys,omitempty"`
+	OrphanedClaims          []string `json:"claims_without_job,omitempty"`
+	OrphanedJobs            []string `json:"known_only_from_machines,omitempty"`
 }
 
 // BlockedJob is a job with unmet dependencies.
@@ -189,7 +189,7 @@
 		status.DurableSeconds = progress.durableAt.Sub(v.startedAt).Seconds()
 	}
 	if !progress.placementResumedAt.IsZero() {
-		status.PlacingS = progress.placementResumedAt.Sub(v.startedAt).Seconds()
+		status.PlacementResumedSeconds = progress.placementResumedAt.Sub(v.startedAt).Seconds()
 	} else if progress.full {
 		status.Unreported = v.recovery.unreportedWorkers()
 	}
--- a/internal/sim/dataloss_test.go
+++ b/internal/sim/dataloss_test.go
@@ -375,11 +375,11 @@
 	if float64(surviving) < tc.minSurviving*float64(len(before)) {
 		t.Errorf("%d of %d tasks survived, fewer than the case allows", surviving, len(before))
 	}
-	if recovery == nil || recovery.PlacingS == 0 || recovery.PlacingS > leaseDuration.Seconds() {
+	if recovery == nil || recovery.PlacementResumedSeconds == 0 || recovery.PlacementResumedSeconds > leaseDuration.Seconds() {
 		t.Fatalf("no tasks were placed within a lease after the loss: %+v", recovery)
 	}
 	t.Logf("%d workers with %d tasks, %d survived; %d jobs, %d ends, %d claims restored by %d changes in %.1f s; tasks placed after %.1f s; %d changes and %d KB in two leases",
-		len(w.workers), len(before), surviving, recovery.Jobs, recovery.Ends, recovery.Claims, recovery.Written, recovery.DurableSeconds, recovery.PlacingS, changes, bytes>>10)
+		len(w.workers), len(before), surviving, recovery.Jobs, recovery.Ends, recovery.Claims, recovery.Written, recovery.DurableSeconds, recovery.PlacementResumedSeconds, changes, bytes>>10)
 }
 
 // recoveryStatus reads the leader's recovery status from the operators' status page.
