--- a/internal/peer/answers.go
+++ b/internal/peer/answers.go
@@ -17,10 +17,10 @@
 // Handler serves the requests of peers and keeps what they report. All methods must be
 // safe for concurrent use.
 type Handler interface {
-	// OwnStatus returns this controller's status for a ping. PeerStatus processes the
+	// OwnStatus returns this controller's status for a ping. ObservePeerStatus processes the
 	// status in a ping from a peer.
 	OwnStatus() Ping
-	PeerStatus(Ping)
+	ObservePeerStatus(Ping)
 	// HandleHeartbeat answers, as the leader, a heartbeat that a shard owner forwarded.
 	HandleHeartbeat(ctx context.Context, heartbeat *wire.Heartbeat) HeartbeatAnswer
 	// PickTypes selects, as a shard owner, jobs for the workers in the leader's offer.
@@ -135,7 +135,7 @@
 	if err != nil {
 		return nil, err
 	}
-	mesh.handler.PeerStatus(ping)
+	mesh.handler.ObservePeerStatus(ping)
 	own := mesh.handler.OwnStatus()
 	return own.encode(), nil
 }
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -76,8 +76,8 @@
 	pick                func(placement.Offer) []placement.Pick
 }
 
-func (h *fakeHandler) OwnStatus() Ping { return Ping{Node: "n"} }
-func (h *fakeHandler) PeerStatus(Ping) {}
+func (h *fakeHandler) OwnStatus() Ping        { return Ping{Node: "n"} }
+func (h *fakeHandler) ObservePeerStatus(Ping) {}
 func (h *fakeHandler) HandleHeartbeat(context.Context, *wire.Heartbeat) HeartbeatAnswer {
 	return HeartbeatAnswer{}
 }
--- a/internal/peer/ping.go
+++ b/internal/peer/ping.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	link.recordPing(ping)
-	handler.PeerStatus(ping)
+	handler.ObservePeerStatus(ping)
 	return true
 }
 
--- a/internal/serve/peerhandler.go
+++ b/internal/serve/peerhandler.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// PeerStatus implements peer.Handler.
-func (handler peerHandler) PeerStatus(ping peer.Ping) {
+// ObservePeerStatus implements peer.Handler.
+func (handler peerHandler) ObservePeerStatus(ping peer.Ping) {
 	handler.elector.LearnShardMap(election.ShardMap{Epoch: ping.Epoch, Leader: ping.Leader, Owners: ping.ShardOwners})
 }
 
