--- a/internal/peer/answers.go
+++ b/internal/peer/answers.go
@@ -31,9 +31,9 @@
 	WorkerReachability() Reachability
 	Version() string
 	// StoreIncarnation returns the incarnation of the store's data that this controller
-	// knows. PeerStoreIncarnation processes the one that a peer reports.
+	// knows. ObservePeerStoreIncarnation processes the one that a peer reports.
 	StoreIncarnation() StoreIncarnation
-	PeerStoreIncarnation(peer string, incarnation StoreIncarnation)
+	ObservePeerStoreIncarnation(peer string, incarnation StoreIncarnation)
 	ReceiveReplica(push *replica.Push) replica.Ack
 	ReadReplicaPage(request replica.PageRequest) replica.Page
 	// ReceiveCancellations processes cancellations sent by a peer. PeerConnected is called
@@ -181,7 +181,7 @@
 	if err != nil {
 		return nil, err
 	}
-	mesh.handler.PeerStoreIncarnation("a peer", incarnation)
+	mesh.handler.ObservePeerStoreIncarnation("a peer", incarnation)
 	own := mesh.handler.StoreIncarnation()
 	return own.encode(), nil
 }
--- a/internal/peer/compat_test.go
+++ b/internal/peer/compat_test.go
@@ -89,7 +89,7 @@
 }
 func (h *fakeHandler) Version() string                    { return h.version }
 func (h *fakeHandler) StoreIncarnation() StoreIncarnation { return StoreIncarnation{} }
-func (h *fakeHandler) PeerStoreIncarnation(string, StoreIncarnation) {
+func (h *fakeHandler) ObservePeerStoreIncarnation(string, StoreIncarnation) {
 	h.incarnationReceived.Store(true)
 }
 func (h *fakeHandler) ReceiveReplica(*replica.Push) replica.Ack         { return replica.Ack{} }
--- a/internal/peer/ping.go
+++ b/internal/peer/ping.go
@@ -94,6 +94,6 @@
 		return
 	}
 	if incarnation, err := decodeStoreIncarnation(body); err == nil {
-		handler.PeerStoreIncarnation(link.peer, incarnation)
+		handler.ObservePeerStoreIncarnation(link.peer, incarnation)
 	}
 }
--- a/internal/serve/peerhandler.go
+++ b/internal/serve/peerhandler.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// PeerStoreIncarnation implements peer.Handler.
-func (handler peerHandler) PeerStoreIncarnation(peerName string, theirs peer.StoreIncarnation) {
+// ObservePeerStoreIncarnation implements peer.Handler.
+func (handler peerHandler) ObservePeerStoreIncarnation(peerName string, theirs peer.StoreIncarnation) {
 	handler.dataLoss.ObservePeer(peerName, dataloss.Suspicion{
 		Active: theirs.DataLossSuspected, IncarnationID: theirs.ID, Reason: theirs.Reason,
 	})
