--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -55,11 +55,11 @@
 		found.add(fault)
 	}
 	if source.Segments == "" {
-		verifier = audit.NewVerifier(session.ring, archive.Before)
-	} else if verifier.Head().Seq < archive.Before.Seq {
+		verifier = audit.NewVerifier(session.ring, archive.TrimmedHead)
+	} else if verifier.Head().Seq < archive.TrimmedHead.Seq {
 		found.add(fmt.Errorf("blocks %d to %d, trimmed after their export, are in no segment here: %w",
-			verifier.Head().Seq+1, archive.Before.Seq, audit.ErrGap))
-		verifier = audit.NewVerifier(session.ring, archive.Before)
+			verifier.Head().Seq+1, archive.TrimmedHead.Seq, audit.ErrGap))
+		verifier = audit.NewVerifier(session.ring, archive.TrimmedHead)
 	}
 	for _, raw := range archive.Blocks {
 		if block, err := audit.Open(raw); err == nil && block.Seq <= verifier.Head().Seq && source.Segments != "" {
@@ -272,7 +272,7 @@
 		return fmt.Errorf("audit log not exported: %w", archive.Found[0])
 	}
 	if verifier.Blocks() == 0 {
-		verifier = audit.NewVerifier(session.ring, archive.Before)
+		verifier = audit.NewVerifier(session.ring, archive.TrimmedHead)
 	}
 	exported := 0
 	segment := audit.Segment{Before: verifier.Head()}
--- a/internal/audit/archive.go
+++ b/internal/audit/archive.go
@@ -21,8 +21,8 @@
 
 // Archive is the audit log as read from the store.
 type Archive struct {
-	Before Head // head of the blocks that were exported and trimmed; zero if none were
-	Blocks [][]byte
+	TrimmedHead Head // head of the blocks that were exported and trimmed; zero if none were
+	Blocks      [][]byte
 	// Found has an error for an invalid trim mark, and for each block key whose value is
 	// not a block or has another block's number.
 	Found      []error
@@ -36,7 +36,7 @@
 	var archive Archive
 	item, err := store.Get(ctx, TrimKey)
 	if err == nil {
-		if archive.Before, err = openTrimMark(ring, item.Value); err != nil {
+		if archive.TrimmedHead, err = openTrimMark(ring, item.Value); err != nil {
 			archive.Found = append(archive.Found, fmt.Errorf("the mark of what was trimmed: %w", err))
 		}
 		archive.trimMark = item
--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -72,7 +72,7 @@
 		t.Error(f)
 	}
 	history := audit.NewHistory()
-	verifier := audit.NewVerifier(ring, archive.Before)
+	verifier := audit.NewVerifier(ring, archive.TrimmedHead)
 	for _, raw := range archive.Blocks {
 		b, err := verifier.Add(raw)
 		if err != nil {
