--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, fault := range archive.Found {
+	for _, fault := range archive.Faults {
 		found.add(fault)
 	}
 	if source.Segments == "" {
@@ -268,8 +268,8 @@
 	if err != nil {
 		return err
 	}
-	if len(archive.Found) > 0 {
-		return fmt.Errorf("audit log not exported: %w", archive.Found[0])
+	if len(archive.Faults) > 0 {
+		return fmt.Errorf("audit log not exported: %w", archive.Faults[0])
 	}
 	if verifier.Blocks() == 0 {
 		verifier = audit.NewVerifier(session.ring, archive.TrimmedHead)
--- a/internal/audit/archive.go
+++ b/internal/audit/archive.go
@@ -23,9 +23,9 @@
 type Archive struct {
 	TrimmedHead Head // head of the blocks that were exported and trimmed; zero if none were
 	Blocks      [][]byte
-	// Found has an error for an invalid trim mark, and for each block key whose value is
+	// Faults has an error for an invalid trim mark, and for each block key whose value is
 	// not a block or has another block's number.
-	Found      []error
+	Faults     []error
 	trimMark   wire.KeyValue
 	blockItems []wire.KeyValue
 }
@@ -37,7 +37,7 @@
 	item, err := store.Get(ctx, TrimKey)
 	if err == nil {
 		if archive.TrimmedHead, err = openTrimMark(ring, item.Value); err != nil {
-			archive.Found = append(archive.Found, fmt.Errorf("the mark of what was trimmed: %w", err))
+			archive.Faults = append(archive.Faults, fmt.Errorf("the mark of what was trimmed: %w", err))
 		}
 		archive.trimMark = item
 	} else if !errors.Is(err, kvstore.ErrNotFound) {
@@ -54,11 +54,11 @@
 			err = errors.New("it is no block's")
 		}
 		if err != nil {
-			archive.Found = append(archive.Found, fmt.Errorf("key %s: %w", item.Key, err))
+			archive.Faults = append(archive.Faults, fmt.Errorf("key %s: %w", item.Key, err))
 			continue
 		}
 		if block, err := Open(raw); err == nil && block.Seq != seq {
-			archive.Found = append(archive.Found, fmt.Errorf("key %s holds block %d: %w", item.Key, block.Seq, ErrOrder))
+			archive.Faults = append(archive.Faults, fmt.Errorf("key %s holds block %d: %w", item.Key, block.Seq, ErrOrder))
 		}
 		archive.Blocks = append(archive.Blocks, raw)
 	}
--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, f := range archive.Found {
+	for _, f := range archive.Faults {
 		t.Error(f)
 	}
 	history := audit.NewHistory()
