--- a/internal/audit/block.go
+++ b/internal/audit/block.go
@@ -161,8 +161,8 @@
 	Raw string `json:"b"`
 }
 
-// Value encodes raw data as a value for the store.
-func Value(raw []byte) json.RawMessage {
+// EncodeValue encodes raw data as a value for the store.
+func EncodeValue(raw []byte) json.RawMessage {
 	out := make([]byte, 0, EncodedValueLen(len(raw)))
 	out = append(out, `{"b":"`...)
 	out = base64.StdEncoding.AppendEncode(out, raw)
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -59,7 +59,7 @@
 		t.Errorf("pending entries decoded as %+v, %v, want %+v", got, err, block.Entries)
 	}
 	var out strings.Builder
-	fmt.Fprintf(&out, "%s\t%s\n", BlockKey(block.Seq), Value(block.Raw))
+	fmt.Fprintf(&out, "%s\t%s\n", BlockKey(block.Seq), EncodeValue(block.Raw))
 	fmt.Fprintf(&out, "%s\t%s\n%s\n%s\n", pending.Put, pending.Value, TrimKey, block.Head())
 	for action := Action(1); int(action) <= len(actionNames); action++ {
 		fmt.Fprintf(&out, "%d %s\n", action, action)
--- a/internal/audit/pending.go
+++ b/internal/audit/pending.go
@@ -36,7 +36,7 @@
 // Put returns the operation that stores pending entries at a key of the store.
 func (pending *PendingEntries) Put(ring *keyring.Ring, storeKey string) (wire.Operation, error) {
 	raw, err := pending.Encode(ring, storeKey)
-	return wire.Operation{Put: storeKey, Value: Value(raw)}, err
+	return wire.Operation{Put: storeKey, Value: EncodeValue(raw)}, err
 }
 
 // ReadPending decodes pending entries from the value at a key of the store, and checks their
--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -138,7 +138,7 @@
 		batch.blocks = append(batch.blocks, block)
 		key := audit.BlockKey(block.Seq)
 		batch.Compares = append(batch.Compares, wire.Compare{Key: key})
-		batch.Operations = append(batch.Operations, wire.Operation{Put: key, Value: audit.Value(block.Raw)})
+		batch.Operations = append(batch.Operations, wire.Operation{Put: key, Value: audit.EncodeValue(block.Raw)})
 	}
 	return nil
 }
