--- a/internal/audit/archive.go
+++ b/internal/audit/archive.go
@@ -49,7 +49,7 @@
 	slices.Reverse(archive.blockItems)
 	for _, item := range archive.blockItems {
 		seq, ok := BlockSeq(item.Key)
-		raw, err := Raw(item.Value)
+		raw, err := DecodeValue(item.Value)
 		if !ok {
 			err = errors.New("it is no block's")
 		}
@@ -95,7 +95,7 @@
 		var head Head
 		for n < min(len(archive.blockItems)-1, ops-1) {
 			item := archive.blockItems[n]
-			raw, err := Raw(item.Value)
+			raw, err := DecodeValue(item.Value)
 			if err != nil {
 				return removed, err
 			}
--- a/internal/audit/block.go
+++ b/internal/audit/block.go
@@ -172,9 +172,9 @@
 // EncodedValueLen returns the length of the store's value for n bytes of raw data.
 func EncodedValueLen(n int) int { return len(`{"b":""}`) + base64.StdEncoding.EncodedLen(n) }
 
-// Raw decodes the data of a store's value. It accepts only the canonical base64 form, so
+// DecodeValue decodes the data of a store's value. It accepts only the canonical base64 form, so
 // that no two base64 strings decode to the same data.
-func Raw(value []byte) ([]byte, error) {
+func DecodeValue(value []byte) ([]byte, error) {
 	var wrapper stored
 	if err := json.Unmarshal(value, &wrapper); err != nil {
 		return nil, fmt.Errorf("audit: value: %w", err)
@@ -188,6 +188,6 @@
 
 // EqualsStored reports whether a store's value holds exactly this block.
 func (block *Block) EqualsStored(value []byte) bool {
-	raw, err := Raw(value)
+	raw, err := DecodeValue(value)
 	return err == nil && bytes.Equal(raw, block.Raw)
 }
--- a/internal/audit/pending.go
+++ b/internal/audit/pending.go
@@ -42,7 +42,7 @@
 // ReadPending decodes pending entries from the value at a key of the store, and checks their
 // seal.
 func ReadPending(ring *keyring.Ring, storeKey string, value []byte) (*PendingEntries, error) {
-	raw, err := Raw(value)
+	raw, err := DecodeValue(value)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -118,7 +118,7 @@
 	if !ok {
 		return fmt.Errorf("leader: resume audit log: invalid block key %q", item.Key)
 	}
-	raw, err := audit.Raw(item.Value)
+	raw, err := audit.DecodeValue(item.Value)
 	if err == nil {
 		a.lastKey, err = a.keyOfBlock(raw)
 	}
