--- a/internal/access/refusals.go
+++ b/internal/access/refusals.go
@@ -116,7 +116,7 @@
 	batch := &refusalBatch{key: fmt.Sprintf(
 		"%s%s.%x.%d", audit.PendingPrefix, authorizer.controller, refusals.startedAt, refusals.batchesWritten)}
 	entries := append([]audit.Entry(nil), refusals.pending...)
-	for audit.Size(entries) > authorizer.store.MaxValueBytes()/2 && len(entries) > 1 {
+	for audit.EstimateSize(entries) > authorizer.store.MaxValueBytes()/2 && len(entries) > 1 {
 		entries = entries[:len(entries)/2] // the rest goes into later batches
 	}
 	batch.count = len(entries)
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -214,8 +214,8 @@
 		limit := rapid.IntRange(700, 4000).Draw(t, "limit")
 		extraTasks, missed := 0, 0
 		for _, part := range Split(in, limit) {
-			if Size(part) > limit {
-				t.Fatalf("part takes %d bytes, limit is %d", Size(part), limit)
+			if EstimateSize(part) > limit {
+				t.Fatalf("part takes %d bytes, limit is %d", EstimateSize(part), limit)
 			}
 			decoded, err := decodeEntries(encodeEntries(part))
 			if err != nil {
--- a/internal/audit/compression.go
+++ b/internal/audit/compression.go
@@ -9,7 +9,7 @@
 	"github.com/klauspost/compress/flate"
 )
 
-// Size limits of compression.
+// EstimateSize limits of compression.
 const (
 	minCompressBytes     = 128      // smaller data is not worth compressing
 	maxDecompressedBytes = 16 << 20 // decompressed size of a block's entries
--- a/internal/audit/entry.go
+++ b/internal/audit/entry.go
@@ -188,8 +188,8 @@
 	return entries, nil
 }
 
-// Size estimates the length of the store's value for a block of the given entries.
-func Size(entries []Entry) int { return EncodedValueLen(len(compress(encodeEntries(entries)))) }
+// EstimateSize estimates the length of the store's value for a block of the given entries.
+func EstimateSize(entries []Entry) int { return EncodedValueLen(len(compress(encodeEntries(entries)))) }
 
 // Split divides entries into parts of at most limit bytes of a store's value each. An entry
 // with many tasks is divided too; one that is too large with a single task is replaced by a
@@ -198,7 +198,7 @@
 	if len(entries) == 0 {
 		return nil
 	}
-	if Size(entries) <= limit {
+	if EstimateSize(entries) <= limit {
 		return [][]Entry{entries}
 	}
 	if n := len(entries); n > 1 {
--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -53,7 +53,7 @@
 		if len(batch.Operations)+2 > params.limits.operations {
 			break // one operation to delete the pending entry, one for its block
 		}
-		if len(entries) > 0 && audit.Size(entries)+audit.Size(pending.entries) > params.limits.valueBytes/2 {
+		if len(entries) > 0 && audit.EstimateSize(entries)+audit.EstimateSize(pending.entries) > params.limits.valueBytes/2 {
 			break
 		}
 		entries = append(entries, pending.entries...)
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -202,7 +202,7 @@
 // be written in a batch of its own first.
 func (a *auditWriter) needsOwnBatch(maxValueBytes int) bool {
 	return a != nil && len(a.queue) > 0 &&
-		(len(a.queue) >= maxEntriesPerBatch/2 || audit.Size(a.queue) > maxValueBytes/2)
+		(len(a.queue) >= maxEntriesPerBatch/2 || audit.EstimateSize(a.queue) > maxValueBytes/2)
 }
 
 // addPending adds a pending entry that another controller wrote. Callers hold mu.
