--- a/internal/audit/block.go
+++ b/internal/audit/block.go
@@ -63,7 +63,7 @@
 	Writer  string // name of the controller that wrote the block
 	At      time.Time
 	Prev    [keyring.Size]byte // digest of the previous block, including its seal
-	Key     uint32             // number of the key in the ring that seals the block
+	KeyID   uint32             // number of the key in the ring that seals the block
 	Entries []Entry
 	Raw     []byte // encoded form, including the seal
 }
@@ -88,11 +88,11 @@
 ) (*Block, error) {
 	block := &Block{
 		Seq: head.Seq + 1, Epoch: epoch, Writer: writer, At: at, Prev: head.Hash,
-		Key: max(ring.Newest(), minKey), Entries: entries,
+		KeyID: max(ring.Newest(), minKey), Entries: entries,
 	}
 	raw := make([]byte, 0, 256)
 	raw = append(raw, formatVersion)
-	raw = binary.BigEndian.AppendUint32(raw, block.Key)
+	raw = binary.BigEndian.AppendUint32(raw, block.KeyID)
 	raw = binary.BigEndian.AppendUint64(raw, block.Seq)
 	raw = binary.BigEndian.AppendUint64(raw, block.Epoch)
 	raw = binary.BigEndian.AppendUint64(raw, uint64(at.UnixMilli()))
@@ -106,7 +106,7 @@
 		body = compressed
 	}
 	encoder.Bytes(body)
-	seal, err := ring.Seal(block.Key, keyring.ForAudit, encoder.B)
+	seal, err := ring.Seal(block.KeyID, keyring.ForAudit, encoder.B)
 	if err != nil {
 		return nil, err
 	}
@@ -120,7 +120,7 @@
 		return nil, fmt.Errorf("audit: block: %w", codec.ErrFormat)
 	}
 	block := &Block{
-		Key: binary.BigEndian.Uint32(raw[1:]), Seq: binary.BigEndian.Uint64(raw[5:]),
+		KeyID: binary.BigEndian.Uint32(raw[1:]), Seq: binary.BigEndian.Uint64(raw[5:]),
 		Epoch: binary.BigEndian.Uint64(raw[13:]),
 		At:    time.UnixMilli(int64(binary.BigEndian.Uint64(raw[21:]))), Prev: [keyring.Size]byte(raw[29:]), Raw: raw,
 	}
@@ -146,7 +146,7 @@
 // keyring.ErrUnknown if the ring has no such key.
 func (block *Block) VerifySeal(ring *keyring.Ring) error {
 	body, seal := block.Raw[:len(block.Raw)-sealBytes], block.Raw[len(block.Raw)-sealBytes:]
-	matches, err := ring.Check(block.Key, keyring.ForAudit, seal, body)
+	matches, err := ring.Check(block.KeyID, keyring.ForAudit, seal, body)
 	if err == nil && !matches {
 		err = ErrSeal
 	}
--- a/internal/audit/golden_test.go
+++ b/internal/audit/golden_test.go
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Block{Seq: 1, Epoch: 12, Writer: "host-0", At: time.UnixMilli(testTime.UnixMilli()), Key: 3, Entries: entries, Raw: raw}
+	want := Block{Seq: 1, Epoch: 12, Writer: "host-0", At: time.UnixMilli(testTime.UnixMilli()), KeyID: 3, Entries: entries, Raw: raw}
 	if !reflect.DeepEqual(*block, want) {
 		t.Fatalf("block decoded as %+v, want %+v", block, want)
 	}
--- a/internal/audit/verify.go
+++ b/internal/audit/verify.go
@@ -64,8 +64,8 @@
 	if verifier.blocks == 1 {
 		verifier.first = block.Seq
 	}
-	replacedKey := block.Key < verifier.newestKey
-	verifier.newestKey = max(verifier.newestKey, block.Key)
+	replacedKey := block.KeyID < verifier.newestKey
+	verifier.newestKey = max(verifier.newestKey, block.KeyID)
 	switch {
 	case block.Seq <= previous.Seq:
 		verifier.head = previous
@@ -76,7 +76,7 @@
 		return block, fmt.Errorf("block %d: %w", block.Seq, ErrLink)
 	case replacedKey:
 		// Whoever has a copy of a replaced key could write blocks with it.
-		return block, fmt.Errorf("block %d, key %d: %w", block.Seq, block.Key, ErrReplacedKey)
+		return block, fmt.Errorf("block %d, key %d: %w", block.Seq, block.KeyID, ErrReplacedKey)
 	case block.Epoch < verifier.epoch:
 		return block, fmt.Errorf("block %d: of epoch %d after %d: %w", block.Seq, block.Epoch, verifier.epoch, ErrOrder)
 	}
--- a/internal/leader/auditbatch.go
+++ b/internal/leader/auditbatch.go
@@ -152,7 +152,7 @@
 	a.inFlightCount = 0
 	if count := len(batch.blocks); count > 0 {
 		newest := batch.blocks[count-1]
-		a.head, a.lastKey = newest.Head(), newest.Key
+		a.head, a.lastKey = newest.Head(), newest.KeyID
 	}
 	if batch.queuedCount > 0 {
 		a.queue = append(a.queue[:0], a.queue[batch.queuedCount:]...)
--- a/internal/leader/auditwriter.go
+++ b/internal/leader/auditwriter.go
@@ -139,7 +139,7 @@
 	if err := block.VerifySeal(a.keys); err != nil {
 		return 0, err
 	}
-	return block.Key, nil
+	return block.KeyID, nil
 }
 
 // enqueue queues an entry. Callers hold mu.
--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -104,8 +104,8 @@
 				}
 				history, archive := readAuditLog(t, w, ring)
 				checkAuditLog(t, w, history)
-				if last, err := audit.Open(archive.Blocks[len(archive.Blocks)-1]); err != nil || (last.Key == 2) != (seed%3 == 0) {
-					t.Errorf("the last block is sealed with key %d (error %v), want key 2 only after a rotation", last.Key, err)
+				if last, err := audit.Open(archive.Blocks[len(archive.Blocks)-1]); err != nil || (last.KeyID == 2) != (seed%3 == 0) {
+					t.Errorf("the last block is sealed with key %d (error %v), want key 2 only after a rotation", last.KeyID, err)
 				}
 				leaders := 0
 				for _, e := range history.Others {
