--- a/cmd/rillflow/audit.go
+++ b/cmd/rillflow/audit.go
@@ -95,7 +95,7 @@
 			found.add(fmt.Errorf("%s: %w", filepath.Base(name), err))
 			continue
 		}
-		segment.Follow(verifier, visit, func(err error) { found.add(fmt.Errorf("%s: %w", filepath.Base(name), err)) })
+		segment.Verify(verifier, visit, func(err error) { found.add(fmt.Errorf("%s: %w", filepath.Base(name), err)) })
 	}
 	return nil
 }
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -154,7 +154,7 @@
 		t.Fatal(err)
 	}
 	entries, faults := 0, 0
-	decoded.Follow(NewVerifier(ring, Head{}), func(block *Block) { entries += len(block.Entries) }, func(error) { faults++ })
+	decoded.Verify(NewVerifier(ring, Head{}), func(block *Block) { entries += len(block.Entries) }, func(error) { faults++ })
 	if entries != 6 || faults != 0 {
 		t.Fatalf("got %d entries and %d faults, want 6 entries and no faults", entries, faults)
 	}
@@ -270,7 +270,7 @@
 	f.Add(raw)
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if segment, err := OpenSegment(nil, raw); err == nil {
-			segment.Follow(NewVerifier(ring, Head{}), func(*Block) {}, func(error) {})
+			segment.Verify(NewVerifier(ring, Head{}), func(*Block) {}, func(error) {})
 		}
 	})
 }
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -119,9 +119,9 @@
 // ErrSegmentLink means that a segment does not start where the previous one ended.
 var ErrSegmentLink = errors.New("segments do not join")
 
-// Follow checks that a segment continues the chain of a verifier, and adds its blocks to
+// Verify checks that a segment continues the chain of a verifier, and adds its blocks to
 // the verifier. It calls onFault for each fault, and onBlock for each block without one.
-func (segment *Segment) Follow(verifier *Verifier, onBlock func(*Block), onFault func(error)) {
+func (segment *Segment) Verify(verifier *Verifier, onBlock func(*Block), onFault func(error)) {
 	if previous := verifier.Head(); segment.Before != previous {
 		onFault(fmt.Errorf("segment of blocks %d to %d after block %d: %w",
 			segment.Before.Seq+1, segment.Last.Seq, previous.Seq, ErrSegmentLink))
