--- a/internal/audit/block.go
+++ b/internal/audit/block.go
@@ -88,7 +88,7 @@
 ) (*Block, error) {
 	block := &Block{
 		Seq: head.Seq + 1, Epoch: epoch, Writer: writer, At: at, Prev: head.Hash,
-		KeyID: max(ring.Newest(), minKey), Entries: entries,
+		KeyID: max(ring.ActiveKeyID(), minKey), Entries: entries,
 	}
 	raw := make([]byte, 0, 256)
 	raw = append(raw, formatVersion)
--- a/internal/audit/pending.go
+++ b/internal/audit/pending.go
@@ -22,7 +22,7 @@
 // Encode encodes pending entries and seals them under the ring's active key. The seal
 // covers the store's key at which they are stored, and does not match at any other.
 func (pending *PendingEntries) Encode(ring *keyring.Ring, storeKey string) ([]byte, error) {
-	pending.KeyID = ring.Newest()
+	pending.KeyID = ring.ActiveKeyID()
 	raw := append([]byte{formatVersion}, 0, 0, 0, 0)
 	binary.BigEndian.PutUint32(raw[1:], pending.KeyID)
 	raw = append(raw, encodeEntries(pending.Entries)...)
--- a/internal/audit/segment.go
+++ b/internal/audit/segment.go
@@ -32,7 +32,7 @@
 
 // Encode encodes the segment and seals it under the ring's active key.
 func (segment *Segment) Encode(ring *keyring.Ring) ([]byte, error) {
-	key := ring.Newest()
+	key := ring.ActiveKeyID()
 	raw := append([]byte(segmentMagic), formatVersion)
 	raw = binary.BigEndian.AppendUint32(raw, key)
 	for _, head := range []Head{segment.Before, segment.Last} {
--- a/internal/identity/identity.go
+++ b/internal/identity/identity.go
@@ -81,7 +81,7 @@
 	rand.Read(random) // never fails
 	id = strings.ToLower(tokenEncoding.EncodeToString(random[:idBytes]))
 	secret := strings.ToLower(tokenEncoding.EncodeToString(random[idBytes:]))
-	record = Token{Identity: name, Key: ring.Newest(), IssuedUnix: issuedAt.Unix(), ExpiresUnix: expiresAt.Unix()}
+	record = Token{Identity: name, Key: ring.ActiveKeyID(), IssuedUnix: issuedAt.Unix(), ExpiresUnix: expiresAt.Unix()}
 	hash, err := ring.Seal(record.Key, keyring.ForTokens, []byte(id), []byte{0}, []byte(secret))
 	record.Hash = hash[:]
 	return tokenPrefix + id + "_" + secret, id, record, err
--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -153,9 +153,9 @@
 	return keys, nil
 }
 
-// Newest returns the number of the active key: the last one in the file whose activation
+// ActiveKeyID returns the number of the active key: the last one in the file whose activation
 // time has passed, or the first one if there is none.
-func (ring *Ring) Newest() uint32 {
+func (ring *Ring) ActiveKeyID() uint32 {
 	ring.mu.Lock()
 	defer ring.mu.Unlock()
 	for i := len(ring.keys) - 1; i > 0; i-- {
--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -51,8 +51,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	oldSeal, _ := ring.Seal(ring.Newest(), ForAudit, []byte("x"))
-	otherPurpose, _ := ring.Seal(ring.Newest(), ForPendingEntries, []byte("x"))
+	oldSeal, _ := ring.Seal(ring.ActiveKeyID(), ForAudit, []byte("x"))
+	otherPurpose, _ := ring.Seal(ring.ActiveKeyID(), ForPendingEntries, []byte("x"))
 	if bytes.Equal(oldSeal[:], otherPurpose[:]) {
 		t.Error("two purposes have the same key")
 	}
@@ -65,12 +65,12 @@
 		t.Errorf("seal from before the rotation: got %v, %v, want a match", ok, err)
 	}
 	reloaded, err := Load(path)
-	if err != nil || reloaded.Newest() != 1 {
-		t.Fatalf("before the activation time: got key %d, %v, want 1", reloaded.Newest(), err)
+	if err != nil || reloaded.ActiveKeyID() != 1 {
+		t.Fatalf("before the activation time: got key %d, %v, want 1", reloaded.ActiveKeyID(), err)
 	}
 	reloaded.now = func() time.Time { return activeFrom.Add(time.Second) }
-	if reloaded.Newest() != 2 {
-		t.Errorf("after the activation time: got key %d, want 2", reloaded.Newest())
+	if reloaded.ActiveKeyID() != 2 {
+		t.Errorf("after the activation time: got key %d, want 2", reloaded.ActiveKeyID())
 	}
 	seal, _ := reloaded.Seal(2, ForAudit, []byte("y"))
 	if ok, err := ring.Check(2, ForAudit, seal[:], []byte("y")); !ok || err != nil {
--- a/internal/ledger/origin.go
+++ b/internal/ledger/origin.go
@@ -27,7 +27,7 @@
 
 // Sign seals a record, including its origin.
 func (r *JobRecord) Sign(ring *keyring.Ring) error {
-	r.Origin.KeyID, r.Origin.Seal = ring.Newest(), nil
+	r.Origin.KeyID, r.Origin.Seal = ring.ActiveKeyID(), nil
 	data, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("ledger: %w", err)
