--- a/internal/keyring/keyring.go
+++ b/internal/keyring/keyring.go
@@ -166,9 +166,9 @@
 	return ring.keys[0].id
 }
 
-// Follow checks the file for changes at each interval and reloads it, until ctx ends. The
+// Watch checks the file for changes at each interval and reloads it, until ctx ends. The
 // ring stays as it is if the file cannot be read.
-func (ring *Ring) Follow(ctx context.Context, interval time.Duration, log *slog.Logger) error {
+func (ring *Ring) Watch(ctx context.Context, interval time.Duration, log *slog.Logger) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -85,7 +85,7 @@
 	group.Go(func() error { return controller.jobAPI.Run(ctx) })
 	group.Go(func() error { return controller.authorizer.Run(ctx, settings.HeartbeatInterval()) })
 	if controller.keys != nil {
-		group.Go(func() error { return controller.keys.Follow(ctx, settings.WorkerLease(), log) })
+		group.Go(func() error { return controller.keys.Watch(ctx, settings.WorkerLease(), log) })
 	}
 	log.Info("serving", "front", settings.FrontAddress, "back", settings.PeerAddress)
 	return group.Wait()
