--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -153,9 +153,9 @@
 	}}
 }
 
-// Dial performs the client's TLS handshake on a connection to a node, which must present a
+// ClientHandshake performs the client's TLS handshake on a connection to a node, which must present a
 // certificate for its name. It closes the connection if the handshake fails.
-func (reloader *Keeper) Dial(ctx context.Context, plain net.Conn, node string) (net.Conn, error) {
+func (reloader *Keeper) ClientHandshake(ctx context.Context, plain net.Conn, node string) (net.Conn, error) {
 	reloader.mu.Lock()
 	config := &tls.Config{
 		MinVersion: tls.VersionTLS13, ServerName: node, RootCAs: reloader.pool,
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -88,7 +88,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return reloader.Dial(context.Background(), client, node)
+			return reloader.ClientHandshake(context.Background(), client, node)
 		}
 	}
 	// asUser trusts the authority and has no certificate of its own.
--- a/internal/serve/controller.go
+++ b/internal/serve/controller.go
@@ -197,7 +197,7 @@
 		}
 		for _, member := range controller.settings.Peers {
 			if member.Endpoint == addr {
-				return controller.certs.Dial(ctx, conn, member.Name)
+				return controller.certs.ClientHandshake(ctx, conn, member.Name)
 			}
 		}
 		conn.Close()
