--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -170,9 +170,9 @@
 	return secure, nil
 }
 
-// Listen wraps a listener to accept connections as the mode specifies; see ServerConfig
+// WrapListener wraps a listener to accept connections as the mode specifies; see ServerConfig
 // for mutual.
-func (reloader *Keeper) Listen(inner net.Listener, mode string, mutual bool) net.Listener {
+func (reloader *Keeper) WrapListener(inner net.Listener, mode string, mutual bool) net.Listener {
 	if mode == Off {
 		return inner
 	}
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wrapped := reloader.Listen(inner, mode, mutual)
+	wrapped := reloader.WrapListener(inner, mode, mutual)
 	t.Cleanup(func() { wrapped.Close() })
 	go func() {
 		for {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -107,8 +107,8 @@
 	controller.connections = newConnectionLimiter(connections)
 	front = netutil.LimitListener(front, connections)
 	if controller.certs != nil {
-		front = controller.certs.Listen(front, settings.Operator.TLS.Front, false)
-		back = controller.certs.Listen(back, settings.Operator.TLS.Peers, true)
+		front = controller.certs.WrapListener(front, settings.Operator.TLS.Front, false)
+		back = controller.certs.WrapListener(back, settings.Operator.TLS.Peers, true)
 	}
 	return front, back, nil
 }
