--- a/internal/certs/certs.go
+++ b/internal/certs/certs.go
@@ -28,9 +28,9 @@
 	Require = "require" // accepts and dials with TLS only
 )
 
-// Keeper holds a node's certificate and the authority's certificate, and reloads them when
+// Reloader holds a node's certificate and the authority's certificate, and reloads them when
 // their files change. It is safe for concurrent use.
-type Keeper struct {
+type Reloader struct {
 	folder, node string
 	log          *slog.Logger
 	now          func() time.Time
@@ -42,13 +42,13 @@
 }
 
 // Load reads ca.pem, NODE.pem and NODE.key from a folder.
-func Load(folder, node string, log *slog.Logger) (*Keeper, error) {
-	reloader := &Keeper{folder: folder, node: node, log: log, now: time.Now}
+func Load(folder, node string, log *slog.Logger) (*Reloader, error) {
+	reloader := &Reloader{folder: folder, node: node, log: log, now: time.Now}
 	return reloader, reloader.reload()
 }
 
 // files returns the paths of the authority's certificate, the node's certificate and its key.
-func (reloader *Keeper) files() [3]string {
+func (reloader *Reloader) files() [3]string {
 	return [3]string{
 		filepath.Join(reloader.folder, "ca.pem"), filepath.Join(reloader.folder, reloader.node+".pem"),
 		filepath.Join(reloader.folder, reloader.node+".key"),
@@ -56,7 +56,7 @@
 }
 
 // reload reads the files if any of them has changed.
-func (reloader *Keeper) reload() error {
+func (reloader *Reloader) reload() error {
 	var modTimes [3]time.Time
 	for i, path := range reloader.files() {
 		info, err := os.Stat(path)
@@ -99,7 +99,7 @@
 // Watch checks the files for changes at each interval and reloads them, until ctx ends. The
 // previous certificates stay in use if the files are invalid. It also logs an error when the
 // certificate is about to expire.
-func (reloader *Keeper) Watch(ctx context.Context, interval time.Duration) error {
+func (reloader *Reloader) Watch(ctx context.Context, interval time.Duration) error {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -126,13 +126,13 @@
 
 // timeToExpiry returns how long the certificate is still valid, and whether that is soon
 // enough for a warning.
-func (reloader *Keeper) timeToExpiry() (left time.Duration, expiresSoon bool) {
+func (reloader *Reloader) timeToExpiry() (left time.Duration, expiresSoon bool) {
 	leaf := reloader.current().Leaf
 	left = leaf.NotAfter.Sub(reloader.now())
 	return left, float64(left) < expiryWarningShare*float64(leaf.NotAfter.Sub(leaf.NotBefore))
 }
 
-func (reloader *Keeper) current() *tls.Certificate {
+func (reloader *Reloader) current() *tls.Certificate {
 	reloader.mu.Lock()
 	defer reloader.mu.Unlock()
 	return reloader.cert
@@ -141,7 +141,7 @@
 // ServerConfig returns the TLS configuration for incoming connections. If mutual is set,
 // clients must present a certificate of the same authority. Each connection uses the
 // certificates that are current at its handshake.
-func (reloader *Keeper) ServerConfig(mutual bool) *tls.Config {
+func (reloader *Reloader) ServerConfig(mutual bool) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
 		reloader.mu.Lock()
 		defer reloader.mu.Unlock()
@@ -155,7 +155,7 @@
 
 // ClientHandshake performs the client's TLS handshake on a connection to a node, which must present a
 // certificate for its name. It closes the connection if the handshake fails.
-func (reloader *Keeper) ClientHandshake(ctx context.Context, plain net.Conn, node string) (net.Conn, error) {
+func (reloader *Reloader) ClientHandshake(ctx context.Context, plain net.Conn, node string) (net.Conn, error) {
 	reloader.mu.Lock()
 	config := &tls.Config{
 		MinVersion: tls.VersionTLS13, ServerName: node, RootCAs: reloader.pool,
@@ -172,7 +172,7 @@
 
 // WrapListener wraps a listener to accept connections as the mode specifies; see ServerConfig
 // for mutual.
-func (reloader *Keeper) WrapListener(inner net.Listener, mode string, mutual bool) net.Listener {
+func (reloader *Reloader) WrapListener(inner net.Listener, mode string, mutual bool) net.Listener {
 	if mode == Off {
 		return inner
 	}
--- a/internal/certs/certs_test.go
+++ b/internal/certs/certs_test.go
@@ -29,7 +29,7 @@
 	return dir
 }
 
-func loadKeeper(t *testing.T, dir, node string) *Keeper {
+func loadKeeper(t *testing.T, dir, node string) *Reloader {
 	reloader, err := Load(dir, node, slog.New(slog.DiscardHandler))
 	if err != nil {
 		t.Fatal(err)
@@ -38,7 +38,7 @@
 }
 
 // startEchoServer starts a server that returns what it receives, and returns its address.
-func startEchoServer(t *testing.T, reloader *Keeper, mode string, mutual bool) string {
+func startEchoServer(t *testing.T, reloader *Reloader, mode string, mutual bool) string {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 	server, peer := loadKeeper(t, dir, "host-0"), loadKeeper(t, dir, "host-1")
 	otherAuthority := loadKeeper(t, newFolder(t, "host-1"), "host-1")
 	plain := func(addr string) (net.Conn, error) { return net.Dial("tcp", addr) }
-	asPeer := func(reloader *Keeper, node string) func(string) (net.Conn, error) {
+	asPeer := func(reloader *Reloader, node string) func(string) (net.Conn, error) {
 		return func(addr string) (net.Conn, error) {
 			client, err := net.Dial("tcp", addr)
 			if err != nil {
--- a/internal/serve/controller.go
+++ b/internal/serve/controller.go
@@ -63,10 +63,10 @@
 	shard         *shard.Owner
 	peers         *peer.Mesh
 	memory        *pressure.Gauge
-	userHandler   http.Handler  // the job API
-	jobAPI        *intake.API   // served by userHandler
-	certs         *certs.Keeper // nil: no address has TLS
-	keys          *keyring.Ring // nil: neither identities nor the audit log are on
+	userHandler   http.Handler    // the job API
+	jobAPI        *intake.API     // served by userHandler
+	certs         *certs.Reloader // nil: no address has TLS
+	keys          *keyring.Ring   // nil: neither identities nor the audit log are on
 	authorizer    *access.Authorizer
 	dataLoss      *dataloss.Detector
 	replica       *replica.Replica
