--- a/internal/sim/audit_test.go
+++ b/internal/sim/audit_test.go
@@ -160,9 +160,9 @@
 			}
 		}
 	}
-	for r := range w.startedAttempts {
-		if !claimed[r] {
-			t.Errorf("%s ran as attempt %d on %s without a claim in the audit log", r.task, r.attempt, r.host)
+	for started := range w.startedAttempts {
+		if !claimed[started] {
+			t.Errorf("%s ran as attempt %d on %s without a claim in the audit log", started.task, started.attempt, started.worker)
 		}
 	}
 }
--- a/internal/sim/cancellationfaults_test.go
+++ b/internal/sim/cancellationfaults_test.go
@@ -33,7 +33,7 @@
 	crashConfirming := func(downtime time.Duration) func(m *scenario) {
 		return func(m *scenario) {
 			time.Sleep(1100 * time.Millisecond)
-			m.crashController((m.initialLeader+1)%m.w.clusterSize, downtime)
+			m.crashController((m.initialLeader+1)%m.world.clusterSize, downtime)
 		}
 	}
 	testCases = append(testCases,
@@ -49,7 +49,7 @@
 			time.Sleep(20 * time.Second)
 			for n := range controllerCount {
 				if m.processes[n].hasExited() {
-					m.processes[n] = m.w.boot(n)
+					m.processes[n] = m.world.boot(n)
 				}
 			}
 		}},
@@ -63,9 +63,11 @@
 			m.cancelRepeatedly((m.initialLeader+2)%controllerCount, 10*time.Second, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
 		}},
 		testCase{"cancellation reported to a resubmission", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
-			m.w.mu.Lock()
-			m.w.shouldResubmit = func(r string) bool { return r <= testJobID(3) && m.w.cancelledAt[r].IsZero() && m.w.cancelRequested[r] }
-			m.w.mu.Unlock()
+			m.world.mu.Lock()
+			m.world.shouldResubmit = func(r string) bool {
+				return r <= testJobID(3) && m.world.cancelledAt[r].IsZero() && m.world.cancelRequested[r]
+			}
+			m.world.mu.Unlock()
 		}},
 		testCase{"slow store", 100 * time.Millisecond, time.Second, 1, controllerCount, func(m *scenario) {
 			m.store.respondSlowly(600 * time.Millisecond)
@@ -79,7 +81,7 @@
 		}},
 		testCase{"tasks being launched", 0, time.Second, 1, controllerCount, func(m *scenario) {
 			for i := range 4 {
-				m.w.submit(m.ctx, array(20+i, 3, 150*time.Second), 0, 0)
+				m.world.submit(m.ctx, array(20+i, 3, 150*time.Second), 0, 0)
 			}
 			time.Sleep(1500 * time.Millisecond)
 			m.cancelRepeatedly((m.initialLeader+1)%controllerCount, 10*time.Second, testJobID(20), testJobID(21), testJobID(22), testJobID(23))
@@ -105,7 +107,7 @@
 					},
 					func() {
 						time.Sleep(time.Until(refusedAt.Add(tc.cancelAfter)))
-						m.cancelRepeatedly((m.initialLeader+tc.controllerOffset)%m.w.clusterSize, 3*cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
+						m.cancelRepeatedly((m.initialLeader+tc.controllerOffset)%m.world.clusterSize, 3*cancelTimeout, testJobID(0), testJobID(1), testJobID(2), testJobID(3))
 					},
 				}
 				if tc.concurrentFault != nil {
@@ -147,20 +149,20 @@
 						jobID := testJobID(i)
 						var startedAt time.Time
 						for startedAt.IsZero() {
-							m.w.mu.Lock()
-							startedAt = m.w.firstStart[jobID]
-							m.w.mu.Unlock()
+							m.world.mu.Lock()
+							startedAt = m.world.firstStart[jobID]
+							m.world.mu.Unlock()
 							time.Sleep(20 * time.Millisecond)
 						}
 						endsAt := startedAt.Add(20 * time.Second)
 						time.Sleep(time.Until(endsAt.Add(time.Duration(i-8) * 50 * time.Millisecond)))
 						if tc.name == "a cancellation" {
-							m.w.mu.Lock()
-							m.w.cancelRequested[jobID] = true
-							m.w.mu.Unlock()
+							m.world.mu.Lock()
+							m.world.cancelRequested[jobID] = true
+							m.world.mu.Unlock()
 						}
 						var finalPhase string
-						checkAnswer := func(status int, phase string) {
+						checkResponse := func(status int, phase string) {
 							if status != 200 || phase != wire.PhaseDone && phase != wire.PhaseCancelled {
 								if finalPhase != "" && phase != "" {
 									m.Errorf("job %s: got phase %q after %q", jobID, phase, finalPhase)
@@ -172,10 +174,10 @@
 							}
 							finalPhase = phase
 						}
-						checkAnswer(tc.request(m, i%controllerCount, jobID))
+						checkResponse(tc.request(m, i%controllerCount, jobID))
 						for k := range 12 {
 							time.Sleep(300 * time.Millisecond)
-							checkAnswer(m.requestPhase((i+k)%controllerCount, "GET", "/v1/jobs/"+jobID, nil))
+							checkResponse(m.requestPhase((i+k)%controllerCount, "GET", "/v1/jobs/"+jobID, nil))
 						}
 						if finalPhase == "" && time.Since(endsAt) > 3*time.Second {
 							m.Errorf("job %s: no final phase reported %v after its last task ended", jobID, time.Since(endsAt))
@@ -202,7 +204,7 @@
 					steps = append(steps, func() {
 						jobID := testJobID(100 + i)
 						time.Sleep(time.Duration(i) * heartbeatInterval / 16) // spaced out for the store's write rate
-						m.w.submit(m.ctx, array(100+i, 2, 60*time.Second), 0, 0)
+						m.world.submit(m.ctx, array(100+i, 2, 60*time.Second), 0, 0)
 						time.Sleep(time.Duration(500+10*i) * time.Millisecond)
 						requestedAt := time.Now()
 						m.cancelRepeatedly((m.initialLeader+offset)%controllerCount, 20*time.Second, jobID)
@@ -219,13 +221,13 @@
 				}
 				m.cancelRepeatedly(m.initialLeader, 20*time.Second, testJobID(0))
 			}, check: func(m *scenario) {
-				m.w.mu.Lock()
-				defer m.w.mu.Unlock()
-				if n := len(m.w.lateStarts); n > 0 {
-					m.Errorf("%d of %d task starts came after the confirmed cancellation, the latest %v after it", n, m.w.starts, slices.Max(m.w.lateStarts))
+				m.world.mu.Lock()
+				defer m.world.mu.Unlock()
+				if n := len(m.world.lateStarts); n > 0 {
+					m.Errorf("%d of %d task starts came after the confirmed cancellation, the latest %v after it", n, m.world.starts, slices.Max(m.world.lateStarts))
 				}
-				if m.w.starts < 40 {
-					m.Errorf("got %d task starts, want at least 40: the cancellations come too early", m.w.starts)
+				if m.world.starts < 40 {
+					m.Errorf("got %d task starts, want at least 40: the cancellations come too early", m.world.starts)
 				}
 			}})
 		})
@@ -233,8 +235,8 @@
 }
 
 // Guards against a cancelled job that runs again after data loss. The leader learned of the
-// cancellation from a peer before it read it from the store, took it for known and did not
-// replicate it. Then the peer crashed and the store lost all keys.
+// cancellation from a peer before reading it from the store and, as it already knew of it,
+// did not replicate it. Then the peer crashed and the store lost all keys.
 func TestCancellationReplicatedBeforeStored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, w, store, cloud, controllers, end := startWorld(t, 7, 40, 6, "")
@@ -271,7 +273,7 @@
 	})
 }
 
-// Guards against wrong answers to unusual requests: resubmissions with other content,
+// Guards against wrong responses to unusual requests: resubmissions with other content,
 // cancellations of jobs that are done, and malformed or unrunnable submissions, also
 // while the leader changes or the store is unavailable.
 func TestInvalidRequests(t *testing.T) {
@@ -295,7 +297,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			runFaultPlan(t, faultPlan{seed: 16, jobs: arrays(10, 3, 15*time.Second, nil), faults: func(m *scenario) {
-				concurrently(func() { m.w.sendInvalidRequests(m.ctx, 60*time.Second) }, func() { time.Sleep(5 * time.Second); tc.concurrentFault(m) })
+				concurrently(func() { m.world.sendInvalidRequests(m.ctx, 60*time.Second) }, func() { time.Sleep(5 * time.Second); tc.concurrentFault(m) })
 			}})
 		})
 	}
--- a/internal/sim/checks_test.go
+++ b/internal/sim/checks_test.go
@@ -17,25 +17,25 @@
 
 // Bounds that hold for users once the faults have ended.
 const (
-	maxAnswerGap      = 75 * time.Second // longest time without an answer about a job
+	maxResponseGap    = 75 * time.Second // longest time without a successful response about a job
 	maxWaitWithRoom   = 90 * time.Second // longest wait of a job while a worker has room for it
-	maxLargestJobWait = 4 * time.Minute  // by when the largest jobs have started
+	maxLargestJobWait = 4 * time.Minute  // longest time from the acceptance of one of the largest jobs to its start
 )
 
-// recordAnswer records the status of an answer about a job, and a violation if the user
-// has waited too long for a successful one. The caller holds w.mu.
-func (w *world) recordAnswer(jobID string, status int) {
+// recordResponse records the status of a response about a job, and a violation if the
+// user has waited too long for a successful one. The caller holds w.mu.
+func (w *world) recordResponse(jobID string, status int) {
 	now := time.Now()
-	if status == http.StatusOK || status == http.StatusCreated || w.lastAnswer[jobID].IsZero() {
-		w.lastAnswer[jobID] = now
+	if status == http.StatusOK || status == http.StatusCreated || w.lastResponse[jobID].IsZero() {
+		w.lastResponse[jobID] = now
 	}
-	since := w.lastAnswer[jobID]
+	since := w.lastResponse[jobID]
 	if w.faultsEndedAt.After(since) {
 		since = w.faultsEndedAt
 	}
-	if !w.faultsEndedAt.IsZero() && now.Sub(since) > maxAnswerGap {
-		w.recordViolation("forgotten: no answer about %s for %v", jobID, now.Sub(since))
-		w.lastAnswer[jobID] = now
+	if !w.faultsEndedAt.IsZero() && now.Sub(since) > maxResponseGap {
+		w.recordViolation("forgotten: no successful response about %s for %v", jobID, now.Sub(since))
+		w.lastResponse[jobID] = now
 	}
 }
 
@@ -94,29 +94,29 @@
 	types := c.types
 	c.mu.Unlock()
 	for _, name := range slices.Sorted(maps.Keys(instances)) {
-		c.w.mu.Lock()
-		worker := c.w.workers[name]
-		c.w.mu.Unlock()
+		c.world.mu.Lock()
+		worker := c.world.workers[name]
+		c.world.mu.Unlock()
 		if worker == nil {
 			continue
 		}
 		i := slices.IndexFunc(types, func(t wire.InstanceType) bool { return t.Name == worker.instance.InstanceType })
 		capacity := workerCapacity{instance: worker.instance, freeCPUs: types[i].CPUs, freeMemoryGB: types[i].MemoryGB, unfinishedTasks: make(map[string]bool)}
 		worker.mu.Lock()
-		healthy := !worker.paused && !worker.dropsAnswers && !worker.dropsHeartbeats
+		healthy := !worker.paused && !worker.dropsResponses && !worker.dropsHeartbeats
 		for taskName, t := range worker.tasks {
 			if t.Phase != wire.TaskExited {
 				capacity.unfinishedTasks[taskName] = true
 			}
 		}
 		worker.mu.Unlock()
-		c.w.mu.Lock()
+		c.world.mu.Lock()
 		for taskName := range capacity.unfinishedTasks {
 			id, _ := ledger.ParseTask(taskName)
-			job := c.w.jobs[id.JobID]
+			job := c.world.jobs[id.JobID]
 			capacity.freeCPUs, capacity.freeMemoryGB = capacity.freeCPUs-job.CPUs, capacity.freeMemoryGB-job.MemoryGB
 		}
-		c.w.mu.Unlock()
+		c.world.mu.Unlock()
 		if healthy {
 			capacities = append(capacities, capacity)
 		}
@@ -147,8 +147,8 @@
 				placedIn = capacity.instance.Zone
 			}
 		}
-		if placedIn == "" && w.hostOf[id] != "" {
-			placedIn = w.workers[w.hostOf[id]].instance.Zone
+		if placedIn == "" && w.workerOf[id] != "" {
+			placedIn = w.workers[w.workerOf[id]].instance.Zone
 		}
 		if placedIn == "" {
 			hasWaitingTask = true
@@ -186,8 +186,8 @@
 	return &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
 }
 
-// request sends a user's request to a controller and returns the status of the answer, 0 if
-// there is none, and the job's phase in it.
+// request sends a user's request to a controller and returns the status of the response, 0
+// if there is none, and the job's phase in it.
 func (w *world) request(ctx context.Context, client *http.Client, controller int, method, path string, body []byte) (status int, phase string) {
 	ctx, cancel := context.WithTimeout(ctx, 3*time.Second)
 	defer cancel()
@@ -198,8 +198,8 @@
 	}
 	defer res.Body.Close()
 	var jobStatus wire.JobStatus
-	answerBody, _ := io.ReadAll(res.Body)
-	json.Unmarshal(answerBody, &jobStatus)
+	responseBody, _ := io.ReadAll(res.Body)
+	json.Unmarshal(responseBody, &jobStatus)
 	return res.StatusCode, jobStatus.Phase
 }
 
@@ -226,8 +226,8 @@
 	}
 }
 
-// invalidSubmissions are valid submissions in which old is replaced by new, and the status
-// that they are answered with.
+// invalidSubmissions are edits, from old to new, that make a valid submission invalid, with
+// the expected status of the response.
 var invalidSubmissions = []struct {
 	name, old, new string
 	status         int
--- a/internal/sim/cloud_test.go
+++ b/internal/sim/cloud_test.go
@@ -16,7 +16,7 @@
 // fakeCloud is a fake of the cloud API. Instances boot in 3 s, and the listing shows
 // them 2 s after their creation.
 type fakeCloud struct {
-	w             *world
+	world         *world
 	mu            sync.Mutex
 	types         []wire.InstanceType
 	grantedNames  map[string][]string // instances granted, by request ID
@@ -45,7 +45,7 @@
 				c.instanceCount[instance.InstanceType+instance.Zone]--
 				delete(c.instances, name)
 				c.released++
-				c.w.stopWorker(name)
+				c.world.stopWorker(name)
 			}
 		}
 		writeJSON(w, 200, struct{}{})
@@ -64,9 +64,9 @@
 		var request wire.ScaleOutRequest
 		json.Unmarshal(body, &request)
 		if previous, ok := c.requests[request.RequestID]; ok && previous != request {
-			c.w.mu.Lock()
-			c.w.recordViolation("names: request ID %s was used for %v and for %v", request.RequestID, previous, request)
-			c.w.mu.Unlock()
+			c.world.mu.Lock()
+			c.world.recordViolation("names: request ID %s was used for %v and for %v", request.RequestID, previous, request)
+			c.world.mu.Unlock()
 		}
 		c.requests[request.RequestID] = request
 		if names, ok := c.grantedNames[request.RequestID]; ok {
@@ -98,7 +98,7 @@
 
 // killInstance stops a worker at once. The listing shows its failure 30 s later.
 func (c *fakeCloud) killInstance(name string) {
-	c.w.stopWorker(name)
+	c.world.stopWorker(name)
 	time.AfterFunc(30*time.Second, func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
@@ -112,9 +112,9 @@
 func (c *fakeCloud) startInstance(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if instance, ok := c.instances[name]; ok && !c.w.stopped() {
+	if instance, ok := c.instances[name]; ok && !c.world.stopped() {
 		instance.Phase = wire.InstanceRunning
 		c.instances[name] = instance
-		c.w.startWorker(instance)
+		c.world.startWorker(instance)
 	}
 }
--- a/internal/sim/controllers_test.go
+++ b/internal/sim/controllers_test.go
@@ -15,7 +15,7 @@
 
 // controllerProcess runs a whole controller, which can be killed at any time.
 type controllerProcess struct {
-	w      *world
+	world  *world
 	index  int
 	kill   context.CancelFunc
 	exited chan struct{}
@@ -23,7 +23,7 @@
 
 func (w *world) boot(index int) *controllerProcess {
 	ctx, kill := context.WithCancel(context.Background())
-	process := &controllerProcess{w: w, index: index, kill: kill, exited: make(chan struct{})}
+	process := &controllerProcess{world: w, index: index, kill: kill, exited: make(chan struct{})}
 	level := slog.LevelError
 	if os.Getenv("SIM_LOG") != "" {
 		level = slog.LevelDebug
@@ -37,14 +37,14 @@
 	return process
 }
 
-// crash kills the process. What it sent last may arrive up to a heartbeat interval later,
-// even after its successor has started.
+// crash kills the process. Data that it sent just before may arrive up to a heartbeat interval
+// later, even after a new process has started on the host.
 func (c *controllerProcess) crash() {
 	name := fmt.Sprintf("host-%d", c.index)
-	c.w.net.crashHost(name, time.Duration(c.w.intN(2))*heartbeatInterval)
+	c.world.net.crashHost(name, time.Duration(c.world.intN(2))*heartbeatInterval)
 	c.kill()
 	<-c.exited
-	c.w.net.hostExited(name)
+	c.world.net.hostExited(name)
 }
 
 // randomDowntime draws the time until a process restarts, from 20 ms to 10 s with a
--- a/internal/sim/crashpoint_test.go
+++ b/internal/sim/crashpoint_test.go
@@ -12,8 +12,9 @@
 )
 
 // waitForRebuildWrite waits for the rebuild's write of the given number and returns the
-// controller that made it. The write is applied, but its answer is lost. It reports false
-// if the rebuild completed with fewer writes.
+// controller that made it. The write is applied, but its response is lost. It reports
+// false if the rebuild completes with fewer writes, or if there is no such write within two
+// leases.
 func (d *lossRun) waitForRebuildWrite(number int) (controller int, found bool) {
 	type write struct {
 		controller string
@@ -58,7 +59,7 @@
 }
 
 // Guards against a rebuild that cannot be resumed. For each of its writes in turn, the
-// controller crashes after the write was applied and before it got the answer, and
+// controller crashes after the write was applied and before it got the response, and
 // restarts after 50 ms or only after another has taken over.
 func TestRebuildInterruptedAtEachWrite(t *testing.T) {
 	for _, tc := range []struct {
@@ -80,12 +81,12 @@
 					surviving := d.countSurviving(before, 40*time.Second)
 					time.Sleep(175 * time.Second)
 					end()
-					for _, violation := range d.w.violations {
+					for _, violation := range d.world.violations {
 						t.Errorf("write %d: %s", number, violation)
 					}
-					for jobID, job := range d.w.jobs {
-						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; d.w.lastPhase[jobID] != want {
-							t.Errorf("write %d: job %s is %q, want %s", number, jobID, d.w.lastPhase[jobID], want)
+					for jobID, job := range d.world.jobs {
+						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; d.world.lastPhase[jobID] != want {
+							t.Errorf("write %d: job %s is %q, want %s", number, jobID, d.world.lastPhase[jobID], want)
 						}
 					}
 					if float64(surviving) < 0.9*float64(len(before)) {
--- a/internal/sim/dataloss_test.go
+++ b/internal/sim/dataloss_test.go
@@ -24,14 +24,14 @@
 	name string
 	// inject causes the loss, 50 s into the run.
 	inject func(d *lossRun)
-	// minSurviving is the least share of the running tasks that still run on their
-	// worker, or are done, a minute later.
+	// minSurviving is the least share of the running tasks that must survive the next
+	// minute, as countSurviving counts them.
 	minSurviving float64
 }
 
 // lossRun is a run in which the store loses data, possibly among other faults.
 type lossRun struct {
-	w         *world
+	world     *world
 	store     *fakeStore
 	cloud     *fakeCloud
 	processes []*controllerProcess
@@ -42,7 +42,7 @@
 func (d *lossRun) crash(controller int, downtime time.Duration) {
 	d.processes[controller].crash()
 	time.Sleep(downtime)
-	d.processes[controller] = d.w.boot(controller)
+	d.processes[controller] = d.world.boot(controller)
 }
 
 func (d *lossRun) loseData(kind string, age time.Duration, keyPrefix string) {
@@ -90,11 +90,11 @@
 			d.store.setOutage(false)
 		}, 0.99},
 		{"all keys, zone partitioned", func(d *lossRun) {
-			d.w.partitionZone(d.cloud, "b", true)
+			d.world.partitionZone(d.cloud, "b", true)
 			time.Sleep(8 * time.Second)
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(20 * time.Second)
-			d.w.partitionZone(d.cloud, "b", false)
+			d.world.partitionZone(d.cloud, "b", false)
 		}, 0.6},
 		{"restored to before a leader change", func(d *lossRun) { d.crash(d.leader(), 8*time.Second); d.loseData(restored, 12*time.Second, "") }, 0.9},
 	}
@@ -126,20 +126,20 @@
 				c.crash()
 			}
 			d.loseData(allKeysLost, 0, "")
-			d.w.mu.Lock()
-			d.w.shouldResubmit = func(string) bool { return false }
-			d.w.mu.Unlock()
+			d.world.mu.Lock()
+			d.world.shouldResubmit = func(string) bool { return false }
+			d.world.mu.Unlock()
 			time.Sleep(8 * time.Second)
 			for n := range d.processes {
-				d.processes[n] = d.w.boot(n)
+				d.processes[n] = d.world.boot(n)
 			}
 			surviving := d.countSurviving(before, 60*time.Second)
 			time.Sleep(150 * time.Second)
 			end()
 			missing := 0
-			for _, violation := range d.w.violations {
+			for _, violation := range d.world.violations {
 				jobID, forgotten := strings.CutPrefix(violation, "forgotten: ")
-				if forgotten && d.w.acceptedAt[jobID].After(crashedAt.Add(-age-time.Second)) && !before.hasJob(jobID) {
+				if forgotten && d.world.acceptedAt[jobID].After(crashedAt.Add(-age-time.Second)) && !before.hasJob(jobID) {
 					missing++
 					continue
 				}
@@ -166,35 +166,35 @@
 			d.loseData(allKeysLost, 0, "")
 			time.Sleep(8 * time.Second)
 			for n := range d.processes {
-				d.processes[n] = d.w.boot(n)
+				d.processes[n] = d.world.boot(n)
 			}
 			time.Sleep(20 * time.Second)
-			d.w.mu.Lock()
+			d.world.mu.Lock()
 			resubmitted, knownFromWorkers := map[string]bool{}, 0
-			for id, host := range before {
-				if d.w.hostOf[id] == host && d.w.lastPhase[id.JobID] == wire.PhaseRunning {
+			for id, worker := range before {
+				if d.world.workerOf[id] == worker && d.world.lastPhase[id.JobID] == wire.PhaseRunning {
 					knownFromWorkers++
 				}
 			}
-			d.w.shouldResubmit = func(jobID string) bool { // every user resubmits once
+			d.world.shouldResubmit = func(jobID string) bool { // every user resubmits once
 				alreadySubmitted := resubmitted[jobID]
 				resubmitted[jobID] = true
-				return !alreadySubmitted && d.w.lastPhase[jobID] != wire.PhaseDone && d.w.lastPhase[jobID] != wire.PhaseCancelled
+				return !alreadySubmitted && d.world.lastPhase[jobID] != wire.PhaseDone && d.world.lastPhase[jobID] != wire.PhaseCancelled
 			}
-			d.w.mu.Unlock()
+			d.world.mu.Unlock()
 			surviving := d.countSurviving(before, 40*time.Second)
 			time.Sleep(170 * time.Second)
 			end()
-			for _, violation := range d.w.violations {
+			for _, violation := range d.world.violations {
 				// Jobs that were done or had no task on a worker are forgotten: no record of
 				// them is left.
-				if jobID, ok := strings.CutPrefix(violation, "forgotten: "); ok && (!before.hasJob(jobID) || d.w.allTasksDone(jobID)) || strings.HasPrefix(violation, "went_back") {
+				if jobID, ok := strings.CutPrefix(violation, "forgotten: "); ok && (!before.hasJob(jobID) || d.world.allTasksDone(jobID)) || strings.HasPrefix(violation, "went_back") {
 					continue
 				}
 				t.Error(violation)
 			}
-			for jobID, job := range d.w.jobs {
-				if got := d.w.lastPhase[jobID]; before.hasJob(jobID) && job.Kind == wire.KindArray && got != wire.PhaseDone {
+			for jobID, job := range d.world.jobs {
+				if got := d.world.lastPhase[jobID]; before.hasJob(jobID) && job.Kind == wire.KindArray && got != wire.PhaseDone {
 					t.Errorf("job %s is %q, want done", jobID, got)
 				}
 			}
@@ -206,10 +206,10 @@
 	}
 }
 
-// taskHosts are the workers that tasks run on.
-type taskHosts map[ledger.Task]string
+// taskWorkers are the workers that tasks run on.
+type taskWorkers map[ledger.Task]string
 
-func (p taskHosts) hasJob(jobID string) bool {
+func (p taskWorkers) hasJob(jobID string) bool {
 	for id := range p {
 		if id.JobID == jobID {
 			return true
@@ -228,15 +228,15 @@
 	return true
 }
 
-// countSurviving waits, then counts the tasks that still run on the same worker, are done or
-// were cancelled.
-func (d *lossRun) countSurviving(before taskHosts, after time.Duration) int {
-	time.Sleep(after)
-	d.w.mu.Lock()
-	defer d.w.mu.Unlock()
+// countSurviving waits for the delay and then counts the tasks that still run on the same
+// worker, are done, or whose job's cancellation was requested.
+func (d *lossRun) countSurviving(before taskWorkers, delay time.Duration) int {
+	time.Sleep(delay)
+	d.world.mu.Lock()
+	defer d.world.mu.Unlock()
 	count := 0
-	for id, host := range before {
-		if d.w.hostOf[id] == host || d.w.doneTasks[id] || d.w.cancelRequested[id.JobID] {
+	for id, worker := range before {
+		if d.world.workerOf[id] == worker || d.world.doneTasks[id] || d.world.cancelRequested[id.JobID] {
 			count++
 		}
 	}
@@ -244,7 +244,7 @@
 }
 
 // startLossRun starts a run, waits 50 s and returns the workers that tasks run on then.
-func startLossRun(t *testing.T, seed uint64, workerCount int, operatorSettings string) (*lossRun, taskHosts, func()) {
+func startLossRun(t *testing.T, seed uint64, workerCount int, operatorSettings string) (*lossRun, taskWorkers, func()) {
 	ctx, w, store, cloud, controllers, end := startWorld(t, seed, float64(4*workerCount), workerCount/2, operatorSettings)
 	for i := range 24 {
 		job := wire.Job{ID: fmt.Sprintf("req-%06d", i), Class: "c", Team: "ab"[i%2 : i%2+1], Kind: wire.KindArray, Priority: "standard",
@@ -262,13 +262,13 @@
 	time.Sleep(50 * time.Second)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return &lossRun{w, store, cloud, controllers}, taskHosts(maps.Clone(w.hostOf)), end
+	return &lossRun{w, store, cloud, controllers}, taskWorkers(maps.Clone(w.workerOf)), end
 }
 
 // checkLossCase runs a case and checks how well the cluster recovers. SIM_LOG shows the controllers' logs.
 func checkLossCase(t *testing.T, tc lossCase, seed uint64, workerCount int) {
 	d, before, end := startLossRun(t, seed, workerCount, "")
-	w := d.w
+	w := d.world
 	tc.inject(d)
 	surviving := d.countSurviving(before, 60*time.Second)
 	time.Sleep(150 * time.Second)
@@ -281,7 +281,7 @@
 		t.Error(violation)
 	}
 	if float64(surviving) < tc.minSurviving*float64(len(before)) {
-		t.Errorf("%d of %d tasks survived, fewer than the case allows", surviving, len(before))
+		t.Errorf("%d of %d tasks survived, want a share of at least %v", surviving, len(before), tc.minSurviving)
 	}
 	finishedJobs := 0
 	for jobID, job := range w.jobs {
@@ -350,7 +350,7 @@
 	}
 	time.Sleep(60 * time.Second)
 	w.mu.Lock()
-	before := taskHosts(maps.Clone(w.hostOf))
+	before := taskWorkers(maps.Clone(w.workerOf))
 	w.mu.Unlock()
 	tc.inject(d)
 	store.mu.Lock()
@@ -373,7 +373,7 @@
 		}
 	}
 	if float64(surviving) < tc.minSurviving*float64(len(before)) {
-		t.Errorf("%d of %d tasks survived, fewer than the case allows", surviving, len(before))
+		t.Errorf("%d of %d tasks survived, want a share of at least %v", surviving, len(before), tc.minSurviving)
 	}
 	if recovery == nil || recovery.PlacingS == 0 || recovery.PlacingS > leaseDuration.Seconds() {
 		t.Fatalf("no tasks were placed within a lease after the loss: %+v", recovery)
@@ -384,7 +384,7 @@
 
 // recoveryStatus reads the leader's recovery status from the operators' status page.
 func (d *lossRun) recoveryStatus() *leader.RecoveryStatus {
-	client := &http.Client{Transport: &http.Transport{DialContext: d.w.net.forHost("user").Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
+	client := &http.Client{Transport: &http.Transport{DialContext: d.world.net.forHost("user").Dial, DisableKeepAlives: true}, Timeout: 5 * time.Second}
 	for n := range controllerCount {
 		res, err := client.Get("http://" + frontAddress(n) + "/operator/status")
 		if err != nil {
--- a/internal/sim/respond_test.go
+++ b/internal/sim/fakehelpers_test.go
@@ -13,8 +13,8 @@
 	w.Write(b)
 }
 
-// Kinds of data loss in the store. Controllers can notice them only by what they read
-// afterwards.
+// Kinds of data loss in the store. Controllers can detect them only from later
+// responses of the store.
 const (
 	allKeysLost    = "all keys, generation back to 1"
 	restored       = "back to some time ago, generation too"
--- a/internal/sim/faultplan_test.go
+++ b/internal/sim/faultplan_test.go
@@ -60,7 +60,7 @@
 		p.recovery = 200 * time.Second
 	}
 	time.Sleep(p.recovery)
-	w.checkCancelledTasksGone()
+	w.checkCancelledTasksEnded()
 	w.mu.Lock()
 	w.checkLargestJobsStarted()
 	w.mu.Unlock()
@@ -79,7 +79,7 @@
 		case got == wire.PhaseDone || got == wire.PhaseCancelled && (w.cancelRequested[jobID] || w.dependsOnCancelled(jobID)):
 		case job.Kind == wire.KindService && !w.cancelRequested[jobID]:
 			for i := range job.TaskCount {
-				if w.hostOf[ledger.Task{JobID: jobID, Index: i}] == "" {
+				if w.workerOf[ledger.Task{JobID: jobID, Index: i}] == "" {
 					t.Errorf("task %s/%d of a service does not run at the end", jobID, i)
 				}
 			}
@@ -134,7 +134,7 @@
 
 // controllerNames returns the names of all controllers.
 func (m *scenario) controllerNames() (names []string) {
-	for n := range m.w.clusterSize {
+	for n := range m.world.clusterSize {
 		names = append(names, controllerName(n))
 	}
 	return names
@@ -154,10 +154,10 @@
 
 // busyWorkers returns the workers that currently run a task.
 func (m *scenario) busyWorkers() []string {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
+	m.world.mu.Lock()
+	defer m.world.mu.Unlock()
 	busy := make(map[string]bool)
-	for _, worker := range m.w.hostOf {
+	for _, worker := range m.world.workerOf {
 		busy[worker] = true
 	}
 	return slices.Sorted(maps.Keys(busy))
@@ -179,18 +179,18 @@
 
 // restartControllers crashes all controllers and starts the given ones after downtime.
 func (m *scenario) restartControllers(downtime time.Duration, restarted ...int) {
-	for n := range m.w.clusterSize {
+	for n := range m.world.clusterSize {
 		if !m.processes[n].hasExited() {
 			m.processes[n].crash()
 		}
 	}
 	time.Sleep(downtime)
 	for _, n := range restarted {
-		m.processes[n] = m.w.boot(n)
+		m.processes[n] = m.world.boot(n)
 	}
 }
 
 // requestPhase sends a request to a controller and returns the status and the job's phase.
 func (m *scenario) requestPhase(controller int, method, path string, body []byte) (int, string) {
-	return m.w.request(m.ctx, m.client, controller, method, path, body)
+	return m.world.request(m.ctx, m.client, controller, method, path, body)
 }
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -124,15 +124,15 @@
 		}
 		time.Sleep(45 * time.Second)
 		w.mu.Lock()
-		before := taskHosts(maps.Clone(w.hostOf))
+		before := taskWorkers(maps.Clone(w.workerOf))
 		w.mu.Unlock()
 		controllers[0].crash()
 		controllers[1].crash()
 		time.Sleep(3 * leaseDuration)
 		w.mu.Lock()
 		surviving := 0
-		for id, host := range before {
-			if w.hostOf[id] == host {
+		for id, worker := range before {
+			if w.workerOf[id] == worker {
 				surviving++
 			}
 		}
--- a/internal/sim/identity_test.go
+++ b/internal/sim/identity_test.go
@@ -51,7 +51,7 @@
 		ana, gus := token("ana", "a", "curator"), token("gus", "b", "guest")
 		time.Sleep(30 * time.Second)
 		client := &http.Client{Transport: &http.Transport{DialContext: w.net.forHost("user").Dial, DisableKeepAlives: true}}
-		// request retries until there is an answer other than 503.
+		// request retries until it gets a response other than 503.
 		request := func(controller int, token, method, path string, body any) int {
 			data, _ := json.Marshal(body)
 			for range 20 {
@@ -73,12 +73,12 @@
 			}
 			return 0
 		}
-		jobBody := func(jobID, owner, rank string, needs ...string) map[string]any {
+		jobBody := func(jobID, team, priority string, dependencies ...string) map[string]any {
 			w.mu.Lock()
-			w.jobs[jobID] = wire.Job{ID: jobID, Team: owner, Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 30, DependsOn: needs}
+			w.jobs[jobID] = wire.Job{ID: jobID, Team: team, Kind: wire.KindArray, TaskCount: 1, CPUs: 1, ExpectedSeconds: 30, DependsOn: dependencies}
 			w.mu.Unlock()
-			return map[string]any{"ref": jobID, "jobclass": "c", "owner": owner, "shape": "batch", "rank": rank, "members": 1, "cores": 1, "accelerators": 0, "ram_gb": 1,
-				"bundle": "img", "size_gb": 1, "same_place": false, "scatter": false, "loaners": true, "expect_s": 30, "snapshot_s": 0, "flush_s": 0, "waits_on": needs}
+			return map[string]any{"ref": jobID, "jobclass": "c", "owner": team, "shape": "batch", "rank": priority, "members": 1, "cores": 1, "accelerators": 0, "ram_gb": 1,
+				"bundle": "img", "size_gb": 1, "same_place": false, "scatter": false, "loaners": true, "expect_s": 30, "snapshot_s": 0, "flush_s": 0, "waits_on": dependencies}
 		}
 		for i, tc := range []struct {
 			name         string
--- a/internal/sim/immediaterestart_test.go
+++ b/internal/sim/immediaterestart_test.go
@@ -18,8 +18,8 @@
 }
 
 // waitFor waits for an event, for at most a lease, and reports whether it occurred. The
-// answer to a matching transaction is lost.
-func (d *lossRun) waitFor(when trigger) bool {
+// response to a matching transaction is lost.
+func (d *lossRun) waitFor(event trigger) bool {
 	signalled := make(chan struct{}, 1)
 	signal := func() {
 		select {
@@ -29,20 +29,20 @@
 	}
 	d.store.mu.Lock()
 	d.store.onCommit = func(controller string, txn wire.Txn) bool {
-		matched := when.matchesCommit != nil && when.matchesCommit(controller, txn)
+		matched := event.matchesCommit != nil && event.matchesCommit(controller, txn)
 		if matched {
 			signal()
 		}
 		return matched
 	}
 	d.store.mu.Unlock()
-	d.w.net.mu.Lock()
-	d.w.net.onSend = func(from, to string, data []byte) {
-		if when.matchesSend != nil && when.matchesSend(from, to, data) {
+	d.world.net.mu.Lock()
+	d.world.net.onSend = func(from, to string, data []byte) {
+		if event.matchesSend != nil && event.matchesSend(from, to, data) {
 			signal()
 		}
 	}
-	d.w.net.mu.Unlock()
+	d.world.net.mu.Unlock()
 	reached := false
 	select {
 	case <-signalled:
@@ -52,15 +52,15 @@
 	d.store.mu.Lock()
 	d.store.onCommit = nil
 	d.store.mu.Unlock()
-	d.w.net.mu.Lock()
-	d.w.net.onSend = nil
-	d.w.net.mu.Unlock()
+	d.world.net.mu.Lock()
+	d.world.net.onSend = nil
+	d.world.net.mu.Unlock()
 	return reached
 }
 
 // submitExtraJob submits a job that preempts no other.
 func (d *lossRun) submitExtraJob() {
-	d.w.submit(d.w.ctx, wire.Job{ID: "req-000900", Class: "c", Team: "a", Kind: wire.KindArray, Priority: "standard", TaskCount: 6, CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, 0, 0)
+	d.world.submit(d.world.ctx, wire.Job{ID: "req-000900", Class: "c", Team: "a", Kind: wire.KindArray, Priority: "standard", TaskCount: 6, CPUs: 1, MemoryGB: 1, Image: "img", AllowSpot: true, ExpectedSeconds: 10}, 0, 0)
 }
 
 // putsKey reports whether a transaction puts a key with the given prefix.
@@ -79,8 +79,8 @@
 	return strings.HasPrefix(from, "host-") && strings.HasPrefix(to, "host-") && len(data) > 1 && data[0] == 1 && data[1] == 3
 }
 
-// Guards against a process that restarts within a fraction of a second and is confused by
-// its predecessor: a leader lease that is still valid, connections that peers believe open,
+// Guards against a process that restarts within a fraction of a second and is disturbed by
+// state that its predecessor left: a leader lease that is still valid, connections that peers believe open,
 // and messages still in flight. Running tasks continue, all jobs finish, and the store's
 // rate limits are kept.
 func TestImmediateRestart(t *testing.T) {
@@ -96,7 +96,7 @@
 			n := d.leader()
 			d.processes[n].crash()
 			reached := d.waitFor(trigger{matchesCommit: func(_ string, t wire.Txn) bool { return putsKey(t, "lead") }})
-			d.processes[n] = d.w.boot(n)
+			d.processes[n] = d.world.boot(n)
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
@@ -132,7 +132,7 @@
 			n := d.leader()
 			d.processes[n].crash()
 			d.crash((n+1)%controllerCount, downtime)
-			d.processes[n] = d.w.boot(n)
+			d.processes[n] = d.world.boot(n)
 			return true
 		}},
 		{"all three controllers", func(d *lossRun) bool {
@@ -141,7 +141,7 @@
 			}
 			time.Sleep(downtime)
 			for n := range d.processes {
-				d.processes[n] = d.w.boot(n)
+				d.processes[n] = d.world.boot(n)
 			}
 			return true
 		}},
@@ -177,12 +177,12 @@
 			d.crash(d.leader(), downtime)
 			return reached
 		}},
-		{"workers disconnected for 900 ms", func(d *lossRun) bool { d.w.cutWorkersOff(d.cloud, 900*time.Millisecond); return true }},
+		{"workers disconnected for 900 ms", func(d *lossRun) bool { d.world.cutWorkersOff(d.cloud, 900*time.Millisecond); return true }},
 		{"workers disconnected while the leader restarts", func(d *lossRun) bool {
 			n := d.leader()
 			d.processes[n].crash()
-			d.w.cutWorkersOff(d.cloud, 300*time.Millisecond)
-			d.processes[n] = d.w.boot(n)
+			d.world.cutWorkersOff(d.cloud, 300*time.Millisecond)
+			d.processes[n] = d.world.boot(n)
 			return true
 		}},
 	}
@@ -199,12 +199,12 @@
 					requests, writes := d.store.peakRates(startedAt)
 					time.Sleep(180 * time.Second)
 					end()
-					for _, violation := range d.w.violations {
+					for _, violation := range d.world.violations {
 						t.Error(violation)
 					}
-					for jobID, job := range d.w.jobs {
-						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; d.w.lastPhase[jobID] != want {
-							t.Errorf("job %s is %q, want %s", jobID, d.w.lastPhase[jobID], want)
+					for jobID, job := range d.world.jobs {
+						if want := map[string]string{wire.KindArray: wire.PhaseDone, wire.KindService: wire.PhaseCancelled}[job.Kind]; d.world.lastPhase[jobID] != want {
+							t.Errorf("job %s is %q, want %s", jobID, d.world.lastPhase[jobID], want)
 						}
 					}
 					if surviving != len(before) {
--- a/internal/sim/leaderfaults_test.go
+++ b/internal/sim/leaderfaults_test.go
@@ -125,8 +125,8 @@
 				if len(epochs) < 8 {
 					m.Errorf("got %d epochs, want at least 8: the leader did not change often enough", len(epochs))
 				}
-				if tc.tasksContinue && m.w.starts != jobs*tasksPerJob {
-					m.Errorf("%d task starts, want one for each of %d tasks", m.w.starts, jobs*tasksPerJob)
+				if tc.tasksContinue && m.world.starts != jobs*tasksPerJob {
+					m.Errorf("%d task starts, want one for each of %d tasks", m.world.starts, jobs*tasksPerJob)
 				}
 			}})
 		})
@@ -134,7 +134,7 @@
 }
 
 // Guards against tasks that are restarted within their worker's lease. The leader crashes
-// while workers with long tasks are unreachable or lose the new leader's answers.
+// while workers with long tasks are unreachable or lose the new leader's responses.
 func TestLeaderCrashWithUnreachableWorkers(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -142,20 +142,20 @@
 		tasksContinue bool
 		fault         func(m *scenario, workers []string, duration time.Duration)
 	}{
-		{"unreachable for less than a lease", leaseDuration / 2, true, func(m *scenario, _ []string, duration time.Duration) { // if only some were unreachable, they would be taken for dead
+		{"unreachable for less than a lease", leaseDuration / 2, true, func(m *scenario, _ []string, duration time.Duration) { // if only some were unreachable, the leader would treat them as failed
 			m.partition(m.workerNames(""), m.controllerNames(), duration)
 		}},
 		{"unreachable for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
 			m.partition(workers, m.controllerNames(), duration)
 		}},
-		{"answers lost for less than a lease", leaseDuration / 2, true, func(m *scenario, workers []string, duration time.Duration) {
-			m.injectWorkerFault(workers, duration, dropAnswers)
+		{"responses lost for less than a lease", leaseDuration / 2, true, func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropResponses)
 		}},
-		{"answers lost for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
-			m.injectWorkerFault(workers, duration, dropAnswers)
+		{"responses lost for longer than a lease", 2 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropResponses)
 		}},
-		{"answers lost for five leases", 5 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
-			m.injectWorkerFault(workers, duration, dropAnswers)
+		{"responses lost for five leases", 5 * leaseDuration, false, func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropResponses)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -164,8 +164,8 @@
 			runFaultPlan(t, faultPlan{seed: 10, jobs: arrays(jobs, tasksPerJob, 150*time.Second, nil), recovery: 420 * time.Second, faults: func(m *scenario) {
 				concurrently(func() { tc.fault(m, m.randomWorkers(0.6), tc.duration) }, func() { m.crashController(m.initialLeader, 8*time.Second) })
 			}, check: func(m *scenario) {
-				if tc.tasksContinue && m.w.starts != jobs*tasksPerJob {
-					m.Errorf("%d task starts, want one for each of %d tasks", m.w.starts, jobs*tasksPerJob)
+				if tc.tasksContinue && m.world.starts != jobs*tasksPerJob {
+					m.Errorf("%d task starts, want one for each of %d tasks", m.world.starts, jobs*tasksPerJob)
 				}
 			}})
 		})
@@ -193,12 +193,12 @@
 					time.Sleep(15 * time.Second)
 					for n := range controllerCount {
 						if n != returning {
-							m.processes[n] = m.w.boot(n)
+							m.processes[n] = m.world.boot(n)
 						}
 					}
 				}, check: func(m *scenario) {
-					if m.w.starts != jobs*tasksPerJob {
-						m.Errorf("%d task starts, want one for each of %d tasks", m.w.starts, jobs*tasksPerJob)
+					if m.world.starts != jobs*tasksPerJob {
+						m.Errorf("%d task starts, want one for each of %d tasks", m.world.starts, jobs*tasksPerJob)
 					}
 				}})
 			})
@@ -244,25 +244,25 @@
 		cancelAfter            time.Duration // from the partition to the cancellations
 		onlyOldLeaderReachable bool          // workers reach no other controller
 		outageDuration         time.Duration // of the store, from the first confirmed cancellation; 0: none
-		workersDropAnswers     bool          // workers lose the new leader's answers
+		workersDropResponses   bool          // workers lose the new leader's responses
 	}{
 		{"before the next election", time.Second, false, 0, false},
 		{"under a new leader", 8 * time.Second, false, 0, false},
 		{"workers reach only the old leader", 8 * time.Second, true, 0, false},
 		{"workers reach only the old leader, store outage", 8 * time.Second, true, 2 * cancelTimeout, false},
-		{"workers lose answers, store outage", 8 * time.Second, false, 2 * cancelTimeout, true},
+		{"workers lose responses, store outage", 8 * time.Second, false, 2 * cancelTimeout, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			checkScenario(t, 9, false, func(m *scenario) {
 				other := (m.initialLeader + 1) % controllerCount
 				workers := m.randomWorkers(1)
 				m.cutFromPeers(m.initialLeader, true)
-				m.w.net.setBlocked(controllerName(m.initialLeader), "state", true)
+				m.world.net.setBlocked(controllerName(m.initialLeader), "state", true)
 				if tc.onlyOldLeaderReachable {
 					go m.partition(m.otherControllers(m.initialLeader), workers, 3*cancelTimeout)
 				}
-				if tc.workersDropAnswers {
-					go m.injectWorkerFault(workers, leaseDuration/2, dropAnswers)
+				if tc.workersDropResponses {
+					go m.injectWorkerFault(workers, leaseDuration/2, dropResponses)
 				}
 				time.Sleep(tc.cancelAfter)
 				for i := range 4 {
@@ -270,14 +270,14 @@
 						time.Sleep(time.Second)
 					}
 				}
-				if len(m.w.cancelledAt) == 0 {
+				if len(m.world.cancelledAt) == 0 {
 					m.Error("no cancellation was confirmed")
 				}
 				m.store.setOutage(tc.outageDuration > 0)
 				time.Sleep(2 * cancelTimeout)
-				m.w.checkCancelledTasksGone()
+				m.world.checkCancelledTasksEnded()
 				m.store.setOutage(false)
-				m.w.net.setBlocked(controllerName(m.initialLeader), "state", false)
+				m.world.net.setBlocked(controllerName(m.initialLeader), "state", false)
 				m.cutFromPeers(m.initialLeader, false)
 				time.Sleep(cancelTimeout)
 			})
@@ -333,9 +333,9 @@
 					go m.injectWorkerFault(m.randomWorkers(0.5), 2*cancelTimeout, pauseWorker)
 				}
 				time.Sleep(2 * cancelTimeout)
-				m.w.mu.Lock()
-				cancelled = len(m.w.cancelledAt)
-				m.w.mu.Unlock()
+				m.world.mu.Lock()
+				cancelled = len(m.world.cancelledAt)
+				m.world.mu.Unlock()
 				if !tc.cutFromPeers && cancelled == 0 {
 					m.Error("no cancellation was confirmed")
 				}
--- a/internal/sim/messagefaults_test.go
+++ b/internal/sim/messagefaults_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Guards against tasks that start from outdated commands. Commands or answers are delayed
-// for seconds, or the workers hang, while jobs are cancelled and others are launched:
+// Guards against tasks that start from outdated commands. Commands or responses are
+// delayed for seconds, or the workers hang, while jobs are cancelled and others are launched:
 // commands sent before a cancellation, a reconnection or a new worker incarnation must not
 // start anything, and cancelled tasks must end in time.
 func TestDelayedCommands(t *testing.T) {
@@ -22,8 +22,8 @@
 		{"workers hang", func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, pauseWorker)
 		}},
-		{"answers lost", func(m *scenario, workers []string, duration time.Duration) {
-			m.injectWorkerFault(workers, duration, dropAnswers)
+		{"responses lost", func(m *scenario, workers []string, duration time.Duration) {
+			m.injectWorkerFault(workers, duration, dropResponses)
 		}},
 		{"heartbeats lost", func(m *scenario, workers []string, duration time.Duration) {
 			m.injectWorkerFault(workers, duration, dropHeartbeats)
@@ -40,7 +40,7 @@
 				t.Parallel()
 				runFaultPlan(t, faultPlan{seed: 7, jobs: arrays(8, 3, 100*time.Second, nil), recovery: 350 * time.Second, faults: func(m *scenario) {
 					for i := range 6 { // launched about when the fault begins
-						m.w.submit(m.ctx, array(30+i, 3, 30*time.Second), time.Duration(i)*200*time.Millisecond, 0)
+						m.world.submit(m.ctx, array(30+i, 3, 30*time.Second), time.Duration(i)*200*time.Millisecond, 0)
 					}
 					time.Sleep(500 * time.Millisecond)
 					concurrently(
@@ -55,11 +55,11 @@
 						},
 					)
 				}, check: func(m *scenario) {
-					m.w.mu.Lock()
-					defer m.w.mu.Unlock()
+					m.world.mu.Lock()
+					defer m.world.mu.Unlock()
 					// A new leader cannot recall start commands of its crashed predecessor, and if most
 					// workers of a zone are affected, the confirmation does not wait for them that long.
-					if n := len(m.w.lateStarts); n > 0 && duration < 22*heartbeatInterval/10 && !strings.Contains(tc.name, "leader crashes") {
+					if n := len(m.world.lateStarts); n > 0 && duration < 22*heartbeatInterval/10 && !strings.Contains(tc.name, "leader crashes") {
 						m.Errorf("%d task starts came after the confirmed cancellation, want none", n)
 					}
 				}})
@@ -101,13 +101,13 @@
 				starts := 0
 				concurrently(
 					func() {
-						m.w.mu.Lock()
-						m.w.newWorkersMute = !tc.doneMeanwhile
-						m.w.mu.Unlock()
+						m.world.mu.Lock()
+						m.world.newWorkersDropHeartbeats = !tc.doneMeanwhile
+						m.world.mu.Unlock()
 						m.injectWorkerFault(tc.selectWorkers(m), 4*leaseDuration, dropHeartbeats)
-						m.w.mu.Lock()
-						m.w.newWorkersMute = false
-						m.w.mu.Unlock()
+						m.world.mu.Lock()
+						m.world.newWorkersDropHeartbeats = false
+						m.world.mu.Unlock()
 						m.injectWorkerFault(m.workerNames(""), 0, func(worker *fakeWorker, active bool) { worker.dropsHeartbeats = false })
 					},
 					func() {
@@ -117,9 +117,9 @@
 								leaders = append(leaders, leader)
 							}
 						}
-						m.w.mu.Lock()
-						starts = m.w.starts
-						m.w.mu.Unlock()
+						m.world.mu.Lock()
+						starts = m.world.starts
+						m.world.mu.Unlock()
 					},
 					func() {
 						if tc.concurrentFault != nil {
@@ -128,25 +128,25 @@
 					},
 					func() {
 						time.Sleep(4*leaseDuration - time.Second)
-						m.w.mu.Lock()
-						defer m.w.mu.Unlock()
+						m.world.mu.Lock()
+						defer m.world.mu.Unlock()
 						for i := range jobs {
-							if tc.doneMeanwhile && !m.w.cancelRequested[testJobID(i)] && !m.w.allTasksDone(testJobID(i)) {
+							if tc.doneMeanwhile && !m.world.cancelRequested[testJobID(i)] && !m.world.allTasksDone(testJobID(i)) {
 								m.Errorf("job %s is not done although other workers are healthy", testJobID(i))
 							}
 						}
 					},
 				)
 				if len(leaders) > tc.maxTerms {
-					m.Errorf("got %d leadership terms, more than allowed: %s", len(leaders), strings.Join(leaders, " "))
+					m.Errorf("got %d leadership terms, want at most %d: %s", len(leaders), tc.maxTerms, strings.Join(leaders, " "))
 				}
-				// A task is lost once with a worker that cannot send heartbeats; with one that hangs too, once more.
+				// Each task may be lost once to a worker without heartbeats, and once more to one that hangs.
 				maxStarts := 2 * jobs * tasksPerJob
 				if strings.Contains(tc.name, "hang") {
 					maxStarts += jobs * tasksPerJob
 				}
 				if starts > maxStarts {
-					m.Errorf("%d task starts of %d tasks, want fewer", starts, jobs*tasksPerJob)
+					m.Errorf("%d task starts of %d tasks, want at most %d", starts, jobs*tasksPerJob, maxStarts)
 				}
 			}})
 		})
@@ -255,14 +255,14 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			runFaultPlan(t, faultPlan{seed: 15, teamCPULimit: 20, jobs: arrays(14, 3, 12*time.Second, nil), faults: func(m *scenario) {
-				m.w.duplicateHeartbeats(0.6)
+				m.world.duplicateHeartbeats(0.6)
 				concurrently(func() { tc.concurrentFault(m) }, func() {
 					for i := range 6 {
 						time.Sleep(4 * time.Second)
 						m.cancelRepeatedly((m.initialLeader+1)%controllerCount, cancelTimeout, testJobID(i))
 					}
 				})
-				m.w.duplicateHeartbeats(0)
+				m.world.duplicateHeartbeats(0)
 				time.Sleep(2 * leaseDuration)
 			}})
 		})
--- a/internal/sim/network_test.go
+++ b/internal/sim/network_test.go
@@ -135,25 +135,25 @@
 }
 
 type hostListener struct {
-	n      *network
-	cond   *sync.Cond // one per listener: thousands wait at once
-	addr   string
-	queue  []*conn
-	closed bool
+	network *network
+	cond    *sync.Cond // one per listener: thousands wait at once
+	addr    string
+	queue   []*conn
+	closed  bool
 }
 
 func (n *network) listen(host, addr string) *hostListener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	listener := &hostListener{n: n, addr: addr, cond: sync.NewCond(&n.mu)}
+	listener := &hostListener{network: n, addr: addr, cond: sync.NewCond(&n.mu)}
 	n.listeners[addr], n.hostOfAddress[addr] = listener, host
 	n.cond.Broadcast() // wakes pending dials
 	return listener
 }
 
 func (l *hostListener) Accept() (net.Conn, error) {
-	l.n.mu.Lock()
-	defer l.n.mu.Unlock()
+	l.network.mu.Lock()
+	defer l.network.mu.Unlock()
 	for len(l.queue) == 0 && !l.closed {
 		l.cond.Wait()
 	}
@@ -166,11 +166,11 @@
 }
 
 func (l *hostListener) Close() error {
-	l.n.mu.Lock()
-	defer l.n.mu.Unlock()
+	l.network.mu.Lock()
+	defer l.network.mu.Unlock()
 	l.closed = true
-	if l.n.listeners[l.addr] == l {
-		delete(l.n.listeners, l.addr)
+	if l.network.listeners[l.addr] == l {
+		delete(l.network.listeners, l.addr)
 	}
 	l.cond.Broadcast()
 	return nil
@@ -184,7 +184,7 @@
 func (a addr) String() string  { return string(a) }
 
 // dial blocks while the link is blocked or nothing ever listened on the address, as a
-// real connection attempt without an answer does.
+// real connection attempt does that gets no response.
 func (n *network) dial(ctx context.Context, from, to string) (net.Conn, error) {
 	stop := context.AfterFunc(ctx, func() {
 		n.mu.Lock()
@@ -204,8 +204,8 @@
 			if listener == nil {
 				return nil, &net.OpError{Op: "dial", Net: "tcp", Err: io.EOF}
 			}
-			local := &conn{n: n, from: from, to: host, cond: sync.NewCond(&n.mu)}
-			remote := &conn{n: n, from: host, to: from, cond: sync.NewCond(&n.mu)}
+			local := &conn{network: n, from: from, to: host, cond: sync.NewCond(&n.mu)}
+			remote := &conn{network: n, from: host, to: from, cond: sync.NewCond(&n.mu)}
 			local.peer, remote.peer = remote, local
 			n.conns[local], n.conns[remote] = true, true
 			go local.deliver()
@@ -225,7 +225,7 @@
 
 // conn is one end of a connection. deliver moves its out queue to the peer's in buffer.
 type conn struct {
-	n        *network
+	network  *network
 	cond     *sync.Cond
 	from, to string
 	peer     *conn
@@ -240,14 +240,14 @@
 
 func (c *conn) abort() {
 	c.broken, c.peer.broken = true, true
-	delete(c.n.conns, c)
-	delete(c.n.conns, c.peer)
+	delete(c.network.conns, c)
+	delete(c.network.conns, c.peer)
 	c.cond.Broadcast()
 	c.peer.cond.Broadcast()
 }
 
 func (c *conn) deliver() {
-	n := c.n
+	n := c.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for !c.broken && !n.stopped {
@@ -281,23 +281,23 @@
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	if c.closed || c.broken {
 		return 0, net.ErrClosed
 	}
-	if c.n.onSend != nil {
-		c.n.onSend(c.from, c.to, b)
+	if c.network.onSend != nil {
+		c.network.onSend(c.from, c.to, b)
 	}
-	delay := time.Millisecond + time.Duration(c.n.rnd.IntN(2000))*time.Microsecond + c.n.delays[c.from] + c.n.delays[c.to]
+	delay := time.Millisecond + time.Duration(c.network.rnd.IntN(2000))*time.Microsecond + c.network.delays[c.from] + c.network.delays[c.to]
 	c.out = append(c.out, packet{time.Now().Add(delay), append([]byte(nil), b...)})
 	c.cond.Broadcast()
 	return len(b), nil
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	for {
 		switch {
 		case c.closed:
@@ -318,8 +318,8 @@
 }
 
 func (c *conn) Close() error {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	c.closed = true
 	if c.timer != nil {
 		c.timer.Stop()
@@ -333,16 +333,16 @@
 func (c *conn) SetWriteDeadline(time.Time) error { return nil }
 func (c *conn) SetDeadline(t time.Time) error    { return c.SetReadDeadline(t) }
 func (c *conn) SetReadDeadline(t time.Time) error {
-	c.n.mu.Lock()
-	defer c.n.mu.Unlock()
+	c.network.mu.Lock()
+	defer c.network.mu.Unlock()
 	c.deadline = t
 	if c.timer != nil {
 		c.timer.Stop()
 	}
 	if !t.IsZero() {
 		c.timer = time.AfterFunc(time.Until(t), func() {
-			c.n.mu.Lock()
-			defer c.n.mu.Unlock()
+			c.network.mu.Lock()
+			defer c.network.mu.Unlock()
 			c.cond.Broadcast()
 		})
 	}
--- a/internal/sim/placementfaults_test.go
+++ b/internal/sim/placementfaults_test.go
@@ -85,7 +85,7 @@
 			t.Run(fmt.Sprint(tc.name, " after ", duration), func(t *testing.T) {
 				t.Parallel()
 				runFaultPlan(t, faultPlan{seed: 3, jobs: arrays(8, 3, 120*time.Second, nil), recovery: 330 * time.Second, faults: func(m *scenario) {
-					m.w.partitionZone(m.cloud, tc.zone, true)
+					m.world.partitionZone(m.cloud, tc.zone, true)
 					outsideController := 0
 					for zoneOf(outsideController) == tc.zone {
 						outsideController++
@@ -95,7 +95,7 @@
 					time.Sleep(max(0, duration-time.Since(m.startedAt)+25*time.Second))
 					outside := []string{"state", "cloud", "user"}
 					var insideControllers []string
-					for n := range m.w.clusterSize {
+					for n := range m.world.clusterSize {
 						if zoneOf(n) == tc.zone {
 							insideControllers = append(insideControllers, controllerName(n))
 						} else {
@@ -105,11 +105,11 @@
 					healed := map[string][]string{"workers": m.workerNames(tc.zone), "controllers": insideControllers}[tc.healsFirst]
 					for _, a := range healed {
 						for _, b := range outside {
-							m.w.net.setBlocked(a, b, false)
+							m.world.net.setBlocked(a, b, false)
 						}
 					}
 					time.Sleep(6 * time.Second)
-					m.w.partitionZone(m.cloud, tc.zone, false)
+					m.world.partitionZone(m.cloud, tc.zone, false)
 				}})
 			})
 		}
@@ -125,26 +125,26 @@
 			const urgentJobs, tasksPerJob = 6, 6
 			runFaultPlan(t, faultPlan{seed: 8, teamCPULimit: 40, maxInstances: 3, jobs: arrays(16, 8, 40*time.Second, func(i int, job *wire.Job) { job.Priority = "idle"; job.AllowSpot = true }), recovery: 330 * time.Second,
 				faults: func(m *scenario) {
-					m.w.net.setDelay(delay, append(m.controllerNames(), m.workerNames("")...)...)
+					m.world.net.setDelay(delay, append(m.controllerNames(), m.workerNames("")...)...)
 					for i := range urgentJobs {
 						job := array(50+i, tasksPerJob, 10*time.Second)
 						job.Priority = "urgent"
-						m.w.submit(m.ctx, job, time.Duration(i)*3*time.Second, 0)
+						m.world.submit(m.ctx, job, time.Duration(i)*3*time.Second, 0)
 					}
 					time.Sleep(70 * time.Second)
-					m.w.net.setDelay(0, append(m.controllerNames(), m.workerNames("")...)...)
+					m.world.net.setDelay(0, append(m.controllerNames(), m.workerNames("")...)...)
 				}, check: func(m *scenario) {
-					m.w.mu.Lock()
-					defer m.w.mu.Unlock()
+					m.world.mu.Lock()
+					defer m.world.mu.Unlock()
 					for i := range urgentJobs {
-						if wait := m.w.firstStart[testJobID(50+i)].Sub(m.w.acceptedAt[testJobID(50+i)]); wait > 30*time.Second {
+						if wait := m.world.firstStart[testJobID(50+i)].Sub(m.world.acceptedAt[testJobID(50+i)]); wait > 30*time.Second {
 							m.Errorf("urgent job %s started after %v, want at most 30 s", testJobID(50+i), wait)
 						}
 					}
-					if maxStarts := 16*8 + 3*urgentJobs*tasksPerJob; m.w.starts > maxStarts {
-						m.Errorf("%d task starts, want at most %d", m.w.starts, maxStarts)
+					if maxStarts := 16*8 + 3*urgentJobs*tasksPerJob; m.world.starts > maxStarts {
+						m.Errorf("%d task starts, want at most %d", m.world.starts, maxStarts)
 					}
-					m.Logf("%d task starts of %d tasks", m.w.starts, 16*8+urgentJobs*tasksPerJob)
+					m.Logf("%d task starts of %d tasks", m.world.starts, 16*8+urgentJobs*tasksPerJob)
 				}})
 		})
 	}
@@ -161,21 +161,21 @@
 			steps = append(steps, func() {
 				time.Sleep(time.Duration(i) * 600 * time.Millisecond)
 				job := array(200+2*i, 1, 10*time.Second) // also of team a
-				m.w.submit(m.ctx, job, 0, 0)
+				m.world.submit(m.ctx, job, 0, 0)
 			})
 		}
 		for i, job := range jobs {
 			steps = append(steps, func() {
 				time.Sleep(time.Duration(15+5*i) * time.Second)
-				m.w.submit(m.ctx, job, 0, 0)
+				m.world.submit(m.ctx, job, 0, 0)
 			})
 		}
 		steps = append(steps, func() {
 			time.Sleep(290 * time.Second)
-			m.w.mu.Lock()
-			defer m.w.mu.Unlock()
+			m.world.mu.Lock()
+			defer m.world.mu.Unlock()
 			for _, job := range jobs {
-				if startedAt := m.w.firstStart[job.ID]; startedAt.IsZero() || startedAt.Sub(m.w.acceptedAt[job.ID]) > maxLargestJobWait {
+				if startedAt := m.world.firstStart[job.ID]; startedAt.IsZero() || startedAt.Sub(m.world.acceptedAt[job.ID]) > maxLargestJobWait {
 					m.Errorf("job %s did not start within %v", job.ID, maxLargestJobWait)
 				}
 			}
@@ -200,13 +200,13 @@
 			m.store.refuseController(controllerName(leader), false)
 		}},
 		{"all controllers crash, one restarts", func(m *scenario) {
-			for n := range m.w.clusterSize {
+			for n := range m.world.clusterSize {
 				m.processes[n].crash()
 			}
 			time.Sleep(300 * time.Millisecond)
-			m.processes[1] = m.w.boot(1)
+			m.processes[1] = m.world.boot(1)
 			time.Sleep(20 * time.Second)
-			m.processes[0], m.processes[2] = m.w.boot(0), m.w.boot(2)
+			m.processes[0], m.processes[2] = m.world.boot(0), m.world.boot(2)
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/sim/pollstorm_test.go
+++ b/internal/sim/pollstorm_test.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	recoveryTime   = 60 * time.Second // after the last fault, until the leader no longer changes
-	stormPollEvery = 600 * time.Millisecond
+	recoveryTime      = 60 * time.Second // after the last fault, until the leader no longer changes
+	stormMaxPollPause = 600 * time.Millisecond
 )
 
 // limitStore limits the store's rates and restarts all controllers with these limits in
 // their settings.
 func (m *scenario) limitStore(requests, writes float64) {
-	m.w.mu.Lock()
-	m.w.storeRPS, m.w.storeWriteRPS = requests, writes
-	m.w.mu.Unlock()
+	m.world.mu.Lock()
+	m.world.storeRPS, m.world.storeWriteRPS = requests, writes
+	m.world.mu.Unlock()
 	m.store.limitRates(requests, writes)
 	m.restartControllers(time.Second, 0, 1, 2)
 }
 
 // setMaxPollPause sets the longest pause between two polls of a user; 0: the default.
 func (m *scenario) setMaxPollPause(maxPause time.Duration) {
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	m.w.maxPollPause = maxPause
+	m.world.mu.Lock()
+	defer m.world.mu.Unlock()
+	m.world.maxPollPause = maxPause
 }
 
 // chains returns chains of three jobs, each depending on the one before it. The first job of
@@ -56,7 +56,7 @@
 		faults: func(m *scenario) {
 			m.limitStore(60, 30)
 			time.Sleep(20 * time.Second)
-			m.setMaxPollPause(stormPollEvery)
+			m.setMaxPollPause(stormMaxPollPause)
 			time.Sleep(5 * time.Second)
 			leader := m.leaderIndex()
 			concurrently(
@@ -65,7 +65,7 @@
 				func() {
 					time.Sleep(10 * time.Second)
 					for chain := range chainCount {
-						m.w.wg.Go(func() { m.cancelRepeatedly(chain%controllerCount, 100*time.Second, testJobID(firstHead+3*chain)) })
+						m.world.wg.Go(func() { m.cancelRepeatedly(chain%controllerCount, 100*time.Second, testJobID(firstHead+3*chain)) })
 						time.Sleep(time.Second)
 					}
 				},
@@ -80,11 +80,11 @@
 			m.setMaxPollPause(0)
 		},
 		check: func(m *scenario) {
-			if n := m.store.leaderChanges(m.w.faultsEndedAt.Add(recoveryTime)); n > 0 {
+			if n := m.store.leaderChanges(m.world.faultsEndedAt.Add(recoveryTime)); n > 0 {
 				m.Errorf("%d leader changes later than %v after the last fault, want none", n, recoveryTime)
 			}
 			for chain := range chainCount {
-				if head := testJobID(firstHead + 3*chain); m.w.cancelledAt[head].IsZero() {
+				if head := testJobID(firstHead + 3*chain); m.world.cancelledAt[head].IsZero() {
 					m.Errorf("job %s was never reported as cancelled", head)
 				}
 			}
--- a/internal/sim/randomfaults_test.go
+++ b/internal/sim/randomfaults_test.go
@@ -39,13 +39,13 @@
 		for deadline := time.Now().Add(duration); time.Now().Before(deadline); {
 			leader := m.leaderIndex()
 			m.store.refuseController(controllerName(leader), true)
-			time.Sleep(time.Duration(500+m.w.intN(9000)) * time.Millisecond)
+			time.Sleep(time.Duration(500+m.world.intN(9000)) * time.Millisecond)
 			m.store.refuseController(controllerName(leader), false)
-			time.Sleep(time.Duration(m.w.intN(3000)) * time.Millisecond)
+			time.Sleep(time.Duration(m.world.intN(3000)) * time.Millisecond)
 		}
 	}},
 	{"slow store", func(m *scenario, controller int, duration time.Duration) {
-		m.store.respondSlowly(time.Duration(200+m.w.intN(1000)) * time.Millisecond)
+		m.store.respondSlowly(time.Duration(200+m.world.intN(1000)) * time.Millisecond)
 		time.Sleep(duration)
 		m.store.respondSlowly(0)
 	}},
@@ -55,25 +55,25 @@
 		m.store.delayTransactions(0)
 	}},
 	{"duplicated heartbeats", func(m *scenario, controller int, duration time.Duration) {
-		m.w.duplicateHeartbeats(0.5)
+		m.world.duplicateHeartbeats(0.5)
 		time.Sleep(duration)
-		m.w.duplicateHeartbeats(0)
+		m.world.duplicateHeartbeats(0)
 	}},
-	{"answers to workers lost", func(m *scenario, controller int, duration time.Duration) {
-		m.injectWorkerFault(m.randomWorkers(0.5), duration, dropAnswers)
+	{"responses to workers lost", func(m *scenario, controller int, duration time.Duration) {
+		m.injectWorkerFault(m.randomWorkers(0.5), duration, dropResponses)
 	}},
 	{"heartbeats lost", func(m *scenario, controller int, duration time.Duration) {
 		m.injectWorkerFault(m.randomWorkers(0.5), duration, dropHeartbeats)
 	}},
 	{"jobs cancelled while workers hang", func(m *scenario, controller int, duration time.Duration) {
-		m.w.mu.Lock()
+		m.world.mu.Lock()
 		var jobIDs []string
-		for t := range m.w.hostOf {
+		for t := range m.world.workerOf {
 			if !slices.Contains(jobIDs, t.JobID) && len(jobIDs) < 4 {
 				jobIDs = append(jobIDs, t.JobID)
 			}
 		}
-		m.w.mu.Unlock()
+		m.world.mu.Unlock()
 		concurrently(
 			func() {
 				m.injectWorkerFault(m.randomWorkers(0.3), min(duration, 2*leaseDuration), pauseWorker)
@@ -81,12 +81,14 @@
 			func() { m.cancelRepeatedly(controller, 4*cancelTimeout, jobIDs...) },
 		)
 	}},
-	{"invalid requests", func(m *scenario, controller int, duration time.Duration) { m.w.sendInvalidRequests(m.ctx, duration) }},
+	{"invalid requests", func(m *scenario, controller int, duration time.Duration) {
+		m.world.sendInvalidRequests(m.ctx, duration)
+	}},
 	{"slow links", func(m *scenario, controller int, duration time.Duration) {
 		hosts := append(m.otherControllers(controller), controllerName(controller))
-		m.w.net.setDelay(time.Duration(50+m.w.intN(600))*time.Millisecond, hosts...)
+		m.world.net.setDelay(time.Duration(50+m.world.intN(600))*time.Millisecond, hosts...)
 		time.Sleep(duration)
-		m.w.net.setDelay(0, hosts...)
+		m.world.net.setDelay(0, hosts...)
 	}},
 	{"delayed heartbeats", func(m *scenario, controller int, duration time.Duration) {
 		workers := m.randomWorkers(0.4)
@@ -101,7 +103,7 @@
 	}},
 	{"all controllers down past a lease", func(m *scenario, controller int, duration time.Duration) {
 		var wg sync.WaitGroup
-		for controller := range m.w.clusterSize {
+		for controller := range m.world.clusterSize {
 			wg.Go(func() { m.crashController(controller, leaseDuration+duration) })
 		}
 		wg.Wait()
@@ -125,29 +127,29 @@
 		m.partition(m.randomWorkers(0.5), append(m.otherControllers(controller), controllerName(controller)), duration)
 	}},
 	{"zone partitioned", func(m *scenario, controller int, duration time.Duration) {
-		m.w.partitionZone(m.cloud, zoneOf(controller), true)
+		m.world.partitionZone(m.cloud, zoneOf(controller), true)
 		time.Sleep(duration)
-		m.w.partitionZone(m.cloud, zoneOf(controller), false)
+		m.world.partitionZone(m.cloud, zoneOf(controller), false)
 	}},
 	{"crash", func(m *scenario, controller int, duration time.Duration) {
-		m.crashController(controller, m.w.randomDowntime())
+		m.crashController(controller, m.world.randomDowntime())
 	}},
 	{"all controllers crash", func(m *scenario, controller int, duration time.Duration) {
 		var wg sync.WaitGroup
-		for controller := range m.w.clusterSize {
-			wg.Go(func() { m.crashController(controller, m.w.randomDowntime()) })
+		for controller := range m.world.clusterSize {
+			wg.Go(func() { m.crashController(controller, m.world.randomDowntime()) })
 		}
 		wg.Wait()
 	}},
 	{"crash loop", func(m *scenario, controller int, duration time.Duration) {
 		for range 5 {
 			m.crashController(controller, 20*time.Millisecond)
-			time.Sleep(time.Duration(50+m.w.intN(900)) * time.Millisecond)
+			time.Sleep(time.Duration(50+m.world.intN(900)) * time.Millisecond)
 		}
 	}},
 }
 
-// Guards against broken rules when two or three random faults overlap while users cancel jobs.
+// Guards against rule violations when two or three random faults overlap while users cancel jobs.
 func TestOverlappingRandomFaults(t *testing.T) {
 	for seed := range seedCount(10) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -158,7 +160,7 @@
 				for range 4 {
 					var wg sync.WaitGroup
 					for range 2 + rnd.IntN(2) {
-						fault, controller := randomFaults[rnd.IntN(len(randomFaults))], rnd.IntN(m.w.clusterSize)
+						fault, controller := randomFaults[rnd.IntN(len(randomFaults))], rnd.IntN(m.world.clusterSize)
 						delay, duration := time.Duration(rnd.IntN(8000))*time.Millisecond, time.Duration(2000+rnd.IntN(1<<uint(12+rnd.IntN(5))))*time.Millisecond
 						if leader := m.store.leaderIndex(); rnd.IntN(3) > 0 && leader >= 0 {
 							controller = leader
@@ -199,7 +201,7 @@
 		faults(m)
 		w.faultsEnded(cloud)
 		time.Sleep(max(240*time.Second, 480*time.Second-time.Since(m.startedAt))) // the longest task takes 170 s, and it may start late
-		w.checkCancelledTasksGone()
+		w.checkCancelledTasksEnded()
 		end()
 		w.mu.Lock()
 		defer w.mu.Unlock()
@@ -211,7 +213,7 @@
 		}
 		for jobID, job := range w.jobs {
 			if got := w.lastPhase[jobID]; got != wire.PhaseDone && got != wire.PhaseCancelled && (job.Kind == wire.KindArray || w.cancelRequested[jobID]) {
-				t.Errorf("job %s is %q at the end", jobID, got)
+				t.Errorf("job %s is %q at the end, want done or cancelled", jobID, got)
 			}
 		}
 		if t.Failed() {
--- a/internal/sim/scenario_test.go
+++ b/internal/sim/scenario_test.go
@@ -18,7 +18,7 @@
 // scenario is a run in which the test injects faults while long tasks run.
 type scenario struct {
 	*testing.T
-	w             *world
+	world         *world
 	store         *fakeStore
 	cloud         *fakeCloud
 	processes     []*controllerProcess
@@ -31,7 +31,7 @@
 }
 
 func newScenario(t *testing.T, ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess) *scenario {
-	return &scenario{T: t, w: w, store: store, cloud: cloud, processes: controllers, ctx: ctx, startedAt: time.Now(), client: w.client()}
+	return &scenario{T: t, world: w, store: store, cloud: cloud, processes: controllers, ctx: ctx, startedAt: time.Now(), client: w.client()}
 }
 
 // leaderIndex returns the current leader, or the first controller if there is none.
@@ -41,9 +41,9 @@
 
 // cutFromPeers blocks or restores the links between a controller and its peers.
 func (m *scenario) cutFromPeers(controller int, blocked bool) {
-	for other := range m.w.clusterSize {
+	for other := range m.world.clusterSize {
 		if other != controller {
-			m.w.net.setBlocked(controllerName(controller), controllerName(other), blocked)
+			m.world.net.setBlocked(controllerName(controller), controllerName(other), blocked)
 		}
 	}
 }
@@ -51,9 +51,9 @@
 // cancelJob sends one cancellation to a controller, records when it was confirmed, and
 // reports whether it was.
 func (m *scenario) cancelJob(controller int, jobID string) bool {
-	m.w.mu.Lock()
-	m.w.cancelRequested[jobID] = true
-	m.w.mu.Unlock()
+	m.world.mu.Lock()
+	m.world.cancelRequested[jobID] = true
+	m.world.mu.Unlock()
 	ctx, cancel := context.WithTimeout(m.ctx, 5*time.Second)
 	defer cancel()
 	req, _ := http.NewRequestWithContext(ctx, "POST", "http://"+frontAddress(controller)+"/v1/jobs/"+jobID+"/withdraw", nil)
@@ -66,10 +66,10 @@
 	if res.StatusCode != 200 {
 		return false
 	}
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	if m.w.cancelledAt[jobID].IsZero() {
-		m.w.cancelledAt[jobID] = time.Now()
+	m.world.mu.Lock()
+	defer m.world.mu.Unlock()
+	if m.world.cancelledAt[jobID].IsZero() {
+		m.world.cancelledAt[jobID] = time.Now()
 	}
 	return true
 }
@@ -94,7 +94,7 @@
 		startedAt := time.Now()
 		faults(m)
 		w.faultsEnded(cloud)
-		w.checkCancelledTasksGone()
+		w.checkCancelledTasksEnded()
 		time.Sleep(max(0, 400*time.Second-time.Since(startedAt)))
 		end()
 		for _, violation := range w.violations {
@@ -106,7 +106,7 @@
 			switch {
 			case cancelled:
 				for task := range w.jobs[jobID].TaskCount {
-					if worker := w.hostOf[ledger.Task{JobID: jobID, Index: task}]; worker != "" {
+					if worker := w.workerOf[ledger.Task{JobID: jobID, Index: task}]; worker != "" {
 						t.Errorf("task %s/%d is cancelled but still on %s at the end", jobID, task, worker)
 					}
 				}
@@ -127,14 +127,14 @@
 	w.duplicateShare = share
 }
 
-// checkCancelledTasksGone records a violation for each cancelled task that is still running.
-// taskStopped only notices those that end too late.
-func (w *world) checkCancelledTasksGone() {
+// checkCancelledTasksEnded records a violation for each cancelled task that still runs
+// after the cancel timeout. taskStopped checks only tasks that have ended.
+func (w *world) checkCancelledTasksEnded() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for task, host := range w.hostOf {
+	for task, worker := range w.workerOf {
 		if cancelledAt, ok := w.cancelledAt[task.JobID]; ok && time.Since(cancelledAt) > cancelTimeout {
-			w.recordViolation("ran_cancelled: %s is still on %s %v after its cancellation", task, host, time.Since(cancelledAt))
+			w.recordViolation("ran_cancelled: %s is still on %s %v after its cancellation", task, worker, time.Since(cancelledAt))
 		}
 	}
 }
@@ -148,7 +148,7 @@
 	defer m.processLocks[controller].Unlock()
 	m.processes[controller].crash()
 	time.Sleep(downtime)
-	m.processes[controller] = m.w.boot(controller)
+	m.processes[controller] = m.world.boot(controller)
 }
 
 // randomWorkers draws about the given share of the workers.
@@ -156,7 +156,7 @@
 	m.cloud.mu.Lock()
 	defer m.cloud.mu.Unlock()
 	for _, worker := range slices.Sorted(maps.Keys(m.cloud.instances)) {
-		if m.w.intN(100) < int(100*share) {
+		if m.world.intN(100) < int(100*share) {
 			workers = append(workers, worker)
 		}
 	}
@@ -168,7 +168,7 @@
 	for _, blocked := range []bool{true, false} {
 		for _, a := range from {
 			for _, b := range to {
-				m.w.net.setBlocked(a, b, blocked)
+				m.world.net.setBlocked(a, b, blocked)
 			}
 		}
 		if blocked {
@@ -181,9 +181,9 @@
 func (m *scenario) injectWorkerFault(names []string, duration time.Duration, inject func(worker *fakeWorker, active bool)) {
 	for _, active := range []bool{true, false} {
 		for _, name := range names {
-			m.w.mu.Lock()
-			worker := m.w.workers[name]
-			m.w.mu.Unlock()
+			m.world.mu.Lock()
+			worker := m.world.workers[name]
+			m.world.mu.Unlock()
 			if worker != nil {
 				worker.mu.Lock()
 				inject(worker, active)
@@ -199,23 +199,23 @@
 // Faults for injectWorkerFault.
 
 func dropHeartbeats(worker *fakeWorker, active bool) {
-	worker.dropsHeartbeats, worker.mutedSince = active, time.Now()
+	worker.dropsHeartbeats, worker.heartbeatFaultChangedAt = active, time.Now()
 }
 
 func pauseWorker(worker *fakeWorker, active bool) { worker.paused = active }
 
-func dropAnswers(worker *fakeWorker, active bool) { worker.dropsAnswers = active }
+func dropResponses(worker *fakeWorker, active bool) { worker.dropsResponses = active }
 
-func holdNextHeartbeat(worker *fakeWorker, active bool) { worker.holdsNext = active }
+func holdNextHeartbeat(worker *fakeWorker, active bool) { worker.holdsNextHeartbeat = active }
 
 // deliverHeldHeartbeats delivers the held heartbeats of workers to the current leader and
 // returns their number.
 func (m *scenario) deliverHeldHeartbeats(names []string) (delivered int) {
 	leader := m.leaderIndex()
 	for _, name := range names {
-		m.w.mu.Lock()
-		worker := m.w.workers[name]
-		m.w.mu.Unlock()
+		m.world.mu.Lock()
+		worker := m.world.workers[name]
+		m.world.mu.Unlock()
 		if worker != nil && worker.deliverHeld(m.ctx, leader) {
 			delivered++
 		}
@@ -225,7 +225,7 @@
 
 // otherControllers returns the names of all other controllers.
 func (m *scenario) otherControllers(controller int) (names []string) {
-	for other := range m.w.clusterSize {
+	for other := range m.world.clusterSize {
 		if other != controller {
 			names = append(names, controllerName(other))
 		}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -46,12 +46,12 @@
 func startWorldOfSize(t testing.TB, seed uint64, clusterSize int, teamCPULimit float64, maxInstances int, operatorSettings string) (ctx context.Context, w *world, store *fakeStore, cloud *fakeCloud, controllers []*controllerProcess, end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	w = &world{t: t, ctx: ctx, teamCPULimit: teamCPULimit, rnd: rand.New(rand.NewPCG(seed, 6)), net: newNetwork(rand.New(rand.NewPCG(seed, 8))), workers: map[string]*fakeWorker{}, jobs: map[string]wire.Job{},
-		hostOf: map[ledger.Task]string{}, usedCPUs: map[string]float64{}, doneTasks: map[ledger.Task]bool{}, lastPhase: map[string]string{}, cancelledAt: map[string]time.Time{}, cancelRequested: map[string]bool{}, acceptedSignal: map[string]chan struct{}{}, acceptedAt: map[string]time.Time{}, startedAttempts: map[startedAttempt]bool{}, operatorSettings: operatorSettings,
-		firstStart: map[string]time.Time{}, lastAnswer: map[string]time.Time{}, waitingWithRoomSince: map[string]time.Time{}}
+		workerOf: map[ledger.Task]string{}, usedCPUs: map[string]float64{}, doneTasks: map[ledger.Task]bool{}, lastPhase: map[string]string{}, cancelledAt: map[string]time.Time{}, cancelRequested: map[string]bool{}, acceptedSignal: map[string]chan struct{}{}, acceptedAt: map[string]time.Time{}, startedAttempts: map[startedAttempt]bool{}, operatorSettings: operatorSettings,
+		firstStart: map[string]time.Time{}, lastResponse: map[string]time.Time{}, waitingWithRoomSince: map[string]time.Time{}}
 	w.maxInstances, w.clusterSize, w.upgraded = maxInstances, clusterSize, make(map[int]bool)
 	store = newFakeStore(rand.New(rand.NewPCG(seed, 9)), w.recordViolation)
 	w.store = store
-	cloud = &fakeCloud{w: w, maxInstances: maxInstances, grantedNames: map[string][]string{}, requests: map[string]wire.ScaleOutRequest{}, instances: map[string]wire.Instance{}, createdAt: map[string]time.Time{}, instanceCount: map[string]int{},
+	cloud = &fakeCloud{world: w, maxInstances: maxInstances, grantedNames: map[string][]string{}, requests: map[string]wire.ScaleOutRequest{}, instances: map[string]wire.Instance{}, createdAt: map[string]time.Time{}, instanceCount: map[string]int{},
 		types: []wire.InstanceType{{Name: "m", CPUs: 8, MemoryGB: 32, DiskGB: 20, ImagePullGBPerSecond: 1, PricePerHour: 1, SpotPricePerHour: 0.5, BootSeconds: 3, Zones: []string{"a", "b"}}}}
 	var servers []*http.Server
 	for host, handler := range map[string]http.Handler{"state": store, "cloud": cloud} {
@@ -101,8 +101,7 @@
 	return defaultCount
 }
 
-// Guards against broken rules, and against jobs that never reach their end, under random
-// faults.
+// Guards against rule violations, and against jobs that never end, under random faults.
 func TestRandomScenarios(t *testing.T) {
 	for seed := range seedCount(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -148,7 +147,7 @@
 	}{
 		{"ran_twice", changeEachJob(func(w *world, jobID string, job *wire.Job) {
 			for i := range job.TaskCount {
-				w.hostOf[ledger.Task{JobID: jobID, Index: i}] = "elsewhere"
+				w.workerOf[ledger.Task{JobID: jobID, Index: i}] = "elsewhere"
 			}
 		})},
 		{"too_early", changeEachJob(func(w *world, jobID string, job *wire.Job) {
@@ -169,8 +168,8 @@
 		t.Run(tc.rule, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				violations, _ := runRandomScenario(t, 1, false, "", tc.tamper)
-				if !slices.ContainsFunc(violations, func(b string) bool { return strings.HasPrefix(b, tc.rule) }) {
-					t.Errorf("none of %d violations is of the tampered rule", len(violations))
+				if !slices.ContainsFunc(violations, func(violation string) bool { return strings.HasPrefix(violation, tc.rule) }) {
+					t.Errorf("got %d violations, want one of rule %s", len(violations), tc.rule)
 				}
 			})
 		})
--- a/internal/sim/store_test.go
+++ b/internal/sim/store_test.go
@@ -38,9 +38,9 @@
 	// Faults.
 	unavailable        bool            // all requests are refused
 	refusedControllers map[string]bool // controllers whose requests are refused
-	latency            time.Duration   // 0: none; else a request and its answer take 1/4 to 5/4 of it
-	lateShare          float64         // share of transactions that get no answer and are applied much later
-	// onCommit, if set, is called for each applied transaction and may drop its answer.
+	latency            time.Duration   // 0: none; else a request and its response take 1/4 to 5/4 of it
+	lateShare          float64         // share of transactions that get no response and are applied much later
+	// onCommit, if set, is called for each applied transaction and may drop its response.
 	onCommit func(controller string, txn wire.Txn) (lost bool)
 
 	// Checks and counters.
@@ -130,7 +130,7 @@
 	s.cond.Broadcast()
 }
 
-// leaderIndex returns the controller named by the leader key, or -1.
+// leaderIndex returns the index of the controller named by the leader key, or -1.
 func (s *fakeStore) leaderIndex() int {
 	n := -1
 	fmt.Sscanf(s.get("lead"), `{"node":"host-%d"`, &n)
@@ -144,9 +144,9 @@
 }
 
 // tooLarge reports whether a transaction exceeds the limits, and records a violation if the
-// controller had to know that. Just after the announced limits come into force, a controller
-// may send a transaction that is too large, but not again once it was refused. Two copies are
-// allowed, because a controller that got no answer sends it again.
+// controller should have known them. Just after the announced limits come into force, a
+// controller may send a transaction that is too large, but not again once it was refused. Two
+// copies are allowed, because a controller that got no response sends the transaction again.
 func (s *fakeStore) tooLarge(txn wire.Txn) bool {
 	large := len(txn.Operations) > s.maxOperations || len(txn.Compares) > 4*s.maxOperations
 	for _, op := range txn.Operations {
@@ -162,7 +162,7 @@
 	return large
 }
 
-// commit applies a transaction or refuses it, and returns the status and body of the answer.
+// commit applies a transaction or refuses it, and returns the status and body of the response.
 // The caller holds s.mu.
 func (s *fakeStore) commit(txn wire.Txn) (int, any) {
 	if s.tooLarge(txn) {
--- a/internal/sim/storefaults_test.go
+++ b/internal/sim/storefaults_test.go
@@ -19,7 +19,7 @@
 	s.writeRate = rate.NewLimiter(rate.Limit(writes), int(writes))
 }
 
-// lowerLimits puts the lower limits into force that were announced to the controllers.
+// lowerLimits applies the lower limits that were announced to the controllers.
 func (s *fakeStore) lowerLimits(valueBytes, operations int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,14 +40,15 @@
 	s.cond.Broadcast()
 }
 
-// delayTransactions leaves a share of the transactions unanswered and applies them late.
+// delayTransactions makes the store apply a share of the transactions late and without a
+// response.
 func (s *fakeStore) delayTransactions(share float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lateShare = share
 }
 
-// respondSlowly adds latency to requests and their answers; 0 removes it.
+// respondSlowly adds latency to requests and their responses; 0 removes it.
 func (s *fakeStore) respondSlowly(maxLatency time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/sim/storeserver_test.go
+++ b/internal/sim/storeserver_test.go
@@ -21,7 +21,7 @@
 	latency := s.drawLatency()
 	time.Sleep(latency / 4) // request latency
 	if r.URL.Path != "/changes" {
-		defer time.Sleep(3 * latency / 4) // answer latency, after the request was applied
+		defer time.Sleep(3 * latency / 4) // response latency, after the request was applied
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// drawLatency draws the total latency of a request and its answer.
+// drawLatency draws the total latency of a request and its response.
 func (s *fakeStore) drawLatency() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 		s.applyLate(txn, time.Duration(s.rnd.Int64N(int64(2*leaseDuration))))
 	}
 	if status == http.StatusOK && s.onCommit != nil && s.onCommit(controller, txn) || s.rnd.IntN(100) == 0 {
-		panic(http.ErrAbortHandler) // applied, but the answer is lost
+		panic(http.ErrAbortHandler) // applied, but the response is lost
 	}
 	writeJSON(w, status, result)
 }
@@ -119,8 +119,8 @@
 	}
 }
 
-// serveWatch answers once there are changes or the requested time is over. During an outage
-// it keeps waiting.
+// serveWatch responds once there are changes or the requested wait has passed. While the store
+// is unavailable or refuses the controller, it keeps waiting.
 func (s *fakeStore) serveWatch(w http.ResponseWriter, r *http.Request, controller string) {
 	query := r.URL.Query()
 	after, _ := strconv.ParseUint(query.Get("after"), 10, 64)
--- a/internal/sim/teams_test.go
+++ b/internal/sim/teams_test.go
@@ -100,9 +100,9 @@
 		time.Sleep(260 * time.Second)
 		w.mu.Lock()
 		inZone := map[string]int{}
-		for id, host := range w.hostOf {
+		for id, worker := range w.workerOf {
 			if w.jobs[id.JobID].Kind == wire.KindService {
-				inZone[w.workers[host].instance.Zone]++
+				inZone[w.workers[worker].instance.Zone]++
 			}
 		}
 		w.mu.Unlock()
--- a/internal/sim/users_test.go
+++ b/internal/sim/users_test.go
@@ -20,7 +20,7 @@
 }
 
 // runUser acts as the user of a job: it submits the job, polls it, cancels it if cancelAfter
-// is set, and checks the answers.
+// is set, and checks the responses.
 func (w *world) runUser(ctx context.Context, job wire.Job, cancelAfter time.Duration) {
 	client := w.client()
 	body, _ := json.Marshal(map[string]any{
@@ -74,7 +74,7 @@
 		}
 		w.mu.Lock()
 		if accepted {
-			w.recordAnswer(job.ID, status)
+			w.recordResponse(job.ID, status)
 		}
 		if accepted && status == 404 {
 			w.recordViolation("forgotten: %s", job.ID)
--- a/internal/sim/worker_test.go
+++ b/internal/sim/worker_test.go
@@ -25,25 +25,25 @@
 
 // fakeWorker is a fake of a worker's agent.
 type fakeWorker struct {
-	w        *world
+	world    *world
 	instance wire.Instance
 	cancel   context.CancelFunc
 	client   *http.Client
 
-	mu              sync.Mutex
-	incarnation     uint64
-	sequence        uint64
-	epoch           uint64
-	lastAnswered    time.Time // when the last answered heartbeat was sent
-	tasks           map[string]*workerTask
-	controller      int
-	heartbeatNow    chan struct{}
-	dropsAnswers    bool      // answers and commands to the worker are lost
-	dropsHeartbeats bool      // heartbeats reach no controller, but commands reach the worker
-	mutedSince      time.Time // when dropsHeartbeats was last set
-	holdsNext       bool      // the next heartbeat is held until deliverHeld
-	heldHeartbeat   []byte
-	paused          bool // tasks make no progress, and end once the lease expires
+	mu                      sync.Mutex
+	incarnation             uint64
+	sequence                uint64
+	epoch                   uint64
+	leaseRenewedAt          time.Time // when the heartbeat that last renewed the lease was sent
+	tasks                   map[string]*workerTask
+	controller              int
+	heartbeatNow            chan struct{}
+	dropsResponses          bool      // responses and commands to the worker are lost
+	dropsHeartbeats         bool      // heartbeats reach no controller, but commands reach the worker
+	heartbeatFaultChangedAt time.Time // when dropsHeartbeats was last set or cleared
+	holdsNextHeartbeat      bool      // the next heartbeat is held until deliverHeld
+	heldHeartbeat           []byte
+	paused                  bool // tasks make no progress, and end once the lease expires
 }
 
 func (k *fakeWorker) heartbeat() wire.Heartbeat {
@@ -59,41 +59,41 @@
 // expire ends all tasks and begins a new incarnation if the lease has expired. The caller
 // holds k.mu.
 func (k *fakeWorker) expire() {
-	if time.Since(k.lastAnswered) <= leaseDuration {
+	if time.Since(k.leaseRenewedAt) <= leaseDuration {
 		return
 	}
-	k.clear()
+	k.endAllTasks()
 	k.incarnation++
-	k.lastAnswered = time.Now()
+	k.leaseRenewedAt = time.Now()
 }
 
-func (k *fakeWorker) clear() {
+func (k *fakeWorker) endAllTasks() {
 	for _, task := range k.tasks {
 		k.endTask(task, "killed")
 	}
 	k.tasks = map[string]*workerTask{}
 }
 
-func (k *fakeWorker) endTask(task *workerTask, cause string) {
+func (k *fakeWorker) endTask(task *workerTask, reason string) {
 	if task.timer != nil {
 		task.timer.Stop()
 	}
 	if task.Phase == wire.TaskRunning {
-		k.w.taskStopped(task.TaskStatus.Task, k.instance.Name)
+		k.world.taskStopped(task.TaskStatus.Task, k.instance.Name)
 	}
-	task.Phase, task.ExitReason = wire.TaskExited, cause
+	task.Phase, task.ExitReason = wire.TaskExited, reason
 }
 
 func (k *fakeWorker) run(ctx context.Context) {
 	server := &http.Server{Handler: k, ErrorLog: log.New(io.Discard, "", 0)}
-	go server.Serve(k.w.net.listen(k.instance.Name, k.instance.Address))
+	go server.Serve(k.world.net.listen(k.instance.Name, k.instance.Address))
 	defer server.Close()
-	// The lease expires on time, also while the worker waits for something.
+	// The lease expires on time, also while the worker waits for a response.
 	go func() {
 		for {
 			k.mu.Lock()
 			k.expire()
-			remaining := leaseDuration - time.Since(k.lastAnswered) + time.Millisecond
+			remaining := leaseDuration - time.Since(k.leaseRenewedAt) + time.Millisecond
 			k.mu.Unlock()
 			select {
 			case <-ctx.Done():
@@ -103,7 +103,7 @@
 		}
 	}()
 	for {
-		delay := heartbeatInterval*3/4 + time.Duration(k.w.intN(int(heartbeatInterval/2)))
+		delay := heartbeatInterval*3/4 + time.Duration(k.world.intN(int(heartbeatInterval/2)))
 		select {
 		case <-ctx.Done():
 			return
@@ -144,8 +144,8 @@
 	k.expire()
 	switch {
 	case ctx.Err() != nil:
-	case k.dropsAnswers || k.paused:
-		k.controller = (controller + 1) % k.w.clusterSize
+	case k.dropsResponses || k.paused:
+		k.controller = (controller + 1) % k.world.clusterSize
 		k.requestHeartbeat()
 	case err == nil && res.StatusCode == 200:
 		var commands wire.CommandBatch
@@ -153,7 +153,7 @@
 		if k.incarnation != heartbeat.Incarnation || commands.Epoch < k.epoch {
 			return
 		}
-		k.epoch, k.lastAnswered = commands.Epoch, sentAt
+		k.epoch, k.leaseRenewedAt = commands.Epoch, sentAt
 		k.execute(commands.Commands)
 	case err == nil && res.StatusCode == 421 && strings.Contains(string(data), "host-"):
 		var redirect wire.Redirect
@@ -161,18 +161,18 @@
 		k.controller = int(redirect.Controller[len("host-")] - '0')
 		k.requestHeartbeat()
 	default:
-		k.controller = (controller + 1) % k.w.clusterSize
+		k.controller = (controller + 1) % k.world.clusterSize
 		k.requestHeartbeat()
 	}
 }
 
 // isHeartbeatLost reports whether a fault keeps a heartbeat from arriving. If so, it waits
-// for the time-out of the answer and moves on to the next controller.
+// as long as for a missing response and moves on to the next controller.
 func (k *fakeWorker) isHeartbeatLost(ctx context.Context, body []byte) bool {
 	k.mu.Lock()
-	drops, holds := k.dropsHeartbeats, k.holdsNext
+	drops, holds := k.dropsHeartbeats, k.holdsNextHeartbeat
 	if holds {
-		k.heldHeartbeat, k.holdsNext = body, false
+		k.heldHeartbeat, k.holdsNextHeartbeat = body, false
 	}
 	k.mu.Unlock()
 	if !drops && !holds {
@@ -185,13 +185,13 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.expire()
-	k.controller = (k.controller + 1) % k.w.clusterSize
+	k.controller = (k.controller + 1) % k.world.clusterSize
 	k.requestHeartbeat()
 	return true
 }
 
-// deliverHeld sends the held heartbeat to a controller, ignores the answer, and reports
-// whether there was one.
+// deliverHeld sends the held heartbeat to a controller, ignores the response, and
+// reports whether a heartbeat was held.
 func (k *fakeWorker) deliverHeld(ctx context.Context, controller int) bool {
 	k.mu.Lock()
 	body := k.heldHeartbeat
@@ -203,7 +203,7 @@
 	return body != nil
 }
 
-// post sends a heartbeat and ignores the answer.
+// post sends a heartbeat and ignores the response.
 func (k *fakeWorker) post(ctx context.Context, controller int, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
@@ -216,10 +216,10 @@
 
 // maybeDuplicate sends a copy of a heartbeat again much later, for a share of the heartbeats.
 func (k *fakeWorker) maybeDuplicate(ctx context.Context, controller int, body []byte) {
-	k.w.mu.Lock()
-	duplicate := k.w.rnd.Float64() < k.w.duplicateShare
-	delay := 2*time.Second + time.Duration(k.w.rnd.Int64N(int64(3*leaseDuration/2)))
-	k.w.mu.Unlock()
+	k.world.mu.Lock()
+	duplicate := k.world.rnd.Float64() < k.world.duplicateShare
+	delay := 2*time.Second + time.Duration(k.world.rnd.Int64N(int64(3*leaseDuration/2)))
+	k.world.mu.Unlock()
 	if !duplicate {
 		return
 	}
@@ -241,7 +241,7 @@
 		case wire.ActionStart:
 			if task != nil {
 				if task.Attempt != command.Attempt && task.Phase != wire.TaskExited {
-					k.w.recordViolation("two_attempts: %s was started as attempt %d while attempt %d is on the worker", key, command.Attempt, task.Attempt)
+					k.world.recordViolation("two_attempts: %s was started as attempt %d while attempt %d is on the worker", key, command.Attempt, task.Attempt)
 				}
 				if task.Attempt == command.Attempt || task.Phase != wire.TaskExited {
 					continue
@@ -275,20 +275,20 @@
 		return
 	}
 	id, _ := ledger.ParseTask(task.TaskStatus.Task)
-	job := k.w.taskStarted(id, task.Attempt, k.instance)
-	if duration := time.Since(k.mutedSince); k.dropsHeartbeats && duration > leaseDuration {
-		k.w.mu.Lock()
-		k.w.recordViolation("mute: %s started on %s, whose heartbeats have reached no controller for %v", id, k.instance.Name, duration)
-		k.w.mu.Unlock()
+	job := k.world.taskStarted(id, task.Attempt, k.instance)
+	if duration := time.Since(k.heartbeatFaultChangedAt); k.dropsHeartbeats && duration > leaseDuration {
+		k.world.mu.Lock()
+		k.world.recordViolation("no_heartbeats: %s started on %s, whose heartbeats have reached no controller for %v", id, k.instance.Name, duration)
+		k.world.mu.Unlock()
 	}
 	task.Phase = wire.TaskRunning
 	k.requestHeartbeat()
 	if job.Kind == wire.KindArray {
-		if k.w.isTaskDone(id) { // an earlier attempt has stored the result
+		if k.world.isTaskDone(id) { // an earlier attempt has stored the result
 			task.timer = time.AfterFunc(0, func() { k.completeTask(task, id) })
 			return
 		}
-		duration := job.ExpectedSeconds * (1 + k.w.durationSpread*float64(id.Index))
+		duration := job.ExpectedSeconds * (1 + k.world.durationSpread*float64(id.Index))
 		task.timer = time.AfterFunc(time.Duration(duration*float64(time.Second)), func() { k.completeTask(task, id) })
 	}
 }
@@ -304,7 +304,7 @@
 	k.expire()
 	if task.Phase == wire.TaskRunning && k.tasks[task.TaskStatus.Task] == task {
 		k.endTask(task, wire.ExitDone)
-		k.w.taskDone(id)
+		k.world.taskDone(id)
 		k.requestHeartbeat()
 	}
 }
@@ -316,7 +316,7 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.dropsAnswers || k.paused {
+	if k.dropsResponses || k.paused {
 		panic(http.ErrAbortHandler)
 	}
 	k.expire()
--- a/internal/sim/world_test.go
+++ b/internal/sim/world_test.go
@@ -23,37 +23,37 @@
 	ctx context.Context
 	wg  sync.WaitGroup
 
-	mu                   sync.Mutex
-	rnd                  *rand.Rand
-	workers              map[string]*fakeWorker
-	jobs                 map[string]wire.Job
-	hostOf               map[ledger.Task]string // worker that a task is running on
-	usedCPUs             map[string]float64     // by team
-	doneTasks            map[ledger.Task]bool
-	lastPhase            map[string]string    // last phase reported to the user, by job
-	cancelledAt          map[string]time.Time // when the user was told of the cancellation, by job
-	cancelRequested      map[string]bool      // a cancellation was sent, by job
-	acceptedSignal       map[string]chan struct{}
-	acceptedAt           map[string]time.Time    // when first reported accepted, by job
-	shouldResubmit       func(jobID string) bool // reports whether a user resubmits an accepted job now
-	teamCPULimit         float64                 // of each team
-	clusterSize          int                     // controllers
-	upgraded             map[int]bool            // controllers that know the announced lower limits
-	starts               int
-	durationSpread       float64                 // by how much each task of a job outlasts the one before it, as a fraction of the first's duration
-	newWorkersMute       bool                    // heartbeats of new workers reach no controller
-	duplicateShare       float64                 // share of the heartbeats of which a late copy arrives
-	maxInstances         int                     // workers per instance type and zone
-	sockets              int                     // per controller; 0: enough
-	teamCount            int                     // teams with equal quotas; 0: the two default teams
-	startedAttempts      map[startedAttempt]bool // every attempt that started
-	firstStart           map[string]time.Time    // when the first task started, by job
-	lastAnswer           map[string]time.Time    // when the user last got an answer, by job
-	faultsEndedAt        time.Time               // when the last fault ended; zero: not yet
-	waitingWithRoomSince map[string]time.Time    // jobs that wait although there is room
-	lateStarts           []time.Duration         // delays of task starts after a confirmed cancellation
-	operatorSettings     string                  // operator settings (XML); "": defaults
-	store                *fakeStore
+	mu                       sync.Mutex
+	rnd                      *rand.Rand
+	workers                  map[string]*fakeWorker
+	jobs                     map[string]wire.Job
+	workerOf                 map[ledger.Task]string // worker that a task is running on
+	usedCPUs                 map[string]float64     // by team
+	doneTasks                map[ledger.Task]bool
+	lastPhase                map[string]string    // last phase reported to the user, by job
+	cancelledAt              map[string]time.Time // when a response first reported the cancellation, by job
+	cancelRequested          map[string]bool      // a cancellation was sent, by job
+	acceptedSignal           map[string]chan struct{}
+	acceptedAt               map[string]time.Time    // when first reported accepted, by job
+	shouldResubmit           func(jobID string) bool // reports whether a user resubmits an accepted job now
+	teamCPULimit             float64                 // of each team
+	clusterSize              int                     // controllers
+	upgraded                 map[int]bool            // controllers that know the announced lower limits
+	starts                   int
+	durationSpread           float64                 // increase in duration from each task of a job to the next, as a fraction of the first task's duration
+	newWorkersDropHeartbeats bool                    // new workers start with dropsHeartbeats
+	duplicateShare           float64                 // share of the heartbeats of which a late copy arrives
+	maxInstances             int                     // workers per instance type and zone
+	sockets                  int                     // per controller; 0: as many as needed
+	teamCount                int                     // teams with equal quotas; 0: the two default teams
+	startedAttempts          map[startedAttempt]bool // every attempt that started
+	firstStart               map[string]time.Time    // when the first task started, by job
+	lastResponse             map[string]time.Time    // when the user last got a successful response, by job
+	faultsEndedAt            time.Time               // when the last fault ended; zero: not yet
+	waitingWithRoomSince     map[string]time.Time    // jobs that wait although there is room
+	lateStarts               []time.Duration         // delays of task starts after a confirmed cancellation
+	operatorSettings         string                  // operator settings (XML); "": defaults
+	store                    *fakeStore
 	// Store rate limits in the controllers' settings; 0: the defaults.
 	storeRPS, storeWriteRPS float64
 	maxPollPause            time.Duration // users poll after half to all of this time; 0: 4 s
@@ -76,7 +76,7 @@
 type startedAttempt struct {
 	task    ledger.Task
 	attempt uint64
-	host    string
+	worker  string
 }
 
 // taskStarted records a task's start and checks the rules that a start can break.
@@ -100,10 +100,10 @@
 			}
 		}
 	}
-	if other := w.hostOf[id]; other != "" {
+	if other := w.workerOf[id]; other != "" {
 		w.recordViolation("ran_twice: %s started on %s while running on %s", id, instance.Name, other)
 	}
-	w.setTaskHost(id, instance.Name)
+	w.setTaskWorker(id, instance.Name)
 	if cancelledAt, ok := w.cancelledAt[id.JobID]; ok {
 		w.lateStarts = append(w.lateStarts, time.Since(cancelledAt))
 		if time.Since(cancelledAt) > cancelTimeout {
@@ -121,7 +121,7 @@
 	}
 	teamCPUs, inZone, placed := w.usedCPUs[job.Team], 0, 0
 	for i := range job.TaskCount {
-		if worker := w.workers[w.hostOf[ledger.Task{JobID: id.JobID, Index: i}]]; worker != nil {
+		if worker := w.workers[w.workerOf[ledger.Task{JobID: id.JobID, Index: i}]]; worker != nil {
 			if placed++; worker.instance.Zone == instance.Zone {
 				inZone++
 			}
@@ -139,8 +139,8 @@
 	return job
 }
 
-// dependencyCancelledAt returns when a user was first told that a direct or
-// indirect dependency of a job is cancelled, or the zero time. The caller holds w.mu.
+// dependencyCancelledAt returns when a response first reported the cancellation of a
+// direct or indirect dependency of a job, or the zero time. The caller holds w.mu.
 func (w *world) dependencyCancelledAt(jobID string) (earliest time.Time) {
 	for _, dependency := range w.jobs[jobID].DependsOn {
 		for _, candidate := range []time.Time{w.cancelledAt[dependency], w.dependencyCancelledAt(dependency)} {
@@ -152,28 +152,28 @@
 	return earliest
 }
 
-func (w *world) taskStopped(taskName, host string) {
+func (w *world) taskStopped(taskName, worker string) {
 	id, _ := ledger.ParseTask(taskName)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if cancelledAt, ok := w.cancelledAt[id.JobID]; ok && time.Since(cancelledAt) > cancelTimeout {
-		w.recordViolation("ran_cancelled: %s was still on %s %v after its cancellation", id, host, time.Since(cancelledAt))
+		w.recordViolation("ran_cancelled: %s was still on %s %v after its cancellation", id, worker, time.Since(cancelledAt))
 	}
-	if w.hostOf[id] == host {
-		w.setTaskHost(id, "")
+	if w.workerOf[id] == worker {
+		w.setTaskWorker(id, "")
 	}
 }
 
-// setTaskHost records the worker that a task runs on, "" for none, and updates the
+// setTaskWorker records the worker that a task runs on, "" for none, and updates the
 // CPUs that its team uses. The caller holds w.mu.
-func (w *world) setTaskHost(id ledger.Task, host string) {
+func (w *world) setTaskWorker(id ledger.Task, worker string) {
 	job := w.jobs[id.JobID]
-	if _, placed := w.hostOf[id]; placed {
+	if _, placed := w.workerOf[id]; placed {
 		w.usedCPUs[job.Team] -= job.CPUs
-		delete(w.hostOf, id)
+		delete(w.workerOf, id)
 	}
-	if host != "" {
-		w.hostOf[id] = host
+	if worker != "" {
+		w.workerOf[id] = worker
 		w.usedCPUs[job.Team] += job.CPUs
 	}
 }
@@ -192,16 +192,16 @@
 
 func (w *world) startWorker(instance wire.Instance) {
 	ctx, cancel := context.WithCancel(w.ctx)
-	worker := &fakeWorker{w: w, instance: instance, cancel: cancel, incarnation: 1, lastAnswered: time.Now(), tasks: map[string]*workerTask{}, controller: w.intN(w.clusterSize), heartbeatNow: make(chan struct{}, 1),
+	worker := &fakeWorker{world: w, instance: instance, cancel: cancel, incarnation: 1, leaseRenewedAt: time.Now(), tasks: map[string]*workerTask{}, controller: w.intN(w.clusterSize), heartbeatNow: make(chan struct{}, 1),
 		client: &http.Client{Transport: &http.Transport{DialContext: w.net.forHost(instance.Name).Dial}}}
 	w.mu.Lock()
-	worker.dropsHeartbeats, worker.mutedSince = w.newWorkersMute, time.Now()
+	worker.dropsHeartbeats, worker.heartbeatFaultChangedAt = w.newWorkersDropHeartbeats, time.Now()
 	w.workers[instance.Name] = worker
 	w.mu.Unlock()
 	w.wg.Go(func() { worker.run(ctx); worker.client.CloseIdleConnections() })
 }
 
-// stopWorker ends a worker and all tasks on it.
+// stopWorker stops a worker and ends all tasks on it.
 func (w *world) stopWorker(name string) {
 	w.mu.Lock()
 	worker := w.workers[name]
@@ -213,8 +213,8 @@
 	w.net.resetHost(name)
 	worker.mu.Lock()
 	defer worker.mu.Unlock()
-	worker.clear()
-	worker.lastAnswered = time.Now().Add(time.Hour) // prevents the lease from expiring on a worker that is off
+	worker.endAllTasks()
+	worker.leaseRenewedAt = time.Now().Add(time.Hour) // prevents the lease from expiring on a stopped worker
 }
 
 func (w *world) controllerSettings(index int) *settings.Settings {
--- a/internal/sim/writeoverload_test.go
+++ b/internal/sim/writeoverload_test.go
@@ -19,12 +19,12 @@
 	m.limitStore(requests, writes)
 	time.Sleep(20 * time.Second)
 	for i := range overloadJobs {
-		m.w.submit(m.ctx, array(i, 1, 5*time.Second), time.Duration(i)*overloadInterval, 0)
+		m.world.submit(m.ctx, array(i, 1, 5*time.Second), time.Duration(i)*overloadInterval, 0)
 	}
 	time.Sleep(overloadJobs * overloadInterval)
 }
 
-// Guards against users who get no answer about accepted jobs. When writes exceed the store's
+// Guards against users who get no response about accepted jobs. When writes exceed the store's
 // rate, jobs pile up, and their polls would exceed its request rate if each cost a read.
 func TestPollsAnsweredWhileWritesPileUp(t *testing.T) {
 	runFaultPlan(t, faultPlan{
@@ -34,7 +34,8 @@
 	})
 }
 
-// endReportDeadline is how long after the load the end of every job must have been reported.
+// endReportDeadline is the time after the load within which the end of every job must be
+// reported.
 const endReportDeadline = 60 * time.Second
 
 // checkEndsReported waits for endReportDeadline and checks that every job accepted under load
@@ -42,19 +43,19 @@
 func (m *scenario) checkEndsReported() {
 	loadEnded := time.Now()
 	time.Sleep(endReportDeadline)
-	m.w.mu.Lock()
-	defer m.w.mu.Unlock()
-	waiting, accepted := 0, 0
-	for jobID, acceptedAt := range m.w.acceptedAt {
+	m.world.mu.Lock()
+	defer m.world.mu.Unlock()
+	unreported, accepted := 0, 0
+	for jobID, acceptedAt := range m.world.acceptedAt {
 		if acceptedAt.After(loadEnded) {
 			continue
 		}
-		if accepted++; m.w.lastPhase[jobID] != wire.PhaseDone {
-			waiting++
+		if accepted++; m.world.lastPhase[jobID] != wire.PhaseDone {
+			unreported++
 		}
 	}
-	if waiting > 0 {
-		m.Errorf("%d of %d jobs are not reported as done %v after the load", waiting, accepted, endReportDeadline)
+	if unreported > 0 {
+		m.Errorf("%d of %d jobs are not reported as done %v after the load", unreported, accepted, endReportDeadline)
 	}
 }
 
@@ -71,7 +72,7 @@
 }
 
 // Guards against accepting more jobs than the store can handle in a long overload: new jobs
-// must be refused while ends have waited for long.
+// must be refused while the ends of earlier jobs have long waited to be written.
 func TestAcceptedJobsEndInLongOverload(t *testing.T) {
 	runFaultPlan(t, faultPlan{
 		seed: 778, maxInstances: 12, teamCPULimit: 100,
@@ -100,7 +101,7 @@
 				func() {
 					time.Sleep(75 * time.Second)
 					for chain := range chainCount {
-						m.w.wg.Go(func() { m.cancelRepeatedly(chain%controllerCount, 60*time.Second, testJobID(firstHead+3*chain)) })
+						m.world.wg.Go(func() { m.cancelRepeatedly(chain%controllerCount, 60*time.Second, testJobID(firstHead+3*chain)) })
 					}
 				},
 				func() {
@@ -113,7 +114,7 @@
 		},
 		check: func(m *scenario) {
 			for chain := range chainCount {
-				if head := testJobID(firstHead + 3*chain); m.w.cancelledAt[head].IsZero() {
+				if head := testJobID(firstHead + 3*chain); m.world.cancelledAt[head].IsZero() {
 					m.Errorf("job %s was never reported as cancelled", head)
 				}
 			}
